--- a/cacheevents/cacheevents.go
+++ b/cacheevents/cacheevents.go
@@ -43,7 +43,7 @@
 	Send(ctx context.Context, a *engine.Attempt) (*engine.Answer, error)
 }
 
-// Sink takes what was learnt; *placement.Shared is one. It is called from
+// Sink takes what was learnt; *placement.SharedView is one. It is called from
 // several goroutines.
 type Sink interface {
 	CacheEvents(b placement.EventBatch)
--- a/caches/caches.go
+++ b/caches/caches.go
@@ -147,7 +147,7 @@
 }
 
 // PromptOf names the parts of a prompt under a salt.
-func PromptOf(salt string, parts []prefix.Part) Prompt {
+func PromptOf(salt string, parts []prefix.Segment) Prompt {
 	p := Prompt{parts: make([]Part, len(parts)), tokens: make([]int, len(parts))}
 	for i := range parts {
 		p.parts[i], p.tokens[i] = PartOf(salt, parts[i].ID), parts[i].Tokens
--- a/caches/caches_test.go
+++ b/caches/caches_test.go
@@ -9,7 +9,7 @@
 const salt = "v3"
 
 var (
-	parts  = []prefix.Part{{ID: "law", Tokens: 345}, {ID: "file", Tokens: 260}, {ID: "question", Tokens: 2019}}
+	parts  = []prefix.Segment{{ID: "law", Tokens: 345}, {ID: "file", Tokens: 260}, {ID: "question", Tokens: 2019}}
 	prompt = PromptOf(salt, parts)
 )
 
@@ -84,7 +84,7 @@
 	if got, _ := table.Held("e", prompt); got != 345 {
 		t.Errorf("%d tokens of the part that was renewed", got)
 	}
-	if got, _ := table.Held("e", PromptOf(salt, []prefix.Part{{ID: "a", Tokens: 300}})); got != 0 {
+	if got, _ := table.Held("e", PromptOf(salt, []prefix.Segment{{ID: "a", Tokens: 300}})); got != 0 {
 		t.Errorf("%d tokens of the oldest part", got)
 	}
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -73,7 +73,7 @@
 	shutdown  *shutdown
 	peers     *peer.Service
 	guard     *guard.Guard
-	room      *room.Keeper
+	room      *room.Limiter
 	gateway   *gateway.Gateway
 	claimer   *claimer
 	orders    *orderGiver
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -44,7 +44,7 @@
 	log    *logging.Logger
 	now    func() time.Time
 
-	placement *placement.Shared
+	placement *placement.SharedView
 
 	probes *rate.Limiter
 
@@ -57,7 +57,7 @@
 	capacity map[string]capacity // by model
 	shares   map[string][]rollout.Share
 	said     map[fleet.EndpointID]saying
-	gates    map[fleet.EndpointID]placement.Gate
+	gates    map[fleet.EndpointID]placement.Availability
 	all      []fleet.Member // as of the last refresh, by id
 	usable   []fleet.Member // of those, the ones that may get new work
 	failing  []fleet.EndpointID
@@ -69,7 +69,7 @@
 	events  *cacheevents.Follower
 	counted cacheevents.Stats // in the metrics already; of the upkeep alone
 
-	cutters *sync.Pool // of *prefix.Cutter, guarded by mu
+	cutters *sync.Pool // of *prefix.Splitter, guarded by mu
 	ids     requestIDs
 }
 
@@ -82,18 +82,18 @@
 		now:     d.o.Now,
 		members: fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
 		pools:   map[string][]fleet.Endpoint{},
-		gates:   map[fleet.EndpointID]placement.Gate{},
+		gates:   map[fleet.EndpointID]placement.Availability{},
 		probes:  rate.NewLimiter(probesEach, probesAtOnce),
 		said:    map[fleet.EndpointID]saying{},
 		places:  map[fleet.EndpointID]fleet.Endpoint{},
 		health:  health.New(health.Options{Rand: newRand(s.Daemon.ID, d.life)}),
 	}
-	v.placement = placement.NewShared(placement.Options{
+	v.placement = placement.NewSharedView(placement.Options{
 		Zone:        s.Daemon.Zone,
 		PrefillRate: s.Routing.RunnerTokens,
 		MaxPrefixes: s.Routing.Prefixes,
 	})
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewCutter(prefix.Options{}) }}
+	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(prefix.Options{}) }}
 	v.events = newFollower(d, v.placement)
 	return v
 }
@@ -105,7 +105,7 @@
 	v.manifest = m
 	v.dirty = true
 	options := prefix.Options{PieceTokens: m.Fleet.PieceTokens, BytesPerToken: m.Fleet.BytesPerToken}
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewCutter(options) }}
+	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(options) }}
 	v.refresh()
 }
 
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -23,7 +23,7 @@
 }
 
 // newRoom returns what keeps endpoints within the limits that they name.
-func (d *Daemon) newRoom() *room.Keeper {
+func (d *Daemon) newRoom() *room.Limiter {
 	return room.New(room.Options{
 		Me: d.peer(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -17,7 +17,7 @@
 // notify tells the other daemons where cold prefixes went, so that the next
 // question on the same document follows to the same endpoint.
 func (v *fleetView) notify() {
-	notices := v.placement.Notices(nil)
+	notices := v.placement.TakeAnnouncements(nil)
 	if v.daemon.o.NoNotices {
 		return
 	}
@@ -27,8 +27,8 @@
 }
 
 // notified takes another daemon's notices.
-func (v *fleetView) notified(_ string, notices []placement.Notice) {
-	v.placement.Heard(notices)
+func (v *fleetView) notified(_ string, notices []placement.Announcement) {
+	v.placement.ReceiveAnnouncements(notices)
 	v.daemon.metrics.Scope.Counter("notices_heard").Inc(int64(len(notices)))
 }
 
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -47,10 +47,10 @@
 	}
 	for waited := 0; ; waited++ {
 		p, err := v.place(r)
-		if !errors.Is(err, errAtLimits) || waited == room.Waits || !v.daemon.room.Waiting() {
+		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.room.AwaitingReply() {
 			return p, err
 		}
-		if err := pause.For(ctx, room.Wait); err != nil {
+		if err := pause.For(ctx, room.ReplyWait); err != nil {
 			return p, err
 		}
 	}
@@ -69,7 +69,7 @@
 		request.Pool = modelPool(r.Target.Model, r.Target.Version)
 	}
 	repeatable := r.Kind == fleet.KindModel
-	full := v.daemon.room.Full()
+	full := v.daemon.room.AtLimit()
 	request.Avoid = append(slices.Clone(r.Exclude), full...)
 	for tries := 0; ; tries++ {
 		request.ID = v.ids.next()
@@ -87,7 +87,7 @@
 		}
 		last := tries == trialsAtOnce
 		if v.mayTry(decision.Endpoint, repeatable) || (last && repeatable) {
-			if v.daemon.room.Take(decision.Endpoint) {
+			if v.daemon.room.Acquire(decision.Endpoint) {
 				return v.placed(request.ID, levels, &decision), nil
 			}
 			v.placement.Finished(v.now(), request.ID)
@@ -124,7 +124,7 @@
 	v.mu.Lock()
 	pool := v.cutters
 	v.mu.Unlock()
-	c := pool.Get().(*prefix.Cutter)
+	c := pool.Get().(*prefix.Splitter)
 	defer pool.Put(c)
 	c.Reset(prefix.Seed{
 		Organisation:   r.Organisation,
@@ -154,9 +154,9 @@
 		Incarnation:    d.Incarnation,
 		ExpectedCached: d.ExpectedCached,
 		ImportFrom:     store,
-		Prefix:         prefix.Format(prefix.Shared(levels)),
+		Prefix:         prefix.Format(prefix.ReusableLevels(levels)),
 	}
-	expected := d.ExpectedFirst
+	expected := d.ExpectedFirstToken
 	p.Began = func(m engine.Metadata) { v.began(id, p.Endpoint, levels, m) }
 	p.Done = func(r gateway.Result) { v.ended(id, p.Endpoint, expected, r) }
 	return p
@@ -189,7 +189,7 @@
 		v.placement.Finished(now, id)
 	} else {
 		dead := r.Outcome == gateway.AttemptNotSent
-		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, Dead: dead})
+		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, ConnectionLost: dead})
 	}
 	if r.Status != 0 {
 		v.daemon.room.Answered(e, r.Meta.Limit)
@@ -200,7 +200,7 @@
 		v.health.Success(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
 	case gateway.AttemptNotSent:
-		v.daemon.room.GiveBack(e)
+		v.daemon.room.Release(e)
 		v.refused(e)
 	case gateway.AttemptNotRun:
 		v.notRun(e, r.Meta)
--- a/daemon/pools.go
+++ b/daemon/pools.go
@@ -203,18 +203,18 @@
 
 // setGate tells placement when the gate of an endpoint has changed.
 func (v *fleetView) setGate(m *fleet.Member, open bool) {
-	gate := placement.GateOpen
+	gate := placement.Available
 	switch {
 	case m.Leaving:
-		gate = placement.GateDraining
+		gate = placement.Draining
 	case !open:
-		gate = placement.GateEjected
+		gate = placement.Ejected
 	}
 	if before, ok := v.gates[m.ID]; ok && before == gate {
 		return
 	}
 	v.gates[m.ID] = gate
-	v.placement.SetGate(m.ID, gate)
+	v.placement.SetAvailability(m.ID, gate)
 }
 
 // setStore names the KV store to import from: the first usable one of the own
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -27,7 +27,7 @@
 func (r *retries) earn() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.budget.Earn(r.now())
+	r.budget.RecordRequest(r.now())
 }
 
 // Next implements gateway.RetryPolicy.
@@ -36,11 +36,11 @@
 	if f.Streaming {
 		request.Delivered = 1 // how much doesn't matter here
 	}
-	request = retry.Resume(request, f.Attempt-1, false)
+	request = retry.RestoreRequest(request, f.Attempt-1, false)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	d := retry.Decide(r.now(), &request, retry.Attempt{Failure: failureOf(f)}, r.budget, r.rng)
-	return d.After, d.Retry
+	d := retry.Decide(r.now(), &request, retry.FailedAttempt{Failure: failureOf(f)}, r.budget, r.rng)
+	return d.Delay, d.Retry
 }
 
 func failureOf(f gateway.Failure) retry.Failure {
--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -16,7 +16,7 @@
 
 // attempt sends the request to the place. It returns true once the caller has
 // the final answer, and otherwise how the attempt failed.
-func (c *call) attempt(p *Placement) (bool, retry.Attempt) {
+func (c *call) attempt(p *Placement) (bool, retry.FailedAttempt) {
 	c.report.Attempts = append(c.report.Attempts, AttemptReport{
 		Endpoint: string(p.Target.Key), Reason: p.Reason, Version: p.Out.Version,
 		Wait: p.Wait, Cached: p.Cached, LoadAge: p.Age,
@@ -45,13 +45,13 @@
 			failure = retry.NotSent
 		}
 		end = End{Failure: failure, Lost: !withdrawn, Withdrawn: withdrawn, Cause: err}
-		return false, retry.Attempt{Endpoint: p.Target.Key, Failure: failure}
+		return false, retry.FailedAttempt{Endpoint: p.Target.Key, Failure: failure}
 	}
 	last := &c.report.Attempts[len(c.report.Attempts)-1]
 	last.Load, last.Limit = a.Info.Load, a.Info.Limit
 	c.o.Placer.Answered(p, &a.Info)
 	end = c.take(a)
-	return end.Whole, retry.Attempt{Endpoint: p.Target.Key, Failure: end.Failure}
+	return end.Whole, retry.FailedAttempt{Endpoint: p.Target.Key, Failure: end.Failure}
 }
 
 // sendBy sends the request, and withdraws it if no answer has begun when the
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -184,7 +184,7 @@
 	}
 	c.retry = retry.Request{
 		Idempotent: route.Repeatable(), Resumable: route.Resumable,
-		Deadline: c.work.Deadline, MaxSent: route.Attempts,
+		Deadline: c.work.Deadline, MaxEndpoints: route.Attempts,
 	}
 	if c.outlivesProcess() {
 		c.refuse(http.StatusServiceUnavailable, "stopping", elsewhere)
@@ -330,7 +330,7 @@
 		}
 		c.work.Avoid = c.retry.Excluded()
 		c.work.Resuming = c.begun
-		if !c.pause(d.After) {
+		if !c.pause(d.Delay) {
 			return
 		}
 	}
--- a/forward/handler_test.go
+++ b/forward/handler_test.go
@@ -43,7 +43,7 @@
 	p.ends = append(p.ends, end)
 }
 
-func (p *listPlacer) Failed(r *retry.Request, a retry.Attempt) retry.Decision {
+func (p *listPlacer) Failed(r *retry.Request, a retry.FailedAttempt) retry.Decision {
 	budget := retry.NewBudget(retry.BudgetOptions{Fraction: 1, Floor: 1, Burst: 10, Debt: 1})
 	return retry.Decide(time.Now(), r, a, budget, rand.New(rand.NewPCG(1, 2)))
 }
--- a/forward/placer.go
+++ b/forward/placer.go
@@ -72,7 +72,7 @@
 	// Ended takes the end of an attempt. Every Placement gets one.
 	Ended(p *Placement, end End)
 	// Failed decides what follows a failed attempt.
-	Failed(r *retry.Request, a retry.Attempt) retry.Decision
+	Failed(r *retry.Request, a retry.FailedAttempt) retry.Decision
 	// First counts the first attempt of a request.
 	First()
 }
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -28,7 +28,7 @@
 	APIKey       string
 	Patience     time.Duration // how long the caller will wait; 0: not told
 	Model        string
-	Parts        []prefix.Part // of the prompt, in order
+	Parts        []prefix.Segment // of the prompt, in order
 	PromptTokens int
 	OutputTokens int   // at most
 	LikelyOutput int   // estimated by the caller; 0: not told
--- a/lab/capacity/fixtures.go
+++ b/lab/capacity/fixtures.go
@@ -81,7 +81,7 @@
 
 // levels are the prefix levels of a prompt like those of the brief: a
 // preamble, a document of several pieces and a question.
-func levels(c *prefix.Cutter, org, document, question int) []prefix.Level {
+func levels(c *prefix.Splitter, org, document, question int) []prefix.Level {
 	c.Reset(prefix.Seed{Organisation: organisation(org), Model: "codes", Version: "v1"})
 	for _, part := range []struct {
 		name   string
--- a/lab/capacity/parts.go
+++ b/lab/capacity/parts.go
@@ -35,7 +35,7 @@
 
 func cutPrompt() Slope {
 	return measure("cut a prompt into keys", "bytes of prompt", "ns", promptSizes, func(size int) float64 {
-		c := prefix.NewCutter(prefix.Options{})
+		c := prefix.NewSplitter(prefix.Options{})
 		b := text("prompt", size)
 		return nanoseconds(func(n int) {
 			for range n {
@@ -65,7 +65,7 @@
 func place() Slope {
 	return measure("place, answer and end a request", "endpoints", "ns", endpointSizes, func(size int) float64 {
 		v := viewOf(size)
-		c := prefix.NewCutter(prefix.Options{})
+		c := prefix.NewSplitter(prefix.Options{})
 		var prompts [][]prefix.Level
 		for i := range 512 {
 			prompts = append(prompts, levels(c, i%64, i%8, i))
@@ -90,7 +90,7 @@
 
 func placementPrefixBytes() Slope {
 	return measure("placement state", "remembered prefixes", "bytes", prefixSizes, func(size int) float64 {
-		c := prefix.NewCutter(prefix.Options{})
+		c := prefix.NewSplitter(prefix.Options{})
 		return heapBytes(func() any {
 			v := placement.NewView(placement.Options{Zone: zone(0), Daemons: 9, MaxPrefixes: size})
 			v.SetPool("codes", endpoints(18))
--- a/lab/replay/chooser.go
+++ b/lab/replay/chooser.go
@@ -22,7 +22,7 @@
 	failed(now time.Time, j *job, id fleet.EndpointID)
 	load(id fleet.EndpointID, l fleet.Load)
 	events(batch placement.EventBatch)
-	gate(id fleet.EndpointID, g placement.Gate)
+	gate(id fleet.EndpointID, g placement.Availability)
 	expire(now time.Time)
 }
 
@@ -80,7 +80,7 @@
 func (c *viewChooser) finished(now time.Time, j *job) { c.v.Finished(now, j.id) }
 
 func (c *viewChooser) failed(now time.Time, j *job, id fleet.EndpointID) {
-	c.v.Failed(now, placement.Failure{ID: j.id, Endpoint: id, Dead: true})
+	c.v.Failed(now, placement.Failure{ID: j.id, Endpoint: id, ConnectionLost: true})
 }
 
 func (c *viewChooser) load(id fleet.EndpointID, l fleet.Load) { c.v.LoadReported(id, l) }
@@ -91,8 +91,8 @@
 	}
 }
 
-func (c *viewChooser) gate(id fleet.EndpointID, g placement.Gate) { c.v.SetGate(id, g) }
-func (c *viewChooser) expire(now time.Time)                       { c.v.Expire(now) }
+func (c *viewChooser) gate(id fleet.EndpointID, g placement.Availability) { c.v.SetAvailability(id, g) }
+func (c *viewChooser) expire(now time.Time)                               { c.v.Expire(now) }
 
 // baseChooser is one of the baselines. They learn nothing from answers but the
 // load.
@@ -107,9 +107,9 @@
 	c.c.LoadReported(id, l)
 }
 
-func (c *baseChooser) load(id fleet.EndpointID, l fleet.Load)     { c.c.LoadReported(id, l) }
-func (c *baseChooser) gate(id fleet.EndpointID, g placement.Gate) { c.c.SetGate(id, g) }
-func (c *baseChooser) finished(time.Time, *job)                   {}
-func (c *baseChooser) failed(time.Time, *job, fleet.EndpointID)   {}
-func (c *baseChooser) events(placement.EventBatch)                {}
-func (c *baseChooser) expire(time.Time)                           {}
+func (c *baseChooser) load(id fleet.EndpointID, l fleet.Load)             { c.c.LoadReported(id, l) }
+func (c *baseChooser) gate(id fleet.EndpointID, g placement.Availability) { c.c.SetAvailability(id, g) }
+func (c *baseChooser) finished(time.Time, *job)                           {}
+func (c *baseChooser) failed(time.Time, *job, fleet.EndpointID)           {}
+func (c *baseChooser) events(placement.EventBatch)                        {}
+func (c *baseChooser) expire(time.Time)                                   {}
--- a/lab/replay/daemon.go
+++ b/lab/replay/daemon.go
@@ -92,7 +92,7 @@
 	if !ok || !c.follows {
 		return
 	}
-	notices := c.v.Notices(nil)
+	notices := c.v.TakeAnnouncements(nil)
 	d.b.m.notices += len(notices)
 	if len(notices) == 0 {
 		return
@@ -100,7 +100,7 @@
 	d.b.clock.push(d.b.clock.now.Add(d.b.o.NoticeLag), func() {
 		for _, peer := range d.b.daemons {
 			if peer != d {
-				peer.chooser.(*viewChooser).v.Heard(notices)
+				peer.chooser.(*viewChooser).v.ReceiveAnnouncements(notices)
 			}
 		}
 	})
@@ -148,7 +148,7 @@
 func (d *daemon) failed(j *job, r *runner) {
 	now := d.b.clock.now
 	d.chooser.failed(now, j, r.id)
-	d.chooser.gate(r.id, placement.GateEjected)
+	d.chooser.gate(r.id, placement.Ejected)
 	d.ejected[r.id] = now
 	d.b.retry(j, r)
 }
@@ -156,7 +156,7 @@
 func (d *daemon) loadReported(id fleet.EndpointID, l fleet.Load) {
 	if since, ok := d.ejected[id]; ok && l.At.After(since) {
 		delete(d.ejected, id)
-		d.chooser.gate(id, placement.GateOpen)
+		d.chooser.gate(id, placement.Available)
 	}
 	d.chooser.load(id, l)
 }
--- a/lab/replay/oracle.go
+++ b/lab/replay/oracle.go
@@ -73,7 +73,7 @@
 
 // rankOf settles ties by the prefix, so that idle runners share cold prefixes.
 func rankOf(levels []prefix.Level, r *runner) uint64 {
-	i := prefix.Affinity(levels)
+	i := prefix.AffinityLevel(levels)
 	if i < 0 {
 		return 0
 	}
@@ -106,7 +106,7 @@
 	}
 	wait := float64(tokens) / r.b.fleet.PrefillRate
 	if over := len(r.queue) + len(r.decodes) + 1 - r.b.fleet.Slots; over > 0 {
-		wait += float64(over) * placement.DefaultService.Seconds() / float64(r.b.fleet.Slots)
+		wait += float64(over) * placement.DefaultServiceTime.Seconds() / float64(r.b.fleet.Slots)
 	}
 	return wait
 }
@@ -141,5 +141,5 @@
 func (o *oracle) failed(time.Time, *job, fleet.EndpointID)               {}
 func (o *oracle) load(fleet.EndpointID, fleet.Load)                      {}
 func (o *oracle) events(placement.EventBatch)                            {}
-func (o *oracle) gate(fleet.EndpointID, placement.Gate)                  {}
+func (o *oracle) gate(fleet.EndpointID, placement.Availability)          {}
 func (o *oracle) expire(time.Time)                                       {}
--- a/lab/trace/trace.go
+++ b/lab/trace/trace.go
@@ -91,7 +91,7 @@
 
 // Levels cuts the prompt with the product's own cutter. Each part stands for
 // text that follows from its ID, one byte a token.
-func (r *Request) Levels(c *prefix.Cutter) []prefix.Level {
+func (r *Request) Levels(c *prefix.Splitter) []prefix.Level {
 	c.Reset(prefix.Seed{Organisation: r.Organisation, Model: r.Model, Version: "1", Adapter: r.Adapter})
 	var text [4096]byte
 	for _, p := range r.Parts {
@@ -106,8 +106,8 @@
 }
 
 // NewCutter returns a cutter for the trace's prompts.
-func (t *Trace) NewCutter() *prefix.Cutter {
-	return prefix.NewCutter(prefix.Options{PieceTokens: t.Header.PieceTokens, BytesPerToken: 1})
+func (t *Trace) NewCutter() *prefix.Splitter {
+	return prefix.NewSplitter(prefix.Options{PieceTokens: t.Header.PieceTokens, BytesPerToken: 1})
 }
 
 // Write writes the trace as JSON Lines.
--- a/lab/trace/trace_test.go
+++ b/lab/trace/trace_test.go
@@ -65,7 +65,7 @@
 func TestLevelsShareWhatPartsShare(t *testing.T) {
 	one := Request{Organisation: "o", Model: "m", Parts: []Part{{"pre", 900}, {"doc", 4500}, {"q1", 80}}}
 	two := Request{Organisation: "o", Model: "m", Parts: []Part{{"pre", 900}, {"doc", 4500}, {"q2", 80}}}
-	c := prefix.NewCutter(prefix.Options{BytesPerToken: 1})
+	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
 	a, b := one.Levels(c), two.Levels(c)
 	last := len(a) - 1
 	if len(a) != 5 || a[last].Tokens != one.Tokens() {
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -30,7 +30,7 @@
 // Notify sends notices to all other listed daemons and returns how many were
 // told. It does not wait for them: a notice that is late is of no use, and one
 // that is lost only costs what the notice would have saved.
-func (s *Service) Notify(now time.Time, notices []placement.Notice) int {
+func (s *Service) Notify(now time.Time, notices []placement.Announcement) int {
 	list := s.o.Daemons()
 	if len(notices) == 0 || len(list) > MaxNoticeDaemons {
 		return 0
@@ -64,26 +64,26 @@
 
 // Notify takes another daemon's notices.
 func (h *handler) Notify(_ context.Context, w *peerpb.Notices) (*peerpb.NotifyReply, error) {
-	if len(w.GetNotices()) > placement.MaxNotices || len(w.GetDaemon()) > neighbour.MaxDaemonID {
+	if len(w.GetNotices()) > placement.MaxAnnouncements || len(w.GetDaemon()) > neighbour.MaxDaemonID {
 		return nil, status.Error(codes.InvalidArgument, "too many notices or too long a name")
 	}
 	h.service.o.Notified(w.GetDaemon(), noticesFromWire(time.Now(), w.GetNotices()))
 	return &peerpb.NotifyReply{}, nil
 }
 
-func noticesToWire(now time.Time, daemon string, notices []placement.Notice) *peerpb.Notices {
+func noticesToWire(now time.Time, daemon string, notices []placement.Announcement) *peerpb.Notices {
 	w := &peerpb.Notices{Daemon: daemon}
 	for i := range notices {
 		n := &notices[i]
 		p := &peerpb.Notice{
 			Endpoint:    string(n.Endpoint),
 			Incarnation: uint64(n.Incarnation),
-			Lost:        n.Lost,
+			Lost:        n.CacheLost,
 			Tokens:      uint32(max(n.Tokens, 0)),
 			Priority:    uint32(max(n.Priority, 0)),
 			AgeMs:       uint32(max(now.Sub(n.At), 0).Milliseconds()),
 		}
-		if !n.Lost {
+		if !n.CacheLost {
 			p.Key = n.Key[:]
 		}
 		w.Notices = append(w.Notices, p)
@@ -92,18 +92,18 @@
 }
 
 // noticesFromWire leaves out what is outside the bounds.
-func noticesFromWire(now time.Time, list []*peerpb.Notice) []placement.Notice {
-	var notices []placement.Notice
+func noticesFromWire(now time.Time, list []*peerpb.Notice) []placement.Announcement {
+	var notices []placement.Announcement
 	for _, p := range list {
 		age := time.Duration(p.GetAgeMs()) * time.Millisecond
 		whole := p.GetLost() || len(p.GetKey()) == prefix.KeySize
 		if !whole || age > maxNoticeAge || len(p.GetEndpoint()) > neighbour.MaxEndpointID {
 			continue
 		}
-		n := placement.Notice{
+		n := placement.Announcement{
 			Endpoint:    fleet.EndpointID(p.GetEndpoint()),
 			Incarnation: fleet.Incarnation(p.GetIncarnation()),
-			Lost:        p.GetLost(),
+			CacheLost:   p.GetLost(),
 			Tokens:      int(min(p.GetTokens(), maxNoticeTokens)),
 			Priority:    contract.Priority(min(p.GetPriority(), uint32(contract.PriorityCount-1))),
 			At:          now.Add(-age),
--- a/peer/notify_test.go
+++ b/peer/notify_test.go
@@ -13,9 +13,9 @@
 
 func TestNoticesKeepTheirAgeOnTheWay(t *testing.T) {
 	sent := time.Unix(1000, 0)
-	notices := []placement.Notice{
+	notices := []placement.Announcement{
 		{Key: prefix.Key{1, 2}, Endpoint: "r1", Incarnation: 7, Tokens: 9, Priority: 2, At: sent.Add(-30 * time.Millisecond)},
-		{Endpoint: "r2", Incarnation: 8, Lost: true, At: sent},
+		{Endpoint: "r2", Incarnation: 8, CacheLost: true, At: sent},
 	}
 	got := noticesFromWire(sent, noticesToWire(sent, "d1", notices).GetNotices())
 	if diff := cmp.Diff(notices, got); diff != "" {
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -57,7 +57,7 @@
 	Heard func(now time.Time, d neighbour.Digest)
 	// Notified takes another daemon's notices; times are by this daemon's
 	// clock. May be nil.
-	Notified func(from string, notices []placement.Notice)
+	Notified func(from string, notices []placement.Announcement)
 	// Relayed takes a message that another daemon sent by Relay. May be nil.
 	Relayed func(from string, data []byte)
 	// FetchManifest returns the accepted manifest of the given revision, for a
@@ -202,7 +202,7 @@
 		o.Heard = func(time.Time, neighbour.Digest) {}
 	}
 	if o.Notified == nil {
-		o.Notified = func(string, []placement.Notice) {}
+		o.Notified = func(string, []placement.Announcement) {}
 	}
 	if o.Life == 0 {
 		o.Life = uint64(time.Now().UnixNano())
--- a/placement/baseline/baseline.go
+++ b/placement/baseline/baseline.go
@@ -60,10 +60,10 @@
 	return c
 }
 
-// SetGate tells whether an endpoint may be given work.
-func (c *Chooser) SetGate(id fleet.EndpointID, g placement.Gate) {
+// SetAvailability tells whether an endpoint may be given work.
+func (c *Chooser) SetAvailability(id fleet.EndpointID, g placement.Availability) {
 	if s := c.find(id); s != nil {
-		s.gated = g != placement.GateOpen
+		s.gated = g != placement.Available
 	}
 }
 
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -21,7 +21,7 @@
 // benchRequests is one request for every document of every organisation, with
 // a preamble, four pieces of document, and a question.
 func benchRequests() []Request {
-	c := prefix.NewCutter(prefix.Options{BytesPerToken: 1})
+	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
 	text := make([]byte, 8000)
 	var all []Request
 	for o := range benchOrganisations {
@@ -68,7 +68,7 @@
 		serve(v, now, r, &load)
 		v.Expire(now)
 		if i%100 == 0 {
-			v.Notices(nil)
+			v.TakeAnnouncements(nil)
 		}
 	}
 	return v, now
@@ -181,13 +181,13 @@
 		for _, workers := range []int{1, 12} {
 			name := map[bool]string{false: "table", true: "request"}[cut]
 			b.Run(fmt.Sprintf("%s/workers=%d", name, workers), func(b *testing.B) {
-				s := NewShared(Options{Zone: "zone-0", Daemons: 9})
+				s := NewSharedView(Options{Zone: "zone-0", Daemons: 9})
 				s.SetPool(testPool, testFleet(500))
 				var next atomic.Uint64
 				var group sync.WaitGroup
 				for range workers {
 					group.Go(func() {
-						c := prefix.NewCutter(prefix.Options{})
+						c := prefix.NewSplitter(prefix.Options{})
 						load := fleet.Load{Incarnation: 1, Slots: 64}
 						for {
 							id := next.Add(1)
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -20,25 +20,25 @@
 	known    float64 // how sure some candidate holds the shared level
 	usual    float64 // wait in seconds among the candidates that were heard of lately
 	slack    float64 // wait in seconds that a cold prefix takes to be at home
-	held     *Held
+	held     *PrefixLocations
 	sole     bool
 }
 
 func (v *View) costModel(now time.Time, r *Request, home *entry) costModel {
 	m := costModel{
 		id: r.ID, priority: r.Priority, tokens: float64(r.Tokens), homes: 1, stored: v.storedTokens(now, r),
-		held: r.Held, sole: r.Sole,
+		held: r.Locations, sole: r.Exclusive,
 	}
 	if home == nil {
 		return m
 	}
 	m.homes = v.homesFor(now, home, r)
-	m.shared = float64(r.Levels[prefix.Affinity(r.Levels)].Tokens)
+	m.shared = float64(r.Levels[prefix.AffinityLevel(r.Levels)].Tokens)
 	for i := range v.scratch.candidates {
 		m.known = max(m.known, min(1, v.scratch.candidates[i].cached/m.shared))
 	}
 	if m.held != nil {
-		m.known = max(m.known, min(1, float64(m.held.Best)/m.shared))
+		m.known = max(m.known, min(1, float64(m.held.MaxTokens)/m.shared))
 	}
 	m.slack = min(homeSlack, wasteWeight*m.shared/v.o.PrefillRate)
 	return m
@@ -50,17 +50,17 @@
 	if m.held == nil {
 		return c.expected
 	}
-	return max(c.expected, float64(m.held.Best))
+	return max(c.expected, float64(m.held.MaxTokens))
 }
 
 // prepare works out the time in seconds until the candidate has the prompt.
 func (m *costModel) prepare(v *View, e *endpoint, c *candidate) float64 {
 	reach := m.reach(c)
-	if reach <= c.expected || m.held.Rate <= 0 {
+	if reach <= c.expected || m.held.FetchRate <= 0 {
 		t, _ := v.computeTime(e, m.tokens-c.expected, m.stored-c.expected)
 		return t
 	}
-	fetch := v.o.ImportLatency.Seconds() + (reach-c.expected)/m.held.Rate
+	fetch := v.o.ImportLatency.Seconds() + (reach-c.expected)/m.held.FetchRate
 	return min((m.tokens-c.expected)/e.rate, fetch+(m.tokens-reach)/e.rate)
 }
 
@@ -115,12 +115,12 @@
 func (v *View) prior(now time.Time, e *endpoint) float64 {
 	filled := 1.0
 	if !e.emptied.IsZero() {
-		filled -= math.Exp2(-max(0, now.Sub(e.emptied).Seconds()) / v.o.CacheLife.Seconds())
+		filled -= math.Exp2(-max(0, now.Sub(e.emptied).Seconds()) / v.o.CacheHalfLife.Seconds())
 	}
 	if !e.follows {
-		return v.o.HomePrior * filled
+		return v.o.PreferredPrior * filled
 	}
-	return v.o.HomePrior * filled * math.Exp2(-now.Sub(e.since).Seconds()/priorLife)
+	return v.o.PreferredPrior * filled * math.Exp2(-now.Sub(e.since).Seconds()/priorLife)
 }
 
 // unknownAge stands for a load that was never told.
@@ -131,7 +131,7 @@
 // homesFor is the number of endpoints that the prefix's heat asks for: those
 // that its requests would keep busy, by prefill or by batch slots.
 func (v *View) homesFor(now time.Time, t *entry, r *Request) int32 {
-	suffix := r.Tokens - r.Levels[prefix.Affinity(r.Levels)].Tokens
+	suffix := r.Tokens - r.Levels[prefix.AffinityLevel(r.Levels)].Tokens
 	each := float64(suffix) / v.o.PrefillRate
 	if slots := v.endpoints[t.homes[0]].load.Slots; slots > 0 {
 		each = max(each, v.service/float64(slots))
@@ -201,7 +201,7 @@
 // fresh is what is left of the worth of what the endpoint last showed, from 1 to
 // 0. Where the endpoints' queues change by their own work alone it does not age.
 func (v *View) fresh(now time.Time, e *endpoint, p contract.Priority) float64 {
-	if v.o.QueueLife <= 0 {
+	if v.o.QueueHalfLife <= 0 {
 		return 1
 	}
 	at := e.loadAt
@@ -213,7 +213,7 @@
 	if at.IsZero() {
 		return 0
 	}
-	return math.Exp2(-max(0, now.Sub(at).Seconds()) / v.o.QueueLife.Seconds())
+	return math.Exp2(-max(0, now.Sub(at).Seconds()) / v.o.QueueHalfLife.Seconds())
 }
 
 // stillQueued is what is left of a reported queue after a while.
@@ -223,20 +223,20 @@
 // the best guess, and to subtract the work done since would show full endpoints
 // as empty to every daemon that has not heard of them for a moment.
 func (v *View) stillQueued(tokens float64, e *endpoint, elapsed float64) float64 {
-	if v.o.QueueLife <= 0 {
+	if v.o.QueueHalfLife <= 0 {
 		return tokens - e.rate*elapsed
 	}
-	return tokens * math.Exp2(-elapsed/v.o.QueueLife.Seconds())
+	return tokens * math.Exp2(-elapsed/v.o.QueueHalfLife.Seconds())
 }
 
 // stillWaiting is what is left of a reported number of waiting requests after a while.
 // An endpoint that gets no requests from here because of its queue tells nothing
 // more, and would count as full for ever.
 func (v *View) stillWaiting(requests, elapsed float64) float64 {
-	if v.o.QueueLife <= 0 {
+	if v.o.QueueHalfLife <= 0 {
 		return requests
 	}
-	return requests * math.Exp2(-elapsed/v.o.QueueLife.Seconds())
+	return requests * math.Exp2(-elapsed/v.o.QueueHalfLife.Seconds())
 }
 
 // ahead is the part of the reported queue that a request of the priority waits
--- a/placement/dump.go
+++ b/placement/dump.go
@@ -33,7 +33,7 @@
 var gateNames = [...]string{"open", "ejected", "draining"}
 
 // String returns the name of the gate.
-func (g Gate) String() string { return gateNames[g] }
+func (g Availability) String() string { return gateNames[g] }
 
 // Dump returns the state at the given time.
 func (v *View) Dump(now time.Time) Dump {
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -26,9 +26,9 @@
 	zone   fleet.ZoneID
 	hash   uint64
 	pools  int // pools it is a member of; 0: the slot is free
-	gate   Gate
-	listed Gate // from the platform's list
-	drains bool // from its own load report
+	gate   Availability
+	listed Availability // from the platform's list
+	drains bool         // from its own load report
 
 	incarnation fleet.Incarnation
 	heard       time.Time // when the newest message of it was true
@@ -177,15 +177,15 @@
 		v.lives++
 		v.endpoints[i] = endpoint{
 			id: m.ID, hash: xxhash.Sum64String(string(m.ID)), life: v.lives,
-			rate: v.o.PrefillRate, idleLife: v.o.CacheLife, firstRes: none, lastRes: none, told: nothingTold,
+			rate: v.o.PrefillRate, idleLife: v.o.CacheHalfLife, firstRes: none, lastRes: none, told: nothingTold,
 		}
 	}
 	e := &v.endpoints[i]
 	e.pools++
 	e.zone = m.Zone
-	e.listed = GateOpen
+	e.listed = Available
 	if m.State == fleet.VMLeaving {
-		e.listed = GateDraining
+		e.listed = Draining
 	}
 	return i
 }
@@ -216,18 +216,18 @@
 	v.freeEndpoints = append(v.freeEndpoints, i)
 }
 
-// SetGate tells whether an endpoint may be given work. It does not change the
+// SetAvailability tells whether an endpoint may be given work. It does not change the
 // rendezvous order, so an ejected endpoint gets its own prefixes back when it
 // returns and no others move.
-func (v *View) SetGate(id fleet.EndpointID, g Gate) {
+func (v *View) SetAvailability(id fleet.EndpointID, g Availability) {
 	if e := v.endpointOf(id); e != nil {
 		e.gate = g
 	}
 }
 
-func (e *endpoint) gated() Gate {
+func (e *endpoint) gated() Availability {
 	if e.drains {
-		return GateDraining
+		return Draining
 	}
 	return max(e.gate, e.listed)
 }
--- a/placement/lives_test.go
+++ b/placement/lives_test.go
@@ -35,7 +35,7 @@
 				v.LoadReported(ep, fleet.Load{At: now, Incarnation: life[ep]})
 			case 1:
 				holds[ep] = map[string]bool{}
-				v.Failed(now, Failure{Endpoint: ep, Dead: true})
+				v.Failed(now, Failure{Endpoint: ep, ConnectionLost: true})
 			case 2:
 				v.Answered(now, Answer{Endpoint: ep, Incarnation: life[ep], Levels: r.Levels})
 				holds[ep][model] = true
--- a/placement/notices.go
+++ b/placement/notices.go
@@ -8,11 +8,11 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// MaxNotices bounds the notices that wait to be sent. When it is reached the
+// MaxAnnouncements bounds the notices that wait to be sent. When it is reached the
 // oldest are dropped: the others then learn from events and answers, later.
-const MaxNotices = 256
+const MaxAnnouncements = 256
 
-// Notice tells another daemon that a prefix is about to be computed somewhere,
+// Announcement tells another daemon that a prefix is about to be computed somewhere,
 // or that an endpoint's cache is gone.
 //
 // Until the first token of that request no answer and no event shows it. Other
@@ -23,11 +23,11 @@
 // An engine may crash and be back empty before its next load report. Only the
 // daemons that had requests there have seen it; the others would count on a
 // cache that is gone.
-type Notice struct {
+type Announcement struct {
 	Key         prefix.Key
 	Endpoint    fleet.EndpointID
 	Incarnation fleet.Incarnation
-	Lost        bool // the connection was lost; Key is not used
+	CacheLost   bool // the connection was lost; Key is not used
 	// Tokens is the work that goes there with the prefix, on one notice of
 	// each request: until the next load report no other daemon sees it.
 	Tokens   int
@@ -50,7 +50,7 @@
 			continue
 		}
 		t.hold(holder{endpoint: ep, life: e.life, gaps: e.gaps, coming: true, seen: now})
-		v.outbox.push(Notice{
+		v.outbox.push(Announcement{
 			Key: l.Key, Endpoint: e.id, Incarnation: e.incarnation, Tokens: tokens, Priority: r.Priority, At: now,
 		})
 		tokens = 0
@@ -60,9 +60,9 @@
 // noticeDoubt is the belief below which a prefix counts as cold.
 const noticeDoubt = 0.5
 
-// Notices appends what other daemons should hear of to dst and forgets it.
+// TakeAnnouncements appends what other daemons should hear of to dst and forgets it.
 // Call it every 100 ms or so and send the result to the neighbours.
-func (v *View) Notices(dst []Notice) []Notice {
+func (v *View) TakeAnnouncements(dst []Announcement) []Announcement {
 	for {
 		n, ok := v.outbox.pop()
 		if !ok {
@@ -72,15 +72,15 @@
 	}
 }
 
-// Heard takes notices of another daemon. One of another life of the endpoint
+// ReceiveAnnouncements takes notices of another daemon. One of another life of the endpoint
 // is ignored.
-func (v *View) Heard(all []Notice) {
+func (v *View) ReceiveAnnouncements(all []Announcement) {
 	for _, n := range all {
 		e := v.endpointOf(n.Endpoint)
 		if e == nil || n.Incarnation != e.incarnation || n.At.Before(e.emptied) {
 			continue
 		}
-		if n.Lost {
+		if n.CacheLost {
 			v.loseCache(e, n.At)
 			continue
 		}
@@ -98,7 +98,7 @@
 // They end with a load report or their expiry, since no answer comes here.
 const peerOwner = 1 << 63
 
-func (v *View) reserveForPeer(n *Notice, ep int32) {
+func (v *View) reserveForPeer(n *Announcement, ep int32) {
 	e := &v.endpoints[ep]
 	if n.Tokens <= 0 || n.Priority < 0 || n.Priority >= contract.PriorityCount || !n.At.After(e.loadAt) {
 		return
@@ -124,26 +124,26 @@
 
 // outbox is a ring of notices.
 type outbox struct {
-	ring [MaxNotices]Notice
+	ring [MaxAnnouncements]Announcement
 	head int
 	size int
 }
 
-func (o *outbox) push(n Notice) {
-	if o.size == MaxNotices {
+func (o *outbox) push(n Announcement) {
+	if o.size == MaxAnnouncements {
 		o.pop()
 	}
-	o.ring[(o.head+o.size)%MaxNotices] = n
+	o.ring[(o.head+o.size)%MaxAnnouncements] = n
 	o.size++
 }
 
-func (o *outbox) pop() (Notice, bool) {
+func (o *outbox) pop() (Announcement, bool) {
 	if o.size == 0 {
-		return Notice{}, false
+		return Announcement{}, false
 	}
 	n := o.ring[o.head]
-	o.ring[o.head] = Notice{}
-	o.head = (o.head + 1) % MaxNotices
+	o.ring[o.head] = Announcement{}
+	o.head = (o.head + 1) % MaxAnnouncements
 	o.size--
 	return n, true
 }
--- a/placement/notices_test.go
+++ b/placement/notices_test.go
@@ -15,16 +15,16 @@
 func TestNoticeBringsTheSecondQuestionToTheSameEndpoint(t *testing.T) {
 	first, second := testView(18), testView(18)
 	d := place(t, first, epoch, ask(1, "a", "sheet"))
-	notices := first.Notices(nil)
+	notices := first.TakeAnnouncements(nil)
 	if len(notices) != 2 {
 		t.Fatalf("notices = %v, want preamble and sheet", notices)
 	}
-	second.Heard(notices)
+	second.ReceiveAnnouncements(notices)
 	got := place(t, second, epoch.Add(100*time.Millisecond), ask(2, "a", "sheet"))
 	if got.Endpoint != d.Endpoint || got.Reason != ReasonHolder {
 		t.Errorf("second question on %s by %v, want %s by holder", got.Endpoint, got.Reason, d.Endpoint)
 	}
-	if more := second.Notices(nil); len(more) != 0 {
+	if more := second.TakeAnnouncements(nil); len(more) != 0 {
 		t.Errorf("the second daemon sends %v again", more)
 	}
 }
@@ -34,7 +34,7 @@
 	v := testView(18)
 	r := ask(1, "a", "sheet")
 	v.Answered(epoch, Answer{Endpoint: "runner-3", Incarnation: 2})
-	v.Heard([]Notice{{Key: r.Levels[1].Key, Endpoint: "runner-3", Incarnation: 1, At: epoch}})
+	v.ReceiveAnnouncements([]Announcement{{Key: r.Levels[1].Key, Endpoint: "runner-3", Incarnation: 1, At: epoch}})
 	if d := place(t, v, epoch, r); d.Reason == ReasonHolder {
 		t.Errorf("relies on a notice of the dead engine: %+v", d)
 	}
@@ -42,11 +42,11 @@
 
 func TestNoticesAreBounded(t *testing.T) {
 	v := testView(3)
-	for id := range uint64(2 * MaxNotices) {
+	for id := range uint64(2 * MaxAnnouncements) {
 		place(t, v, epoch, ask(id, "a", string(rune('a'+id))))
 	}
-	if got := len(v.Notices(nil)); got != MaxNotices {
-		t.Errorf("notices = %d, want the bound %d", got, MaxNotices)
+	if got := len(v.TakeAnnouncements(nil)); got != MaxAnnouncements {
+		t.Errorf("notices = %d, want the bound %d", got, MaxAnnouncements)
 	}
 }
 
@@ -60,14 +60,14 @@
 	for _, v := range []*View{one, other} {
 		answer(v, epoch, r, d)
 	}
-	one.Notices(nil)
-	one.Failed(epoch.Add(time.Second), Failure{ID: 2, Endpoint: d.Endpoint, Dead: true})
-	one.Failed(epoch.Add(time.Second), Failure{ID: 3, Endpoint: d.Endpoint, Dead: true})
-	notices := one.Notices(nil)
-	if len(notices) != 1 || !notices[0].Lost {
+	one.TakeAnnouncements(nil)
+	one.Failed(epoch.Add(time.Second), Failure{ID: 2, Endpoint: d.Endpoint, ConnectionLost: true})
+	one.Failed(epoch.Add(time.Second), Failure{ID: 3, Endpoint: d.Endpoint, ConnectionLost: true})
+	notices := one.TakeAnnouncements(nil)
+	if len(notices) != 1 || !notices[0].CacheLost {
 		t.Fatalf("notices = %v, want the loss once", notices)
 	}
-	other.Heard(notices)
+	other.ReceiveAnnouncements(notices)
 	if got := place(t, other, epoch.Add(2*time.Second), ask(4, "a", "sheet")); got.Reason == ReasonHolder {
 		t.Errorf("relies on the cache of the dead engine: %+v", got)
 	}
@@ -82,13 +82,13 @@
 	d := place(t, v, epoch, r)
 	answer(v, epoch, r, d)
 	lost := epoch.Add(time.Second)
-	v.Failed(lost, Failure{ID: 2, Endpoint: d.Endpoint, Dead: true})
+	v.Failed(lost, Failure{ID: 2, Endpoint: d.Endpoint, ConnectionLost: true})
 	before := lost.Add(-100 * time.Millisecond)
 	key := r.Levels[len(r.Levels)-2].Key
 	v.CacheEvents(EventBatch{
 		Endpoint: d.Endpoint, Incarnation: 1, Seq: 1, At: before, Events: []Event{{Kind: EventStored, Key: key}},
 	})
-	v.Heard([]Notice{{Key: key, Endpoint: d.Endpoint, Incarnation: 1, At: before}})
+	v.ReceiveAnnouncements([]Announcement{{Key: key, Endpoint: d.Endpoint, Incarnation: 1, At: before}})
 	if got := place(t, v, lost.Add(time.Second), ask(3, "a", "sheet")); got.Reason == ReasonHolder {
 		t.Errorf("relies on the lost cache: %+v", got)
 	}
@@ -100,9 +100,9 @@
 // for ever, since no answer to the other daemon's request comes here.
 func TestWorkOfOtherDaemonsIsReservedUntilAReport(t *testing.T) {
 	v := testView(1)
-	notice := Notice{Endpoint: "runner-0", Tokens: 8000, Priority: contract.PriorityStandard, At: epoch}
+	notice := Announcement{Endpoint: "runner-0", Tokens: 8000, Priority: contract.PriorityStandard, At: epoch}
 	wait := func(now time.Time) time.Duration { return seconds(v.wait(now, 0, contract.PriorityStandard)) }
-	v.Heard([]Notice{notice})
+	v.ReceiveAnnouncements([]Announcement{notice})
 	if got := wait(epoch); got != time.Second {
 		t.Fatalf("wait = %v, want the second that the other's prompt takes", got)
 	}
@@ -111,7 +111,7 @@
 		t.Errorf("wait = %v after a report that shows the work, want 0", got)
 	}
 	notice.At = epoch.Add(time.Second)
-	v.Heard([]Notice{notice})
+	v.ReceiveAnnouncements([]Announcement{notice})
 	v.Expire(notice.At.Add(DefaultReservationTTL))
 	if got := wait(epoch.Add(time.Hour)); got != 0 {
 		t.Errorf("wait = %v after the expiry, want 0", got)
--- a/placement/place.go
+++ b/placement/place.go
@@ -103,31 +103,31 @@
 // request owns the reservation until Finished, Failed or its expiry. Place
 // returns ErrUnknownPool or ErrNoEndpoint.
 func (v *View) Place(now time.Time, r Request) (Decision, error) {
-	d, err := v.Weigh(now, r)
+	d, err := v.Select(now, r)
 	if err == nil {
 		v.Reserve(now, r, &d)
 	}
 	return d, err
 }
 
-// Weigh chooses the endpoint for a request without reserving anything there, for
+// Select chooses the endpoint for a request without reserving anything there, for
 // a caller that compares several pools. It returns ErrUnknownPool or
 // ErrNoEndpoint.
-func (v *View) Weigh(now time.Time, r Request) (Decision, error) {
+func (v *View) Select(now time.Time, r Request) (Decision, error) {
 	p := v.pools[r.Pool]
 	if p == nil {
 		return Decision{}, ErrUnknownPool
 	}
 	var home *entry
-	if i := prefix.Affinity(r.Levels); i >= 0 {
+	if i := prefix.AffinityLevel(r.Levels); i >= 0 {
 		home = v.prefixes.touch(r.Levels[i].Key)
 		v.setHomes(home, p)
 	}
-	reason := ReasonHome
-	v.gather(p, home, &r, GateOpen)
+	reason := ReasonPreferred
+	v.gather(p, home, &r, Available)
 	if len(v.scratch.candidates) == 0 {
 		reason = ReasonPanic
-		v.gather(p, home, &r, GateEjected)
+		v.gather(p, home, &r, Ejected)
 	}
 	if len(v.scratch.candidates) == 0 {
 		return Decision{}, ErrNoEndpoint
@@ -142,7 +142,7 @@
 	if !ok {
 		return // it left between the two calls; the attempt will show it
 	}
-	if i := prefix.Affinity(r.Levels); i >= 0 {
+	if i := prefix.AffinityLevel(r.Levels); i >= 0 {
 		v.prefixes.touch(r.Levels[i].Key).warm(now)
 	}
 	missing := r.Tokens - d.ExpectedCached
@@ -158,14 +158,14 @@
 	if t.homesEpoch == p.epoch {
 		return
 	}
-	var scores [MaxHomes]uint64
+	var scores [MaxPreferred]uint64
 	key, n := t.key.Uint64(), 0
 	for _, ep := range p.members {
 		score := mix(key ^ v.endpoints[ep].hash)
-		if n == MaxHomes && score <= scores[n-1] {
+		if n == MaxPreferred && score <= scores[n-1] {
 			continue
 		}
-		if n < MaxHomes {
+		if n < MaxPreferred {
 			n++
 		}
 		j := n - 1
@@ -188,7 +188,7 @@
 
 // gather lists the endpoints to weigh: homes first, then all of a small pool,
 // or holders and samples of a large one.
-func (v *View) gather(p *pool, home *entry, r *Request, gate Gate) {
+func (v *View) gather(p *pool, home *entry, r *Request, gate Availability) {
 	v.scratch.begin()
 	if home != nil {
 		for _, ep := range home.homes[:home.homeCount] {
@@ -213,7 +213,7 @@
 }
 
 // gatherHolders adds those believed to hold the deeper levels.
-func (v *View) gatherHolders(p *pool, r *Request, gate Gate) {
+func (v *View) gatherHolders(p *pool, r *Request, gate Availability) {
 	for i := len(r.Levels) - 1; i >= 0; i-- {
 		t := v.prefixes.find(r.Levels[i].Key)
 		if t == nil {
@@ -232,11 +232,11 @@
 
 // gatherHeld adds those that hold the beginning by their own word. A few samples of a
 // large pool would miss them.
-func (v *View) gatherHeld(p *pool, r *Request, gate Gate) {
-	if r.Held == nil {
+func (v *View) gatherHeld(p *pool, r *Request, gate Availability) {
+	if r.Locations == nil {
 		return
 	}
-	for _, id := range slices.Sorted(maps.Keys(r.Held.At)) {
+	for _, id := range slices.Sorted(maps.Keys(r.Locations.Tokens)) {
 		if ep, known := v.byID[id]; known && v.serves(p, ep) {
 			v.consider(ep, r, gate)
 		}
@@ -249,7 +249,7 @@
 	return ok
 }
 
-func (v *View) consider(ep int32, r *Request, gate Gate) {
+func (v *View) consider(ep int32, r *Request, gate Availability) {
 	s, e := &v.scratch, &v.endpoints[ep]
 	if s.stamp[ep] == s.round || len(s.candidates) == maxCandidates {
 		return
@@ -258,16 +258,16 @@
 		return
 	}
 	s.stamp[ep], s.slot[ep] = s.round, int32(len(s.candidates))
-	s.candidates = append(s.candidates, candidate{endpoint: ep, rank: MaxHomes})
+	s.candidates = append(s.candidates, candidate{endpoint: ep, rank: MaxPreferred})
 }
 
 // expectCached works out how many tokens each candidate probably has. A level
 // can only be used together with all levels before it, so whoever has a deep
 // one has those too.
 func (v *View) expectCached(now time.Time, r *Request) {
-	if r.Held != nil {
-		v.takeHeld(r.Held)
-		defer v.atLeastHeld(r.Held)
+	if r.Locations != nil {
+		v.takeHeld(r.Locations)
+		defer v.atLeastHeld(r.Locations)
 	}
 	for i := len(r.Levels) - 1; i >= 0; i-- {
 		if t := v.prefixes.find(r.Levels[i].Key); t != nil {
@@ -297,18 +297,18 @@
 const comingLife = 1500 * time.Millisecond
 
 // takeHeld marks the candidates that tell themselves what they hold.
-func (v *View) takeHeld(h *Held) {
+func (v *View) takeHeld(h *PrefixLocations) {
 	for i := range v.scratch.candidates {
 		c := &v.scratch.candidates[i]
-		_, c.told = h.At[v.endpoints[c.endpoint].id]
+		_, c.told = h.Tokens[v.endpoints[c.endpoint].id]
 	}
 }
 
 // atLeastHeld counts what the candidates hold by their own word.
-func (v *View) atLeastHeld(h *Held) {
+func (v *View) atLeastHeld(h *PrefixLocations) {
 	for i := range v.scratch.candidates {
 		c := &v.scratch.candidates[i]
-		if tokens, ok := h.At[v.endpoints[c.endpoint].id]; ok {
+		if tokens, ok := h.Tokens[v.endpoints[c.endpoint].id]; ok {
 			c.cached = max(c.cached, float64(tokens))
 		}
 	}
@@ -317,7 +317,7 @@
 // choose takes the candidate of the lowest cost.
 func (v *View) choose(now time.Time, r *Request, home *entry, reason Reason) Decision {
 	m := v.costModel(now, r, home)
-	if !r.Sole {
+	if !r.Exclusive {
 		m.usual = v.usualWait(now, r.Priority)
 	}
 	var best *candidate
@@ -331,16 +331,16 @@
 	e := &v.endpoints[best.endpoint]
 	d := Decision{
 		Endpoint: e.id, ExpectedCached: int(m.reach(best)),
-		ExpectedWait:  seconds(best.wait),
-		ExpectedFirst: seconds(best.wait + best.compute + v.travel(best)),
-		LoadAge:       unknownAge,
-		Reason:        reason,
+		ExpectedWait:       seconds(best.wait),
+		ExpectedFirstToken: seconds(best.wait + best.compute + v.travel(best)),
+		LoadAge:            unknownAge,
+		Reason:             reason,
 	}
 	if !e.loadAt.IsZero() {
 		d.LoadAge = now.Sub(e.loadAt)
 	}
 	if home != nil {
-		d.Peer = v.peer(home, best.endpoint)
+		d.AlternateEndpoint = v.peer(home, best.endpoint)
 	}
 	if best.cached > 0 {
 		d.Incarnation = e.incarnation
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -35,7 +35,7 @@
 	DefaultMaxPrefixes     = 1 << 16 // remembered prefixes
 	DefaultMaxReservations = 1 << 14 // placed and not yet finished
 	MaxHolders             = 32      // endpoints remembered for one prefix
-	MaxHomes               = 8       // endpoints in the rendezvous order of one prefix
+	MaxPreferred           = 8       // endpoints in the rendezvous order of one prefix
 	MaxEndpoints           = 1 << 16 // endpoints of all pools
 
 	DefaultPrefillRate    = 8000.0                  // tokens/s
@@ -43,9 +43,9 @@
 	DefaultImportLatency  = 30 * time.Millisecond   // until the first token is imported
 	DefaultZoneDelay      = 1500 * time.Microsecond // one way between zones
 	DefaultReservationTTL = 30 * time.Second
-	DefaultCacheLife      = 10 * time.Second // half-life of an unconfirmed entry
-	DefaultHomePrior      = 0.9
-	DefaultService        = 2 * time.Second // from the first token to the last
+	DefaultCacheHalfLife  = 10 * time.Second // half-life of an unconfirmed entry
+	DefaultPreferredPrior = 0.9
+	DefaultServiceTime    = 2 * time.Second // from the first token to the last
 )
 
 // Options sets up a View. Zero fields take the defaults.
@@ -57,15 +57,15 @@
 	ImportRate    float64       // tokens/s from the KV store
 	ImportLatency time.Duration // added by an import
 	ZoneDelay     time.Duration // one way between two zones
-	CacheLife     time.Duration // first guess of how long an idle cache entry stays
+	CacheHalfLife time.Duration // first guess of how long an idle cache entry stays
 
-	// QueueLife is the half-life of a reported queue; 0: the endpoint works it
+	// QueueHalfLife is the half-life of a reported queue; 0: the endpoint works it
 	// off at its prefill rate and nobody else adds to it.
-	QueueLife time.Duration
+	QueueHalfLife time.Duration
 
-	// HomePrior is how likely a home has a prefix of which nothing is known: other
+	// PreferredPrior is how likely a home has a prefix of which nothing is known: other
 	// daemons have probably sent it there.
-	HomePrior float64
+	PreferredPrior float64
 
 	ReservationTTL  time.Duration // after which an unanswered reservation is dropped
 	MaxPrefixes     int
@@ -78,8 +78,8 @@
 	setDefault(&o.ImportRate, DefaultImportRate)
 	setDefault(&o.ImportLatency, DefaultImportLatency)
 	setDefault(&o.ZoneDelay, DefaultZoneDelay)
-	setDefault(&o.CacheLife, DefaultCacheLife)
-	setDefault(&o.HomePrior, DefaultHomePrior)
+	setDefault(&o.CacheHalfLife, DefaultCacheHalfLife)
+	setDefault(&o.PreferredPrior, DefaultPreferredPrior)
 	setDefault(&o.ReservationTTL, DefaultReservationTTL)
 	setDefault(&o.MaxPrefixes, DefaultMaxPrefixes)
 	setDefault(&o.MaxReservations, DefaultMaxReservations)
@@ -94,24 +94,24 @@
 
 // Request is what placing needs to know of a request.
 type Request struct {
-	ID       uint64 // owner of the reservation; unique among requests in flight
-	Pool     string // the endpoints that can serve it, see SetPool
-	Levels   []prefix.Level
-	Tokens   int // of the whole prompt
-	Priority contract.Priority
-	Avoid    []fleet.EndpointID // tried already
-	Held     *Held              // nil: nothing is known but what answers told
-	// Sole says that this daemon places all requests of the pool: an endpoint that
+	ID        uint64 // owner of the reservation; unique among requests in flight
+	Pool      string // the endpoints that can serve it, see SetPool
+	Levels    []prefix.Level
+	Tokens    int // of the whole prompt
+	Priority  contract.Priority
+	Avoid     []fleet.EndpointID // tried already
+	Locations *PrefixLocations   // nil: nothing is known but what answers told
+	// Exclusive says that this daemon places all requests of the pool: an endpoint that
 	// it sent nothing to is idle, however long ago its load was told.
-	Sole bool
+	Exclusive bool
 }
 
-// Held is where the beginning of one prompt is held, as endpoints told it
+// Locations is where the beginning of one prompt is held, as endpoints told it
 // themselves.
-type Held struct {
-	At   map[fleet.EndpointID]int // leading tokens; endpoints that tell nothing are missing
-	Best int                      // leading tokens that can be fetched from somewhere
-	Rate float64                  // tokens/s at which they come
+type PrefixLocations struct {
+	Tokens    map[fleet.EndpointID]int // leading tokens; endpoints that tell nothing are missing
+	MaxTokens int                      // leading tokens that can be fetched from somewhere
+	FetchRate float64                  // tokens/s at which they come
 }
 
 // Reason tells why an endpoint was chosen, for logs and dumps.
@@ -119,10 +119,10 @@
 
 // The reasons.
 const (
-	ReasonHome   Reason = iota // a home of the prefix, nothing learnt of its cache
-	ReasonHolder               // believed to hold part of the prompt
-	ReasonSpill                // neither, but shorter to wait for
-	ReasonPanic                // only ejected endpoints are left
+	ReasonPreferred Reason = iota // a home of the prefix, nothing learnt of its cache
+	ReasonHolder                  // believed to hold part of the prompt
+	ReasonSpill                   // neither, but shorter to wait for
+	ReasonPanic                   // only ejected endpoints are left
 )
 
 var reasonNames = [...]string{"home", "holder", "spill", "panic"}
@@ -132,15 +132,15 @@
 
 // Decision is where a request goes and what that relied on.
 type Decision struct {
-	Endpoint       fleet.EndpointID
-	Incarnation    fleet.Incarnation // the life whose cache is believed in; zero: none, or not known
-	ExpectedCached int               // prompt tokens that it will probably not read: it holds or can fetch them
-	ExpectedWait   time.Duration     // in its queue
-	ExpectedFirst  time.Duration     // until the first token
-	LoadAge        time.Duration     // of what the endpoint last said of its load; negative: it said nothing yet
-	ImportFrom     fleet.EndpointID  // KV store to import from; empty: none
-	Peer           fleet.EndpointID  // another endpoint likely to hold the prefix: its first home but this one
-	Reason         Reason
+	Endpoint           fleet.EndpointID
+	Incarnation        fleet.Incarnation // the life whose cache is believed in; zero: none, or not known
+	ExpectedCached     int               // prompt tokens that it will probably not read: it holds or can fetch them
+	ExpectedWait       time.Duration     // in its queue
+	ExpectedFirstToken time.Duration     // until the first token
+	LoadAge            time.Duration     // of what the endpoint last said of its load; negative: it said nothing yet
+	ImportFrom         fleet.EndpointID  // KV store to import from; empty: none
+	AlternateEndpoint  fleet.EndpointID  // another endpoint likely to hold the prefix: its first home but this one
+	Reason             Reason
 }
 
 // Answer is what the beginning of an answer says.
@@ -157,9 +157,9 @@
 type Failure struct {
 	ID       uint64
 	Endpoint fleet.EndpointID
-	// Dead says that the endpoint refused or lost the connection, so that
+	// ConnectionLost says that the endpoint refused or lost the connection, so that
 	// nothing is believed of its cache any more.
-	Dead bool
+	ConnectionLost bool
 }
 
 // EventKind tells what happened to a cached prefix.
@@ -188,12 +188,12 @@
 	Events      []Event
 }
 
-// Gate tells whether an endpoint may be given work.
-type Gate uint8
+// Availability tells whether an endpoint may be given work.
+type Availability uint8
 
 // The gates.
 const (
-	GateOpen     Gate = iota
-	GateEjected       // failing: used only when no open one is left
-	GateDraining      // leaving: gets no new work
+	Available Availability = iota
+	Ejected                // failing: used only when no open one is left
+	Draining               // leaving: gets no new work
 )
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -44,7 +44,7 @@
 	i := v.freeReservation()
 	v.reservations[i] = reservation{
 		owner: owner, endpoint: ep, tokens: tokens, priority: r.Priority, placed: now,
-		expires: now.Add(v.o.ReservationTTL), prev: none, next: none, sole: r.Sole,
+		expires: now.Add(v.o.ReservationTTL), prev: none, next: none, sole: r.Exclusive,
 	}
 	v.byOwner[owner] = i
 	if v.ages.size >= agesPerReservation*v.o.MaxReservations {
@@ -64,9 +64,9 @@
 	e.queued++
 }
 
-// Unread returns how many prompts this daemon sent to the endpoint that are not
+// PendingPrompts returns how many prompts this daemon sent to the endpoint that are not
 // known to have been read.
-func (v *View) Unread(id fleet.EndpointID) int {
+func (v *View) PendingPrompts(id fleet.EndpointID) int {
 	n := 0
 	if at, ok := v.byID[id]; ok {
 		for i := v.endpoints[at].firstRes; i != none; i = v.reservations[i].next {
--- a/placement/table.go
+++ b/placement/table.go
@@ -32,7 +32,7 @@
 	heat   float64 // requests/s that this daemon placed by this prefix
 	heatAt time.Time
 
-	homes      [MaxHomes]int32
+	homes      [MaxPreferred]int32
 	homeCount  int32
 	homesEpoch uint32 // of the pool that homes was worked out for; 0: never
 
--- a/placement/view.go
+++ b/placement/view.go
@@ -44,7 +44,7 @@
 		pools:    map[string]*pool{},
 		prefixes: newTable(o.MaxPrefixes),
 		byOwner:  map[uint64]int32{},
-		service:  DefaultService.Seconds(),
+		service:  DefaultServiceTime.Seconds(),
 	}
 	v.SetDaemons(o.Daemons)
 	return v
@@ -81,13 +81,13 @@
 	v.learn(now, e, a)
 }
 
-// Waited takes how long a request waited at the endpoint before its prompt was
+// ObserveWait takes how long a request waited at the endpoint before its prompt was
 // read. With answered false it is still waiting, and has for at least so long.
 //
 // A full endpoint answers late, so what it says of its load is old when it
 // comes, and callers who give up get no answer at all. The requests that have
 // been waiting for long tell at once.
-func (v *View) Waited(now time.Time, id fleet.EndpointID, p contract.Priority, wait time.Duration, answered bool) {
+func (v *View) ObserveWait(now time.Time, id fleet.EndpointID, p contract.Priority, wait time.Duration, answered bool) {
 	e := v.endpointOf(id)
 	if e == nil {
 		return
@@ -103,20 +103,20 @@
 func (v *View) observed(now time.Time, e *endpoint, p contract.Priority) time.Duration {
 	longest := time.Duration(0)
 	for urgent := range p + 1 {
-		if w := e.waits[urgent]; w.wait > 0 && v.o.QueueLife > 0 {
-			left := float64(w.wait) * math.Exp2(-now.Sub(w.at).Seconds()/v.o.QueueLife.Seconds())
+		if w := e.waits[urgent]; w.wait > 0 && v.o.QueueHalfLife > 0 {
+			left := float64(w.wait) * math.Exp2(-now.Sub(w.at).Seconds()/v.o.QueueHalfLife.Seconds())
 			longest = max(longest, time.Duration(left))
 		}
 	}
 	return longest
 }
 
-// Homes returns the endpoints of the pool that a prompt would go to first and
+// StalePreferred returns the endpoints of the pool that a prompt would go to first and
 // whose load was last told before the given time, at most n of the first n
 // homes. It is for a shell that asks them before it places a long prompt.
-func (v *View) Homes(r Request, before time.Time, n int) []fleet.EndpointID {
+func (v *View) StalePreferred(r Request, before time.Time, n int) []fleet.EndpointID {
 	p := v.pools[r.Pool]
-	at := prefix.Affinity(r.Levels)
+	at := prefix.AffinityLevel(r.Levels)
 	if p == nil || at < 0 {
 		return nil
 	}
@@ -124,7 +124,7 @@
 	v.setHomes(home, p)
 	var out []fleet.EndpointID
 	for _, ep := range home.homes[:min(home.homeCount, int32(n))] {
-		if e := &v.endpoints[ep]; e.gated() == GateOpen && e.loadAt.Before(before) {
+		if e := &v.endpoints[ep]; e.gated() == Available && e.loadAt.Before(before) {
 			out = append(out, e.id)
 		}
 	}
@@ -187,11 +187,11 @@
 		v.release(i)
 	}
 	e := v.endpointOf(f.Endpoint)
-	if e == nil || !f.Dead {
+	if e == nil || !f.ConnectionLost {
 		return
 	}
 	if v.loseCache(e, now) {
-		v.outbox.push(Notice{Endpoint: e.id, Incarnation: e.incarnation, Lost: true, At: now})
+		v.outbox.push(Announcement{Endpoint: e.id, Incarnation: e.incarnation, CacheLost: true, At: now})
 	}
 }
 
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -36,7 +36,7 @@
 // ask is a prompt of a preamble of 1,000 tokens, a document of 7,000 and a
 // question of 100.
 func ask(id uint64, model, document string) Request {
-	c := prefix.NewCutter(prefix.Options{BytesPerToken: 1})
+	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
 	c.Reset(prefix.Seed{Organisation: "o", Model: model})
 	for _, m := range []struct {
 		text   string
@@ -67,7 +67,7 @@
 	v := testView(18)
 	first := ask(1, "a", "sheet")
 	d := place(t, v, epoch, first)
-	if d.Reason != ReasonHome {
+	if d.Reason != ReasonPreferred {
 		t.Errorf("first placement by %v, want home", d.Reason)
 	}
 	answer(v, epoch, first, d)
@@ -85,12 +85,12 @@
 	if _, err := v.Place(epoch, Request{Pool: "other"}); !errors.Is(err, ErrUnknownPool) {
 		t.Errorf("unknown pool: %v", err)
 	}
-	v.SetGate("runner-0", GateDraining)
-	v.SetGate("runner-1", GateEjected)
+	v.SetAvailability("runner-0", Draining)
+	v.SetAvailability("runner-1", Ejected)
 	if d := place(t, v, epoch, ask(1, "a", "s")); d.Endpoint != "runner-1" || d.Reason != ReasonPanic {
 		t.Errorf("with one draining and one ejected: %+v", d)
 	}
-	v.SetGate("runner-1", GateDraining)
+	v.SetAvailability("runner-1", Draining)
 	if _, err := v.Place(epoch, ask(2, "a", "s")); !errors.Is(err, ErrNoEndpoint) {
 		t.Errorf("all draining: %v", err)
 	}
@@ -111,7 +111,7 @@
 			v.CacheEvents(EventBatch{Endpoint: ep, Incarnation: 2, Seq: 1, At: epoch})
 		},
 		"lost connection": func(v *View, ep fleet.EndpointID) {
-			v.Failed(epoch, Failure{ID: 9, Endpoint: ep, Dead: true})
+			v.Failed(epoch, Failure{ID: 9, Endpoint: ep, ConnectionLost: true})
 		},
 	}
 	for name, tell := range ways {
@@ -275,10 +275,10 @@
 	v := testView(1000)
 	for id := range uint64(50) {
 		r := Request{
-			ID: id + 1, Pool: testPool, Tokens: 17_000, Sole: true,
-			Held: &Held{At: map[fleet.EndpointID]int{"runner-777": 13_000, "gone": 13_000}},
+			ID: id + 1, Pool: testPool, Tokens: 17_000, Exclusive: true,
+			Locations: &PrefixLocations{Tokens: map[fleet.EndpointID]int{"runner-777": 13_000, "gone": 13_000}},
 		}
-		if d, err := v.Weigh(epoch, r); err != nil || d.Endpoint != "runner-777" {
+		if d, err := v.Select(epoch, r); err != nil || d.Endpoint != "runner-777" {
 			t.Fatalf("request %d goes to %s, %v", id, d.Endpoint, err)
 		}
 	}
--- a/placement/waits_test.go
+++ b/placement/waits_test.go
@@ -12,7 +12,7 @@
 const sharedLife = 1500 * time.Millisecond
 
 func sharedView(ids ...fleet.EndpointID) *View {
-	v := NewView(Options{Zone: "z", PrefillRate: 80_000, QueueLife: sharedLife})
+	v := NewView(Options{Zone: "z", PrefillRate: 80_000, QueueHalfLife: sharedLife})
 	var members []fleet.Endpoint
 	for _, id := range ids {
 		members = append(members, fleet.Endpoint{ID: id, Zone: "z", State: fleet.VMLive})
@@ -24,7 +24,7 @@
 func longPrompt(id uint64) Request {
 	return Request{
 		ID: id, Pool: "p", Tokens: 17_000, Priority: contract.PriorityStandard,
-		Levels: prefix.Chain(prefix.Seed{Model: "m"}, []prefix.Part{{ID: "x", Tokens: 13_000}, {ID: "own", Tokens: 4000}}),
+		Levels: prefix.SegmentLevels(prefix.Seed{Model: "m"}, []prefix.Segment{{ID: "x", Tokens: 13_000}, {ID: "own", Tokens: 4000}}),
 	}
 }
 
@@ -51,16 +51,16 @@
 func TestWaitingRequestsTellOfTheQueue(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	v := sharedView("a")
-	v.Waited(now, "a", contract.PriorityStandard, 2*time.Second, false)
+	v.ObserveWait(now, "a", contract.PriorityStandard, 2*time.Second, false)
 	d, _ := v.Place(now, longPrompt(1))
 	if d.ExpectedWait < 1900*time.Millisecond {
 		t.Errorf("expects to wait %v", d.ExpectedWait)
 	}
-	v.Waited(now, "a", contract.PriorityStandard, time.Second, false)
+	v.ObserveWait(now, "a", contract.PriorityStandard, time.Second, false)
 	if d, _ = v.Place(now, longPrompt(2)); d.ExpectedWait < 1900*time.Millisecond {
 		t.Errorf("a request that came later hides the older one: %v", d.ExpectedWait)
 	}
-	v.Waited(now, "a", contract.PriorityStandard, 100*time.Millisecond, true)
+	v.ObserveWait(now, "a", contract.PriorityStandard, 100*time.Millisecond, true)
 	if d, _ = v.Place(now, longPrompt(3)); d.ExpectedWait > 500*time.Millisecond {
 		t.Errorf("an answer does not count: %v", d.ExpectedWait)
 	}
@@ -71,7 +71,7 @@
 func TestWaitOfTheLessUrgentDoesNotCountForTheUrgent(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	v := sharedView("a")
-	v.Waited(now, "a", contract.PriorityStandard, 2*time.Second, false)
+	v.ObserveWait(now, "a", contract.PriorityStandard, 2*time.Second, false)
 	urgent := Request{ID: 1, Pool: "p", Tokens: 300, Priority: contract.PriorityInteractive}
 	if d, _ := v.Place(now, urgent); d.ExpectedWait > 100*time.Millisecond {
 		t.Errorf("expects to wait %v", d.ExpectedWait)
@@ -82,13 +82,13 @@
 	now := time.Unix(1_800_000_000, 0)
 	v := sharedView("a", "b", "c")
 	d, err := v.Place(now, longPrompt(1))
-	if err != nil || d.Peer == "" || d.Peer == d.Endpoint {
-		t.Errorf("endpoint %s, peer %q, %v", d.Endpoint, d.Peer, err)
+	if err != nil || d.AlternateEndpoint == "" || d.AlternateEndpoint == d.Endpoint {
+		t.Errorf("endpoint %s, peer %q, %v", d.Endpoint, d.AlternateEndpoint, err)
 	}
 	avoided := longPrompt(2)
 	avoided.Avoid = []fleet.EndpointID{d.Endpoint}
-	if other, _ := v.Place(now, avoided); other.Peer != d.Endpoint {
-		t.Errorf("a request that avoids its home has peer %s, home %s", other.Peer, d.Endpoint)
+	if other, _ := v.Place(now, avoided); other.AlternateEndpoint != d.Endpoint {
+		t.Errorf("a request that avoids its home has peer %s, home %s", other.AlternateEndpoint, d.Endpoint)
 	}
 }
 
@@ -96,19 +96,19 @@
 	now := time.Unix(1_800_000_000, 0)
 	v := sharedView("a", "b", "c")
 	r := longPrompt(1)
-	homes := v.Homes(r, now, 2)
+	homes := v.StalePreferred(r, now, 2)
 	if len(homes) != 2 {
 		t.Fatalf("homes %v", homes)
 	}
 	v.LoadReported(homes[0], fleet.Load{At: now})
-	if got := v.Homes(r, now, 2); len(got) != 1 || got[0] != homes[1] {
+	if got := v.StalePreferred(r, now, 2); len(got) != 1 || got[0] != homes[1] {
 		t.Errorf("homes %v, want %v", got, homes[1:])
 	}
-	v.SetGate(homes[1], GateEjected)
-	if got := v.Homes(r, now, 2); len(got) != 0 {
+	v.SetAvailability(homes[1], Ejected)
+	if got := v.StalePreferred(r, now, 2); len(got) != 0 {
 		t.Errorf("an engine that is out is asked: %v", got)
 	}
-	if got := v.Homes(Request{Pool: "none"}, now, 2); got != nil {
+	if got := v.StalePreferred(Request{Pool: "none"}, now, 2); got != nil {
 		t.Errorf("homes of no pool: %v", got)
 	}
 }
@@ -123,11 +123,11 @@
 	v.LoadReported("unknown", fleet.Load{At: now.Add(-8 * time.Second), Slots: 24})
 	v.LoadReported("busy", fleet.Load{At: now, WaitingTokens: 16_000, Waiting: 1, Slots: 24})
 	v.LoadReported("busier", fleet.Load{At: now, WaitingTokens: 48_000, Waiting: 3, Slots: 24})
-	d, err := v.Weigh(now, Request{ID: 1, Pool: "p", Tokens: 300})
+	d, err := v.Select(now, Request{ID: 1, Pool: "p", Tokens: 300})
 	if err != nil || d.Endpoint != "busy" {
 		t.Errorf("went to %s, %v", d.Endpoint, err)
 	}
-	d, err = v.Weigh(now, Request{ID: 1, Pool: "p", Tokens: 300, Avoid: []fleet.EndpointID{"busy"}})
+	d, err = v.Select(now, Request{ID: 1, Pool: "p", Tokens: 300, Avoid: []fleet.EndpointID{"busy"}})
 	if err != nil || d.ExpectedWait < 300*time.Millisecond {
 		t.Errorf("went to %s with an expected wait of %v, %v", d.Endpoint, d.ExpectedWait, err)
 	}
@@ -143,7 +143,7 @@
 		for _, id := range []fleet.EndpointID{"a", "b"} {
 			v.LoadReported(id, fleet.Load{At: now.Add(-time.Second), Slots: 24})
 		}
-		d, err := v.Weigh(now, Request{ID: 1000 * daemon, Pool: "p", Tokens: 300})
+		d, err := v.Select(now, Request{ID: 1000 * daemon, Pool: "p", Tokens: 300})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -162,7 +162,7 @@
 	v.LoadReported("a", fleet.Load{At: now.Add(-150 * time.Millisecond), Running: 20, Slots: 24})
 	v.LoadReported("b", fleet.Load{At: now.Add(-150 * time.Millisecond), Running: 4, Slots: 24})
 	for id := range uint64(100) {
-		if d, err := v.Weigh(now, Request{ID: id, Pool: "p", Tokens: 300}); err != nil || d.Endpoint != "b" {
+		if d, err := v.Select(now, Request{ID: id, Pool: "p", Tokens: 300}); err != nil || d.Endpoint != "b" {
 			t.Fatalf("request %d went to %s, %v", id, d.Endpoint, err)
 		}
 	}
--- a/pools/model.go
+++ b/pools/model.go
@@ -24,13 +24,13 @@
 // version is the engines that have one weight version.
 type version struct {
 	number  int64
-	pool    [LaneCount]string
+	pool    [SubpoolCount]string
 	ordered []*member // that get work
 	out     []*member // that get none for the moment; they are in the pools of both lanes
 	// shortEnd and longFrom bound the lanes in ordered: engines before shortEnd are for
 	// short prompts, those from longFrom on for long ones.
 	shortEnd, longFrom int
-	filled             [LaneCount]bool // the lane has a usable engine
+	filled             [SubpoolCount]bool // the lane has a usable engine
 }
 
 func laneHash(id fleet.EndpointID) uint64 { return hash.Text("lane/" + string(id)) }
@@ -57,7 +57,7 @@
 	if !found {
 		v := &version{number: number}
 		for l := range v.pool {
-			v.pool[l] = OfModel(m.key.service, m.key.model, number, Lane(l))
+			v.pool[l] = ModelPool(m.key.service, m.key.model, number, Subpool(l))
 		}
 		m.versions = slices.Insert(m.versions, i, v)
 	}
@@ -175,14 +175,14 @@
 }
 
 // lanes is the number of usable engines of each lane.
-func (v *version) lanes() [LaneCount]int {
-	return [LaneCount]int{Short: v.shortEnd, Long: len(v.ordered) - v.longFrom}
+func (v *version) lanes() [SubpoolCount]int {
+	return [SubpoolCount]int{Short: v.shortEnd, Long: len(v.ordered) - v.longFrom}
 }
 
 func (m *model) count(v *version) {
-	setCount(m.counts.All, v.number, len(v.ordered))
+	setCount(m.counts.ByVersion, v.number, len(v.ordered))
 	for l, n := range v.lanes() {
-		setCount(m.counts.Lane[l], v.number, n)
+		setCount(m.counts.BySubpool[l], v.number, n)
 	}
 }
 
--- a/pools/pools.go
+++ b/pools/pools.go
@@ -14,24 +14,24 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Lane is the kind of engines that a prompt goes to.
-type Lane uint8
+// Subpool is the kind of engines that a prompt goes to.
+type Subpool uint8
 
 // The lanes.
 const (
-	Long Lane = iota
+	Long Subpool = iota
 	Short
-	LaneCount
+	SubpoolCount
 )
 
-var laneNames = [LaneCount]string{"long", "short"}
+var laneNames = [SubpoolCount]string{"long", "short"}
 
-// Plain is the pool of all endpoints of a service.
-func Plain(service string) string { return service }
+// ServicePool is the pool of all endpoints of a service.
+func ServicePool(service string) string { return service }
 
-// OfModel is the pool of the engines of a service that have a version of a model, for
+// ModelPool is the pool of the engines of a service that have a version of a model, for
 // one lane.
-func OfModel(service, model string, version int64, l Lane) string {
+func ModelPool(service, model string, version int64, l Subpool) string {
 	return service + "\x00" + model + "\x00" + strconv.FormatInt(version, 10) + "\x00" + laneNames[l]
 }
 
@@ -49,8 +49,8 @@
 
 // Counts are the usable engines of a model by version.
 type Counts struct {
-	All  map[int64]int
-	Lane [LaneCount]map[int64]int
+	ByVersion map[int64]int
+	BySubpool [SubpoolCount]map[int64]int
 }
 
 // Table is the pools. Make it with New.
@@ -96,7 +96,7 @@
 	if old == nil {
 		old = &member{Endpoint: e.Endpoint, hash: laneHash(e.ID)}
 		t.members[e.ID] = old
-		t.sink.Join(Plain(e.Class), e.Endpoint)
+		t.sink.Join(ServicePool(e.Class), e.Endpoint)
 	}
 	if old.out == out && old.limited == limited && old.has(e.Versions) {
 		return
@@ -136,7 +136,7 @@
 		return
 	}
 	t.withdraw(m)
-	t.sink.Leave(Plain(m.Class), id)
+	t.sink.Leave(ServicePool(m.Class), id)
 	delete(t.members, id)
 }
 
@@ -152,8 +152,8 @@
 	m.engines = m.engines[:0]
 }
 
-// SetOut says whether an endpoint gets work for the moment.
-func (t *Table) SetOut(id fleet.EndpointID, out bool) {
+// SetSuspended says whether an endpoint gets work for the moment.
+func (t *Table) SetSuspended(id fleet.EndpointID, out bool) {
 	if m := t.members[id]; m != nil && m.out != out {
 		t.move(m, func() { m.out = out })
 	}
@@ -178,8 +178,8 @@
 	}
 }
 
-// SetPart sets the part of the engines that is for short prompts.
-func (t *Table) SetPart(part float64) {
+// SetShortFraction sets the part of the engines that is for short prompts.
+func (t *Table) SetShortFraction(part float64) {
 	if part == t.part {
 		return
 	}
@@ -198,8 +198,8 @@
 	return m.counts
 }
 
-// Engines is the number of usable engines of a model.
-func (t *Table) Engines(service, name string) int {
+// EngineCount is the number of usable engines of a model.
+func (t *Table) EngineCount(service, name string) int {
 	if m := t.models[modelKey{service, name}]; m != nil {
 		return m.in
 	}
@@ -209,9 +209,9 @@
 func (t *Table) modelOf(key modelKey) *model {
 	m := t.models[key]
 	if m == nil {
-		m = &model{key: key, counts: Counts{All: map[int64]int{}}}
-		for l := range m.counts.Lane {
-			m.counts.Lane[l] = map[int64]int{}
+		m = &model{key: key, counts: Counts{ByVersion: map[int64]int{}}}
+		for l := range m.counts.BySubpool {
+			m.counts.BySubpool[l] = map[int64]int{}
 		}
 		t.models[key] = m
 	}
--- a/pools/pools_test.go
+++ b/pools/pools_test.go
@@ -66,7 +66,7 @@
 	}
 	in, out := map[modelKey]map[int64][]known{}, map[modelKey]map[int64][]known{}
 	for id, k := range all {
-		add(Plain(k.Class), id)
+		add(ServicePool(k.Class), id)
 		for model, v := range k.Versions {
 			key, into := modelKey{k.Class, model}, in
 			if k.out {
@@ -93,16 +93,16 @@
 			})
 			short := min(left, len(ordered))
 			left -= short
-			lanes := [LaneCount][]known{Short: ordered[:short], Long: ordered[short:]}
+			lanes := [SubpoolCount][]known{Short: ordered[:short], Long: ordered[short:]}
 			if n == 1 {
-				lanes = [LaneCount][]known{Short: ordered, Long: ordered}
+				lanes = [SubpoolCount][]known{Short: ordered, Long: ordered}
 			}
 			for l, members := range lanes {
 				if len(members) == 0 {
 					continue
 				}
 				for _, k := range slices.Concat(members, out[key][v]) {
-					add(OfModel(key.service, key.model, v, Lane(l)), k.ID)
+					add(ModelPool(key.service, key.model, v, Subpool(l)), k.ID)
 				}
 			}
 		}
@@ -141,7 +141,7 @@
 					k.out = out
 					all[at] = k
 				}
-				table.SetOut(at, out)
+				table.SetSuspended(at, out)
 			},
 			"set limited": func(t *rapid.T) {
 				at, limited := id.Draw(t, "id"), rapid.Bool().Draw(t, "limited")
@@ -153,7 +153,7 @@
 			},
 			"set part": func(t *rapid.T) {
 				part = rapid.SampledFrom([]float64{0.1, 0.2, 0.5}).Draw(t, "part")
-				table.SetPart(part)
+				table.SetShortFraction(part)
 			},
 			"": func(t *rapid.T) {
 				if want := rebuilt(all, part); !maps.EqualFunc(got.pools, want, maps.Equal) {
@@ -181,23 +181,23 @@
 			}
 		}
 		usable += n
-		if counts.All[v] != n {
-			t.Fatalf("%d engines of version %d are counted, %d there", counts.All[v], v, n)
+		if counts.ByVersion[v] != n {
+			t.Fatalf("%d engines of version %d are counted, %d there", counts.ByVersion[v], v, n)
 		}
-		for l := range LaneCount {
+		for l := range SubpoolCount {
 			n := 0
-			for id := range pools[OfModel(service, model, v, l)] {
+			for id := range pools[ModelPool(service, model, v, l)] {
 				if !all[id].out {
 					n++
 				}
 			}
-			if counts.Lane[l][v] != n {
-				t.Fatalf("%d engines of version %d are counted in a lane, %d there", counts.Lane[l][v], v, n)
+			if counts.BySubpool[l][v] != n {
+				t.Fatalf("%d engines of version %d are counted in a lane, %d there", counts.BySubpool[l][v], v, n)
 			}
 		}
 	}
-	if table.Engines(service, model) != usable {
-		t.Fatalf("%d engines are counted, %d there", table.Engines(service, model), usable)
+	if table.EngineCount(service, model) != usable {
+		t.Fatalf("%d engines are counted, %d there", table.EngineCount(service, model), usable)
 	}
 }
 
--- a/prefix/affinity.go
+++ b/prefix/affinity.go
@@ -1,6 +1,6 @@
 package prefix
 
-// Affinity returns the index of the level that a prompt is placed by, or -1
+// AffinityLevel returns the index of the level that a prompt is placed by, or -1
 // for a prompt with no level.
 //
 // It follows from the prompt alone, so that daemons agree on it without having
@@ -11,7 +11,7 @@
 // first turn went. A prompt whose last message is longer than all others
 // carries document and question in one message; there the first whole piece
 // stands for the document, and the second where nothing goes before it.
-func Affinity(levels []Level) int {
+func AffinityLevel(levels []Level) int {
 	last := len(levels) - 1
 	if last <= 0 {
 		return last
--- a/prefix/parts.go
+++ b/prefix/parts.go
@@ -4,16 +4,16 @@
 	"crypto/sha256"
 )
 
-// Part is a piece of a prompt that its sender has named and counted.
-type Part struct {
+// Segment is a piece of a prompt that its sender has named and counted.
+type Segment struct {
 	ID     string // equal ids stand for equal text
 	Tokens int
 }
 
-// Chain names the beginnings of a prompt that is given as named parts. As with
+// SegmentLevels names the beginnings of a prompt that is given as named parts. As with
 // a Cutter, equal keys mean equal beginnings under the same seed. Each part
 // counts as one message, and parts past MaxLevels are not named.
-func Chain(seed Seed, parts []Part) []Level {
+func SegmentLevels(seed Seed, parts []Segment) []Level {
 	if len(parts) == 0 {
 		return nil
 	}
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -34,8 +34,8 @@
 	DefaultBytesPerToken = 4.0
 )
 
-// ErrKey reports text that is not a key.
-var ErrKey = errors.New("prefix: a key is 32 hexadecimal digits")
+// ErrInvalidKey reports text that is not a key.
+var ErrInvalidKey = errors.New("prefix: a key is 32 hexadecimal digits")
 
 // Key identifies a prompt up to the end of one piece.
 //
@@ -58,10 +58,10 @@
 // UnmarshalText reads a key in hexadecimal. It returns ErrKey for other text.
 func (k *Key) UnmarshalText(text []byte) error {
 	if len(text) != 2*KeySize {
-		return ErrKey
+		return ErrInvalidKey
 	}
 	if _, err := hex.Decode(k[:], text); err != nil {
-		return ErrKey
+		return ErrInvalidKey
 	}
 	return nil
 }
@@ -88,9 +88,9 @@
 	BytesPerToken float64 // estimate
 }
 
-// Cutter cuts one prompt after the other. It is not safe for concurrent use;
+// Splitter cuts one prompt after the other. It is not safe for concurrent use;
 // pool Cutters instead.
-type Cutter struct {
+type Splitter struct {
 	pieceBytes    int
 	bytesPerToken float64
 
@@ -102,15 +102,15 @@
 	levels []Level
 }
 
-// NewCutter returns a Cutter. Call Reset before each prompt.
-func NewCutter(o Options) *Cutter {
+// NewSplitter returns a Cutter. Call Reset before each prompt.
+func NewSplitter(o Options) *Splitter {
 	if o.PieceTokens <= 0 {
 		o.PieceTokens = DefaultPieceTokens
 	}
 	if o.BytesPerToken <= 0 {
 		o.BytesPerToken = DefaultBytesPerToken
 	}
-	return &Cutter{
+	return &Splitter{
 		pieceBytes:    max(1, int(float64(o.PieceTokens)*o.BytesPerToken)),
 		bytesPerToken: o.BytesPerToken,
 		sum:           sha256.New(),
@@ -119,7 +119,7 @@
 }
 
 // Reset begins a prompt under the seed. Levels returned before are overwritten.
-func (c *Cutter) Reset(s Seed) {
+func (c *Splitter) Reset(s Seed) {
 	c.sum.Reset()
 	c.field(string(s.Organisation))
 	c.field(s.Model)
@@ -133,7 +133,7 @@
 }
 
 // Write adds bytes of the current message.
-func (c *Cutter) Write(p []byte) {
+func (c *Splitter) Write(p []byte) {
 	for len(p) > 0 {
 		n := min(len(p), c.pieceBytes-c.open)
 		c.sum.Write(p[:n])
@@ -148,7 +148,7 @@
 
 // EndMessage ends the current message. The role or name of a message belongs
 // to its bytes: write it first.
-func (c *Cutter) EndMessage() {
+func (c *Splitter) EndMessage() {
 	if c.open > 0 {
 		c.cut(true)
 		return
@@ -160,16 +160,16 @@
 
 // Levels returns the ends of the pieces, outermost first, valid until the next
 // Reset. Bytes after the last cut are in Tokens but in no level.
-func (c *Cutter) Levels() []Level { return c.levels }
+func (c *Splitter) Levels() []Level { return c.levels }
 
 // Tokens returns the estimated tokens of everything written since Reset.
-func (c *Cutter) Tokens() int { return c.estimate(c.bytes) }
+func (c *Splitter) Tokens() int { return c.estimate(c.bytes) }
 
-func (c *Cutter) estimate(bytes int) int {
+func (c *Splitter) estimate(bytes int) int {
 	return int(float64(bytes)/c.bytesPerToken + 0.5)
 }
 
-func (c *Cutter) cut(message bool) {
+func (c *Splitter) cut(message bool) {
 	c.last = c.finish()
 	if len(c.levels) < MaxLevels {
 		c.levels = append(c.levels, Level{Key: c.last, Tokens: c.estimate(c.bytes), Message: message})
@@ -178,19 +178,19 @@
 	c.begin()
 }
 
-func (c *Cutter) begin() {
+func (c *Splitter) begin() {
 	c.sum.Reset()
 	c.sum.Write(c.last[:])
 }
 
-func (c *Cutter) finish() (k Key) {
+func (c *Splitter) finish() (k Key) {
 	copy(k[:], c.sum.Sum(c.out[:0]))
 	return k
 }
 
 // field writes a string with its length, so that no two seeds run together
 // into the same bytes.
-func (c *Cutter) field(s string) {
+func (c *Splitter) field(s string) {
 	var size [8]byte
 	binary.LittleEndian.PutUint64(size[:], uint64(len(s)))
 	copy(c.out[:], size[:])
--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func cutPrompt(c *Cutter, s Seed, messages ...string) []Level {
+func cutPrompt(c *Splitter, s Seed, messages ...string) []Level {
 	c.Reset(s)
 	for _, m := range messages {
 		c.Write([]byte(m))
@@ -17,7 +17,7 @@
 }
 
 func TestSharedBeginningSharesKeys(t *testing.T) {
-	c := NewCutter(Options{PieceTokens: 4, BytesPerToken: 1})
+	c := NewSplitter(Options{PieceTokens: 4, BytesPerToken: 1})
 	a := cutPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q1")
 	b := cutPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q2")
 	if len(a) != 5 || len(b) != 5 {
@@ -47,7 +47,7 @@
 			}
 		}
 		one, two := draw("one"), draw("two")
-		c := NewCutter(Options{})
+		c := NewSplitter(Options{})
 		a, b := cutPrompt(c, one, text), cutPrompt(c, two, text)
 		if (a[0].Key == b[0].Key) != (one == two) {
 			t.Fatalf("seeds %+v and %+v: keys %v and %v", one, two, a[0].Key, b[0].Key)
@@ -59,7 +59,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "text")
 		at := rapid.IntRange(0, len(text)).Draw(t, "at")
-		c := NewCutter(Options{PieceTokens: 7, BytesPerToken: 2})
+		c := NewSplitter(Options{PieceTokens: 7, BytesPerToken: 2})
 		whole := cutPrompt(c, Seed{}, string(text))
 		c.Reset(Seed{})
 		c.Write(text[:at])
@@ -94,14 +94,14 @@
 		{"preamble, instructions, history, question", []int{8, 15, 40, 3}, 63},
 		{"a later turn", []int{8, 45, 3, 9, 4}, 53},
 	}
-	c := NewCutter(Options{PieceTokens: 10, BytesPerToken: 1})
+	c := NewSplitter(Options{PieceTokens: 10, BytesPerToken: 1})
 	for _, tt := range tests {
 		c.Reset(Seed{})
 		for _, n := range tt.messages {
 			c.Write(make([]byte, n))
 			c.EndMessage()
 		}
-		got := Affinity(c.Levels())
+		got := AffinityLevel(c.Levels())
 		if got >= 0 {
 			got = c.Levels()[got].Tokens
 		}
@@ -124,7 +124,7 @@
 }
 
 func TestCutterBoundsLevelsAndAllocations(t *testing.T) {
-	c := NewCutter(Options{PieceTokens: 1, BytesPerToken: 1})
+	c := NewSplitter(Options{PieceTokens: 1, BytesPerToken: 1})
 	text := bytes.Repeat([]byte("x"), 2*MaxLevels)
 	if got := len(cutPrompt(c, Seed{}, string(text))); got != MaxLevels {
 		t.Errorf("levels = %d, want the bound %d", got, MaxLevels)
@@ -141,7 +141,7 @@
 
 func BenchmarkCut(b *testing.B) {
 	text := bytes.Repeat([]byte("specification "), 4000)
-	c := NewCutter(Options{})
+	c := NewSplitter(Options{})
 	b.SetBytes(int64(len(text)))
 	b.ReportAllocs()
 	for b.Loop() {
--- a/prefix/wire.go
+++ b/prefix/wire.go
@@ -12,23 +12,23 @@
 // level that is remembered and not named would be believed in for ever: an
 // answer tells that it is cached, and no event could tell that it is not.
 const (
-	MaxNamed      = MaxLevels // all that the daemon remembers, see below
-	MaxNamedBytes = MaxNamed * (2*KeySize + 1 + maxTokenDigits + 1)
+	MaxFormattedLevels = MaxLevels // all that the daemon remembers, see below
+	MaxFormattedBytes  = MaxFormattedLevels * (2*KeySize + 1 + maxTokenDigits + 1)
 
 	maxTokenDigits = 9
 	maxNamedTokens = 999_999_999
 )
 
-// ErrLevels reports text that does not name levels.
-var ErrLevels = errors.New("prefix: levels are written as key:tokens,key:tokens with rising tokens")
+// ErrInvalidLevels reports text that does not name levels.
+var ErrInvalidLevels = errors.New("prefix: levels are written as key:tokens,key:tokens with rising tokens")
 
 // Format names levels as "key:tokens,key:tokens", outermost first, at most
-// MaxNamed of them. It allocates the text and nothing else.
+// MaxFormattedLevels of them. It allocates the text and nothing else.
 func Format(levels []Level) string {
 	if len(levels) == 0 {
 		return ""
 	}
-	levels = levels[:min(len(levels), MaxNamed)]
+	levels = levels[:min(len(levels), MaxFormattedLevels)]
 	var b strings.Builder
 	var digits [2 * KeySize]byte
 	b.Grow(len(levels) * (len(digits) + 1 + len("123456,")))
@@ -52,8 +52,8 @@
 	if text == "" {
 		return nil, nil
 	}
-	if len(text) > MaxNamedBytes {
-		return nil, ErrLevels
+	if len(text) > MaxFormattedBytes {
+		return nil, ErrInvalidLevels
 	}
 	var levels []Level
 	for part := range strings.SplitSeq(text, ",") {
@@ -63,11 +63,11 @@
 			return nil, err
 		}
 		n, err := strconv.Atoi(count)
-		if err != nil || n < 0 || n > maxNamedTokens || len(levels) == MaxNamed {
-			return nil, ErrLevels
+		if err != nil || n < 0 || n > maxNamedTokens || len(levels) == MaxFormattedLevels {
+			return nil, ErrInvalidLevels
 		}
 		if len(levels) > 0 && n < levels[len(levels)-1].Tokens {
-			return nil, ErrLevels
+			return nil, ErrInvalidLevels
 		}
 		l.Tokens = n
 		levels = append(levels, l)
@@ -75,8 +75,8 @@
 	return levels, nil
 }
 
-// Shared returns the leading levels worth remembering. The last one is the
+// ReusableLevels returns the leading levels worth remembering. The last one is the
 // question, which only this request has.
-func Shared(levels []Level) []Level {
+func ReusableLevels(levels []Level) []Level {
 	return levels[:max(len(levels)-1, min(len(levels), 1))]
 }
--- a/prefix/wire_test.go
+++ b/prefix/wire_test.go
@@ -19,11 +19,11 @@
 			levels = append(levels, l)
 		}
 		text := Format(levels)
-		if len(text) > MaxNamedBytes {
+		if len(text) > MaxFormattedBytes {
 			t.Fatalf("%d bytes", len(text))
 		}
 		got, err := Parse(text)
-		if err != nil || len(got) != min(len(levels), MaxNamed) {
+		if err != nil || len(got) != min(len(levels), MaxFormattedLevels) {
 			t.Fatalf("%d of %d levels, %v", len(got), len(levels), err)
 		}
 		for i := range got {
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -46,8 +46,8 @@
 	return &Budget{opts: opts, tokens: opts.Burst / 2}
 }
 
-// Earn counts the first attempt of a request.
-func (b *Budget) Earn(now time.Time) {
+// RecordRequest counts the first attempt of a request.
+func (b *Budget) RecordRequest(now time.Time) {
 	b.refill(now)
 	b.tokens = min(b.tokens+b.opts.Fraction, b.opts.Burst)
 }
@@ -75,8 +75,8 @@
 	return true
 }
 
-// Wait is the time until the floor alone allows another retry.
-func (b *Budget) Wait(now time.Time) time.Duration {
+// TimeToNext is the time until the floor alone allows another retry.
+func (b *Budget) TimeToNext(now time.Time) time.Duration {
 	b.refill(now)
 	if b.tokens >= 1 {
 		return 0
@@ -84,8 +84,8 @@
 	return time.Duration((1 - b.tokens) / b.opts.Floor * float64(time.Second))
 }
 
-// Left is the number of retries saved up.
-func (b *Budget) Left() float64 { return b.tokens }
+// Available is the number of retries saved up.
+func (b *Budget) Available() float64 { return b.tokens }
 
 // refill adds the floor's retries. A clock that steps back adds none, and one
 // that jumps ahead no more than the burst.
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -93,9 +93,9 @@
 	Resumable bool
 	Deadline  time.Time // the caller's; zero means none
 	Delivered int       // tokens or bytes that the caller has
-	// MaxSent bounds the endpoints that the request reaches; 0: MaxAttempts. One
+	// MaxEndpoints bounds the endpoints that the request reaches; 0: MaxAttempts. One
 	// that could not be reached does not count, nor does it cost of the budget.
-	MaxSent int
+	MaxEndpoints int
 
 	sent       int
 	attempts   int
@@ -103,10 +103,10 @@
 	excluded   [MaxAttempts]fleet.EndpointID
 }
 
-// Resume returns a request of which some attempts have failed before, for a
+// RestoreRequest returns a request of which some attempts have failed before, for a
 // shell that keeps count of them itself. The attempt to decide on isn't among
 // them.
-func Resume(r Request, failed int, mayHaveRun bool) Request {
+func RestoreRequest(r Request, failed int, mayHaveRun bool) Request {
 	r.attempts = min(max(failed, 0), MaxAttempts)
 	r.mayHaveRun = mayHaveRun
 	return r
@@ -126,8 +126,8 @@
 // Attempts is the number of failed attempts.
 func (r *Request) Attempts() int { return r.attempts }
 
-// Attempt is one that failed.
-type Attempt struct {
+// FailedAttempt is one that failed.
+type FailedAttempt struct {
 	Endpoint   fleet.EndpointID
 	Failure    Failure
 	RetryAfter time.Duration // the endpoint's wish, zero if it had none
@@ -139,7 +139,7 @@
 // RetryAfter tells the caller when to ask again.
 type Decision struct {
 	Retry      bool
-	After      time.Duration
+	Delay      time.Duration
 	ResumeFrom int
 
 	Code       Code
@@ -149,7 +149,7 @@
 
 // Decide takes a failed attempt of the request. Randomness spreads the pauses,
 // so that the requests that one crash has broken don't come back together.
-func Decide(now time.Time, r *Request, a Attempt, budget *Budget, rng *rand.Rand) Decision {
+func Decide(now time.Time, r *Request, a FailedAttempt, budget *Budget, rng *rand.Rand) Decision {
 	if a.Failure == Unknown || a.Failure == Broken {
 		r.mayHaveRun = true
 	}
@@ -167,7 +167,7 @@
 	if code := r.notRepeatable(a.Failure); code != "" {
 		return r.giveUp(now, code, a, budget)
 	}
-	if r.attempts >= MaxAttempts || (r.MaxSent > 0 && r.sent >= r.MaxSent) {
+	if r.attempts >= MaxAttempts || (r.MaxEndpoints > 0 && r.sent >= r.MaxEndpoints) {
 		return r.giveUp(now, CodeAttempts, a, budget)
 	}
 	after := r.backoff(a, rng)
@@ -177,11 +177,11 @@
 	if !r.spend(now, a.Failure, budget) {
 		return r.giveUp(now, CodeNoBudget, a, budget)
 	}
-	return Decision{Retry: true, After: after, ResumeFrom: r.Delivered}
+	return Decision{Retry: true, Delay: after, ResumeFrom: r.Delivered}
 }
 
 func (r *Request) spend(now time.Time, f Failure, budget *Budget) bool {
-	if f == NotSent && r.MaxSent > 0 {
+	if f == NotSent && r.MaxEndpoints > 0 {
 		return true
 	}
 	if f == Broken && r.Resumable && r.Delivered > 0 {
@@ -212,7 +212,7 @@
 
 // backoff is short for the first retry, which goes elsewhere and costs the
 // caller its first token, and grows with full jitter after it.
-func (r *Request) backoff(a Attempt, rng *rand.Rand) time.Duration {
+func (r *Request) backoff(a FailedAttempt, rng *rand.Rand) time.Duration {
 	ceiling := min(baseBackoff<<(r.attempts-1), maxBackoff)
 	pause := time.Duration(rng.Float64() * float64(ceiling))
 	if slices.Contains(r.excluded[:r.attempts-1], a.Endpoint) {
@@ -228,7 +228,7 @@
 // giveUp is the final answer. The time to come back is no earlier than the
 // budget allows the next retry, and grows as retries fail, as many callers are
 // told to come back at such a time.
-func (r *Request) giveUp(now time.Time, code Code, a Attempt, budget *Budget) Decision {
+func (r *Request) giveUp(now time.Time, code Code, a FailedAttempt, budget *Budget) Decision {
 	d := Decision{Code: code, Outcome: OutcomeNotRun}
 	if r.mayHaveRun {
 		d.Outcome = OutcomeUnknown
@@ -236,7 +236,7 @@
 	if code == CodeCallerLeft || code == CodeNotRepeatable {
 		return d
 	}
-	wait := max(a.RetryAfter, budget.Wait(now), minRetryAfter)
+	wait := max(a.RetryAfter, budget.TimeToNext(now), minRetryAfter)
 	d.RetryAfter = min(wait, maxRetryAfter).Round(time.Second)
 	return d
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -45,11 +45,11 @@
 		"broken before first token": {Request{Idempotent: true}, Broken, Decision{Retry: true}},
 	} {
 		r := c.request
-		got := Decide(epoch, &r, Attempt{Endpoint: "e1", Failure: c.failure}, NewBudget(BudgetOptions{}), source())
-		if got.After > baseBackoff {
-			t.Errorf("%s: pause of %v", name, got.After)
+		got := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: c.failure}, NewBudget(BudgetOptions{}), source())
+		if got.Delay > baseBackoff {
+			t.Errorf("%s: pause of %v", name, got.Delay)
 		}
-		got.After = 0
+		got.Delay = 0
 		if got != c.want {
 			t.Errorf("%s: got %+v, want %+v", name, got, c.want)
 		}
@@ -72,7 +72,7 @@
 			mayHaveRun = mayHaveRun || f == Unknown || f == Broken
 			e := fleet.EndpointID(rune('a' + i))
 			sent[e] = true
-			d := Decide(epoch, &r, Attempt{Endpoint: e, Failure: f}, budget, source())
+			d := Decide(epoch, &r, FailedAttempt{Endpoint: e, Failure: f}, budget, source())
 			if d.Retry {
 				if len(r.Excluded()) != len(sent) {
 					t.Fatalf("excluded %v of %v", r.Excluded(), sent)
@@ -96,14 +96,14 @@
 func TestBudgetHolds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(BudgetOptions{})
-		b.Wait(epoch)
+		b.TimeToNext(epoch)
 		now, requests, retries := epoch, 0, 0
 		for range rapid.IntRange(1, 400).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.IntRange(-50, 200).Draw(t, "ms")) * time.Millisecond)
 			switch {
 			case rapid.Bool().Draw(t, "request"):
 				requests++
-				b.Earn(now)
+				b.RecordRequest(now)
 			case b.Spend(now):
 				retries++
 			case rapid.Bool().Draw(t, "resume") && b.SpendResume(now):
@@ -124,17 +124,17 @@
 func TestHerdOfRetries(t *testing.T) {
 	budget := NewBudget(BudgetOptions{})
 	for range 100 {
-		budget.Earn(epoch)
+		budget.RecordRequest(epoch)
 	}
 	rng := source()
 	retried := 0
 	pauses := map[time.Duration]bool{}
 	for range 1000 {
 		r := Request{Idempotent: true, Deadline: epoch.Add(time.Minute)}
-		d := Decide(epoch, &r, Attempt{Endpoint: "e1", Failure: Unknown}, budget, rng)
+		d := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: Unknown}, budget, rng)
 		if d.Retry {
 			retried++
-			pauses[d.After] = true
+			pauses[d.Delay] = true
 		} else if d.Code != CodeNoBudget || d.RetryAfter < time.Second {
 			t.Fatalf("final answer %+v", d)
 		}
@@ -156,7 +156,7 @@
 	resumed := 0
 	for range 100 {
 		r := Request{Idempotent: true, Resumable: true, Delivered: 3}
-		if Decide(epoch, &r, Attempt{Endpoint: "e1", Failure: Broken}, budget, source()).Retry {
+		if Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: Broken}, budget, source()).Retry {
 			resumed++
 		}
 	}
@@ -172,8 +172,8 @@
 // bound on attempts must hold there too.
 func TestResumeKeepsTheBound(t *testing.T) {
 	for failed := range MaxAttempts + 2 {
-		r := Resume(Request{Idempotent: true}, failed, false)
-		d := Decide(epoch, &r, Attempt{Endpoint: "e1", Failure: NotSent}, NewBudget(BudgetOptions{}), source())
+		r := RestoreRequest(Request{Idempotent: true}, failed, false)
+		d := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: NotSent}, NewBudget(BudgetOptions{}), source())
 		if want := failed+1 < MaxAttempts; d.Retry != want {
 			t.Errorf("after %d failures and one more: retry %v, want %v", failed, d.Retry, want)
 		}
--- a/retry/sent_test.go
+++ b/retry/sent_test.go
@@ -12,14 +12,14 @@
 	now := time.Unix(1_800_000_000, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	budget := NewBudget(BudgetOptions{Burst: 20})
-	r := Request{Idempotent: true, MaxSent: 2}
-	if d := Decide(now, &r, Attempt{Endpoint: "a", Failure: NotSent}, budget, rng); !d.Retry {
+	r := Request{Idempotent: true, MaxEndpoints: 2}
+	if d := Decide(now, &r, FailedAttempt{Endpoint: "a", Failure: NotSent}, budget, rng); !d.Retry {
 		t.Errorf("a refused connection ends the request: %+v", d)
 	}
-	if d := Decide(now, &r, Attempt{Endpoint: "b", Failure: NotRun}, budget, rng); !d.Retry {
+	if d := Decide(now, &r, FailedAttempt{Endpoint: "b", Failure: NotRun}, budget, rng); !d.Retry {
 		t.Errorf("the first endpoint ends it: %+v", d)
 	}
-	if d := Decide(now, &r, Attempt{Endpoint: "c", Failure: NotRun}, budget, rng); d.Retry || d.Code != CodeAttempts || d.Outcome != OutcomeNotRun {
+	if d := Decide(now, &r, FailedAttempt{Endpoint: "c", Failure: NotRun}, budget, rng); d.Retry || d.Code != CodeAttempts || d.Outcome != OutcomeNotRun {
 		t.Errorf("after two endpoints: %+v", d)
 	}
 }
@@ -30,11 +30,11 @@
 	now := time.Unix(1_800_000_000, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	budget := NewBudget(BudgetOptions{Burst: 4})
-	before := budget.Left()
-	r := Request{MaxSent: 1}
-	Decide(now, &r, Attempt{Endpoint: "a", Failure: NotSent}, budget, rng)
-	if budget.Left() < before {
-		t.Errorf("%v of %v left", budget.Left(), before)
+	before := budget.Available()
+	r := Request{MaxEndpoints: 1}
+	Decide(now, &r, FailedAttempt{Endpoint: "a", Failure: NotSent}, budget, rng)
+	if budget.Available() < before {
+		t.Errorf("%v of %v left", budget.Available(), before)
 	}
 	if r.MayHaveRun() {
 		t.Error("may have run")
--- a/room/room.go
+++ b/room/room.go
@@ -29,10 +29,10 @@
 
 // Times of placing while all endpoints are at their limits.
 const (
-	// Wait is how long a request waits for another daemon's answer on a limit, and Waits
+	// ReplyWait is how long a request waits for another daemon's answer on a limit, and Waits
 	// how often.
-	Wait  = 5 * time.Millisecond
-	Waits = 8
+	ReplyWait     = 5 * time.Millisecond
+	MaxReplyWaits = 8
 )
 
 // Options are what a Keeper needs.
@@ -44,14 +44,14 @@
 	Log   *logging.Logger
 	// Send sends a message to another daemon and does not wait for its way.
 	Send func(to string, data []byte)
-	// Changed takes the endpoints that have a limit; nil: nobody asks. It must not call
+	// LimitsChanged takes the endpoints that have a limit; nil: nobody asks. It must not call
 	// back.
-	Changed func(limited map[fleet.EndpointID]bool)
+	LimitsChanged func(limited map[fleet.EndpointID]bool)
 }
 
-// Keeper keeps all daemons' requests to an endpoint within the limit that it names. It
+// Limiter keeps all daemons' requests to an endpoint within the limit that it names. It
 // is safe for concurrent use.
-type Keeper struct {
+type Limiter struct {
 	o Options
 
 	passed, taken tally.Counter
@@ -65,9 +65,9 @@
 }
 
 // New returns a Keeper that knows no limits.
-func New(o Options) *Keeper {
+func New(o Options) *Limiter {
 	draw := func() *rand.Rand { return rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())) }
-	return &Keeper{
+	return &Limiter{
 		o: o, passed: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
 		table: limits.NewTable(limits.Options{Me: o.Me, Rand: draw()}),
 		quota: quota.NewNode(quota.Options{
@@ -79,7 +79,7 @@
 }
 
 // Run does what is due with time alone until the context ends.
-func (k *Keeper) Run(ctx context.Context) {
+func (k *Limiter) Run(ctx context.Context) {
 	var told time.Duration // when the table was last asked what to pass on
 	for pause.Tick(ctx, k.period()) == nil {
 		k.mu.Lock()
@@ -98,7 +98,7 @@
 
 // period is the time to the next tick. Answers are waited for only while limits are
 // known.
-func (k *Keeper) period() time.Duration {
+func (k *Limiter) period() time.Duration {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if len(k.keys)+len(k.asked) > 0 {
@@ -108,7 +108,7 @@
 }
 
 // Receive takes a message of another daemon. It returns false for other messages.
-func (k *Keeper) Receive(from string, data []byte) bool {
+func (k *Limiter) Receive(from string, data []byte) bool {
 	if len(data) == 0 || !limits.Owns(data) && data[0] != kindLimitQuota {
 		return false
 	}
@@ -128,7 +128,7 @@
 }
 
 // post puts changes into force and sends what there is to send. Call it with mu held.
-func (k *Keeper) post() {
+func (k *Limiter) post() {
 	if changes := k.table.Changes(); len(changes) > 0 {
 		k.apply()
 		for i := range changes {
@@ -148,7 +148,7 @@
 }
 
 // apply puts the limits that are known into force.
-func (k *Keeper) apply() {
+func (k *Limiter) apply() {
 	k.quota.SetLimits(k.o.Clock(), k.table.Limits())
 	clear(k.keys)
 	limited := map[fleet.EndpointID]bool{}
@@ -156,12 +156,12 @@
 		k.keys[e] = limits.KeyOf(e)
 		limited[e] = true
 	}
-	if k.o.Changed != nil {
-		k.o.Changed(limited)
+	if k.o.LimitsChanged != nil {
+		k.o.LimitsChanged(limited)
 	}
 }
 
-func (k *Keeper) note(c *limits.Change) {
+func (k *Limiter) note(c *limits.Change) {
 	fields := []any{"endpoint", string(c.Endpoint), "from_peer", c.FromPeer, "age_ms", c.Age.Milliseconds()}
 	if c.Limit == nil {
 		k.o.Log.Info("Endpoint names no limit any more.", fields...)
@@ -171,7 +171,7 @@
 }
 
 // SetDaemons takes the list of all daemons.
-func (k *Keeper) SetDaemons(all []gossip.Peer) {
+func (k *Limiter) SetDaemons(all []gossip.Peer) {
 	var daemons []quota.Daemon
 	for _, d := range all {
 		if d.Address != "" {
@@ -185,22 +185,22 @@
 }
 
 // Leave has other daemons turn elsewhere at once.
-func (k *Keeper) Leave() {
+func (k *Limiter) Leave() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.quota.Leave()
 }
 
 // Answered takes the limit that an answer of the endpoint named; nil: none.
-func (k *Keeper) Answered(e fleet.EndpointID, limit *float64) {
+func (k *Limiter) Answered(e fleet.EndpointID, limit *float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.table.Answered(k.o.Clock(), e, limit)
 	k.post()
 }
 
-// Full lists the endpoints that are at their limits.
-func (k *Keeper) Full() []fleet.EndpointID {
+// AtLimit lists the endpoints that are at their limits.
+func (k *Limiter) AtLimit() []fleet.EndpointID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	var out []fleet.EndpointID
@@ -214,16 +214,16 @@
 }
 
 // Limited lists the endpoints that have a limit.
-func (k *Keeper) Limited() []fleet.EndpointID {
+func (k *Limiter) Limited() []fleet.EndpointID {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return slices.Collect(maps.Keys(k.keys))
 }
 
-// Take counts a request that is about to be sent to the endpoint. It returns false if
+// Acquire counts a request that is about to be sent to the endpoint. It returns false if
 // that has no room. It never waits: the answer of another daemon that comes later counts
 // for the next request.
-func (k *Keeper) Take(e fleet.EndpointID) bool {
+func (k *Limiter) Acquire(e fleet.EndpointID) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	key, limited := k.keys[e]
@@ -239,7 +239,7 @@
 }
 
 // admit asks for one request. Call it with mu held.
-func (k *Keeper) admit(key quota.Key) bool {
+func (k *Limiter) admit(key quota.Key) bool {
 	admitted, decided, returned := false, false, false
 	v, now := k.quota.Admit(k.o.Clock(), key, -1, func(v quota.Verdict) {
 		if !returned { // this daemon lends itself
@@ -262,15 +262,15 @@
 	return admitted
 }
 
-// Waiting tells whether some daemon's answer on a limit is waited for.
-func (k *Keeper) Waiting() bool {
+// AwaitingReply tells whether some daemon's answer on a limit is waited for.
+func (k *Limiter) AwaitingReply() bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return len(k.asked) > 0
 }
 
-// GiveBack returns what a request took that was not sent.
-func (k *Keeper) GiveBack(e fleet.EndpointID) {
+// Release returns what a request took that was not sent.
+func (k *Limiter) Release(e fleet.EndpointID) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if key, limited := k.keys[e]; limited {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -21,7 +21,7 @@
 // View is the part of placement that is told of changes.
 type View interface {
 	pools.Sink
-	SetGate(id fleet.EndpointID, g placement.Gate)
+	SetAvailability(id fleet.EndpointID, g placement.Availability)
 }
 
 // Options set up a Roster.
@@ -132,12 +132,12 @@
 	}
 	for _, key := range r.due {
 		out := r.Unusable(now, key)
-		r.pools.SetOut(key, out)
+		r.pools.SetSuspended(key, out)
 		if out {
 			r.gate(key)
 		} else {
 			delete(r.gated, key)
-			r.view.SetGate(key, placement.GateOpen)
+			r.view.SetAvailability(key, placement.Available)
 		}
 	}
 	for key, until := range r.resting {
@@ -150,7 +150,7 @@
 // gate tells placement to send an endpoint no work for the moment.
 func (r *Roster) gate(key fleet.EndpointID) {
 	r.gated[key] = true
-	r.view.SetGate(key, placement.GateEjected)
+	r.view.SetAvailability(key, placement.Ejected)
 }
 
 // SetLimited takes which endpoints name a limit of requests. It keeps the map.
@@ -167,7 +167,7 @@
 }
 
 // SetPart sets the part of the engines that is for short prompts.
-func (r *Roster) SetPart(part float64) { r.pools.SetPart(part) }
+func (r *Roster) SetPart(part float64) { r.pools.SetShortFraction(part) }
 
 // Rest withholds work from an endpoint for a while.
 func (r *Roster) Rest(now time.Time, key fleet.EndpointID, d time.Duration) {
@@ -234,7 +234,7 @@
 func (r *Roster) Counts(service, model string) pools.Counts { return r.pools.Counts(service, model) }
 
 // Engines is the number of usable engines of a model.
-func (r *Roster) Engines(service, model string) int { return r.pools.Engines(service, model) }
+func (r *Roster) Engines(service, model string) int { return r.pools.EngineCount(service, model) }
 
 // Expire forgets what is long gone. Call it about once a second.
 func (r *Roster) Expire(now time.Time) {
--- a/router/caches.go
+++ b/router/caches.go
@@ -248,11 +248,11 @@
 }
 
 // held implements whereabouts.
-func (c *cacheWatch) held(w *forward.Work, salt string) *placement.Held {
+func (c *cacheWatch) held(w *forward.Work, salt string) *placement.PrefixLocations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
-	var out *placement.Held
+	var out *placement.PrefixLocations
 	now := c.clock()
 	for name, h := range c.watched {
 		tokens, known := c.table.Held(name, prompt)
@@ -260,11 +260,11 @@
 			continue
 		}
 		if out == nil {
-			out = &placement.Held{At: map[fleet.EndpointID]int{}}
+			out = &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}
 		}
-		out.At[fleet.EndpointID(name)] = tokens
-		if tokens > out.Best {
-			out.Best, out.Rate = tokens, h.rate
+		out.Tokens[fleet.EndpointID(name)] = tokens
+		if tokens > out.MaxTokens {
+			out.MaxTokens, out.FetchRate = tokens, h.rate
 		}
 	}
 	return out
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -81,7 +81,7 @@
 // tellLoads tells other daemons of engines that are about to take new weights, or have
 // them. The lease tells it as well, up to a second later, and a prompt that meets an
 // engine which loads is turned away.
-func (d *dispatch) tellLoads(news []weights.News) {
+func (d *dispatch) tellLoads(news []weights.EngineUpdate) {
 	d.mu.Lock()
 	all := d.daemons[:min(len(d.daemons), toldDaemons)]
 	d.mu.Unlock()
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -117,7 +117,7 @@
 			d.placer.Answered(p, &m.Info)
 		}
 	case kindLoads:
-		var m []weights.News
+		var m []weights.EngineUpdate
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
@@ -252,7 +252,7 @@
 	for _, t := range all {
 		d.s.view.LoadReported(t.Engine, fleet.Load{
 			At: now.Add(-time.Duration(t.AgeMs) * time.Millisecond), Running: t.Running, Waiting: t.Waiting, Slots: t.Slots,
-			WaitingTokens: d.waitingTokens(laneShort, max(0, t.Waiting-d.s.view.Unread(t.Engine))),
+			WaitingTokens: d.waitingTokens(laneShort, max(0, t.Waiting-d.s.view.PendingPrompts(t.Engine))),
 		})
 	}
 }
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -80,7 +80,7 @@
 	t := d.s.table.Load()
 	return &forward.Work{
 		Route: &t.Routes[0], Service: t.Services["s"], Table: t, Arrived: time.Now(), Deadline: time.Now().Add(6 * time.Second),
-		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Part{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
+		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Segment{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
 	}
 }
 
@@ -153,11 +153,11 @@
 		asker, dispatcher = dispatcher, asker
 	}
 	p := w.place(t, asker, "p")
-	if n := dispatcher.s.view.Unread(p.Target.Key); n != 1 {
+	if n := dispatcher.s.view.PendingPrompts(p.Target.Key); n != 1 {
 		t.Fatalf("%d prompts are unread", n)
 	}
 	dispatcher.expire(time.Now().Add(p.Wait + openSlack + time.Second))
-	if n := dispatcher.s.view.Unread(p.Target.Key); n != 0 || len(dispatcher.open) != 0 {
+	if n := dispatcher.s.view.PendingPrompts(p.Target.Key); n != 0 || len(dispatcher.open) != 0 {
 		t.Errorf("%d prompts are unread, %d placements open", n, len(dispatcher.open))
 	}
 }
@@ -171,7 +171,7 @@
 		d.Ended(&p, forward.End{Whole: true})
 	}
 	for _, d := range w.all {
-		if n := d.s.view.Unread("A@0"); n != 0 || len(d.open) != 0 {
+		if n := d.s.view.PendingPrompts("A@0"); n != 0 || len(d.open) != 0 {
 			t.Errorf("%s: %d prompts are unread, %d placements open", d.me.Name, n, len(d.open))
 		}
 	}
@@ -218,8 +218,8 @@
 // route allows one attempt, and the caller gets nothing.
 func TestLoadsAreToldAtOnce(t *testing.T) {
 	w := newDispatchWorld(t, 3, 4)
-	loading := weights.News{Engine: "B@0", Model: "m", Version: 2, Loading: true}
-	w.all[0].tellLoads([]weights.News{loading})
+	loading := weights.EngineUpdate{Engine: "B@0", Model: "m", Version: 2, Loading: true}
+	w.all[0].tellLoads([]weights.EngineUpdate{loading})
 	for _, d := range w.all[1:] {
 		if !d.s.roster.Unusable(time.Now(), "B@0") || d.s.roster.Unusable(time.Now(), "A@0") {
 			t.Errorf("%s: the engine that loads is used, or another is not", d.me.Name)
@@ -227,7 +227,7 @@
 	}
 	done := loading
 	done.Loading = false
-	w.all[0].tellLoads([]weights.News{done})
+	w.all[0].tellLoads([]weights.EngineUpdate{done})
 	for _, d := range w.all[1:] {
 		if d.s.roster.Unusable(time.Now(), "B@0") || d.s.roster.Find("B@0").Versions["m"] != 2 {
 			t.Errorf("%s: the engine that has its weights is not used", d.me.Name)
--- a/router/lanes.go
+++ b/router/lanes.go
@@ -29,12 +29,12 @@
 )
 
 // lane is the kind of engines that a prompt goes to.
-type lane = pools.Lane
+type lane = pools.Subpool
 
 const (
 	laneLong  = pools.Long
 	laneShort = pools.Short
-	laneCount = pools.LaneCount
+	laneCount = pools.SubpoolCount
 )
 
 func laneOf(promptTokens int) lane {
--- a/router/learn.go
+++ b/router/learn.go
@@ -30,7 +30,7 @@
 	defer p.unansweredMu.Unlock()
 	for _, u := range p.unanswered {
 		if w := u.waited(now); w > 0 {
-			p.s.view.Waited(now, u.endpoint, u.priority, w, false)
+			p.s.view.ObserveWait(now, u.endpoint, u.priority, w, false)
 		}
 	}
 }
@@ -42,7 +42,7 @@
 	delete(p.unanswered, id)
 	p.unansweredMu.Unlock()
 	if ok && ran {
-		p.s.view.Waited(now, u.endpoint, u.priority, u.waited(now), true)
+		p.s.view.ObserveWait(now, u.endpoint, u.priority, u.waited(now), true)
 	}
 }
 
@@ -53,7 +53,7 @@
 // others is what makes answers late. Two small questions cost a few
 // milliseconds.
 func (p *placer) ask(ctx context.Context, now time.Time, r *placement.Request, model string) {
-	homes := p.s.view.Homes(*r, now.Add(-loadKnown), askedHomes)
+	homes := p.s.view.StalePreferred(*r, now.Add(-loadKnown), askedHomes)
 	if len(homes) == 0 {
 		return
 	}
@@ -129,7 +129,7 @@
 // else waits is short.
 func (p *placer) waitingAt(pl *forward.Placement, waiting int) int {
 	if pl.Notes.Sole {
-		return p.waitingTokens(laneShort, max(0, waiting-p.s.view.Unread(pl.Target.Key)))
+		return p.waitingTokens(laneShort, max(0, waiting-p.s.view.PendingPrompts(pl.Target.Key)))
 	}
 	return p.waitingTokens(lane(pl.Notes.Engine), waiting)
 }
@@ -146,8 +146,8 @@
 // tells the length of the prompt that waits first. The one that is being read is
 // half done on average.
 func (p *placer) queuedTokens(in lane, r *weights.Report) int {
-	out := p.waitingTokens(in, max(0, r.Waiting-1)) + r.NextTokens
-	return out + p.waitingTokens(in, r.Unread)/2
+	out := p.waitingTokens(in, max(0, r.Waiting-1)) + r.FirstWaitingTokens
+	return out + p.waitingTokens(in, r.AwaitingAnswer)/2
 }
 
 // easySlots is the size of a batch above which an endpoint counts as full. A step
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -19,7 +19,7 @@
 		v := placement.NewView(options())
 		v.SetPool("short", []fleet.Endpoint{{ID: "a", Zone: "z", State: fleet.VMLive}})
 		v.Answered(now, placement.Answer{ID: 1, Endpoint: "a", Load: load})
-		d, err := v.Weigh(now, placement.Request{ID: 2, Pool: "short", Tokens: 300})
+		d, err := v.Select(now, placement.Request{ID: 2, Pool: "short", Tokens: 300})
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -53,7 +53,7 @@
 	p := newPlacer(s, &Settings{}, nil, BootClock, rand.New(rand.NewPCG(3, 4)))
 	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.Notes{Prompt: int(laneShort), Engine: int(laneLong)}}
 	p.Answered(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
-	d, err := s.view.Weigh(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
+	d, err := s.view.Select(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
 	if err != nil || d.ExpectedWait < 400*time.Millisecond {
 		t.Errorf("expected wait %v, %v", d.ExpectedWait, err)
 	}
--- a/router/load_test.go
+++ b/router/load_test.go
@@ -143,7 +143,7 @@
 }
 
 func partLevels(part string, tokens int) []prefix.Level {
-	return prefix.Chain(prefix.Seed{}, []prefix.Part{{ID: part, Tokens: tokens * 3 / 4}, {ID: "own", Tokens: tokens / 4}})
+	return prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: part, Tokens: tokens * 3 / 4}, {ID: "own", Tokens: tokens / 4}})
 }
 
 // place reserves the place of a request, by the ways if the replay has them.
@@ -162,7 +162,7 @@
 	}
 	first := *request
 	first.Pool = all[0].pool
-	for _, id := range v.Homes(first, r.clock(now-loadKnown), askedHomes) {
+	for _, id := range v.StalePreferred(first, r.clock(now-loadKnown), askedHomes) {
 		v.LoadReported(id, r.engine(id).load(r.clock(now)))
 	}
 	best, err := bestWay(r.clock(now), v, *request, all, replayTarget)
@@ -222,7 +222,7 @@
 	v.Finished(r.clock(now), j.id)
 	if r.waited && kind == 1 {
 		reading := time.Duration(float64(j.tokens) / readRate * float64(time.Second))
-		v.Waited(r.clock(now), e.id, j.priority, now-j.at-reading, true)
+		v.ObserveWait(r.clock(now), e.id, j.priority, now-j.at-reading, true)
 	}
 }
 
@@ -230,7 +230,7 @@
 func (r *replay) tell(now time.Duration) {
 	for _, e := range r.engines {
 		for _, j := range e.queue {
-			r.views[j.daemon].Waited(r.clock(now), e.id, j.priority, now-j.at, false)
+			r.views[j.daemon].ObserveWait(r.clock(now), e.id, j.priority, now-j.at, false)
 		}
 	}
 }
@@ -246,7 +246,7 @@
 }
 
 func options() placement.Options {
-	return placement.Options{Zone: "z", PrefillRate: readRate, QueueLife: queueLife}
+	return placement.Options{Zone: "z", PrefillRate: readRate, QueueHalfLife: queueLife}
 }
 
 // Short prompts come among a few long ones, and each that meets one waits for as
@@ -286,7 +286,7 @@
 // meet: a sixth and more are late. One that places all for them knows where each went.
 func TestOneDaemonThatPlacesAllKeepsPromptsApart(t *testing.T) {
 	o := options()
-	o.HomePrior = homePrior
+	o.PreferredPrior = homePrior
 	late := func(daemons int) float64 {
 		r := newReplayOf(daemons, 58, o, 0)
 		r.waited = true
@@ -307,7 +307,7 @@
 // daemon were alone. The requests that wait must make the difference.
 func TestWaitingRequestsMakeRefusalsMeetTheOverload(t *testing.T) {
 	alone := options()
-	alone.QueueLife = 0
+	alone.QueueHalfLife = 0
 	blind := newReplay(6, alone, 0)
 	blind.limit = 600 * time.Millisecond
 	blind.run(30, 0, 50)
--- a/router/moves.go
+++ b/router/moves.go
@@ -21,9 +21,9 @@
 func (p *placer) moves(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *way, out *forward.Outbound) {
 	levels := r.Levels
 	if levels == nil {
-		levels = prefix.Chain(seedOf(w, out.Version), w.In.Parts)
+		levels = prefix.SegmentLevels(seedOf(w, out.Version), w.In.Parts)
 	}
-	at := prefix.Affinity(levels)
+	at := prefix.AffinityLevel(levels)
 	if at < 0 {
 		return
 	}
@@ -35,13 +35,13 @@
 	}
 	key := levels[at].Key
 	store := storeOf(w.Table, key)
-	peer := p.s.roster.Find(d.Peer)
-	away := d.Reason == placement.ReasonSpill && r.Held == nil
+	peer := p.s.roster.Find(d.AlternateEndpoint)
+	away := d.Reason == placement.ReasonSpill && r.Locations == nil
 	switch {
 	case out.FetchFrom != "":
 	case to.from != "" && to.from != d.Endpoint && p.s.roster.Find(to.from) != nil:
 		out.FetchFrom = p.s.roster.Find(to.from).Address
-	case away && peer != nil && !p.s.roster.Unusable(now, d.Peer):
+	case away && peer != nil && !p.s.roster.Unusable(now, d.AlternateEndpoint):
 		out.FetchFrom = peer.Address
 	case store != "":
 		out.FetchFrom = store
@@ -67,7 +67,7 @@
 // fetchFrom chooses the source of a prompt's beginning among the holders that tell
 // what they hold. known is false if there is none that helps.
 func (p *placer) fetchFrom(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
-	if p.watch == nil || r.Held == nil {
+	if p.watch == nil || r.Locations == nil {
 		return "", false
 	}
 	engine := p.s.roster.Find(d.Endpoint)
@@ -75,7 +75,7 @@
 		key := fleet.EndpointID(name)
 		return key != d.Endpoint && (p.s.roster.Find(key) == nil || !p.s.roster.Unusable(now, key))
 	})
-	if tokens-r.Held.At[d.Endpoint] < leastFetched {
+	if tokens-r.Locations.Tokens[d.Endpoint] < leastFetched {
 		return "", false
 	}
 	return address, true
--- a/router/orders.go
+++ b/router/orders.go
@@ -51,7 +51,7 @@
 
 	mu      sync.Mutex // guards lease, plans, loading and untold
 	loading map[fleet.EndpointID]loadingEngine
-	untold  []weights.News // for the other daemons, with the next claim
+	untold  []weights.EngineUpdate // for the other daemons, with the next claim
 	asked   time.Duration
 	claimAt time.Duration // no claim before, after one that failed
 	failed  int           // claims in a row
@@ -95,7 +95,7 @@
 // time until the next.
 func (l *leader) followOnce(ctx context.Context) time.Duration {
 	l.mu.Lock()
-	from := l.lease.Next()
+	from := l.lease.NextOffset()
 	l.mu.Unlock()
 	got, confirmed, ok := l.sub.read(ctx, from, "")
 	l.r.feeds[TopicLease].Progress(l.sub.progress)
@@ -148,7 +148,7 @@
 	if errors.As(err, &gone) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.lease.Gap(l.r.clock(), gone.First)
+		l.lease.SkipTo(l.r.clock(), gone.First)
 		return nil
 	}
 	if err != nil {
@@ -170,16 +170,16 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(records) == 0 && end > from {
-		l.lease.Gap(l.r.clock(), end)
+		l.lease.SkipTo(l.r.clock(), end)
 	}
 	before := l.lease.Holder()
 	claims := l.lease.Observe(l.r.clock(), from, records)
 	if after := l.lease.Holder(); after != before {
-		l.r.log.Info("Lease of orders changed hands.", "holder", after, "offset", l.lease.Next()-1)
+		l.r.log.Info("Lease of orders changed hands.", "holder", after, "offset", l.lease.NextOffset()-1)
 	}
 	for _, c := range claims {
-		l.r.s.news(time.Now(), c.News)
-		l.r.s.namedAt(l.r.clock(), time.Now(), c.Named)
+		l.r.s.news(time.Now(), c.Updates)
+		l.r.s.namedAt(l.r.clock(), time.Now(), c.VersionTimes)
 	}
 }
 
@@ -199,7 +199,7 @@
 		l.since, l.wait = now, l.r.contendAfter(l.holds())
 	}
 	l.mu.Lock()
-	due := max(l.since, l.lease.FreeFrom()) + l.wait
+	due := max(l.since, l.lease.ClaimableAt()) + l.wait
 	l.mu.Unlock()
 	if now < due || l.r.leaving.Load() {
 		return
@@ -214,7 +214,7 @@
 func (l *leader) holds() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.lease.Holder() == l.lease.Me()
+	return l.lease.Holder() == l.lease.Name()
 }
 
 // contendAfter is how long after the others could this daemon claims the lease of
@@ -259,9 +259,9 @@
 	}
 	// The claim goes first: it proves the lease and tells the other daemons to
 	// send nothing to the engines that are about to load.
-	var news []weights.News
+	var news []weights.EngineUpdate
 	for _, e := range next {
-		news = append(news, weights.News{Engine: string(e.Key), Model: model, Version: version, Loading: true})
+		news = append(news, weights.EngineUpdate{Engine: string(e.Key), Model: model, Version: version, Loading: true})
 	}
 	if !l.claim(ctx, news) {
 		return
@@ -280,17 +280,17 @@
 }
 
 // claim appends a claim of the lease with news for the other daemons.
-func (l *leader) claim(ctx context.Context, news []weights.News) bool {
+func (l *leader) claim(ctx context.Context, news []weights.EngineUpdate) bool {
 	if l.r.clock() < l.claimAt {
 		return false
 	}
 	l.mu.Lock()
-	at := l.lease.Next()
+	at := l.lease.NextOffset()
 	told := l.untold
 	c, ok := l.lease.Claim(l.r.clock(), weights.Claim{
-		Nonce: l.r.placer.number(),
-		News:  append(told[:len(told):len(told)], news...),
-		Named: l.r.s.namedSince(l.r.clock(), time.Now()),
+		Nonce:        l.r.placer.number(),
+		Updates:      append(told[:len(told):len(told)], news...),
+		VersionTimes: l.r.s.namedSince(l.r.clock(), time.Now()),
 	})
 	l.mu.Unlock()
 	if !ok {
@@ -307,15 +307,15 @@
 		l.mu.Lock()
 		defer l.mu.Unlock()
 		l.untold = l.untold[len(told):]
-		if l.lease.Next() == at {
-			l.lease.Granted(l.r.clock())
+		if l.lease.NextOffset() == at {
+			l.lease.ClaimAppended(l.r.clock())
 			// Neighbours that read through this daemon would find a gap otherwise, and
 			// all turn to the store.
 			l.r.feeds[TopicLease].Add(feed.Batch{
 				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Whole: true, Confirmed: sent,
 			})
 		}
-		return l.lease.Held(l.r.clock())
+		return l.lease.MayOrder(l.r.clock())
 	case errors.As(err, &lost):
 		// Somebody was first. Read who.
 		_ = l.readLease(ctx, at, 0)
@@ -330,7 +330,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lease.Held(l.r.clock()) || !l.lease.Answered() {
+	if !l.lease.MayOrder(l.r.clock()) || !l.lease.ClaimSettled() {
 		return false
 	}
 	l.untold = l.untold[len(told):]
@@ -363,7 +363,7 @@
 	case report.Busy:
 		reply = weights.Accepted
 	default:
-		reply = l.send(ctx, e, model, version, report.Orders)
+		reply = l.send(ctx, e, model, version, report.AcceptedOrders)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -377,15 +377,15 @@
 // send gives the order if the lease outlives its longest way.
 func (l *leader) send(ctx context.Context, e weights.Engine, model string, version, expected int64) weights.Reply {
 	l.mu.Lock()
-	held, token, me := l.lease.Held(l.r.clock()), l.lease.Token(), l.lease.Me()
+	held, token, me := l.lease.MayOrder(l.r.clock()), l.lease.FencingToken(), l.lease.Name()
 	l.mu.Unlock()
 	if !held {
 		return weights.Refused
 	}
-	call, cancel := context.WithTimeout(ctx, weights.OrderTime)
+	call, cancel := context.WithTimeout(ctx, weights.OrderTimeout)
 	defer cancel()
 	reply, err := l.r.o.Engines.Order(call, e.Target, weights.Order{
-		Model: model, Version: version, Running: weights.FinishFirst, Holder: me, Token: token, Expected: expected,
+		Model: model, Version: version, Running: weights.FinishRunning, Holder: me, Token: token, ExpectedOrders: expected,
 	})
 	fields := []any{"endpoint", e.ID, "model", model, "version", version, "token", token, "expected", expected, "reply", reply.String()}
 	if err != nil {
@@ -434,7 +434,7 @@
 }
 
 // told is what the other daemons have not heard yet.
-func (l *leader) told() []weights.News {
+func (l *leader) told() []weights.EngineUpdate {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.untold
@@ -443,12 +443,12 @@
 // done takes that an engine has its new weights. The other daemons hear of it
 // with the next claim.
 func (l *leader) done(e weights.Engine, model string, version int64) {
-	news := weights.News{Engine: string(e.Key), Model: model, Version: version}
+	news := weights.EngineUpdate{Engine: string(e.Key), Model: model, Version: version}
 	l.mu.Lock()
 	delete(l.loading, e.Key)
 	l.untold = append(l.untold, news)
 	l.mu.Unlock()
 	l.r.log.Info("Engine has its weights.", "endpoint", e.ID, "model", model, "version", version)
-	l.r.dispatch.tellLoads([]weights.News{news})
-	l.r.s.news(time.Now(), []weights.News{news})
+	l.r.dispatch.tellLoads([]weights.EngineUpdate{news})
+	l.r.s.news(time.Now(), []weights.EngineUpdate{news})
 }
--- a/router/parts.go
+++ b/router/parts.go
@@ -117,8 +117,8 @@
 
 // held tells where a shared part is. Whoever comes to an engine that reads it meets
 // it there; others can fetch it once it is read. from is where.
-func (x *partIndex) held(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (h *placement.Held, from fleet.EndpointID) {
-	h = &placement.Held{At: map[fleet.EndpointID]int{}}
+func (x *partIndex) held(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (h *placement.PrefixLocations, from fleet.EndpointID) {
+	h = &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}
 	p := x.parts[key]
 	if p == nil {
 		return h, ""
@@ -129,9 +129,9 @@
 		if x.gone(at, capacity) || !usable(at.engine) {
 			continue
 		}
-		h.At[at.engine] = p.tokens
+		h.Tokens[at.engine] = p.tokens
 		if !at.ready.After(now) && (from == "" || at.ready.After(since)) {
-			from, since, h.Best = at.engine, at.ready, p.tokens
+			from, since, h.MaxTokens = at.engine, at.ready, p.tokens
 		}
 	}
 	return h, from
--- a/router/parts_test.go
+++ b/router/parts_test.go
@@ -16,13 +16,13 @@
 func TestPartIsFetchedOnceItIsRead(t *testing.T) {
 	x, now := newPartIndex(), time.Unix(1_800_000_000, 0)
 	x.placed(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now.Add(200*time.Millisecond))
-	if h, from := x.held(now, prefix.Key{1}, 200_000, anyEngine); h.At["a"] != 13_000 || h.Best != 0 || from != "" {
+	if h, from := x.held(now, prefix.Key{1}, 200_000, anyEngine); h.Tokens["a"] != 13_000 || h.MaxTokens != 0 || from != "" {
 		t.Errorf("%+v from %q while it is read", h, from)
 	}
-	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, anyEngine); h.Best != 13_000 || from != "a" {
+	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, anyEngine); h.MaxTokens != 13_000 || from != "a" {
 		t.Errorf("%+v from %q after it was read", h, from)
 	}
-	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, func(fleet.EndpointID) bool { return false }); len(h.At) > 0 || from != "" {
+	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, func(fleet.EndpointID) bool { return false }); len(h.Tokens) > 0 || from != "" {
 		t.Errorf("%+v from %q, which may not be used", h, from)
 	}
 }
@@ -36,7 +36,7 @@
 		x.placed(now, prefix.Key{2, byte(i)}, 13_000, 17_000, 200_000, "a", now)
 	}
 	later := now.Add(time.Second)
-	if h, from := x.held(later, prefix.Key{1}, 200_000, anyEngine); len(h.At) > 0 || from != "" {
+	if h, from := x.held(later, prefix.Key{1}, 200_000, anyEngine); len(h.Tokens) > 0 || from != "" {
 		t.Errorf("%+v from %q", h, from)
 	}
 	if _, from := x.held(later, prefix.Key{2, 8}, 200_000, anyEngine); from != "a" {
--- a/router/placer.go
+++ b/router/placer.go
@@ -57,8 +57,8 @@
 // placer implements forward.Placer.
 type placer struct {
 	s       *state
-	watch   *cacheWatch  // nil: nothing is known of caches
-	room    *room.Keeper // nil: limits of endpoints are not kept
+	watch   *cacheWatch   // nil: nothing is known of caches
+	room    *room.Limiter // nil: limits of endpoints are not kept
 	engines weights.Engines
 	clock   func() time.Duration // boot clock
 	old     time.Duration        // Settings.VersionWithin
@@ -87,11 +87,11 @@
 func (p *placer) First() {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
-	p.budget.Earn(time.Now())
+	p.budget.RecordRequest(time.Now())
 }
 
 // Failed implements forward.Placer.
-func (p *placer) Failed(r *retry.Request, a retry.Attempt) retry.Decision {
+func (p *placer) Failed(r *retry.Request, a retry.FailedAttempt) retry.Decision {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return retry.Decide(time.Now(), r, a, p.budget, p.rng)
@@ -103,10 +103,10 @@
 	for waited := 0; ; waited++ {
 		out, err := p.place(ctx, w)
 		var refused *forward.RefusedError
-		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.Waits || !p.room.Waiting() {
+		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.MaxReplyWaits || !p.room.AwaitingReply() {
 			return out, err
 		}
-		if err := pause.For(ctx, room.Wait); err != nil {
+		if err := pause.For(ctx, room.ReplyWait); err != nil {
 			return out, err
 		}
 	}
@@ -116,7 +116,7 @@
 	now := time.Now()
 	p.s.settle(now)
 	r := placement.Request{
-		Pool: pools.Plain(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
+		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
 		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 	}
 	if w.Service.Engine != nil && w.In.Model != "" {
@@ -126,7 +126,7 @@
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	if left := time.Until(w.Deadline); d.ExpectedFirst > time.Duration(waitPart*float64(left)) {
+	if left := time.Until(w.Deadline); d.ExpectedFirstToken > time.Duration(waitPart*float64(left)) {
 		p.s.view.Finished(now, r.ID)
 		p.giveBack(d.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{Code: codeOverloaded, RetryAfter: p.spread()}
@@ -140,24 +140,24 @@
 	p.s.settle(now)
 	r := placement.Request{
 		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
-		Sole: true,
+		Exclusive: true,
 	}
 	return p.placeModel(context.Background(), now, w, &r)
 }
 
 // shared tells where the shared part of a prompt is, for the daemon that places all.
-func (p *placer) shared(now time.Time, w *forward.Work, version int64) (*placement.Held, fleet.EndpointID) {
-	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
-	at := prefix.Affinity(levels)
+func (p *placer) shared(now time.Time, w *forward.Work, version int64) (*placement.PrefixLocations, fleet.EndpointID) {
+	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
+	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
-		return &placement.Held{At: map[fleet.EndpointID]int{}}, ""
+		return &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}, ""
 	}
 	p.partsMu.Lock()
 	defer p.partsMu.Unlock()
 	engine := w.Service.Engine
 	held, from := p.parts.held(now, levels[at].Key, engine.CapacityTokens, p.mayFetch)
 	if engine.BytesPerToken > 0 {
-		held.Rate = engine.LinkMbps * 1e6 / 8 / float64(engine.BytesPerToken) / 2
+		held.FetchRate = engine.LinkMbps * 1e6 / 8 / float64(engine.BytesPerToken) / 2
 	}
 	return held, from
 }
@@ -171,12 +171,12 @@
 
 // addTold adds what engines and stores tell themselves. What they do not hold yet may
 // be on its way to them.
-func addTold(h, told *placement.Held) {
-	for key, tokens := range told.At {
-		h.At[key] = max(h.At[key], tokens)
+func addTold(h, told *placement.PrefixLocations) {
+	for key, tokens := range told.Tokens {
+		h.Tokens[key] = max(h.Tokens[key], tokens)
 	}
-	if told.Best > h.Best {
-		h.Best, h.Rate = told.Best, told.Rate
+	if told.MaxTokens > h.MaxTokens {
+		h.MaxTokens, h.FetchRate = told.MaxTokens, told.FetchRate
 	}
 }
 
@@ -188,14 +188,14 @@
 
 // sent notes where the shared part of a prompt goes.
 func (p *placer) sent(now time.Time, w *forward.Work, version int64, d *placement.Decision) {
-	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
-	at := prefix.Affinity(levels)
+	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
+	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
 		return
 	}
 	p.partsMu.Lock()
 	defer p.partsMu.Unlock()
-	p.parts.placed(now, levels[at].Key, levels[at].Tokens, w.In.PromptTokens, w.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirst))
+	p.parts.placed(now, levels[at].Key, levels[at].Tokens, w.In.PromptTokens, w.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirstToken))
 }
 
 // placeModel places a prompt at an engine of its model.
@@ -207,7 +207,7 @@
 	in := laneOf(w.In.PromptTokens)
 	all := ways(w, v, in, p.whereabouts())
 	switch {
-	case r.Sole:
+	case r.Exclusive:
 		p.anywhere(now, w, all)
 	case in == laneLong:
 		first := *r
@@ -227,7 +227,7 @@
 		}
 	}
 	p.s.view.Reserve(now, best.request, &best.decision)
-	if r.Sole {
+	if r.Exclusive {
 		p.sent(now, w, best.version, &best.decision)
 		best.kept = p.enginesKeep(now, w)
 	}
@@ -237,7 +237,7 @@
 // giveBack returns what a request took of an endpoint's limit that is not sent there.
 func (p *placer) giveBack(e fleet.EndpointID) {
 	if p.room != nil {
-		p.room.GiveBack(e)
+		p.room.Release(e)
 	}
 }
 
@@ -251,7 +251,7 @@
 		if told := at.held(); told != nil {
 			addTold(held, told)
 		}
-		at.held = func() *placement.Held { return held }
+		at.held = func() *placement.PrefixLocations { return held }
 		at.from = from
 	}
 }
@@ -328,8 +328,8 @@
 	}
 	left := func(v int64) time.Duration { return n.left(v, clock, p.old) }
 	allowed := func(v int64) bool { return left(v) > beginLeast }
-	v := chooseVersions(engines.Lane[in], allowed, at, lead)
-	v = v.orElse(chooseVersions(engines.All, allowed, at, lead))
+	v := chooseVersions(engines.BySubpool[in], allowed, at, lead)
+	v = v.orElse(chooseVersions(engines.ByVersion, allowed, at, lead))
 	if v.first == 0 {
 		return v, &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointAfter}
 	}
@@ -373,7 +373,7 @@
 	defer p.s.mu.Unlock()
 	e := p.s.roster.Find(d.Endpoint)
 	out := forward.Placement{
-		ID: r.ID, Reason: d.Reason.String(), Wait: d.ExpectedFirst, Cached: d.ExpectedCached, Age: d.LoadAge,
+		ID: r.ID, Reason: d.Reason.String(), Wait: d.ExpectedFirstToken, Cached: d.ExpectedCached, Age: d.LoadAge,
 		Target: forward.Target{Key: e.Key, ID: e.ID, Address: e.Address},
 		Out:    forward.Outbound{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
 	}
@@ -392,10 +392,10 @@
 		reading: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
 	}
 	p.unansweredMu.Unlock()
-	out.Notes = forward.Notes{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Sole}
+	out.Notes = forward.Notes{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Exclusive}
 	out.Out.CacheSalt = salt(w, to.version)
 	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
-	if at := prefix.Affinity(r.Levels); at >= 0 {
+	if at := prefix.AffinityLevel(r.Levels); at >= 0 {
 		out.Prefix = r.Levels[at].Key.String()[:prefixDigits]
 	}
 	p.moves(now, w, r, d, to, &out.Out)
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -77,7 +77,7 @@
 	const daemons = 8
 	var views []*placement.View
 	for range daemons {
-		v := placement.NewView(placement.Options{Zone: "z", PrefillRate: f.readRate, QueueLife: queueLife, HomePrior: homePrior})
+		v := placement.NewView(placement.Options{Zone: "z", PrefillRate: f.readRate, QueueHalfLife: queueLife, PreferredPrior: homePrior})
 		v.SetPool("all", members)
 		views = append(views, v)
 	}
@@ -87,10 +87,10 @@
 		subject, own := rng.IntN(f.subjects), 1+rng.IntN(2*f.own)
 		request := placement.Request{ID: rng.Uint64(), Pool: "all", Tokens: f.shared + own}
 		if by != waitsOnly {
-			request.Levels = prefix.Chain(prefix.Seed{}, []prefix.Part{{ID: fmt.Sprint(subject), Tokens: f.shared}, {ID: fmt.Sprint("own", request.ID), Tokens: own}})
+			request.Levels = prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: fmt.Sprint(subject), Tokens: f.shared}, {ID: fmt.Sprint("own", request.ID), Tokens: own}})
 		}
 		if by == allTold {
-			request.Held = f.held(engines, members, subject, now)
+			request.Locations = f.held(engines, members, subject, now)
 		}
 		at := time.Unix(1_800_000_000, 0).Add(now)
 		v := views[rng.IntN(daemons)]
@@ -99,8 +99,8 @@
 			panic(err)
 		}
 		e := &engines[indexOf(members, d.Endpoint)]
-		fetches := request.Held != nil && request.Held.Best > 0
-		if home := indexOf(members, d.Peer); by == homesOnly && d.Reason == placement.ReasonSpill && home >= 0 {
+		fetches := request.Locations != nil && request.Locations.MaxTokens > 0
+		if home := indexOf(members, d.AlternateEndpoint); by == homesOnly && d.Reason == placement.ReasonSpill && home >= 0 {
 			at, ok := engines[home].parts[subject]
 			fetches = ok && at <= now
 		}
@@ -119,12 +119,12 @@
 }
 
 // held is what the engines told until now.
-func (f *reuseFleet) held(engines []reuseEngine, members []fleet.Endpoint, subject int, now time.Duration) *placement.Held {
-	h := &placement.Held{At: map[fleet.EndpointID]int{}, Rate: f.linkRate}
+func (f *reuseFleet) held(engines []reuseEngine, members []fleet.Endpoint, subject int, now time.Duration) *placement.PrefixLocations {
+	h := &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}, FetchRate: f.linkRate}
 	for i := range engines {
-		h.At[members[i].ID] = 0
+		h.Tokens[members[i].ID] = 0
 		if at, ok := engines[i].parts[subject]; ok && now-at > reuseLag {
-			h.At[members[i].ID], h.Best = f.shared, f.shared
+			h.Tokens[members[i].ID], h.MaxTokens = f.shared, f.shared
 		}
 	}
 	return h
@@ -212,7 +212,7 @@
 func TestSourceOfABeginning(t *testing.T) {
 	now := time.Hour
 	c := watchOf(t, &now)
-	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Part{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
+	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Segment{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
 	if h := c.held(w, "v1"); h != nil {
 		t.Errorf("%+v though nobody told anything", h)
@@ -237,11 +237,11 @@
 	if got, n := c.best(w, "v1", "a", all); got != "2:1" || n != 1000 {
 		t.Errorf("%q has %d", got, n)
 	}
-	if h := c.held(w, "v1"); h == nil || h.Best != 1000 || h.At["near"] != 500 || h.At["far"] != 1000 {
+	if h := c.held(w, "v1"); h == nil || h.MaxTokens != 1000 || h.Tokens["near"] != 500 || h.Tokens["far"] != 1000 {
 		t.Errorf("held %+v", h)
 	}
 	now += eventTrusted - 500*time.Millisecond
-	if h := c.held(w, "v1"); h == nil || len(h.At) != 1 {
+	if h := c.held(w, "v1"); h == nil || len(h.Tokens) != 1 {
 		t.Errorf("held %+v when two of three are silent", h)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -87,8 +87,8 @@
 	datagrams  *datagrams
 	limits     *limiter
 	quarantine *guard.Guard
-	keeper     *holdKeeper  // of holds; nil: there is no list of daemons
-	room       *room.Keeper // at endpoints that name limits
+	keeper     *holdKeeper   // of holds; nil: there is no list of daemons
+	room       *room.Limiter // at endpoints that name limits
 	dispatch   *dispatch
 	feeds      [topicCount]*feed.Feed
 	log        *logging.Logger
@@ -187,11 +187,11 @@
 	return guard.New(o)
 }
 
-func (r *Router) newRoom(me Neighbour) *room.Keeper {
+func (r *Router) newRoom(me Neighbour) *room.Limiter {
 	return room.New(room.Options{
 		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.o.Clock, Rand: r.o.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
-		Changed: func(limited map[fleet.EndpointID]bool) { r.s.limited.Store(&limited) },
+		LimitsChanged: func(limited map[fleet.EndpointID]bool) { r.s.limited.Store(&limited) },
 	})
 }
 
--- a/router/settings.go
+++ b/router/settings.go
@@ -8,7 +8,7 @@
 // platform alone.
 //
 // Locks, in their order: state.mu (table of endpoints, versions, gates), then
-// the locks inside placement.Shared; budgetMu last. None is held while a
+// the locks inside placement.SharedView; budgetMu last. None is held while a
 // message is sent.
 package router
 
--- a/router/split_test.go
+++ b/router/split_test.go
@@ -40,7 +40,7 @@
 			plain[e.ID] = e
 		}
 		for l, into := range map[lane]map[int64][]fleet.Endpoint{laneShort: short, laneLong: long} {
-			for _, e := range sets[pools.OfModel("s", "m", v, l)] {
+			for _, e := range sets[pools.ModelPool("s", "m", v, l)] {
 				into[v] = append(into[v], plain[e.ID])
 			}
 			slices.SortFunc(into[v], func(a, b fleet.Endpoint) int {
--- a/router/state.go
+++ b/router/state.go
@@ -51,7 +51,7 @@
 	lanes  laneSplit
 	split  *map[fleet.EndpointID]bool // the limited endpoints, as the roster has them
 
-	view    *placement.Shared
+	view    *placement.SharedView
 	changes *viewChanges // of the roster
 }
 
@@ -59,7 +59,7 @@
 // together: an engine that moves from one pool to another would else be in neither for a
 // moment, and a request that is placed just then refused. The state's lock guards it.
 type viewChanges struct {
-	shared *placement.Shared
+	shared *placement.SharedView
 	batch  *placement.View // while a batch is under way
 }
 
@@ -81,19 +81,19 @@
 	c.shared.Leave(pool, id)
 }
 
-// SetGate implements roster.View.
-func (c *viewChanges) SetGate(id fleet.EndpointID, g placement.Gate) {
+// SetAvailability implements roster.View.
+func (c *viewChanges) SetAvailability(id fleet.EndpointID, g placement.Availability) {
 	if c.batch != nil {
-		c.batch.SetGate(id, g)
+		c.batch.SetAvailability(id, g)
 		return
 	}
-	c.shared.SetGate(id, g)
+	c.shared.SetAvailability(id, g)
 }
 
 func newState(set *Settings, rng *rand.Rand) *state {
-	view := placement.NewShared(placement.Options{
+	view := placement.NewSharedView(placement.Options{
 		Zone: set.Zone, PrefillRate: prefillRate, ImportLatency: importLatency, ReservationTTL: reservationTTL,
-		QueueLife: queueLife, HomePrior: homePrior,
+		QueueHalfLife: queueLife, PreferredPrior: homePrior,
 	})
 	changes := &viewChanges{shared: view}
 	return &state{
@@ -113,7 +113,7 @@
 	// prefillRate is how fast an engine that generates for others as well is taken to
 	// read, in tokens/s: about what one present accelerator does for a model of some ten
 	// billion parameters. Of an engine that is slower the requests that wait longer than
-	// was foretold tell within a second (placement.View.Waited); of one that is faster
+	// was foretold tell within a second (placement.View.ObserveWait); of one that is faster
 	// nothing does, and callers are turned away whom it could serve.
 	prefillRate   = 80_000
 	importLatency = 5 * time.Millisecond // until a fetch from another engine or a store begins
@@ -169,7 +169,7 @@
 }
 
 // news takes what the holder of the order lease tells of engines.
-func (s *state) news(now time.Time, all []weights.News) {
+func (s *state) news(now time.Time, all []weights.EngineUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, n := range all {
@@ -205,7 +205,7 @@
 		v := e.Versions[model]
 		out = append(out, weights.Engine{
 			Target: weights.Target{Key: e.Key, ID: e.ID, Address: e.Address}, Zone: e.Zone, Version: v,
-			Backlog: s.view.Backlog(now, e.Key), Left: s.named[model].left(v, clock, bound),
+			Backlog: s.view.Backlog(now, e.Key), UsableFor: s.named[model].left(v, clock, bound),
 		})
 	}
 	return out
@@ -219,7 +219,7 @@
 }
 
 // namedAt takes since when versions are named, by another daemon.
-func (s *state) namedAt(now time.Duration, wall time.Time, all []weights.NamedAt) {
+func (s *state) namedAt(now time.Duration, wall time.Time, all []weights.VersionTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, at := range all {
@@ -228,13 +228,13 @@
 }
 
 // namedSince tells other daemons since when versions are named.
-func (s *state) namedSince(now time.Duration, wall time.Time) []weights.NamedAt {
+func (s *state) namedSince(now time.Duration, wall time.Time) []weights.VersionTime {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var out []weights.NamedAt
+	var out []weights.VersionTime
 	for model, all := range s.named {
 		for _, n := range all {
-			out = append(out, weights.NamedAt{Model: model, Version: n.version, UnixMs: wall.Add(n.since - now).UnixMilli()})
+			out = append(out, weights.VersionTime{Model: model, Version: n.version, UnixMs: wall.Add(n.since - now).UnixMilli()})
 		}
 	}
 	return out
--- a/router/state_test.go
+++ b/router/state_test.go
@@ -127,8 +127,8 @@
 	}()
 	for n := uint64(1); ; n++ {
 		for l := range laneCount {
-			r := placement.Request{ID: n, Pool: pools.OfModel(e.Service, "m0", 1, l), Tokens: 100}
-			if _, err := s.view.Weigh(now, r); err != nil {
+			r := placement.Request{ID: n, Pool: pools.ModelPool(e.Service, "m0", 1, l), Tokens: 100}
+			if _, err := s.view.Select(now, r); err != nil {
 				t.Fatalf("request %d for lane %d: %v", n, l, err)
 			}
 		}
--- a/router/tries.go
+++ b/router/tries.go
@@ -24,7 +24,7 @@
 	if p.room == nil {
 		return t
 	}
-	full := p.room.Full()
+	full := p.room.AtLimit()
 	t.limited = len(full) > 0
 	t.barred = append(t.barred, full...)
 	if spare {
@@ -55,7 +55,7 @@
 // take tells whether the endpoint may have the request. If not, the next try avoids it.
 func (t *tries) take(now time.Time, e fleet.EndpointID, repeatable bool) bool {
 	if t.p.mayTry(now, e, repeatable) {
-		if t.p.room == nil || t.p.room.Take(e) {
+		if t.p.room == nil || t.p.room.Acquire(e) {
 			return true
 		}
 		// This does not count as a try: each such endpoint is met once, as it is barred
--- a/router/versions.go
+++ b/router/versions.go
@@ -87,7 +87,7 @@
 }
 
 // told takes another daemon's word on when a version was named.
-func (n named) told(now time.Duration, wall time.Time, at weights.NamedAt) named {
+func (n named) told(now time.Duration, wall time.Time, at weights.VersionTime) named {
 	age := max(0, wall.Sub(time.UnixMilli(at.UnixMs))) + clockSlack
 	said := naming{version: at.Version, since: now - age}
 	i, found := slices.BinarySearchFunc(n, at.Version, func(m naming, v int64) int { return cmp.Compare(m.version, v) })
--- a/router/versions_test.go
+++ b/router/versions_test.go
@@ -44,12 +44,12 @@
 	if !n.allowed(1, boot) {
 		t.Fatal("a guess refuses at once")
 	}
-	n = n.told(boot, wall, weights.NamedAt{Version: 2, UnixMs: wall.Add(-14 * time.Second).UnixMilli()})
+	n = n.told(boot, wall, weights.VersionTime{Version: 2, UnixMs: wall.Add(-14 * time.Second).UnixMilli()})
 	if n.allowed(1, boot) {
 		t.Error("still allowed")
 	}
 	fresh := named{{version: 2, since: boot}}
-	if got := fresh.told(boot, wall, weights.NamedAt{Version: 2, UnixMs: 0}); !got.allowed(1, boot) {
+	if got := fresh.told(boot, wall, weights.VersionTime{Version: 2, UnixMs: 0}); !got.allowed(1, boot) {
 		t.Error("what was read as it was named gave way to another daemon's clock")
 	}
 }
@@ -59,7 +59,7 @@
 func TestOvertakenVersionIsLearntFromTheLease(t *testing.T) {
 	boot, wall := time.Hour, time.UnixMilli(1_800_000_000_000)
 	n := named{{version: 5, since: boot}}
-	n = n.told(boot, wall, weights.NamedAt{Version: 4, UnixMs: wall.Add(-13 * time.Second).UnixMilli()})
+	n = n.told(boot, wall, weights.VersionTime{Version: 4, UnixMs: wall.Add(-13 * time.Second).UnixMilli()})
 	if n.allowed(3, boot) || !n.allowed(4, boot) || n.newest() != 5 {
 		t.Errorf("named %v", n)
 	}
--- a/router/ways.go
+++ b/router/ways.go
@@ -38,8 +38,8 @@
 type way struct {
 	pool    string
 	levels  func() []prefix.Level
-	held    func() *placement.Held // where the prompt's beginning is; nil: not known
-	lane    lane                   // of the engines
+	held    func() *placement.PrefixLocations // where the prompt's beginning is; nil: not known
+	lane    lane                              // of the engines
 	version int64
 	away    bool             // not at the home of the shared part
 	loss    float64          // beside the wait, as a part of the objective
@@ -76,7 +76,7 @@
 		levels, held := levelsOf(w, o.version), heldOf(w, o.version, where)
 		return func(l lane, loss float64) way {
 			return way{
-				pool: pools.OfModel(w.Service.Name, w.In.Model, o.version, l), levels: levels, held: held,
+				pool: pools.ModelPool(w.Service.Name, w.In.Model, o.version, l), levels: levels, held: held,
 				lane: l, version: o.version, loss: o.loss + loss, left: o.left, once: once,
 			}
 		}
@@ -102,11 +102,11 @@
 
 // whereabouts tells where the beginning of a prompt is held under a salt; nil: not
 // known.
-type whereabouts func(w *forward.Work, salt string) *placement.Held
+type whereabouts func(w *forward.Work, salt string) *placement.PrefixLocations
 
 // heldOf asks where a prompt's beginning is, once it is needed.
-func heldOf(w *forward.Work, version int64, where whereabouts) func() *placement.Held {
-	return sync.OnceValue(func() *placement.Held {
+func heldOf(w *forward.Work, version int64, where whereabouts) func() *placement.PrefixLocations {
+	return sync.OnceValue(func() *placement.PrefixLocations {
 		if where == nil || len(w.In.Parts) == 0 {
 			return nil
 		}
@@ -118,7 +118,7 @@
 // out when they are first asked for: most prompts need those of one version.
 func levelsOf(w *forward.Work, version int64) func() []prefix.Level {
 	return sync.OnceValue(func() []prefix.Level {
-		return prefix.Chain(seedOf(w, version), w.In.Parts)
+		return prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
 	})
 }
 
@@ -131,7 +131,7 @@
 
 // cost is what the way loses, as a part of the objective.
 func (w *weighed) cost(target time.Duration) float64 {
-	return w.decision.ExpectedFirst.Seconds()/max(target, time.Millisecond).Seconds() + w.loss
+	return w.decision.ExpectedFirstToken.Seconds()/max(target, time.Millisecond).Seconds() + w.loss
 }
 
 // easy tells whether the prompt need not wait there.
@@ -141,7 +141,7 @@
 
 // weigher is the part of placement that weighs one pool.
 type weigher interface {
-	Weigh(now time.Time, r placement.Request) (placement.Decision, error)
+	Select(now time.Time, r placement.Request) (placement.Decision, error)
 }
 
 // bestWay weighs the ways and returns the one that loses least. It reserves
@@ -157,24 +157,24 @@
 		next := weighed{way: at, request: r}
 		next.request.Pool, next.request.Levels = at.pool, at.levels()
 		if at.held != nil {
-			next.request.Held = at.held()
+			next.request.Locations = at.held()
 		}
 		if at.away {
 			next.request.Avoid = append(slices.Clone(r.Avoid), home)
 		}
-		d, failed := v.Weigh(now, next.request)
+		d, failed := v.Select(now, next.request)
 		if failed != nil {
 			continue // another way may lead somewhere
 		}
 		if i == 0 {
 			home = d.Endpoint
 		}
-		if !at.inTime(d.ExpectedFirst) {
+		if !at.inTime(d.ExpectedFirstToken) {
 			continue
 		}
 		next.decision = d
 		if at.away {
-			next.decision.Reason, next.decision.Peer = placement.ReasonSpill, home
+			next.decision.Reason, next.decision.AlternateEndpoint = placement.ReasonSpill, home
 		}
 		if err != nil || next.cost(target) < best.cost(target) {
 			best, err = next, nil
--- a/router/ways_test.go
+++ b/router/ways_test.go
@@ -14,7 +14,7 @@
 
 func waysOptions() placement.Options {
 	o := options()
-	o.HomePrior = homePrior
+	o.PreferredPrior = homePrior
 	return o
 }
 
@@ -71,12 +71,12 @@
 // fakePools answers with one wait for each pool.
 type fakePools map[string]time.Duration
 
-func (f fakePools) Weigh(_ time.Time, r placement.Request) (placement.Decision, error) {
+func (f fakePools) Select(_ time.Time, r placement.Request) (placement.Decision, error) {
 	wait, ok := f[r.Pool]
 	if !ok {
 		return placement.Decision{}, placement.ErrUnknownPool
 	}
-	return placement.Decision{ExpectedWait: wait, ExpectedFirst: wait}, nil
+	return placement.Decision{ExpectedWait: wait, ExpectedFirstToken: wait}, nil
 }
 
 // Newer weights are worth a short wait, and no more than that.
@@ -114,12 +114,12 @@
 func TestLastEngineServesBothLanes(t *testing.T) {
 	short := fakePools{}
 	w := &forward.Work{In: &forward.Inbound{Model: "m"}, Service: &routes.Service{Name: "s"}}
-	short[pools.OfModel("s", "m", 3, laneShort)] = time.Second
+	short[pools.ModelPool("s", "m", 3, laneShort)] = time.Second
 	got, err := bestWay(time.Time{}, short, placement.Request{}, ways(w, versions{first: 3}, laneLong, nil), replayTarget)
-	if err != nil || got.pool != pools.OfModel("s", "m", 3, laneShort) {
+	if err != nil || got.pool != pools.ModelPool("s", "m", 3, laneShort) {
 		t.Errorf("long prompt: %q, %v", got.pool, err)
 	}
-	long := fakePools{pools.OfModel("s", "m", 2, laneLong): time.Second}
+	long := fakePools{pools.ModelPool("s", "m", 2, laneLong): time.Second}
 	got, err = bestWay(time.Time{}, long, placement.Request{}, ways(w, versions{first: 3, others: []otherVersion{{version: 2}}}, laneShort, nil), replayTarget)
 	if err != nil || got.version != 2 {
 		t.Errorf("short prompt: %q, %v", got.pool, err)
--- a/weights/lease.go
+++ b/weights/lease.go
@@ -7,39 +7,39 @@
 
 // Times of the lease.
 const (
-	// Span is how long a record of the lease lets its holder give orders,
+	// LeaseDuration is how long a record of the lease lets its holder give orders,
 	// counted from when the holder sent it.
-	Span = 2500 * time.Millisecond
+	LeaseDuration = 2500 * time.Millisecond
 	// RenewAfter is the age at which a holder with work left renews.
 	RenewAfter = 1200 * time.Millisecond
-	// OrderTime bounds the time from the check of the lease to the arrival of
+	// OrderTimeout bounds the time from the check of the lease to the arrival of
 	// the order, which is the timeout of the call.
-	OrderTime = 800 * time.Millisecond
+	OrderTimeout = 800 * time.Millisecond
 	// clockSlack covers clocks that run at slightly different rates.
 	clockSlack = 100 * time.Millisecond
 )
 
 // Claim is the record of one term or renewal in the log.
 type Claim struct {
-	Holder string    `json:"holder"`
-	Nonce  uint64    `json:"nonce"` // tells the holder its own record after a lost answer
-	News   []News    `json:"news,omitempty"`
-	Named  []NamedAt `json:"named,omitempty"`
+	Holder       string         `json:"holder"`
+	Nonce        uint64         `json:"nonce"` // tells the holder its own record after a lost answer
+	Updates      []EngineUpdate `json:"news,omitempty"`
+	VersionTimes []VersionTime  `json:"named,omitempty"`
 }
 
-// NamedAt tells since when a version is the newest. The operator's record has
+// VersionTime tells since when a version is the newest. The operator's record has
 // no time, and a daemon that has just started would take an old one for new and
 // go on using the weights before it for too long.
-type NamedAt struct {
+type VersionTime struct {
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
 	UnixMs  int64  `json:"unix_ms"` // by the holder's time of day, which may be off by seconds
 }
 
-// News is what the holder tells the other daemons of an engine it orders. They
+// EngineUpdate is what the holder tells the other daemons of an engine it orders. They
 // would otherwise learn of a load from requests that the engine turns away, and
 // of its end from the engine's next heartbeat.
-type News struct {
+type EngineUpdate struct {
 	Engine  string `json:"engine"` // fleet.EndpointID
 	Model   string `json:"model"`
 	Version int64  `json:"version"`
@@ -81,11 +81,11 @@
 // between machines and not between processes of one machine.
 func NewLease(me string, pause time.Duration) *Lease { return &Lease{me: me, pause: pause} }
 
-// Me is the name that the daemon claims under.
-func (l *Lease) Me() string { return l.me }
+// Name is the name that the daemon claims under.
+func (l *Lease) Name() string { return l.me }
 
-// Next is the offset to read from and to append at.
-func (l *Lease) Next() int64 { return l.next }
+// NextOffset is the offset to read from and to append at.
+func (l *Lease) NextOffset() int64 { return l.next }
 
 // Observe takes records that begin at the offset, and returns what they tell.
 func (l *Lease) Observe(now time.Duration, from int64, records [][]byte) []Claim {
@@ -120,10 +120,10 @@
 	l.mine = false
 }
 
-// Gap moves on to the oldest offset that the log still holds. Whoever wrote the
+// SkipTo moves on to the oldest offset that the log still holds. Whoever wrote the
 // records before it may still give orders for all that is known, so the gap
 // counts as a claim of an unknown holder that was seen now.
-func (l *Lease) Gap(now time.Duration, first int64) {
+func (l *Lease) SkipTo(now time.Duration, first int64) {
 	if first <= l.next {
 		return
 	}
@@ -131,18 +131,18 @@
 	l.take(now, first-1, Claim{})
 }
 
-// FreeFrom is when this daemon may claim; zero: at any time.
-func (l *Lease) FreeFrom() time.Duration {
+// ClaimableAt is when this daemon may claim; zero: at any time.
+func (l *Lease) ClaimableAt() time.Duration {
 	if !l.some || l.last.Holder == l.me {
 		return 0
 	}
-	return l.seen + Span + l.pause + clockSlack
+	return l.seen + LeaseDuration + l.pause + clockSlack
 }
 
 // Claim completes the record to append at Next, and returns false while another
 // daemon may still give orders. The nonce must be new.
 func (l *Lease) Claim(now time.Duration, c Claim) (Claim, bool) {
-	if now < l.FreeFrom() {
+	if now < l.ClaimableAt() {
 		return Claim{}, false
 	}
 	c.Holder = l.me
@@ -150,29 +150,29 @@
 	return l.pending, true
 }
 
-// Granted takes that the pending claim was appended where it was meant to.
-func (l *Lease) Granted(now time.Duration) {
+// ClaimAppended takes that the pending claim was appended where it was meant to.
+func (l *Lease) ClaimAppended(now time.Duration) {
 	if l.inFlight {
 		l.take(now, l.next, l.pending)
 		l.next++
 	}
 }
 
-// Held tells whether the daemon holds the lease well enough for an order now.
-func (l *Lease) Held(now time.Duration) bool {
-	return l.mine && now+OrderTime < l.granted+Span
+// MayOrder tells whether the daemon holds the lease well enough for an order now.
+func (l *Lease) MayOrder(now time.Duration) bool {
+	return l.mine && now+OrderTimeout < l.granted+LeaseDuration
 }
 
-// Answered tells whether the newest claim is known to have been appended.
-func (l *Lease) Answered() bool { return !l.inFlight }
+// ClaimSettled tells whether the newest claim is known to have been appended.
+func (l *Lease) ClaimSettled() bool { return !l.inFlight }
 
 // RenewDue tells whether a holder with work left should renew.
 func (l *Lease) RenewDue(now time.Duration) bool {
 	return !l.mine || now-l.granted >= RenewAfter
 }
 
-// Token is the fencing token of the present term. It grows with every term.
-func (l *Lease) Token() int64 { return l.token }
+// FencingToken is the fencing token of the present term. It grows with every term.
+func (l *Lease) FencingToken() int64 { return l.token }
 
 // Holder names the daemon of the newest claim.
 func (l *Lease) Holder() string { return l.last.Holder }
--- a/weights/lease_test.go
+++ b/weights/lease_test.go
@@ -20,17 +20,17 @@
 }
 
 func (l *log) read(d *Lease, now time.Duration) {
-	from := d.Next()
+	from := d.NextOffset()
 	d.Observe(now, from, l.records[from:])
 }
 
 func claim(t *testing.T, l *log, d *Lease, now time.Duration, nonce uint64) bool {
 	t.Helper()
 	c, ok := d.Claim(now, Claim{Nonce: nonce})
-	if !ok || !l.append(d.Next(), c) {
+	if !ok || !l.append(d.NextOffset(), c) {
 		return false
 	}
-	d.Granted(now)
+	d.ClaimAppended(now)
 	return true
 }
 
@@ -41,7 +41,7 @@
 func TestFrozenHolderDoesNotGiveOrders(t *testing.T) {
 	l := &log{}
 	a, b := NewLease("a", pauseBetween), NewLease("b", pauseBetween)
-	if !claim(t, l, a, 0, 1) || !a.Held(0) {
+	if !claim(t, l, a, 0, 1) || !a.MayOrder(0) {
 		t.Fatal("a does not hold")
 	}
 	l.read(b, 100*time.Millisecond)
@@ -51,11 +51,11 @@
 	if !claim(t, l, b, 6*time.Second, 2) {
 		t.Error("b never takes over")
 	}
-	if a.Held(6 * time.Second) {
+	if a.MayOrder(6 * time.Second) {
 		t.Error("a still gives orders")
 	}
-	if b.Token() <= a.Token() {
-		t.Errorf("token %d after %d", b.Token(), a.Token())
+	if b.FencingToken() <= a.FencingToken() {
+		t.Errorf("token %d after %d", b.FencingToken(), a.FencingToken())
 	}
 }
 
@@ -65,13 +65,13 @@
 	a, b := NewLease("a", pauseBetween), NewLease("b", pauseBetween)
 	ca, _ := a.Claim(0, Claim{Nonce: 1})
 	cb, _ := b.Claim(0, Claim{Nonce: 2})
-	if !l.append(a.Next(), ca) || l.append(b.Next(), cb) {
+	if !l.append(a.NextOffset(), ca) || l.append(b.NextOffset(), cb) {
 		t.Fatal("the log took both")
 	}
-	a.Granted(0)
+	a.ClaimAppended(0)
 	l.read(b, 0)
-	if !a.Held(0) || b.Held(0) {
-		t.Errorf("held by a %v, by b %v", a.Held(0), b.Held(0))
+	if !a.MayOrder(0) || b.MayOrder(0) {
+		t.Errorf("held by a %v, by b %v", a.MayOrder(0), b.MayOrder(0))
 	}
 }
 
@@ -84,7 +84,7 @@
 	c, _ := a.Claim(0, Claim{Nonce: 1})
 	l.append(0, c)
 	l.read(a, 2*time.Second)
-	if a.Held(2 * time.Second) {
+	if a.MayOrder(2 * time.Second) {
 		t.Error("holds longer than the span from the sending")
 	}
 }
@@ -97,11 +97,11 @@
 	claim(t, l, a, 0, 1)
 	again := NewLease("a", pauseBetween)
 	l.read(again, time.Second)
-	if !claim(t, l, again, time.Second, 2) || !again.Held(time.Second) {
+	if !claim(t, l, again, time.Second, 2) || !again.MayOrder(time.Second) {
 		t.Error("waits for itself")
 	}
-	if again.Token() <= a.Token() {
-		t.Errorf("token %d after %d", again.Token(), a.Token())
+	if again.FencingToken() <= a.FencingToken() {
+		t.Errorf("token %d after %d", again.FencingToken(), a.FencingToken())
 	}
 }
 
@@ -137,16 +137,16 @@
 				if !ok {
 					continue
 				}
-				appended := l.append(d.Next(), c)
+				appended := l.append(d.NextOffset(), c)
 				now += time.Duration(rng.IntN(300)) * time.Millisecond
 				if appended && rng.IntN(3) > 0 {
-					d.Granted(now)
+					d.ClaimAppended(now)
 				}
 			default:
-				if !d.Held(now) {
+				if !d.MayOrder(now) {
 					continue
 				}
-				arrives := now + time.Duration(rng.Int64N(int64(OrderTime)))
+				arrives := now + time.Duration(rng.Int64N(int64(OrderTimeout)))
 				if lastBy >= 0 && lastBy != i && arrives-lastAt < pauseBetween {
 					t.Fatalf("seed %d: orders of two daemons %v apart", seed, arrives-lastAt)
 				}
@@ -161,12 +161,12 @@
 func TestGapIsWaitedFor(t *testing.T) {
 	l := &log{records: make([][]byte, 7)}
 	a := NewLease("a", pauseBetween)
-	a.Gap(time.Second, 7)
+	a.SkipTo(time.Second, 7)
 	if _, ok := a.Claim(2*time.Second, Claim{Nonce: 1}); ok {
 		t.Error("claims at once")
 	}
-	a.Gap(6*time.Second, 5)
-	if !claim(t, l, a, 7*time.Second, 1) || !a.Held(7*time.Second) {
+	a.SkipTo(6*time.Second, 5)
+	if !claim(t, l, a, 7*time.Second, 1) || !a.MayOrder(7*time.Second) {
 		t.Error("never claims")
 	}
 }
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -46,8 +46,8 @@
 	Version int64
 	// Backlog is how long the engine has work that it ends before it loads.
 	Backlog time.Duration
-	// Left is how long its weights may still be used; 0 and less: not any more.
-	Left time.Duration
+	// UsableFor is how long its weights may still be used; 0 and less: not any more.
+	UsableFor time.Duration
 }
 
 // Plan decides which engines of one model are ordered next. It is not safe for
@@ -71,8 +71,8 @@
 	return &Plan{orders: map[fleet.EndpointID]sentOrder{}}
 }
 
-// Behind counts the engines with older weights than named.
-func Behind(engines []Engine, named int64) int {
+// CountOutdated counts the engines with older weights than named.
+func CountOutdated(engines []Engine, named int64) int {
 	n := 0
 	for _, e := range engines {
 		if e.Version < named {
@@ -82,7 +82,7 @@
 	return n
 }
 
-// Next returns the engines to order now to the named version. Engines skip
+// NextOffset returns the engines to order now to the named version. Engines skip
 // versions that were overtaken, since only the newest is ever ordered.
 //
 // The pattern: versions are named within seconds of each other while the fleet is
@@ -113,7 +113,7 @@
 	}
 	slices.SortFunc(waiting, func(a, b Engine) int {
 		return cmp.Or(
-			cmp.Compare(min(a.Left, 0), min(b.Left, 0)), cmp.Compare(a.Backlog/backlogStep, b.Backlog/backlogStep),
+			cmp.Compare(min(a.UsableFor, 0), min(b.UsableFor, 0)), cmp.Compare(a.Backlog/backlogStep, b.Backlog/backlogStep),
 			cmp.Compare(a.Version, b.Version), cmp.Compare(away[a.Zone], away[b.Zone]), cmp.Compare(a.Key, b.Key))
 	})
 	room := max(0, p.atOnce(len(engines))-ordered)
@@ -169,8 +169,8 @@
 	}
 }
 
-// Forget drops engines that are gone.
-func (p *Plan) Forget(known map[fleet.EndpointID]bool) {
+// RemoveUnknown drops engines that are gone.
+func (p *Plan) RemoveUnknown(known map[fleet.EndpointID]bool) {
 	for key := range p.orders {
 		if !known[key] {
 			delete(p.orders, key)
--- a/weights/plan_test.go
+++ b/weights/plan_test.go
@@ -15,7 +15,7 @@
 	var out []Engine
 	for i, v := range versions {
 		key := fleet.EndpointID(fmt.Sprint("e", i))
-		out = append(out, Engine{Target: Target{Key: key, ID: string(key)}, Zone: fleet.ZoneID(fmt.Sprint("z", i%3)), Version: v, Left: time.Hour})
+		out = append(out, Engine{Target: Target{Key: key, ID: string(key)}, Zone: fleet.ZoneID(fmt.Sprint("z", i%3)), Version: v, UsableFor: time.Hour})
 	}
 	return out
 }
@@ -86,7 +86,7 @@
 func TestWhoHasLeastToEndIsOrderedFirst(t *testing.T) {
 	all := engines(3, 3, 2)
 	all[0].Backlog, all[2].Backlog = 2*time.Second, time.Second
-	all[2].Left = -time.Second
+	all[2].UsableFor = -time.Second
 	p := NewPlan()
 	for _, want := range []fleet.EndpointID{"e2", "e1", "e0"} {
 		next := p.Next(0, all, 4)
@@ -136,7 +136,7 @@
 	}
 	const step = 10 * time.Millisecond
 	began := r.now
-	for ; Behind(r.engines, named) > 0; r.now += step {
+	for ; CountOutdated(r.engines, named) > 0; r.now += step {
 		under, loading := 0, 0
 		for i := range n {
 			if r.left[i] >= 0 {
--- a/weights/weights.go
+++ b/weights/weights.go
@@ -14,14 +14,14 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Running says what becomes of the requests that an engine has running when it
+// RunningPolicy says what becomes of the requests that an engine has running when it
 // takes new weights.
-type Running uint8
+type RunningPolicy uint8
 
 // The ways to treat running requests.
 const (
-	FinishFirst Running = iota // they end before the load begins
-	CutOff                     // their streams are reset
+	FinishRunning RunningPolicy = iota // they end before the load begins
+	AbortRunning                       // their streams are reset
 )
 
 // Target is an engine that orders go to.
@@ -33,24 +33,24 @@
 
 // Report is what an engine says of itself.
 type Report struct {
-	Version int64 // of the model's weights
-	Orders  int64 // that it accepted since its start
-	Busy    bool  // an order is in progress
-	Running int   // requests in the batch
-	Waiting int   // requests that are not in the batch yet
-	Unread  int   // requests in the batch that have no answer yet
-	// NextTokens is the length of the prompt that waits first.
-	NextTokens int
+	Version        int64 // of the model's weights
+	AcceptedOrders int64 // that it accepted since its start
+	Busy           bool  // an order is in progress
+	Running        int   // requests in the batch
+	Waiting        int   // requests that are not in the batch yet
+	AwaitingAnswer int   // requests in the batch that have no answer yet
+	// FirstWaitingTokens is the length of the prompt that waits first.
+	FirstWaitingTokens int
 }
 
 // Order tells an engine to load weights.
 type Order struct {
-	Model    string
-	Version  int64
-	Running  Running
-	Holder   string // of the lease
-	Token    int64  // fencing token
-	Expected int64  // the engine refuses unless it has accepted so many orders
+	Model          string
+	Version        int64
+	Running        RunningPolicy
+	Holder         string // of the lease
+	Token          int64  // fencing token
+	ExpectedOrders int64  // the engine refuses unless it has accepted so many orders
 }
 
 // Reply is what an engine said to an order.
