--- a/placement/baseline/baseline.go
+++ b/placement/baseline/baseline.go
@@ -1,6 +1,6 @@
-// Package baseline holds simple ways of placing requests, as references for package
-// placement in tests and replays. They see the same late load reports, and are
-// told of failing endpoints, but learn nothing of caches.
+// Package baseline implements simple placement policies as references for package placement
+// in tests and replays. They receive the same late load reports and the availability of
+// endpoints, but track no caches.
 package baseline
 
 import (
@@ -14,76 +14,75 @@
 	"github.com/merlindock/merlindock/placement"
 )
 
-// Kind names a baseline.
+// Kind is the name of a baseline policy.
 type Kind string
 
-// The baselines.
+// Baseline policies.
 const (
 	Random      Kind = "random"
 	RoundRobin  Kind = "round-robin"
-	LeastLoaded Kind = "least-loaded" // by the last report and what was sent since
+	LeastLoaded Kind = "least-loaded" // by the last load report and the requests sent since
 	PromptHash  Kind = "prompt-hash"  // rendezvous hash of the whole prompt
 )
 
-// Kinds lists the baselines.
+// Kinds returns all baseline policies.
 func Kinds() []Kind { return []Kind{Random, RoundRobin, LeastLoaded, PromptHash} }
 
-type state struct {
-	id    fleet.EndpointID
-	hash  uint64
-	gated bool
-	load  fleet.Load
-	sent  []sent // since the last report
+type endpointState struct {
+	id          fleet.EndpointID
+	hash        uint64
+	unavailable bool
+	load        fleet.Load
+	sent        []sentRequest // since the last load report
 }
 
-type sent struct {
+type sentRequest struct {
 	at     time.Time
 	tokens int
 }
 
-// Chooser places requests by one baseline. It is not safe for concurrent use.
+// Chooser places requests by one baseline policy. It is not safe for concurrent use.
 type Chooser struct {
 	kind      Kind
 	random    *rand.Rand
 	next      int
-	endpoints []state
+	endpoints []endpointState
 }
 
-// New returns a Chooser over the endpoints. The seed also sets where round
-// robin begins, since daemons do not begin together.
+// New returns a Chooser over the endpoints. The seed also determines where round robin
+// starts, since daemons do not start at the same time.
 func New(kind Kind, seed uint64, endpoints []fleet.Endpoint) *Chooser {
 	c := &Chooser{kind: kind, random: rand.New(rand.NewPCG(seed, 1))}
 	for _, e := range endpoints {
-		c.endpoints = append(c.endpoints, state{id: e.ID, hash: xxhash.Sum64String(string(e.ID))})
+		c.endpoints = append(c.endpoints, endpointState{id: e.ID, hash: xxhash.Sum64String(string(e.ID))})
 	}
 	c.next = c.random.IntN(max(1, len(endpoints)))
 	return c
 }
 
-// SetAvailability tells whether an endpoint may be given work.
+// SetAvailability sets whether an endpoint may be given requests.
 func (c *Chooser) SetAvailability(id fleet.EndpointID, g placement.Availability) {
 	if s := c.find(id); s != nil {
-		s.gated = g != placement.Available
+		s.unavailable = g != placement.Available
 	}
 }
 
-// LoadReported takes a load report.
+// LoadReported applies a load report.
 func (c *Chooser) LoadReported(id fleet.EndpointID, l fleet.Load) {
 	s := c.find(id)
 	if s == nil || l.At.Before(s.load.At) {
 		return
 	}
 	s.load = l
-	s.sent = slices.DeleteFunc(s.sent, func(w sent) bool { return !w.at.After(l.At) })
+	s.sent = slices.DeleteFunc(s.sent, func(w sentRequest) bool { return !w.at.After(l.At) })
 }
 
-// Place chooses an endpoint. It returns placement.ErrNoEndpoint if none is
-// open.
+// Place chooses an endpoint. It returns placement.ErrNoEndpoint if none is available.
 func (c *Chooser) Place(now time.Time, r placement.Request) (fleet.EndpointID, error) {
-	var open []*state
+	var open []*endpointState
 	for i := range c.endpoints {
 		s := &c.endpoints[i]
-		if !s.gated && !slices.Contains(r.Avoid, s.id) {
+		if !s.unavailable && !slices.Contains(r.Avoid, s.id) {
 			open = append(open, s)
 		}
 	}
@@ -91,11 +90,11 @@
 		return "", placement.ErrNoEndpoint
 	}
 	s := c.choose(open, r)
-	s.sent = append(s.sent, sent{at: now, tokens: r.Tokens})
+	s.sent = append(s.sent, sentRequest{at: now, tokens: r.Tokens})
 	return s.id, nil
 }
 
-func (c *Chooser) choose(open []*state, r placement.Request) *state {
+func (c *Chooser) choose(open []*endpointState, r placement.Request) *endpointState {
 	switch c.kind {
 	case RoundRobin:
 		c.next++
@@ -114,7 +113,7 @@
 		if n := len(r.Levels); n > 0 {
 			key = r.Levels[n-1].Key.Uint64()
 		}
-		return slices.MaxFunc(open, func(a, b *state) int {
+		return slices.MaxFunc(open, func(a, b *endpointState) int {
 			if mix(a.hash^key) < mix(b.hash^key) {
 				return -1
 			}
@@ -125,9 +124,9 @@
 	}
 }
 
-// queued is the work in tokens; a running request counts a little, so that
-// idle endpoints come before busy ones without a queue.
-func (s *state) queued() int {
+// queued returns the queued work in tokens. Running requests add one each, so that idle
+// endpoints precede busy ones without a queue.
+func (s *endpointState) queued() int {
 	n := s.load.WaitingTokens + s.load.Running
 	for _, w := range s.sent {
 		n += w.tokens
@@ -135,7 +134,7 @@
 	return n
 }
 
-func (c *Chooser) find(id fleet.EndpointID) *state {
+func (c *Chooser) find(id fleet.EndpointID) *endpointState {
 	for i := range c.endpoints {
 		if c.endpoints[i].id == id {
 			return &c.endpoints[i]
--- a/placement/bench_test.go
+++ b/placement/bench_test.go
@@ -18,8 +18,8 @@
 	benchDocuments     = 4 // of each organisation
 )
 
-// benchRequests is one request for every document of every organisation, with
-// a preamble, four pieces of document, and a question.
+// benchRequests returns one request for every document of every organisation, with a
+// preamble, four pieces of document, and a question.
 func benchRequests() []Request {
 	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
 	text := make([]byte, 8000)
@@ -40,7 +40,7 @@
 	return all
 }
 
-// serve runs one request through a View: placed, answered, finished.
+// serve places one request, answers it and finishes it.
 func serve(v interface {
 	Place(time.Time, Request) (Decision, error)
 	Answered(time.Time, Answer)
@@ -56,7 +56,7 @@
 	v.Finished(now, r.ID)
 }
 
-// warmView has met every prefix, and remembers as many as it may.
+// warmView returns a View that has served every prefix twice, with a full prefix table.
 func warmView(endpoints int, all []Request) (*View, time.Time) {
 	v := NewView(Options{Zone: "zone-0", Daemons: 9})
 	v.SetPool(testPool, testFleet(endpoints))
@@ -128,8 +128,8 @@
 	b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N*len(batch.Events)), "ns/event")
 }
 
-// BenchmarkMembership is a change of one member, and the first placement after
-// it for a remembered prefix, which works out its homes anew.
+// BenchmarkMembership measures a change of one member together with the next placement of a
+// known prefix, which recomputes the rendezvous order.
 func BenchmarkMembership(b *testing.B) {
 	all := benchRequests()
 	v, now := warmView(4600, all)
@@ -146,7 +146,7 @@
 	}
 }
 
-// BenchmarkMemory reports the heap that one thing of each kind costs.
+// BenchmarkMemory reports the heap used per endpoint, prefix and organisation.
 func BenchmarkMemory(b *testing.B) {
 	all := benchRequests()
 	for b.Loop() {
@@ -172,8 +172,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkShared compares 12 workers with one over the same table. "request"
-// cuts the prompt as well, as a worker does; "table" only places.
+// BenchmarkShared compares 12 workers with one on the same SharedView. "request" also
+// splits the prompt, as a worker does; "table" only places.
 func BenchmarkShared(b *testing.B) {
 	all := benchRequests()
 	text := make([]byte, 4*9100)
--- a/placement/dump.go
+++ b/placement/dump.go
@@ -7,8 +7,8 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Dump is the state of a View for operators. It holds no prompts, and its size
-// is bounded by MaxEndpoints.
+// Dump is a snapshot of a View for operators. It contains no prompts, and its size is
+// bounded by MaxEndpoints.
 type Dump struct {
 	Prefixes     int            `json:"prefixes"`
 	Reservations int            `json:"reservations"`
@@ -16,31 +16,31 @@
 	Endpoints    []EndpointDump `json:"endpoints"`
 }
 
-// EndpointDump is what the View believes of one endpoint.
+// EndpointDump is the View's state of one endpoint.
 type EndpointDump struct {
 	ID            fleet.EndpointID  `json:"id"`
 	Gate          string            `json:"gate"`
 	Incarnation   fleet.Incarnation `json:"incarnation"`
 	Load          fleet.Load        `json:"load"`
-	PendingTokens int               `json:"pending_tokens"` // sent and in no report yet
+	PendingTokens int               `json:"pending_tokens"` // sent there and not yet in a load report
 	PendingCount  int               `json:"pending_count"`
-	WaitMS        float64           `json:"wait_ms"`       // expected in its queue by the least urgent
-	CacheLifeMS   float64           `json:"cache_life_ms"` // learnt half-life of idle entries
+	WaitMS        float64           `json:"wait_ms"`       // expected wait of the least urgent priority
+	CacheLifeMS   float64           `json:"cache_life_ms"` // estimated half-life of idle entries
 	FollowsEvents bool              `json:"follows_events"`
 	EventGaps     uint32            `json:"event_gaps"`
 }
 
-var gateNames = [...]string{"open", "ejected", "draining"}
+var availabilityNames = [...]string{"open", "ejected", "draining"}
 
-// String returns the name of the gate.
-func (g Availability) String() string { return gateNames[g] }
+// String returns the availability's name.
+func (g Availability) String() string { return availabilityNames[g] }
 
-// Dump returns the state at the given time.
+// Dump returns a snapshot as of now.
 func (v *View) Dump(now time.Time) Dump {
 	d := Dump{
 		Prefixes:     len(v.prefixes.index),
 		Reservations: len(v.byOwner),
-		ServiceMS:    v.service * 1000,
+		ServiceMS:    v.serviceTime * 1000,
 	}
 	for i := range v.endpoints {
 		e := &v.endpoints[i]
@@ -48,11 +48,11 @@
 			continue
 		}
 		d.Endpoints = append(d.Endpoints, EndpointDump{
-			ID: e.id, Gate: e.gated().String(), Incarnation: e.incarnation, Load: e.load,
-			PendingTokens: e.pendingTokens(), PendingCount: e.queued,
+			ID: e.id, Gate: e.availability().String(), Incarnation: e.incarnation, Load: e.load,
+			PendingTokens: e.pendingTokens(), PendingCount: e.pendingCount,
 			WaitMS:        v.wait(now, int32(i), contract.PriorityBatch) * 1000,
-			CacheLifeMS:   float64(e.idleLife) / float64(time.Millisecond),
-			FollowsEvents: e.follows, EventGaps: e.gaps,
+			CacheLifeMS:   float64(e.idleHalfLife) / float64(time.Millisecond),
+			FollowsEvents: e.followsEvents, EventGaps: e.gaps,
 		})
 	}
 	return d
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -10,67 +10,68 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// retiredLives is how many earlier incarnations of an endpoint are told from a
-// new one, so that a late message of a dead engine does not bring it back.
-const retiredLives = 4
+// maxRetired is the number of earlier incarnations remembered for an endpoint, so that a
+// late message of a dead engine is not taken for a new incarnation.
+const maxRetired = 4
 
-// lateMessages is how late a message of a life that is over may come.
-const lateMessages = 5 * time.Second
+// lateMessageWindow is how late a message of an ended incarnation may arrive.
+const lateMessageWindow = 5 * time.Second
 
 // none marks the end of a list or an unused index.
 const none = int32(-1)
 
-// endpoint is the View's record of one endpoint.
+// endpoint is the View's state of one endpoint.
 type endpoint struct {
-	id     fleet.EndpointID
-	zone   fleet.ZoneID
-	hash   uint64
-	pools  int // pools it is a member of; 0: the slot is free
-	gate   Availability
-	listed Availability // from the platform's list
-	drains bool         // from its own load report
+	id       fleet.EndpointID
+	zone     fleet.ZoneID
+	hash     uint64
+	pools    int // number of pools it is a member of; 0: the slot is free
+	assigned Availability
+	listed   Availability // by the platform's list
+	draining bool         // by its own load report
 
 	incarnation fleet.Incarnation
-	heard       time.Time // when the newest message of it was true
-	// life changes whenever what was learnt of the cache stops being true: a
-	// new incarnation, a failure, a cleared cache, another endpoint in the
-	// slot. Holders carry the life they were learnt in.
-	life    uint32
-	emptied time.Time // when that happened last
-	lost    time.Time // when a connection to it was last lost
+	lastMessage time.Time // time of the newest message's content
+	// generation changes whenever the recorded contents of the cache become invalid: a new
+	// incarnation, a failure, a cleared cache, another endpoint in the slot. Holders carry
+	// the generation they were recorded in.
+	generation       uint32
+	cacheLostAt      time.Time // when the generation last changed
+	connectionLostAt time.Time // when a lost connection was last recorded
 
-	*told
-	rate     float64 // prefill tokens/s
-	idleLife time.Duration
+	*reported
+	prefillRate  float64 // prefill tokens/s
+	idleHalfLife time.Duration
 
-	nextSeq  uint64    // of the cache events; 0: none seen
-	gaps     uint32    // changes when events were lost
-	follows  bool      // events of the present life have been seen
-	since    time.Time // with no large gap
-	firstRes int32     // oldest reservation that no load report covers
-	lastRes  int32
-	pending  [contract.PriorityCount]int // prompt tokens of those reservations
-	queued   int                         // their number
+	nextSeq          uint64    // of the cache events; 0: none seen
+	gaps             uint32    // incremented when events are lost
+	followsEvents    bool      // events of the present incarnation have been received
+	followedSince    time.Time // events received without a large gap since then
+	firstReservation int32     // oldest reservation that no load report covers
+	lastReservation  int32
+	pending          [contract.PriorityCount]int // prompt tokens of those reservations
+	pendingCount     int                         // their number
 }
 
-// told is what an endpoint said or showed of itself. Those that never did share one,
-// as a daemon of a large fleet deals with few endpoints: own comes before each change.
-type told struct {
+// reported is what an endpoint reported or showed of itself. Endpoints without any report
+// share one instance, since a daemon of a large fleet deals with few endpoints: call
+// ownReport before each change.
+type reported struct {
 	load    fleet.Load
 	loadAt  time.Time
-	retired [retiredLives]fleet.Incarnation
+	retired [maxRetired]fleet.Incarnation
 	waits   [contract.PriorityCount]observedWait
 }
 
-var nothingTold = &told{}
+var noReport = &reported{}
 
-func (e *endpoint) own() {
-	if e.told == nothingTold {
-		e.told = &told{}
+func (e *endpoint) ownReport() {
+	if e.reported == noReport {
+		e.reported = &reported{}
 	}
 }
 
-// observedWait is how long requests were last seen to wait at an endpoint.
+// observedWait is the last wait observed at an endpoint.
 type observedWait struct {
 	wait time.Duration
 	at   time.Time
@@ -90,9 +91,9 @@
 	return &v.endpoints[i]
 }
 
-// SetPool sets the endpoints that can serve a kind of request, for example
-// those that have one model loaded. What was learnt of endpoints that stay is
-// kept. Endpoints over MaxEndpoints are left out.
+// SetPool sets the members of a pool: the endpoints that can serve one kind of request, for
+// example those that have one model loaded. The state of endpoints that stay is kept.
+// Endpoints beyond MaxEndpoints are left out.
 func (v *View) SetPool(name string, members []fleet.Endpoint) {
 	p := v.pools[name]
 	if p == nil {
@@ -116,13 +117,13 @@
 	for _, i := range old {
 		v.leave(i)
 	}
-	v.epochs++
-	p.epoch = v.epochs
+	v.lastEpoch++
+	p.epoch = v.lastEpoch
 	v.scratch.grow(len(v.endpoints))
 }
 
-// Join adds an endpoint to a pool, at a cost that hardly grows with the pool. What was
-// learnt of an endpoint of another pool is kept.
+// Join adds an endpoint to a pool, at a cost that hardly grows with the pool. The state of
+// an endpoint that is in another pool is kept.
 func (v *View) Join(name string, m fleet.Endpoint) {
 	p := v.pools[name]
 	if p == nil {
@@ -135,17 +136,17 @@
 	}
 	at, member := slices.BinarySearch(p.members, i)
 	if member {
-		v.leave(i) // it was counted twice
+		v.leave(i) // join counted it twice
 		return
 	}
 	p.members = slices.Insert(p.members, at, i)
-	v.epochs++
-	p.epoch = v.epochs
+	v.lastEpoch++
+	p.epoch = v.lastEpoch
 	v.scratch.grow(len(v.endpoints))
 }
 
-// Leave takes an endpoint out of a pool. A pool without endpoints is forgotten, and so
-// is an endpoint without pools.
+// Leave removes an endpoint from a pool. A pool without endpoints is deleted, and so is the
+// state of an endpoint without pools.
 func (v *View) Leave(name string, id fleet.EndpointID) {
 	p, i, known := v.pools[name], int32(0), false
 	if p != nil {
@@ -159,8 +160,8 @@
 		return
 	}
 	p.members = slices.Delete(p.members, at, at+1)
-	v.epochs++
-	p.epoch = v.epochs
+	v.lastEpoch++
+	p.epoch = v.lastEpoch
 	v.leave(i)
 	if len(p.members) == 0 {
 		delete(v.pools, name)
@@ -174,10 +175,10 @@
 			return none
 		}
 		v.byID[m.ID] = i
-		v.lives++
+		v.lastGeneration++
 		v.endpoints[i] = endpoint{
-			id: m.ID, hash: xxhash.Sum64String(string(m.ID)), life: v.lives,
-			rate: v.o.PrefillRate, idleLife: v.o.CacheHalfLife, firstRes: none, lastRes: none, told: nothingTold,
+			id: m.ID, hash: xxhash.Sum64String(string(m.ID)), generation: v.lastGeneration,
+			prefillRate: v.o.PrefillRate, idleHalfLife: v.o.CacheHalfLife, firstReservation: none, lastReservation: none, reported: noReport,
 		}
 	}
 	e := &v.endpoints[i]
@@ -211,56 +212,55 @@
 	}
 	v.dropReservationsOf(i)
 	delete(v.byID, e.id)
-	v.lives++
-	*e = endpoint{life: v.lives, told: nothingTold}
+	v.lastGeneration++
+	*e = endpoint{generation: v.lastGeneration, reported: noReport}
 	v.freeEndpoints = append(v.freeEndpoints, i)
 }
 
-// SetAvailability tells whether an endpoint may be given work. It does not change the
-// rendezvous order, so an ejected endpoint gets its own prefixes back when it
-// returns and no others move.
+// SetAvailability sets whether an endpoint may be given requests. It does not change the
+// rendezvous order, so that an ejected endpoint gets its own prefixes back when it returns
+// and no others move.
 func (v *View) SetAvailability(id fleet.EndpointID, g Availability) {
 	if e := v.endpointOf(id); e != nil {
-		e.gate = g
+		e.assigned = g
 	}
 }
 
-func (e *endpoint) gated() Availability {
-	if e.drains {
+func (e *endpoint) availability() Availability {
+	if e.draining {
 		return Draining
 	}
-	return max(e.gate, e.listed)
+	return max(e.assigned, e.listed)
 }
 
-// meet notes the incarnation that a message came from, and when what it says
-// was true. It returns false for a message of a life that is over, or from
-// before the endpoint's cache was lost.
+// accept records the incarnation that a message came from and the time of its content. It
+// returns false for a message of an ended incarnation, or from before the endpoint's cache
+// was lost.
 //
-// An engine that crashed comes back empty under the same address. Requests
-// would be sent there for a cache that is gone, and recompute it all in one
-// queue. A new incarnation therefore ends everything learnt before. The ones
-// before it are remembered for a while, since a late message of the dead
-// engine would otherwise look like the next life.
-func (v *View) meet(e *endpoint, in fleet.Incarnation, at time.Time) bool {
+// An engine that crashed restarts with an empty cache under the same address. Requests sent
+// there for the lost cache would all be recomputed in one queue. So a new incarnation
+// invalidates everything recorded before. Earlier incarnations are remembered for a while,
+// since a late message of the dead engine would otherwise be taken for a new incarnation.
+func (v *View) accept(e *endpoint, in fleet.Incarnation, at time.Time) bool {
 	if in == 0 || in == e.incarnation {
-		if at.Before(e.emptied) {
+		if at.Before(e.cacheLostAt) {
 			return false
 		}
-		e.heard = later(e.heard, at)
+		e.lastMessage = later(e.lastMessage, at)
 		return true
 	}
 	if slices.Contains(e.retired[:], in) {
 		return false
 	}
 	if e.incarnation != 0 {
-		e.own()
+		e.ownReport()
 		copy(e.retired[1:], e.retired[:])
 		e.retired[0] = e.incarnation
 		v.forgetCache(e, at)
 		e.load, e.loadAt = fleet.Load{}, time.Time{}
 	}
 	e.incarnation = in
-	e.heard = at
+	e.lastMessage = at
 	return true
 }
 
@@ -271,64 +271,65 @@
 	return a
 }
 
-// forgetCache ends the life that holders of the endpoint were learnt in.
+// forgetCache starts a new generation, which invalidates the recorded holders of the
+// endpoint.
 func (v *View) forgetCache(e *endpoint, at time.Time) {
-	v.lives++
-	e.emptied = at
-	e.life = v.lives
-	e.follows, e.nextSeq = false, 0
+	v.lastGeneration++
+	e.cacheLostAt = at
+	e.generation = v.lastGeneration
+	e.followsEvents, e.nextSeq = false, 0
 }
 
-// revive takes back that a life is over.
+// unretire accepts a retired incarnation again.
 //
-// A daemon that never heard of a life may take its late message for the next
-// one, and the living one for retired. It would then ignore all that the
-// endpoint says. So a retired life that still reports its load when the present
-// one has long been silent is the present one.
-func (e *endpoint) revive(l *fleet.Load) {
+// A daemon that never received a message of an incarnation may take a late one of it for a
+// new incarnation, and the running one for retired. It would then ignore all messages of
+// the endpoint. So a retired incarnation that still reports its load when the recorded one
+// has been silent for lateMessageWindow becomes acceptable again.
+func (e *endpoint) unretire(l *fleet.Load) {
 	i := slices.Index(e.retired[:], l.Incarnation)
-	if i >= 0 && l.At.After(e.heard.Add(lateMessages)) {
-		e.own()
+	if i >= 0 && l.At.After(e.lastMessage.Add(lateMessageWindow)) {
+		e.ownReport()
 		e.retired[i] = 0
 	}
 }
 
-// LoadReported takes a report that did not come with an answer.
+// LoadReported applies a load report that did not arrive with an answer.
 func (v *View) LoadReported(id fleet.EndpointID, l fleet.Load) {
 	e := v.endpointOf(id)
 	if e == nil {
 		return
 	}
-	e.revive(&l)
-	if !v.meet(e, l.Incarnation, l.At) {
+	e.unretire(&l)
+	if !v.accept(e, l.Incarnation, l.At) {
 		return
 	}
-	v.takeLoad(e, l)
+	v.applyLoad(e, l)
 }
 
-// takeLoad replaces the older report and lets go of the reservations that the
-// new one counts already.
-func (v *View) takeLoad(e *endpoint, l fleet.Load) {
+// applyLoad replaces an older report and covers the reservations that the new one already
+// counts.
+func (v *View) applyLoad(e *endpoint, l fleet.Load) {
 	if l.At.Before(e.loadAt) {
 		return
 	}
-	e.own()
+	e.ownReport()
 	e.load, e.loadAt = l, l.At
-	e.drains = l.Draining
-	for i := e.firstRes; i != none; {
+	e.draining = l.Draining
+	for i := e.firstReservation; i != none; {
 		r := &v.reservations[i]
 		if r.placed.Add(v.delayTo(e)).After(l.At) {
 			return
 		}
 		next := r.next
-		if !r.sole {
+		if !r.exclusive {
 			v.cover(e, i)
 		}
 		i = next
 	}
 }
 
-// delayTo is the one-way delay between the daemon and the endpoint.
+// delayTo returns the one-way network delay between the daemon and the endpoint.
 func (v *View) delayTo(e *endpoint) time.Duration {
 	if e.zone == v.o.Zone {
 		return 0
--- a/placement/imports_test.go
+++ b/placement/imports_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Many runners lack a prefix at once, after a crash or a restart, and the KV
-// store has it. Were all of it fetched at once, the store's one link would make
-// every runner wait, longer than computing would have taken.
-func TestImportsStayWithinTheDaemonsPartOfTheLink(t *testing.T) {
+// After a crash or restart, many runners lack a prefix that the KV store has. If all
+// imported it at once, the store's single link would delay every runner for longer than
+// computing it takes.
+func TestImportBudgetBoundsImports(t *testing.T) {
 	b := importBudget{rate: 1000}
 	now, taken := epoch, 0
 	for range 100 {
--- a/placement/notices.go
+++ b/placement/notices.go
@@ -8,48 +8,47 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// MaxAnnouncements bounds the notices that wait to be sent. When it is reached the
-// oldest are dropped: the others then learn from events and answers, later.
+// MaxAnnouncements bounds the announcements waiting to be sent. Beyond it the oldest are
+// dropped; the other daemons then get the same information later, from events and answers.
 const MaxAnnouncements = 256
 
-// Announcement tells another daemon that a prefix is about to be computed somewhere,
-// or that an endpoint's cache is gone.
+// Announcement informs another daemon that a prefix is about to be computed on an endpoint,
+// or that an endpoint's cache is lost.
 //
-// Until the first token of that request no answer and no event shows it. Other
-// daemons that get further questions on the same document in that time would
-// have it computed once more. A notice is sent for a cold prefix only, so
-// their number follows the documents and not the requests.
+// Until the first token of that request, no answer and no event shows the prefix. Other
+// daemons that receive requests with the same document in that time would have it computed
+// again elsewhere. Only prefixes without a known holder are announced, so that the number
+// of announcements grows with the documents and not with the requests.
 //
-// An engine may crash and be back empty before its next load report. Only the
-// daemons that had requests there have seen it; the others would count on a
-// cache that is gone.
+// An engine may crash and restart before its next load report. Only the daemons with open
+// requests there notice; the others would rely on a cache that is gone.
 type Announcement struct {
 	Key         prefix.Key
 	Endpoint    fleet.EndpointID
 	Incarnation fleet.Incarnation
-	CacheLost   bool // the connection was lost; Key is not used
-	// Tokens is the work that goes there with the prefix, on one notice of
-	// each request: until the next load report no other daemon sees it.
+	CacheLost   bool // the connection was lost; Key is unused
+	// Tokens is the number of prompt tokens to prefill there. Only one announcement of each
+	// request carries it: no other daemon sees this work before the next load report.
 	Tokens   int
 	Priority contract.Priority
 	At       time.Time
 }
 
-// note writes down that a request has gone to the endpoint: there, the ends of
-// its messages will soon be cached. Those that nothing was believed of are put
-// into the outbox for the other daemons.
-func (v *View) note(now time.Time, ep int32, r *Request, tokens int) {
+// recordPlacement records that a request was sent to the endpoint, where the ends of its
+// messages will soon be cached. Those without a probable holder there are queued as
+// announcements to the other daemons.
+func (v *View) recordPlacement(now time.Time, ep int32, r *Request, tokens int) {
 	e := &v.endpoints[ep]
-	for i := range shared(r.Levels) {
+	for i := range sharedCount(r.Levels) {
 		l := &r.Levels[i]
 		if !l.Message {
 			continue
 		}
 		t := v.prefixes.touch(l.Key)
-		if h := t.holderOf(ep); h != nil && v.belief(now, h) > noticeDoubt {
+		if h := t.holderOf(ep); h != nil && v.probability(now, h) > coldThreshold {
 			continue
 		}
-		t.hold(holder{endpoint: ep, life: e.life, gaps: e.gaps, coming: true, seen: now})
+		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, inFlight: true, confirmedAt: now})
 		v.outbox.push(Announcement{
 			Key: l.Key, Endpoint: e.id, Incarnation: e.incarnation, Tokens: tokens, Priority: r.Priority, At: now,
 		})
@@ -57,11 +56,11 @@
 	}
 }
 
-// noticeDoubt is the belief below which a prefix counts as cold.
-const noticeDoubt = 0.5
+// coldThreshold is the probability of being cached at or below which a prefix is announced.
+const coldThreshold = 0.5
 
-// TakeAnnouncements appends what other daemons should hear of to dst and forgets it.
-// Call it every 100 ms or so and send the result to the neighbours.
+// TakeAnnouncements appends the queued announcements to dst and clears the queue. Call it
+// about every 100 ms and send the result to the neighbours.
 func (v *View) TakeAnnouncements(dst []Announcement) []Announcement {
 	for {
 		n, ok := v.outbox.pop()
@@ -72,12 +71,12 @@
 	}
 }
 
-// ReceiveAnnouncements takes notices of another daemon. One of another life of the endpoint
-// is ignored.
+// ReceiveAnnouncements applies announcements of another daemon. Those for another
+// incarnation of the endpoint, or from before its cache was lost, are ignored.
 func (v *View) ReceiveAnnouncements(all []Announcement) {
 	for _, n := range all {
 		e := v.endpointOf(n.Endpoint)
-		if e == nil || n.Incarnation != e.incarnation || n.At.Before(e.emptied) {
+		if e == nil || n.Incarnation != e.incarnation || n.At.Before(e.cacheLostAt) {
 			continue
 		}
 		if n.CacheLost {
@@ -87,15 +86,15 @@
 		ep := v.byID[n.Endpoint]
 		v.reserveForPeer(&n, ep)
 		t := v.prefixes.touch(n.Key)
-		if h := t.holderOf(ep); h != nil && h.life == e.life && !h.seen.Before(n.At) {
+		if h := t.holderOf(ep); h != nil && h.generation == e.generation && !h.confirmedAt.Before(n.At) {
 			continue
 		}
-		t.hold(holder{endpoint: ep, life: e.life, gaps: e.gaps, coming: true, seen: n.At})
+		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, inFlight: true, confirmedAt: n.At})
 	}
 }
 
-// peerOwner marks the owners of reservations for what other daemons have sent.
-// They end with a load report or their expiry, since no answer comes here.
+// peerOwner marks the owner IDs of reservations for requests of other daemons. These end
+// with a load report or their expiry, since their answers do not arrive here.
 const peerOwner = 1 << 63
 
 func (v *View) reserveForPeer(n *Announcement, ep int32) {
@@ -103,26 +102,26 @@
 	if n.Tokens <= 0 || n.Priority < 0 || n.Priority >= contract.PriorityCount || !n.At.After(e.loadAt) {
 		return
 	}
-	v.peerWork++
-	v.reserve(n.At, &Request{ID: peerOwner | v.peerWork, Priority: n.Priority}, ep, n.Tokens)
+	v.peerReservations++
+	v.reserve(n.At, &Request{ID: peerOwner | v.peerReservations, Priority: n.Priority}, ep, n.Tokens)
 }
 
-// sameLoss is the time within which losses of one endpoint, seen by several
-// requests and daemons, are told to the others once.
-const sameLoss = time.Second
+// lossDedupWindow is the time within which losses of one endpoint, seen by several requests
+// and daemons, are announced once.
+const lossDedupWindow = time.Second
 
-// loseCache forgets what the endpoint has cached. It returns false if the
-// others have been told of a loss just before.
+// loseCache drops what is known of the endpoint's cache. It returns false if a loss was
+// already announced within lossDedupWindow.
 func (v *View) loseCache(e *endpoint, at time.Time) bool {
 	v.forgetCache(e, at)
-	if !e.lost.IsZero() && at.Before(e.lost.Add(sameLoss)) {
+	if !e.connectionLostAt.IsZero() && at.Before(e.connectionLostAt.Add(lossDedupWindow)) {
 		return false
 	}
-	e.lost = at
+	e.connectionLostAt = at
 	return true
 }
 
-// outbox is a ring of notices.
+// outbox is a ring buffer of announcements.
 type outbox struct {
 	ring [MaxAnnouncements]Announcement
 	head int
--- a/placement/place.go
+++ b/placement/place.go
@@ -9,67 +9,68 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// Weights of the cost model, in seconds unless said otherwise. How each was
-// found is in docs/measurements/decide.md.
+// Parameters of the cost model, in seconds unless stated otherwise. How each was determined
+// is described in docs/measurements/decide.md.
 const (
-	// wholePool is the size up to which every endpoint of a pool is weighed.
-	// In a larger one only homes, holders and a few samples are.
-	wholePool = 128
-	// sampled is the number of further endpoints weighed in a large pool.
-	sampled = 4
-	// maxCandidates bounds the endpoints weighed for one request.
+	// fullScanLimit is the pool size up to which every endpoint is a candidate. In a larger
+	// pool only preferred endpoints, holders and a few random samples are.
+	fullScanLimit = 128
+	// sampleCount is the number of random candidates in a large pool.
+	sampleCount = 4
+	// maxCandidates is the largest number of candidates for one request.
 	maxCandidates = 160
-	// priorLife is how fast that fades once the daemon follows the events of an
-	// endpoint: the half-life in seconds.
-	priorLife = 2.0
-	// wasteWeight counts a recomputed token as this many more, since it also
-	// delays whoever comes next. With a low weight a loaded fleet collapses:
-	// waits send prompts to cold endpoints, where they are computed once more,
-	// which makes the waits longer.
-	wasteWeight = 24.0
-	// rankCost separates endpoints that are otherwise equal. It is above the
-	// two-way delay between zones: daemons of different zones must agree
-	// where a cold prefix goes.
+	// priorHalfLife is the half-life, in seconds, with which PreferredPrior decays once the
+	// daemon follows the cache events of an endpoint.
+	priorHalfLife = 2.0
+	// recomputeWeight is the number of additional tokens that each recomputed token counts
+	// as, since recomputing also delays the requests that follow. With a low weight a
+	// loaded fleet collapses: queues divert prompts to endpoints without a cached prefix,
+	// where they are computed again, which makes the queues longer.
+	recomputeWeight = 24.0
+	// rankCost separates endpoints that are otherwise equal. It exceeds the round-trip
+	// delay between zones, because daemons in different zones must agree on the endpoint
+	// for an uncached prefix.
 	rankCost = 0.004
-	// homeSlack is the longest wait in seconds that a cold prefix takes to be at
-	// home. Daemons that restart together know nothing but the homes. A short prefix
-	// takes no longer a wait than reading it elsewhere once more would count.
-	homeSlack = 3.0
-	// crowdWeight counts the waiting that a prompt brings to those who come to
-	// the endpoint while it is prefilled there.
-	crowdWeight = 0.2
-	// fillCost is what a full batch costs beside the wait: each request in it slows
-	// the tokens of the others, and the next burst finds no place there.
-	fillCost = 0.03
-	// doubt is how fast what an endpoint said of its load loses worth, in seconds of
-	// cost for each second of its age. Daemons that all heard of the same idle
-	// endpoint a while ago would else all send their next requests there.
-	doubt = 0.1
-	// mostDoubt bounds it, in seconds.
-	mostDoubt = 0.06
-	// homeShare is the part of one endpoint's prefill time that a prefix may
-	// take before it gets another home.
-	homeShare = 0.5
+	// maxPreferredWait is the longest wait in seconds that is accepted to place an uncached
+	// prefix on a preferred endpoint. Daemons that restart together know only the preferred
+	// endpoints. For a short prefix the wait is limited to the cost of recomputing it
+	// elsewhere.
+	maxPreferredWait = 3.0
+	// delayWeight weights the delay that the prefill of a prompt causes for requests that
+	// arrive at the endpoint meanwhile.
+	delayWeight = 0.2
+	// batchFillCost is the cost of a full batch in addition to the wait: each request in
+	// the batch slows the token rate of the others, and the next burst finds no free slot.
+	batchFillCost = 0.03
+	// stalenessCostRate is the range of the random cost added for each second of a load
+	// report's age. Without it, daemons that received the same report of an idle endpoint
+	// would all send their next requests there.
+	stalenessCostRate = 0.1
+	// maxStalenessCost is the upper bound of that range, in seconds.
+	maxStalenessCost = 0.06
+	// maxPrefillShare is the fraction of one endpoint's prefill time that a prefix may use
+	// before another preferred endpoint is added for it.
+	maxPrefillShare = 0.5
 )
 
-// candidate is an endpoint that is being weighed.
+// candidate is an endpoint considered for one request.
 type candidate struct {
-	endpoint int32
-	rank     int32 // in the rendezvous order; MaxHomes: behind all homes
-	present  float64
-	told     bool    // the endpoint tells itself what it holds
-	cached   float64 // tokens believed to be in its cache
-	expected float64 // the same, or what a home probably has
-	wait     float64 // in its queue, in seconds
-	compute  float64 // until the prompt is prefilled, in seconds
-	cost     float64
+	endpoint       int32
+	rank           int32   // position in the rendezvous order; MaxPreferred: not in it
+	present        float64 // probability that it caches some level of the prompt
+	reportsCache   bool    // the endpoint itself reports what it caches
+	cached         float64 // estimated tokens in its cache
+	expectedCached float64 // cached, or the prior for a preferred endpoint if that is more
+	wait           float64 // in its queue, in seconds
+	prepareTime    float64 // until the prompt is prefilled, in seconds
+	cost           float64
 }
 
-// scratch is memory that Place uses again and again.
+// scratch holds buffers that are reused from one placement to the next.
 type scratch struct {
 	candidates []candidate
-	slot       []int32  // endpoint to its candidate
-	stamp      []uint32 // request that slot is valid for
+	slot       []int32  // candidate index by endpoint
+	stamp      []uint32 // round in which the endpoint's slot was set
 	round      uint32
 }
 
@@ -99,9 +100,9 @@
 	return &s.candidates[s.slot[ep]]
 }
 
-// Place chooses the endpoint for a request and reserves its work there. The
-// request owns the reservation until Finished, Failed or its expiry. Place
-// returns ErrUnknownPool or ErrNoEndpoint.
+// Place chooses the endpoint for a request and reserves capacity there. The reservation
+// belongs to the request until Finished, Failed or its expiry. Place returns ErrUnknownPool
+// or ErrNoEndpoint.
 func (v *View) Place(now time.Time, r Request) (Decision, error) {
 	d, err := v.Select(now, r)
 	if err == nil {
@@ -110,52 +111,51 @@
 	return d, err
 }
 
-// Select chooses the endpoint for a request without reserving anything there, for
-// a caller that compares several pools. It returns ErrUnknownPool or
-// ErrNoEndpoint.
+// Select chooses the endpoint for a request without a reservation, for a caller that
+// compares several pools. It returns ErrUnknownPool or ErrNoEndpoint.
 func (v *View) Select(now time.Time, r Request) (Decision, error) {
 	p := v.pools[r.Pool]
 	if p == nil {
 		return Decision{}, ErrUnknownPool
 	}
-	var home *entry
+	var affinity *entry
 	if i := prefix.AffinityLevel(r.Levels); i >= 0 {
-		home = v.prefixes.touch(r.Levels[i].Key)
-		v.setHomes(home, p)
+		affinity = v.prefixes.touch(r.Levels[i].Key)
+		v.rankPreferred(affinity, p)
 	}
 	reason := ReasonPreferred
-	v.gather(p, home, &r, Available)
+	v.collectCandidates(p, affinity, &r, Available)
 	if len(v.scratch.candidates) == 0 {
 		reason = ReasonPanic
-		v.gather(p, home, &r, Ejected)
+		v.collectCandidates(p, affinity, &r, Ejected)
 	}
 	if len(v.scratch.candidates) == 0 {
 		return Decision{}, ErrNoEndpoint
 	}
-	v.expectCached(now, &r)
-	return v.choose(now, &r, home, reason), nil
+	v.estimateCached(now, &r)
+	return v.choose(now, &r, affinity, reason), nil
 }
 
-// Reserve takes the place that Weigh chose.
+// Reserve reserves capacity on the endpoint that Select chose.
 func (v *View) Reserve(now time.Time, r Request, d *Decision) {
 	ep, ok := v.byID[d.Endpoint]
 	if !ok {
-		return // it left between the two calls; the attempt will show it
+		return // removed between the two calls; the attempt will fail
 	}
 	if i := prefix.AffinityLevel(r.Levels); i >= 0 {
-		v.prefixes.touch(r.Levels[i].Key).warm(now)
+		v.prefixes.touch(r.Levels[i].Key).countRequest(now)
 	}
 	missing := r.Tokens - d.ExpectedCached
 	v.reserve(now, &r, ep, missing)
-	v.note(now, ep, &r, missing)
+	v.recordPlacement(now, ep, &r, missing)
 }
 
-// setHomes works out the rendezvous order of the prefix over the pool.
+// rankPreferred computes the rendezvous order of the prefix over the pool.
 //
-// Every daemon gets the same order with no message, and an endpoint that
-// leaves moves only the prefixes it was a home of.
-func (v *View) setHomes(t *entry, p *pool) {
-	if t.homesEpoch == p.epoch {
+// Every daemon computes the same order without communication, and the removal of an
+// endpoint moves only the prefixes that it was preferred for.
+func (v *View) rankPreferred(t *entry, p *pool) {
+	if t.preferredEpoch == p.epoch {
 		return
 	}
 	var scores [MaxPreferred]uint64
@@ -170,11 +170,11 @@
 		}
 		j := n - 1
 		for ; j > 0 && scores[j-1] < score; j-- {
-			scores[j], t.homes[j] = scores[j-1], t.homes[j-1]
+			scores[j], t.preferred[j] = scores[j-1], t.preferred[j-1]
 		}
-		scores[j], t.homes[j] = score, ep
+		scores[j], t.preferred[j] = score, ep
 	}
-	t.homeCount, t.homesEpoch = int32(n), p.epoch
+	t.preferredCount, t.preferredEpoch = int32(n), p.epoch
 }
 
 // mix is the finaliser of SplitMix64.
@@ -186,96 +186,96 @@
 	return x ^ x>>31
 }
 
-// gather lists the endpoints to weigh: homes first, then all of a small pool,
-// or holders and samples of a large one.
-func (v *View) gather(p *pool, home *entry, r *Request, gate Availability) {
+// collectCandidates lists the endpoints to compare: the preferred ones first, then all
+// others of a small pool, or holders and samples of a large one.
+func (v *View) collectCandidates(p *pool, affinity *entry, r *Request, gate Availability) {
 	v.scratch.begin()
-	if home != nil {
-		for _, ep := range home.homes[:home.homeCount] {
-			v.consider(ep, r, gate)
+	if affinity != nil {
+		for _, ep := range affinity.preferred[:affinity.preferredCount] {
+			v.addCandidate(ep, r, gate)
 		}
 	}
 	for i := range v.scratch.candidates {
 		v.scratch.candidates[i].rank = int32(i)
 	}
-	if len(p.members) <= wholePool {
+	if len(p.members) <= fullScanLimit {
 		for _, ep := range p.members {
-			v.consider(ep, r, gate)
+			v.addCandidate(ep, r, gate)
 		}
 		return
 	}
-	v.gatherHolders(p, r, gate)
-	v.gatherHeld(p, r, gate)
-	for i := range uint64(sampled) {
+	v.collectHolders(p, r, gate)
+	v.collectReporting(p, r, gate)
+	for i := range uint64(sampleCount) {
 		at := mix(r.ID^i<<32) % uint64(len(p.members))
-		v.consider(p.members[at], r, gate)
+		v.addCandidate(p.members[at], r, gate)
 	}
 }
 
-// gatherHolders adds those believed to hold the deeper levels.
-func (v *View) gatherHolders(p *pool, r *Request, gate Availability) {
+// collectHolders adds endpoints that probably cache one of the levels, deepest level first.
+func (v *View) collectHolders(p *pool, r *Request, gate Availability) {
 	for i := len(r.Levels) - 1; i >= 0; i-- {
 		t := v.prefixes.find(r.Levels[i].Key)
 		if t == nil {
 			continue
 		}
 		for _, h := range t.holders {
-			if v.endpoints[h.endpoint].life == h.life && v.serves(p, h.endpoint) {
-				v.consider(h.endpoint, r, gate)
+			if v.endpoints[h.endpoint].generation == h.generation && v.inPool(p, h.endpoint) {
+				v.addCandidate(h.endpoint, r, gate)
 			}
 		}
-		if len(v.scratch.candidates) > wholePool {
+		if len(v.scratch.candidates) > fullScanLimit {
 			return
 		}
 	}
 }
 
-// gatherHeld adds those that hold the beginning by their own word. A few samples of a
-// large pool would miss them.
-func (v *View) gatherHeld(p *pool, r *Request, gate Availability) {
+// collectReporting adds the endpoints that reported the beginning of the prompt as cached.
+// The few samples of a large pool would miss them.
+func (v *View) collectReporting(p *pool, r *Request, gate Availability) {
 	if r.Locations == nil {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Locations.Tokens)) {
-		if ep, known := v.byID[id]; known && v.serves(p, ep) {
-			v.consider(ep, r, gate)
+		if ep, known := v.byID[id]; known && v.inPool(p, ep) {
+			v.addCandidate(ep, r, gate)
 		}
 	}
 }
 
-// serves tells whether the endpoint is a member of the pool.
-func (v *View) serves(p *pool, ep int32) bool {
+// inPool reports whether the endpoint is a member of the pool.
+func (v *View) inPool(p *pool, ep int32) bool {
 	_, ok := slices.BinarySearch(p.members, ep)
 	return ok
 }
 
-func (v *View) consider(ep int32, r *Request, gate Availability) {
+func (v *View) addCandidate(ep int32, r *Request, gate Availability) {
 	s, e := &v.scratch, &v.endpoints[ep]
 	if s.stamp[ep] == s.round || len(s.candidates) == maxCandidates {
 		return
 	}
-	if e.gated() > gate || slices.Contains(r.Avoid, e.id) {
+	if e.availability() > gate || slices.Contains(r.Avoid, e.id) {
 		return
 	}
 	s.stamp[ep], s.slot[ep] = s.round, int32(len(s.candidates))
 	s.candidates = append(s.candidates, candidate{endpoint: ep, rank: MaxPreferred})
 }
 
-// expectCached works out how many tokens each candidate probably has. A level
-// can only be used together with all levels before it, so whoever has a deep
-// one has those too.
-func (v *View) expectCached(now time.Time, r *Request) {
+// estimateCached estimates how many tokens of the prompt each candidate caches. A level is
+// usable only together with all levels before it, so an endpoint that caches a level is
+// assumed to cache the preceding ones as well.
+func (v *View) estimateCached(now time.Time, r *Request) {
 	if r.Locations != nil {
-		v.takeHeld(r.Locations)
-		defer v.atLeastHeld(r.Locations)
+		v.markReporting(r.Locations)
+		defer v.applyReported(r.Locations)
 	}
 	for i := len(r.Levels) - 1; i >= 0; i-- {
 		if t := v.prefixes.find(r.Levels[i].Key); t != nil {
 			for j := range t.holders {
 				h := &t.holders[j]
 				c := v.scratch.find(h.endpoint)
-				if c != nil && (!c.told || h.coming && now.Sub(h.seen) < comingLife) {
-					c.present = max(c.present, v.belief(now, h))
+				if c != nil && (!c.reportsCache || h.inFlight && now.Sub(h.confirmedAt) < inFlightTTL) {
+					c.present = max(c.present, v.probability(now, h))
 				}
 			}
 		}
@@ -291,21 +291,20 @@
 	}
 }
 
-// comingLife is how long a prefix that was sent to an endpoint may be missing from
-// what the endpoint tells of its cache: it is read, and the word of it is on its
-// way.
-const comingLife = 1500 * time.Millisecond
+// inFlightTTL is how long a prefix that was sent to an endpoint may be missing from the
+// endpoint's own reports: it is still being prefilled, or the report is on its way.
+const inFlightTTL = 1500 * time.Millisecond
 
-// takeHeld marks the candidates that tell themselves what they hold.
-func (v *View) takeHeld(h *PrefixLocations) {
+// markReporting marks the candidates that report what they cache.
+func (v *View) markReporting(h *PrefixLocations) {
 	for i := range v.scratch.candidates {
 		c := &v.scratch.candidates[i]
-		_, c.told = h.Tokens[v.endpoints[c.endpoint].id]
+		_, c.reportsCache = h.Tokens[v.endpoints[c.endpoint].id]
 	}
 }
 
-// atLeastHeld counts what the candidates hold by their own word.
-func (v *View) atLeastHeld(h *PrefixLocations) {
+// applyReported raises the estimates to the cached tokens that the endpoints reported.
+func (v *View) applyReported(h *PrefixLocations) {
 	for i := range v.scratch.candidates {
 		c := &v.scratch.candidates[i]
 		if tokens, ok := h.Tokens[v.endpoints[c.endpoint].id]; ok {
@@ -314,33 +313,33 @@
 	}
 }
 
-// choose takes the candidate of the lowest cost.
-func (v *View) choose(now time.Time, r *Request, home *entry, reason Reason) Decision {
-	m := v.costModel(now, r, home)
+// choose returns the candidate with the lowest cost.
+func (v *View) choose(now time.Time, r *Request, affinity *entry, reason Reason) Decision {
+	m := v.costModel(now, r, affinity)
 	if !r.Exclusive {
-		m.usual = v.usualWait(now, r.Priority)
+		m.typicalWait = v.typicalWait(now, r.Priority)
 	}
 	var best *candidate
 	for i := range v.scratch.candidates {
 		c := &v.scratch.candidates[i]
-		m.weigh(v, now, c)
+		m.evaluate(v, now, c)
 		if best == nil || c.cost < best.cost {
 			best = c
 		}
 	}
 	e := &v.endpoints[best.endpoint]
 	d := Decision{
-		Endpoint: e.id, ExpectedCached: int(m.reach(best)),
+		Endpoint: e.id, ExpectedCached: int(m.reusable(best)),
 		ExpectedWait:       seconds(best.wait),
-		ExpectedFirstToken: seconds(best.wait + best.compute + v.travel(best)),
-		LoadAge:            unknownAge,
+		ExpectedFirstToken: seconds(best.wait + best.prepareTime + v.roundTrip(best)),
+		LoadAge:            unknownLoadAge,
 		Reason:             reason,
 	}
 	if !e.loadAt.IsZero() {
 		d.LoadAge = now.Sub(e.loadAt)
 	}
-	if home != nil {
-		d.AlternateEndpoint = v.peer(home, best.endpoint)
+	if affinity != nil {
+		d.AlternateEndpoint = v.alternate(affinity, best.endpoint)
 	}
 	if best.cached > 0 {
 		d.Incarnation = e.incarnation
@@ -349,21 +348,22 @@
 	case reason == ReasonPanic:
 	case best.present > 0:
 		d.Reason = ReasonHolder
-	case best.rank >= m.homes:
+	case best.rank >= m.preferred:
 		d.Reason = ReasonSpill
 	}
-	// What is believed counts here, without the prior of a home: an endpoint
-	// fetches only what it really lacks.
-	lacks := m.stored - best.cached
+	// Uses the cached estimate without the prior of preferred endpoints: an endpoint should
+	// fetch only what it really lacks.
+	lacks := m.storedTokens - best.cached
 	if _, fetch := v.computeTime(e, m.tokens-best.cached, lacks); fetch && v.imports.take(now, lacks) {
 		d.ImportFrom = v.store
 	}
 	return d
 }
 
-// peer is the first home of the prefix other than the endpoint, "" if none.
-func (v *View) peer(home *entry, endpoint int32) fleet.EndpointID {
-	for _, h := range home.homes[:home.homeCount] {
+// alternate returns the first preferred endpoint of the prefix other than the given one, or
+// "" if there is none.
+func (v *View) alternate(affinity *entry, endpoint int32) fleet.EndpointID {
+	for _, h := range affinity.preferred[:affinity.preferredCount] {
 		if h != endpoint {
 			return v.endpoints[h].id
 		}
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -1,15 +1,14 @@
 // Package placement decides which endpoint runs a request.
 //
-// A View is what one daemon believes of the fleet: which endpoint holds which
-// prefix in its cache and how long the queues are. It is fed by answers, load
-// reports, cache events and the list of members, all of them late and some of
-// them lost. Nothing in it is needed to serve: an empty View places by
-// rendezvous hashing alone, so that a daemon that has just restarted sends a
-// prefix to the endpoint that the others send it to.
+// A View is one daemon's local state of the fleet: which endpoint caches which prefix and
+// how long the queues are. It is updated from answers, load reports, cache events and the
+// endpoint list, all of which may be late or lost. None of it is required for serving: an
+// empty View places by rendezvous hashing alone, so that a daemon that has just restarted
+// sends a prefix to the same endpoint as the other daemons.
 //
-// The package does no I/O, starts no goroutine and reads no clock. A View is
-// not safe for concurrent use; Shared is. Shared holds one lock, so there is no
-// lock order to keep: see Shared.
+// The package does no I/O, starts no goroutine and reads no clock. A View is not safe for
+// concurrent use; SharedView is. SharedView holds a single lock, so there is no lock order
+// to keep.
 package placement
 
 import (
@@ -21,53 +20,53 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// Errors of Place.
+// Errors returned by Place and Select.
 var (
 	// ErrUnknownPool reports a request for a pool that was never set.
 	ErrUnknownPool = errors.New("placement: pool is unknown")
-	// ErrNoEndpoint reports that every endpoint of the pool is draining,
-	// leaving or to be avoided. Nothing was sent anywhere.
+	// ErrNoEndpoint reports that every endpoint of the pool is draining, leaving or
+	// excluded by the request. Nothing was sent.
 	ErrNoEndpoint = errors.New("placement: no endpoint may take the request")
 )
 
-// Bounds of the tables and defaults of the options.
+// Table bounds and option defaults.
 const (
-	DefaultMaxPrefixes     = 1 << 16 // remembered prefixes
-	DefaultMaxReservations = 1 << 14 // placed and not yet finished
-	MaxHolders             = 32      // endpoints remembered for one prefix
+	DefaultMaxPrefixes     = 1 << 16 // prefixes in the table
+	DefaultMaxReservations = 1 << 14 // placed requests without a final result
+	MaxHolders             = 32      // endpoints recorded as holders of one prefix
 	MaxPreferred           = 8       // endpoints in the rendezvous order of one prefix
-	MaxEndpoints           = 1 << 16 // endpoints of all pools
+	MaxEndpoints           = 1 << 16 // in all pools together
 
 	DefaultPrefillRate    = 8000.0                  // tokens/s
 	DefaultImportRate     = 40000.0                 // tokens/s
-	DefaultImportLatency  = 30 * time.Millisecond   // until the first token is imported
-	DefaultZoneDelay      = 1500 * time.Microsecond // one way between zones
+	DefaultImportLatency  = 30 * time.Millisecond   // until the first imported token
+	DefaultZoneDelay      = 1500 * time.Microsecond // one-way network delay between zones
 	DefaultReservationTTL = 30 * time.Second
-	DefaultCacheHalfLife  = 10 * time.Second // half-life of an unconfirmed entry
+	DefaultCacheHalfLife  = 10 * time.Second // of a cache entry that no event confirms
 	DefaultPreferredPrior = 0.9
 	DefaultServiceTime    = 2 * time.Second // from the first token to the last
 )
 
-// Options sets up a View. Zero fields take the defaults.
+// Options configures a View. Zero fields take the defaults.
 type Options struct {
-	Zone    fleet.ZoneID // of the daemon
-	Daemons int          // daemons that share the fleet, this one included; at least 1
+	Zone    fleet.ZoneID // the daemon's zone
+	Daemons int          // number of daemons that share the fleet, including this one; at least 1
 
-	PrefillRate   float64       // tokens/s of one endpoint, before any is learnt
-	ImportRate    float64       // tokens/s from the KV store
-	ImportLatency time.Duration // added by an import
-	ZoneDelay     time.Duration // one way between two zones
-	CacheHalfLife time.Duration // first guess of how long an idle cache entry stays
+	PrefillRate   float64       // initial estimate for one endpoint, in tokens/s
+	ImportRate    float64       // from the KV store, in tokens/s
+	ImportLatency time.Duration // added to each import
+	ZoneDelay     time.Duration // one-way delay between two zones
+	CacheHalfLife time.Duration // initial estimate of how long an idle cache entry stays
 
-	// QueueHalfLife is the half-life of a reported queue; 0: the endpoint works it
-	// off at its prefill rate and nobody else adds to it.
+	// QueueHalfLife is the half-life of a reported queue. With 0, the queue is assumed to
+	// shrink at the endpoint's prefill rate and no other daemon to add to it.
 	QueueHalfLife time.Duration
 
-	// PreferredPrior is how likely a home has a prefix of which nothing is known: other
-	// daemons have probably sent it there.
+	// PreferredPrior is the probability that a preferred endpoint caches a prefix of which
+	// nothing is known there: other daemons have probably sent it there.
 	PreferredPrior float64
 
-	ReservationTTL  time.Duration // after which an unanswered reservation is dropped
+	ReservationTTL  time.Duration // after which a reservation without a result is dropped
 	MaxPrefixes     int
 	MaxReservations int
 }
@@ -92,108 +91,108 @@
 	}
 }
 
-// Request is what placing needs to know of a request.
+// Request holds the properties of a request that placement depends on.
 type Request struct {
 	ID        uint64 // owner of the reservation; unique among requests in flight
-	Pool      string // the endpoints that can serve it, see SetPool
+	Pool      string // endpoints that can serve it, see SetPool
 	Levels    []prefix.Level
-	Tokens    int // of the whole prompt
+	Tokens    int // length of the whole prompt
 	Priority  contract.Priority
-	Avoid     []fleet.EndpointID // tried already
-	Locations *PrefixLocations   // nil: nothing is known but what answers told
-	// Exclusive says that this daemon places all requests of the pool: an endpoint that
-	// it sent nothing to is idle, however long ago its load was told.
+	Avoid     []fleet.EndpointID // endpoints tried already
+	Locations *PrefixLocations   // nil: only what answers and events showed is known
+	// Exclusive is set if this daemon places all requests of the pool: an endpoint that it
+	// sent nothing to is idle, however old its load report is.
 	Exclusive bool
 }
 
-// Locations is where the beginning of one prompt is held, as endpoints told it
-// themselves.
+// PrefixLocations lists which endpoints cache the beginning of one prompt, as reported by
+// the endpoints.
 type PrefixLocations struct {
-	Tokens    map[fleet.EndpointID]int // leading tokens; endpoints that tell nothing are missing
-	MaxTokens int                      // leading tokens that can be fetched from somewhere
-	FetchRate float64                  // tokens/s at which they come
+	Tokens    map[fleet.EndpointID]int // cached leading tokens; endpoints that report nothing are missing
+	MaxTokens int                      // leading tokens that can be fetched from some endpoint or store
+	FetchRate float64                  // in tokens/s
 }
 
-// Reason tells why an endpoint was chosen, for logs and dumps.
+// Reason is the reason for the choice of an endpoint, for logs and dumps.
 type Reason uint8
 
-// The reasons.
+// Reasons for choosing an endpoint.
 const (
-	ReasonPreferred Reason = iota // a home of the prefix, nothing learnt of its cache
-	ReasonHolder                  // believed to hold part of the prompt
-	ReasonSpill                   // neither, but shorter to wait for
+	ReasonPreferred Reason = iota // a preferred endpoint of the prefix, contents of its cache unknown
+	ReasonHolder                  // probably caches part of the prompt
+	ReasonSpill                   // neither of these, but with a shorter wait
 	ReasonPanic                   // only ejected endpoints are left
 )
 
 var reasonNames = [...]string{"home", "holder", "spill", "panic"}
 
-// String returns the name of the reason.
+// String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Decision is where a request goes and what that relied on.
+// Decision is the chosen endpoint and the estimates behind the choice.
 type Decision struct {
 	Endpoint           fleet.EndpointID
-	Incarnation        fleet.Incarnation // the life whose cache is believed in; zero: none, or not known
-	ExpectedCached     int               // prompt tokens that it will probably not read: it holds or can fetch them
-	ExpectedWait       time.Duration     // in its queue
+	Incarnation        fleet.Incarnation // incarnation whose cache the decision relies on; zero: none or unknown
+	ExpectedCached     int               // prompt tokens that probably need no prefill: cached there or fetched
+	ExpectedWait       time.Duration     // in the endpoint's queue
 	ExpectedFirstToken time.Duration     // until the first token
-	LoadAge            time.Duration     // of what the endpoint last said of its load; negative: it said nothing yet
+	LoadAge            time.Duration     // age of the last load report; negative: none was received
 	ImportFrom         fleet.EndpointID  // KV store to import from; empty: none
-	AlternateEndpoint  fleet.EndpointID  // another endpoint likely to hold the prefix: its first home but this one
+	AlternateEndpoint  fleet.EndpointID  // another endpoint that probably caches the prefix: its first preferred one other than Endpoint
 	Reason             Reason
 }
 
-// Answer is what the beginning of an answer says.
+// Answer holds the fields of the beginning of an answer that placement uses.
 type Answer struct {
 	ID           uint64
 	Endpoint     fleet.EndpointID
 	Incarnation  fleet.Incarnation
-	CachedTokens int // taken from the cache or imported
+	CachedTokens int // read from the cache or imported
 	Levels       []prefix.Level
-	Load         *fleet.Load // nil: the endpoint does not report it
+	Load         *fleet.Load // nil if the endpoint does not report it
 }
 
-// Failure is an attempt that ended without a whole answer.
+// Failure is an attempt that ended without a complete answer.
 type Failure struct {
 	ID       uint64
 	Endpoint fleet.EndpointID
-	// ConnectionLost says that the endpoint refused or lost the connection, so that
-	// nothing is believed of its cache any more.
+	// ConnectionLost is set if the endpoint refused or lost the connection, so that its
+	// cache must be assumed to be gone.
 	ConnectionLost bool
 }
 
-// EventKind tells what happened to a cached prefix.
+// EventKind is the kind of change of a cached prefix.
 type EventKind uint8
 
-// The kinds of cache event.
+// Kinds of cache event.
 const (
 	EventStored EventKind = iota
 	EventRemoved
 	EventCleared // the whole cache; the key is not used
 )
 
-// Event is one change of an endpoint's cache.
+// Event is one change in an endpoint's cache.
 type Event struct {
 	Kind EventKind
 	Key  prefix.Key
 }
 
-// EventBatch is a run of events of one endpoint. Batches come late and some
-// never come; Seq shows which are missing.
+// EventBatch is a sequence of consecutive events of one endpoint. Batches may arrive late
+// or be lost; a jump in Seq shows that events are missing.
 type EventBatch struct {
 	Endpoint    fleet.EndpointID
 	Incarnation fleet.Incarnation
-	Seq         uint64    // of the first event
-	At          time.Time // when they happened, by the reader's clock at the latest
+	Seq         uint64    // sequence number of the first event
+	At          time.Time // latest possible time of the events, by the receiver's clock
 	Events      []Event
 }
 
-// Availability tells whether an endpoint may be given work.
+// Availability is the degree to which an endpoint may be given requests.
 type Availability uint8
 
-// The gates.
+// Values of Availability, from most to least available.
 const (
 	Available Availability = iota
-	Ejected                // failing: used only when no open one is left
-	Draining               // leaving: gets no new work
+	Ejected                // failing: used only if no available endpoint is left
+	Draining               // leaving: gets no new requests
 )
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -7,31 +7,30 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// reservation is the work that the daemon has sent to an endpoint and that no
-// load report shows yet.
+// reservation is work that was sent to an endpoint and is not in a load report yet.
 //
-// Reports lag. Without reservations a daemon would send everything to the
-// endpoint that looked idle in the last report until the next one comes. A
-// reservation that nobody takes back would make an idle endpoint look busy for
-// ever, so each has an owner, the request, and an expiry, and ends with the
-// first of: a report taken after it, the answer, the failure, the expiry.
+// Load reports lag behind. Without reservations a daemon would send everything to the
+// endpoint that was idle in the last report until the next one arrives. A reservation that
+// is never released would make an idle endpoint look busy for ever. So each has an owner,
+// the request, and an expiry, and ends with the first of: a later load report, the answer,
+// the failure, the expiry.
 type reservation struct {
-	owner    uint64
-	endpoint int32
-	tokens   int
-	priority contract.Priority
-	placed   time.Time
-	first    time.Time // of the answer's first token
-	expires  time.Time
-	covered  bool // by a load report or the answer
-	sole     bool // only its own answer shows that it was read, see Request.Sole
-	prev     int32
-	next     int32 // in the endpoint's list, or of free slots
+	owner     uint64
+	endpoint  int32
+	tokens    int
+	priority  contract.Priority
+	placed    time.Time
+	first     time.Time // arrival of the answer's first token
+	expires   time.Time
+	covered   bool // by a load report or the answer
+	exclusive bool // ended only by its own answer, see Request.Exclusive
+	prev      int32
+	next      int32 // in the endpoint's list
 }
 
-// agesPerReservation bounds the queue of expiries, which also holds those of
-// requests that have finished since.
-const agesPerReservation = 4
+// expiriesPerReservation bounds the expiry queue, which also holds entries of requests that
+// have finished since.
+const expiriesPerReservation = 4
 
 func (v *View) reserve(now time.Time, r *Request, ep int32, tokens int) {
 	owner := r.ID
@@ -44,32 +43,32 @@
 	i := v.freeReservation()
 	v.reservations[i] = reservation{
 		owner: owner, endpoint: ep, tokens: tokens, priority: r.Priority, placed: now,
-		expires: now.Add(v.o.ReservationTTL), prev: none, next: none, sole: r.Exclusive,
+		expires: now.Add(v.o.ReservationTTL), prev: none, next: none, exclusive: r.Exclusive,
 	}
 	v.byOwner[owner] = i
-	if v.ages.size >= agesPerReservation*v.o.MaxReservations {
-		a, _ := v.ages.pop()
-		v.releaseAged(a)
+	if v.expiries.size >= expiriesPerReservation*v.o.MaxReservations {
+		a, _ := v.expiries.pop()
+		v.releaseExpired(a)
 	}
-	v.ages.push(aged{owner: owner, expires: v.reservations[i].expires})
+	v.expiries.push(expiry{owner: owner, expires: v.reservations[i].expires})
 	e := &v.endpoints[ep]
-	v.reservations[i].prev = e.lastRes
-	if e.lastRes == none {
-		e.firstRes = i
+	v.reservations[i].prev = e.lastReservation
+	if e.lastReservation == none {
+		e.firstReservation = i
 	} else {
-		v.reservations[e.lastRes].next = i
+		v.reservations[e.lastReservation].next = i
 	}
-	e.lastRes = i
+	e.lastReservation = i
 	e.pending[r.Priority] += tokens
-	e.queued++
+	e.pendingCount++
 }
 
-// PendingPrompts returns how many prompts this daemon sent to the endpoint that are not
-// known to have been read.
+// PendingPrompts returns the number of prompts that this daemon sent to the endpoint and
+// that are not known to be prefilled.
 func (v *View) PendingPrompts(id fleet.EndpointID) int {
 	n := 0
 	if at, ok := v.byID[id]; ok {
-		for i := v.endpoints[at].firstRes; i != none; i = v.reservations[i].next {
+		for i := v.endpoints[at].firstReservation; i != none; i = v.reservations[i].next {
 			n++
 		}
 	}
@@ -86,8 +85,8 @@
 	return int32(len(v.reservations) - 1)
 }
 
-// cover takes the reservation out of its endpoint's sum. Its owner is still
-// remembered until it finishes.
+// cover removes the reservation from its endpoint's sums. Its owner stays registered until
+// the request ends.
 func (v *View) cover(e *endpoint, i int32) {
 	r := &v.reservations[i]
 	if r.covered {
@@ -95,17 +94,17 @@
 	}
 	r.covered = true
 	if r.prev == none {
-		e.firstRes = r.next
+		e.firstReservation = r.next
 	} else {
 		v.reservations[r.prev].next = r.next
 	}
 	if r.next == none {
-		e.lastRes = r.prev
+		e.lastReservation = r.prev
 	} else {
 		v.reservations[r.next].prev = r.prev
 	}
 	e.pending[r.priority] -= r.tokens
-	e.queued--
+	e.pendingCount--
 }
 
 func (v *View) release(i int32) {
@@ -118,19 +117,20 @@
 
 func (v *View) releaseOldest() {
 	for {
-		a, ok := v.ages.pop()
+		a, ok := v.expiries.pop()
 		if !ok {
 			return
 		}
-		if v.releaseAged(a) {
+		if v.releaseExpired(a) {
 			return
 		}
 	}
 }
 
-// releaseAged ends the reservation that the record stands for, unless it has
-// ended or its owner has placed again since.
-func (v *View) releaseAged(a aged) bool {
+// releaseExpired releases the reservation that the queue entry belongs to, and reports
+// whether it did. It does nothing if the reservation has ended or its owner has placed
+// again since.
+func (v *View) releaseExpired(a expiry) bool {
 	i, ok := v.byOwner[a.owner]
 	if !ok || !v.reservations[i].expires.Equal(a.expires) {
 		return false
@@ -147,36 +147,36 @@
 	}
 }
 
-// Expire drops reservations whose owner never reported back. Call it about
-// once a second; it costs only what it drops.
+// Expire releases reservations whose owners never reported a result. Call it about once a
+// second; its cost is proportional to the number released.
 func (v *View) Expire(now time.Time) {
 	for {
-		a, ok := v.ages.peek()
+		a, ok := v.expiries.peek()
 		if !ok || a.expires.After(now) {
 			return
 		}
-		v.ages.pop()
-		v.releaseAged(a)
+		v.expiries.pop()
+		v.releaseExpired(a)
 	}
 }
 
-// aged is the expiry of one reservation. All live equally long, so the queue
-// of them is in order.
-type aged struct {
+// expiry is the expiry of one reservation. All reservations have the same lifetime, so the
+// queue is in order of expiry.
+type expiry struct {
 	owner   uint64
 	expires time.Time
 }
 
-// ageQueue is a ring of expiries that keeps its memory.
-type ageQueue struct {
-	ring []aged
+// expiryQueue is a ring buffer that grows and keeps its memory.
+type expiryQueue struct {
+	ring []expiry
 	head int
 	size int
 }
 
-func (q *ageQueue) push(a aged) {
+func (q *expiryQueue) push(a expiry) {
 	if q.size == len(q.ring) {
-		grown := make([]aged, max(64, 2*len(q.ring)))
+		grown := make([]expiry, max(64, 2*len(q.ring)))
 		for i := range q.size {
 			grown[i] = q.ring[(q.head+i)%len(q.ring)]
 		}
@@ -186,14 +186,14 @@
 	q.size++
 }
 
-func (q *ageQueue) peek() (aged, bool) {
+func (q *expiryQueue) peek() (expiry, bool) {
 	if q.size == 0 {
-		return aged{}, false
+		return expiry{}, false
 	}
 	return q.ring[q.head], true
 }
 
-func (q *ageQueue) pop() (aged, bool) {
+func (q *expiryQueue) pop() (expiry, bool) {
 	a, ok := q.peek()
 	if ok {
 		q.head = (q.head + 1) % len(q.ring)
--- a/placement/table.go
+++ b/placement/table.go
@@ -7,40 +7,38 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// heatHalfLife is how fast the rate at which a prefix is asked for follows a
-// change. A prefix that becomes hot without warning has to be spread within
-// seconds.
-const heatHalfLife = 2 * time.Second
+// rateHalfLife is the half-life of the measured request rate of a prefix. A prefix that
+// suddenly becomes hot must be spread within seconds.
+const rateHalfLife = 2 * time.Second
 
-// holder is the belief that one endpoint has one prefix in its cache.
+// holder records that one endpoint probably caches one prefix.
 type holder struct {
-	endpoint int32
-	life     uint32 // of the endpoint when this was learnt
-	gaps     uint32 // of the endpoint's events when this was learnt
-	event    bool   // a cache event said so
-	coming   bool   // sent there, and not confirmed by an answer or event
-	seen     time.Time
+	endpoint    int32
+	generation  uint32 // the endpoint's generation at that time
+	gaps        uint32 // the endpoint's gap count at that time
+	fromEvent   bool   // reported by a cache event
+	inFlight    bool   // sent there, and not confirmed by an answer or event
+	confirmedAt time.Time
 }
 
-// entry is what is remembered of one prefix.
+// entry is the state of one prefix.
 type entry struct {
 	key     prefix.Key
 	newer   int32
 	older   int32
 	holders []holder
 
-	heat   float64 // requests/s that this daemon placed by this prefix
-	heatAt time.Time
+	requestRate   float64 // requests/s with this affinity level from this daemon
+	rateUpdatedAt time.Time
 
-	homes      [MaxPreferred]int32
-	homeCount  int32
-	homesEpoch uint32 // of the pool that homes was worked out for; 0: never
+	preferred      [MaxPreferred]int32
+	preferredCount int32
+	preferredEpoch uint32 // pool epoch for which the preferred endpoints were computed; 0: never
 
-	stored time.Time // when some endpoint last computed it, for the KV store
+	storedAt time.Time // when an endpoint last computed it, for the KV store
 }
 
-// table remembers a bounded number of prefixes and forgets the one that was
-// not touched for longest.
+// table holds a bounded number of prefixes and evicts the least recently used one.
 type table struct {
 	max     int
 	index   map[prefix.Key]int32
@@ -61,7 +59,7 @@
 	return &t.entries[i]
 }
 
-// touch returns the entry of the key, made if need be, as the newest.
+// touch returns the key's entry as the newest, and creates it if it is missing.
 func (t *table) touch(k prefix.Key) *entry {
 	i, ok := t.index[k]
 	if ok {
@@ -112,30 +110,30 @@
 	t.newest = i
 }
 
-// warm adds one request to the heat and returns it, in requests/s.
-func (e *entry) warm(now time.Time) float64 {
-	e.heat = e.heatNow(now) + math.Ln2/heatHalfLife.Seconds()
-	e.heatAt = now
-	return e.heat
+// countRequest adds one request to the rate and returns the rate, in requests/s.
+func (e *entry) countRequest(now time.Time) float64 {
+	e.requestRate = e.rateAt(now) + math.Ln2/rateHalfLife.Seconds()
+	e.rateUpdatedAt = now
+	return e.requestRate
 }
 
-func (e *entry) heatNow(now time.Time) float64 {
-	if e.heat == 0 {
+func (e *entry) rateAt(now time.Time) float64 {
+	if e.requestRate == 0 {
 		return 0
 	}
-	return e.heat * math.Exp2(-now.Sub(e.heatAt).Seconds()/heatHalfLife.Seconds())
+	return e.requestRate * math.Exp2(-now.Sub(e.rateUpdatedAt).Seconds()/rateHalfLife.Seconds())
 }
 
-// hold notes that the endpoint has the prefix. When the list is full, the
-// belief that was confirmed longest ago makes room.
-func (e *entry) hold(h holder) {
+// addHolder records that the endpoint caches the prefix. In a full list it replaces the
+// holder whose confirmation is oldest.
+func (e *entry) addHolder(h holder) {
 	oldest := 0
 	for i := range e.holders {
 		if e.holders[i].endpoint == h.endpoint {
 			e.holders[i] = h
 			return
 		}
-		if e.holders[i].seen.Before(e.holders[oldest].seen) {
+		if e.holders[i].confirmedAt.Before(e.holders[oldest].confirmedAt) {
 			oldest = i
 		}
 	}
@@ -155,15 +153,15 @@
 	return nil
 }
 
-// drop forgets that the endpoint has the prefix, unless that was learnt after
-// the given time.
-func (e *entry) drop(ep int32, at time.Time) {
+// dropHolder removes the endpoint's holder record, unless it was confirmed after the given
+// time.
+func (e *entry) dropHolder(ep int32, at time.Time) {
 	for i := range e.holders {
 		h := e.holders[i]
 		if h.endpoint != ep {
 			continue
 		}
-		if !h.seen.After(at) {
+		if !h.confirmedAt.After(at) {
 			e.removeHolder(i)
 		}
 		return
--- a/placement/view.go
+++ b/placement/view.go
@@ -9,98 +9,101 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// View is what one daemon believes of the fleet. Make it with NewView.
+// View is one daemon's local state of the fleet. Create it with NewView.
 type View struct {
 	o Options
 
-	endpoints     []endpoint
-	freeEndpoints []int32
-	byID          map[fleet.EndpointID]int32
-	pools         map[string]*pool
-	store         fleet.EndpointID
-	lives         uint32 // last life given out
-	epochs        uint32 // last pool epoch given out
+	endpoints      []endpoint
+	freeEndpoints  []int32
+	byID           map[fleet.EndpointID]int32
+	pools          map[string]*pool
+	store          fleet.EndpointID
+	lastGeneration uint32 // last cache generation assigned
+	lastEpoch      uint32 // last pool epoch assigned
 
 	prefixes table
 
 	reservations     []reservation
 	freeReservations []int32
 	byOwner          map[uint64]int32
-	ages             ageQueue
-	service          float64 // seconds from first token to last, averaged
+	expiries         expiryQueue
+	serviceTime      float64 // mean seconds from the first token to the last
 
-	imports  importBudget
-	outbox   outbox
-	peerWork uint64 // reservations made for other daemons
-	scratch  scratch
+	imports          importBudget
+	outbox           outbox
+	peerReservations uint64 // number of reservations made for other daemons
+	scratch          scratch
 }
 
 // NewView returns an empty View.
 func NewView(o Options) *View {
 	o = o.withDefaults()
 	v := &View{
-		o:        o,
-		byID:     map[fleet.EndpointID]int32{},
-		pools:    map[string]*pool{},
-		prefixes: newTable(o.MaxPrefixes),
-		byOwner:  map[uint64]int32{},
-		service:  DefaultServiceTime.Seconds(),
+		o:           o,
+		byID:        map[fleet.EndpointID]int32{},
+		pools:       map[string]*pool{},
+		prefixes:    newTable(o.MaxPrefixes),
+		byOwner:     map[uint64]int32{},
+		serviceTime: DefaultServiceTime.Seconds(),
 	}
 	v.SetDaemons(o.Daemons)
 	return v
 }
 
-// SetDaemons sets how many daemons share the fleet, this one included.
+// SetDaemons sets the number of daemons that share the fleet, including this one.
 func (v *View) SetDaemons(n int) {
 	v.o.Daemons = max(n, 1)
-	v.imports.rate = importPart * v.o.ImportRate / float64(v.o.Daemons)
+	v.imports.rate = importShare * v.o.ImportRate / float64(v.o.Daemons)
 }
 
-// importPart is how much of the store's link the daemons use together.
-const importPart = 1.5
+// importShare is the fraction of the store's link that all daemons' import budgets add up
+// to.
+const importShare = 1.5
 
-// SetStore names the KV store that prefixes may be imported from; empty: none.
+// SetStore sets the KV store that prefixes may be imported from; empty: none.
 func (v *View) SetStore(id fleet.EndpointID) { v.store = id }
 
-// Answered takes the beginning of an answer: where it was cached, and the load.
+// Answered applies the beginning of an answer: the tokens cached at the endpoint and its
+// load.
 func (v *View) Answered(now time.Time, a Answer) {
 	i, owned := v.byOwner[a.ID]
 	if owned {
 		v.reservations[i].first = now
 	}
 	e := v.endpointOf(a.Endpoint)
-	if e == nil || !v.meet(e, a.Incarnation, now) {
+	if e == nil || !v.accept(e, a.Incarnation, now) {
 		return
 	}
 	if a.Load != nil {
-		v.takeLoad(e, *a.Load)
+		v.applyLoad(e, *a.Load)
 	}
-	if owned && (a.Load == nil || v.reservations[i].sole) {
+	if owned && (a.Load == nil || v.reservations[i].exclusive) {
 		v.cover(&v.endpoints[v.reservations[i].endpoint], i)
 	}
-	v.learn(now, e, a)
+	v.recordCached(now, e, a)
 }
 
-// ObserveWait takes how long a request waited at the endpoint before its prompt was
-// read. With answered false it is still waiting, and has for at least so long.
+// ObserveWait records how long a request waited at the endpoint before its prompt was read.
+// With answered false it is still waiting, and wait is a lower bound.
 //
-// A full endpoint answers late, so what it says of its load is old when it
-// comes, and callers who give up get no answer at all. The requests that have
-// been waiting for long tell at once.
+// A full endpoint answers late, so its load report is old when it arrives, and callers that
+// give up get no answer at all. Requests that have been waiting for long show the queue
+// without delay.
 func (v *View) ObserveWait(now time.Time, id fleet.EndpointID, p contract.Priority, wait time.Duration, answered bool) {
 	e := v.endpointOf(id)
 	if e == nil {
 		return
 	}
-	if answered || wait > v.observed(now, e, p) {
-		e.own()
+	if answered || wait > v.decayedWait(now, e, p) {
+		e.ownReport()
 		e.waits[p] = observedWait{wait: max(wait, 0), at: now}
 	}
 }
 
-// observed is what is left of the last observed wait for a priority. What the
-// less urgent wait says nothing of the more urgent, who go first.
-func (v *View) observed(now time.Time, e *endpoint, p contract.Priority) time.Duration {
+// decayedWait returns the last observed wait for the priority or a more urgent one, decayed
+// by its age. Waits of less urgent requests are left out, since more urgent ones are served
+// first.
+func (v *View) decayedWait(now time.Time, e *endpoint, p contract.Priority) time.Duration {
 	longest := time.Duration(0)
 	for urgent := range p + 1 {
 		if w := e.waits[urgent]; w.wait > 0 && v.o.QueueHalfLife > 0 {
@@ -111,77 +114,79 @@
 	return longest
 }
 
-// StalePreferred returns the endpoints of the pool that a prompt would go to first and
-// whose load was last told before the given time, at most n of the first n
-// homes. It is for a shell that asks them before it places a long prompt.
+// StalePreferred returns those of the first n preferred endpoints of a prompt whose last
+// load report is older than before. The caller can query their load before it places a long
+// prompt.
 func (v *View) StalePreferred(r Request, before time.Time, n int) []fleet.EndpointID {
 	p := v.pools[r.Pool]
 	at := prefix.AffinityLevel(r.Levels)
 	if p == nil || at < 0 {
 		return nil
 	}
-	home := v.prefixes.touch(r.Levels[at].Key)
-	v.setHomes(home, p)
+	affinity := v.prefixes.touch(r.Levels[at].Key)
+	v.rankPreferred(affinity, p)
 	var out []fleet.EndpointID
-	for _, ep := range home.homes[:min(home.homeCount, int32(n))] {
-		if e := &v.endpoints[ep]; e.gated() == Available && e.loadAt.Before(before) {
+	for _, ep := range affinity.preferred[:min(affinity.preferredCount, int32(n))] {
+		if e := &v.endpoints[ep]; e.availability() == Available && e.loadAt.Before(before) {
 			out = append(out, e.id)
 		}
 	}
 	return out
 }
 
-// learn notes that the endpoint now holds the prompt, and how long entries
-// last there.
-func (v *View) learn(now time.Time, e *endpoint, a Answer) {
+// recordCached records that the endpoint caches the prompt, and updates the estimate of how
+// long entries last there.
+func (v *View) recordCached(now time.Time, e *endpoint, a Answer) {
 	ep := v.byID[a.Endpoint]
-	h := holder{endpoint: ep, life: e.life, gaps: e.gaps, seen: now}
-	for i := range shared(a.Levels) {
+	h := holder{endpoint: ep, generation: e.generation, gaps: e.gaps, confirmedAt: now}
+	for i := range sharedCount(a.Levels) {
 		l := &a.Levels[i]
 		t := v.prefixes.touch(l.Key)
-		v.learnLife(now, e, t, ep, l.Tokens <= a.CachedTokens)
-		t.hold(h)
-		t.stored = now
+		v.updateHalfLife(now, e, t, ep, l.Tokens <= a.CachedTokens)
+		t.addHolder(h)
+		t.storedAt = now
 	}
 }
 
-// shared is the number of leading levels worth remembering. The last one is
-// the question, which only this request has.
-func shared(levels []prefix.Level) int { return max(len(levels)-1, min(len(levels), 1)) }
+// sharedCount returns the number of leading levels worth recording. The last level is the
+// question, which no other request shares.
+func sharedCount(levels []prefix.Level) int { return max(len(levels)-1, min(len(levels), 1)) }
 
-// lifeGain is the weight of one observation of how long cache entries last.
-const lifeGain = 0.1
+// smoothingGain is the weight of one observation in the averages of cache lifetime and
+// service time.
+const smoothingGain = 0.1
 
-// learnLife compares a belief with what the answer said of it.
-func (v *View) learnLife(now time.Time, e *endpoint, t *entry, ep int32, hit bool) {
+// updateHalfLife adjusts the endpoint's half-life by whether the answer confirmed a
+// recorded holder.
+func (v *View) updateHalfLife(now time.Time, e *endpoint, t *entry, ep int32, hit bool) {
 	for _, h := range t.holders {
-		if h.endpoint != ep || h.life != e.life {
+		if h.endpoint != ep || h.generation != e.generation {
 			continue
 		}
-		age := now.Sub(h.seen)
-		if hit == (age > e.idleLife) {
-			e.idleLife += time.Duration(lifeGain * float64(age-e.idleLife))
+		age := now.Sub(h.confirmedAt)
+		if hit == (age > e.idleHalfLife) {
+			e.idleHalfLife += time.Duration(smoothingGain * float64(age-e.idleHalfLife))
 		}
-		e.idleLife = max(e.idleLife, minCacheLife)
+		e.idleHalfLife = max(e.idleHalfLife, minHalfLife)
 		return
 	}
 }
 
-const minCacheLife = 200 * time.Millisecond
+const minHalfLife = 200 * time.Millisecond
 
-// Finished ends a request whose whole answer has come.
+// Finished ends a request whose complete answer has arrived.
 func (v *View) Finished(now time.Time, id uint64) {
 	i, ok := v.byOwner[id]
 	if !ok {
 		return
 	}
 	if first := v.reservations[i].first; !first.IsZero() {
-		v.service += lifeGain * (now.Sub(first).Seconds() - v.service)
+		v.serviceTime += smoothingGain * (now.Sub(first).Seconds() - v.serviceTime)
 	}
 	v.release(i)
 }
 
-// Failed ends an attempt without a whole answer.
+// Failed ends an attempt without a complete answer.
 func (v *View) Failed(now time.Time, f Failure) {
 	if i, ok := v.byOwner[f.ID]; ok {
 		v.release(i)
@@ -195,79 +200,79 @@
 	}
 }
 
-// EventsLost notes that an endpoint's events cannot be followed for now, so
-// that what they said counts by its age, as after a hole in the sequence.
+// EventsLost records that an endpoint's event stream is interrupted. What its events showed
+// is then weighted by age, as after a gap in the sequence.
 //
-// Nothing else shows it: with no event there is no hole to see, and a daemon
-// whose stream broke would go on counting on prefixes evicted since.
+// Nothing else shows it: without events no gap is visible, and a daemon whose stream broke
+// would go on relying on prefixes evicted since.
 func (v *View) EventsLost(id fleet.EndpointID) {
 	e := v.endpointOf(id)
-	if e == nil || !e.follows {
+	if e == nil || !e.followsEvents {
 		return
 	}
-	e.follows, e.nextSeq = false, 0
+	e.followsEvents, e.nextSeq = false, 0
 	e.gaps++
 }
 
-// CacheEvents takes events of one endpoint. A hole in the sequence makes all
-// that events said of that endpoint uncertain, not absent and not present: it
-// then counts as what an answer said, by its age.
+// CacheEvents applies events of one endpoint. A gap in the sequence makes everything that
+// earlier events of the endpoint showed uncertain, neither absent nor present: it is then
+// weighted by age, as what an answer showed.
 func (v *View) CacheEvents(b EventBatch) {
 	e := v.endpointOf(b.Endpoint)
-	if e == nil || !v.meet(e, b.Incarnation, b.At) {
+	if e == nil || !v.accept(e, b.Incarnation, b.At) {
 		return
 	}
-	if e.follows && b.Seq < e.nextSeq {
+	if e.followsEvents && b.Seq < e.nextSeq {
 		return
 	}
-	if !e.follows || b.Seq > e.nextSeq+smallGap {
-		e.since = b.At
+	if !e.followsEvents || b.Seq > e.nextSeq+smallGap {
+		e.followedSince = b.At
 	}
-	if !e.follows || b.Seq != e.nextSeq {
+	if !e.followsEvents || b.Seq != e.nextSeq {
 		e.gaps++
 	}
-	e.follows = true
+	e.followsEvents = true
 	e.nextSeq = b.Seq + uint64(len(b.Events))
 	for _, ev := range b.Events {
-		v.event(e, v.byID[b.Endpoint], b.At, ev)
+		v.applyEvent(e, v.byID[b.Endpoint], b.At, ev)
 	}
 }
 
-// smallGap is the number of lost events up to which a prefix that nothing is
-// known of is still taken to be absent: few can have been stored in the gap.
+// smallGap is the number of lost events up to which an unknown prefix is still assumed to
+// be absent: few can have been stored in the gap.
 const smallGap = 256
 
-func (v *View) event(e *endpoint, ep int32, at time.Time, ev Event) {
+func (v *View) applyEvent(e *endpoint, ep int32, at time.Time, ev Event) {
 	switch ev.Kind {
 	case EventCleared:
 		seq := e.nextSeq
 		v.forgetCache(e, at)
-		e.follows, e.nextSeq = true, seq
+		e.followsEvents, e.nextSeq = true, seq
 	case EventStored:
 		t := v.prefixes.touch(ev.Key)
-		t.hold(holder{endpoint: ep, life: e.life, gaps: e.gaps, event: true, seen: at})
-		if t.stored.Before(at) {
-			t.stored = at
+		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, fromEvent: true, confirmedAt: at})
+		if t.storedAt.Before(at) {
+			t.storedAt = at
 		}
 	case EventRemoved:
 		if t := v.prefixes.find(ev.Key); t != nil {
-			t.drop(ep, at)
+			t.dropHolder(ep, at)
 		}
 	}
 }
 
-// eventTrust is how sure a cache event that no removal and no gap followed is.
-// The removal may be on its way.
-const eventTrust = 0.97
+// eventConfidence is the probability that a prefix is cached if a cache event reported it
+// and no removal and no gap followed. The removal may be on its way.
+const eventConfidence = 0.97
 
-// belief is the probability that the holder still has the prefix.
-func (v *View) belief(now time.Time, h *holder) float64 {
+// probability returns the probability that the holder still caches the prefix.
+func (v *View) probability(now time.Time, h *holder) float64 {
 	e := &v.endpoints[h.endpoint]
-	if h.life != e.life {
+	if h.generation != e.generation {
 		return 0
 	}
-	if e.follows && h.gaps == e.gaps && !h.coming {
-		return eventTrust
+	if e.followsEvents && h.gaps == e.gaps && !h.inFlight {
+		return eventConfidence
 	}
-	return math.Exp2(-now.Sub(h.seen).Seconds() / e.idleLife.Seconds())
+	return math.Exp2(-now.Sub(h.confirmedAt).Seconds() / e.idleHalfLife.Seconds())
 }
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -33,9 +33,9 @@
 	return v
 }
 
-// ask is a prompt of a preamble of 1,000 tokens, a document of 7,000 and a
-// question of 100.
-func ask(id uint64, model, document string) Request {
+// promptRequest returns a request with a preamble of 1,000 tokens, a document of 7,000 and
+// a question of 100.
+func promptRequest(id uint64, model, document string) Request {
 	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
 	c.Reset(prefix.Seed{Organisation: "o", Model: model})
 	for _, m := range []struct {
@@ -63,15 +63,15 @@
 	v.Finished(now, r.ID)
 }
 
-func TestPlaceReturnsToTheHolder(t *testing.T) {
+func TestPlaceReturnsHolder(t *testing.T) {
 	v := testView(18)
-	first := ask(1, "a", "sheet")
+	first := promptRequest(1, "a", "sheet")
 	d := place(t, v, epoch, first)
 	if d.Reason != ReasonPreferred {
 		t.Errorf("first placement by %v, want home", d.Reason)
 	}
 	answer(v, epoch, first, d)
-	again := place(t, v, epoch.Add(time.Second), ask(2, "a", "sheet"))
+	again := place(t, v, epoch.Add(time.Second), promptRequest(2, "a", "sheet"))
 	if again.Endpoint != d.Endpoint || again.Reason != ReasonHolder {
 		t.Errorf("second placement on %s by %v, want %s by holder", again.Endpoint, again.Reason, d.Endpoint)
 	}
@@ -87,20 +87,20 @@
 	}
 	v.SetAvailability("runner-0", Draining)
 	v.SetAvailability("runner-1", Ejected)
-	if d := place(t, v, epoch, ask(1, "a", "s")); d.Endpoint != "runner-1" || d.Reason != ReasonPanic {
+	if d := place(t, v, epoch, promptRequest(1, "a", "s")); d.Endpoint != "runner-1" || d.Reason != ReasonPanic {
 		t.Errorf("with one draining and one ejected: %+v", d)
 	}
 	v.SetAvailability("runner-1", Draining)
-	if _, err := v.Place(epoch, ask(2, "a", "s")); !errors.Is(err, ErrNoEndpoint) {
+	if _, err := v.Place(epoch, promptRequest(2, "a", "s")); !errors.Is(err, ErrNoEndpoint) {
 		t.Errorf("all draining: %v", err)
 	}
 }
 
-// An engine crashed and came back empty under the same address. A daemon that
-// still believes in its cache sends it long prompts as if they were short ones,
-// and callers wait behind a queue that the daemon does not see.
-func TestNothingSurvivesTheIncarnation(t *testing.T) {
-	ways := map[string]func(v *View, ep fleet.EndpointID){
+// An engine crashed and restarted with an empty cache under the same address. A daemon that
+// still relies on its cache sends it long prompts as if they were short, and callers wait
+// behind a queue that the daemon does not see.
+func TestCacheLossInvalidatesHolders(t *testing.T) {
+	signals := map[string]func(v *View, ep fleet.EndpointID){
 		"load report": func(v *View, ep fleet.EndpointID) {
 			v.LoadReported(ep, fleet.Load{Incarnation: 2, At: epoch.Add(time.Second)})
 		},
@@ -114,54 +114,54 @@
 			v.Failed(epoch, Failure{ID: 9, Endpoint: ep, ConnectionLost: true})
 		},
 	}
-	for name, tell := range ways {
+	for name, send := range signals {
 		v := testView(18)
-		r := ask(1, "a", "sheet")
+		r := promptRequest(1, "a", "sheet")
 		d := place(t, v, epoch, r)
 		answer(v, epoch, r, d)
 		v.CacheEvents(EventBatch{
 			Endpoint: d.Endpoint, Incarnation: 1, Seq: 1, At: epoch,
 			Events: []Event{{Kind: EventStored, Key: r.Levels[1].Key}},
 		})
-		tell(v, d.Endpoint)
+		send(v, d.Endpoint)
 		late := Answer{ID: 1, Endpoint: d.Endpoint, Incarnation: 1, Levels: r.Levels, CachedTokens: 8000}
 		if name != "lost connection" {
 			v.Answered(epoch, late)
 		}
-		if got := place(t, v, epoch.Add(2*time.Second), ask(2, "a", "sheet")); got.Reason == ReasonHolder {
+		if got := place(t, v, epoch.Add(2*time.Second), promptRequest(2, "a", "sheet")); got.Reason == ReasonHolder {
 			t.Errorf("%s: still relies on the cache of the dead engine: %+v", name, got)
 		}
 	}
 }
 
-// Events of one endpoint are lost on the way, among them perhaps the removal of
-// what the daemon counts on.
-func TestGapMakesEventsUncertain(t *testing.T) {
+// Events of one endpoint are lost. Among them may be the removal of a prefix that the
+// daemon relies on.
+func TestEventGapMakesHoldersUncertain(t *testing.T) {
 	v := testView(18)
-	r := ask(1, "a", "sheet")
+	r := promptRequest(1, "a", "sheet")
 	stored := EventBatch{Endpoint: "runner-3", Incarnation: 1, Seq: 1, At: epoch}
 	for _, l := range r.Levels {
 		stored.Events = append(stored.Events, Event{Kind: EventStored, Key: l.Key})
 	}
 	v.CacheEvents(stored)
 	later := epoch.Add(20 * time.Second)
-	sure := place(t, v, later, ask(2, "a", "sheet"))
+	sure := place(t, v, later, promptRequest(2, "a", "sheet"))
 	if sure.Endpoint != "runner-3" || sure.ExpectedCached < 7500 {
 		t.Fatalf("with whole events: %+v", sure)
 	}
 	v.Finished(later, 2)
 	v.CacheEvents(EventBatch{Endpoint: "runner-3", Incarnation: 1, Seq: 99, At: later})
-	unsure := place(t, v, later, ask(3, "a", "sheet"))
+	unsure := place(t, v, later, promptRequest(3, "a", "sheet"))
 	if unsure.ExpectedCached > 4000 && unsure.Endpoint == "runner-3" {
 		t.Errorf("after a gap: %+v", unsure)
 	}
 }
 
-// A removal that was on its way for a second arrives after an answer that
-// showed the prefix in the cache again.
-func TestLateRemovalDoesNotUndoAnAnswer(t *testing.T) {
+// A removal event that was delayed by a second arrives after an answer that showed the
+// prefix in the cache again.
+func TestLateRemovalDoesNotOverrideAnswer(t *testing.T) {
 	v := testView(18)
-	r := ask(1, "a", "sheet")
+	r := promptRequest(1, "a", "sheet")
 	d := place(t, v, epoch, r)
 	answer(v, epoch.Add(time.Second), r, d)
 	removed := EventBatch{Endpoint: d.Endpoint, Incarnation: 1, Seq: 1, At: epoch}
@@ -169,22 +169,22 @@
 		removed.Events = append(removed.Events, Event{Kind: EventRemoved, Key: l.Key})
 	}
 	v.CacheEvents(removed)
-	if got := place(t, v, epoch.Add(time.Second), ask(2, "a", "sheet")); got.Reason != ReasonHolder {
+	if got := place(t, v, epoch.Add(time.Second), promptRequest(2, "a", "sheet")); got.Reason != ReasonHolder {
 		t.Errorf("placed by %v, want holder", got.Reason)
 	}
 }
 
-// A daemon sends work and never hears of it again: the caller left, or the
-// message was lost. If the reservation stayed, the endpoint would look busy to
-// this daemon for ever and get less and less work.
-func TestReservationsAlwaysExpire(t *testing.T) {
+// A daemon sends work and never receives a result: the caller left, or the message was
+// lost. If the reservation stayed, the endpoint would look busy to this daemon for ever and
+// get less and less work.
+func TestReservationsExpire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := NewView(Options{MaxReservations: 8, ReservationTTL: time.Second})
 		v.SetPool(testPool, testFleet(3))
 		now := epoch
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 400).Draw(t, "ms")) * time.Millisecond)
-			r := ask(uint64(rapid.IntRange(1, 12).Draw(t, "id")), "a", rapid.SampledFrom([]string{"s", "t"}).Draw(t, "doc"))
+			r := promptRequest(uint64(rapid.IntRange(1, 12).Draw(t, "id")), "a", rapid.SampledFrom([]string{"s", "t"}).Draw(t, "doc"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0, 1:
 				place(t, v, now, r)
@@ -199,14 +199,14 @@
 				t.Fatalf("%d reservations, bound 8", len(v.byOwner))
 			}
 			for i, e := range v.endpoints {
-				if e.pendingTokens() < 0 || e.queued < 0 {
-					t.Fatalf("endpoint %d: pending %d, queued %d", i, e.pendingTokens(), e.queued)
+				if e.pendingTokens() < 0 || e.pendingCount < 0 {
+					t.Fatalf("endpoint %d: pending %d, queued %d", i, e.pendingTokens(), e.pendingCount)
 				}
 			}
 		}
 		v.Expire(now.Add(time.Second))
 		for i, e := range v.endpoints {
-			if e.pendingTokens() != 0 || e.queued != 0 {
+			if e.pendingTokens() != 0 || e.pendingCount != 0 {
 				t.Fatalf("endpoint %d keeps %d tokens after the expiry", i, e.pendingTokens())
 			}
 		}
@@ -216,13 +216,13 @@
 	})
 }
 
-func TestSameInputsPlaceTheSame(t *testing.T) {
+func TestPlacementIsDeterministic(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		one, two := testView(9), testView(9)
 		now := epoch
 		for id := range uint64(30) {
 			now = now.Add(time.Duration(rapid.IntRange(0, 500).Draw(t, "ms")) * time.Millisecond)
-			r := ask(id+1, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"), rapid.SampledFrom([]string{"s", "t"}).Draw(t, "document"))
+			r := promptRequest(id+1, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "organisation"), rapid.SampledFrom([]string{"s", "t"}).Draw(t, "document"))
 			a, b := place(t, one, now, r), place(t, two, now, r)
 			if a != b {
 				t.Fatalf("request %d: %+v and %+v", id, a, b)
@@ -235,7 +235,7 @@
 	})
 }
 
-func TestRemovingAnEndpointMovesOnlyItsPrefixes(t *testing.T) {
+func TestEndpointRemovalMovesOnlyItsPrefixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 100).Draw(t, "endpoints")
 		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
@@ -245,7 +245,7 @@
 			before, after := NewView(Options{}), NewView(Options{})
 			before.SetPool(testPool, all)
 			after.SetPool(testPool, rest)
-			r := ask(id, "a", rapid.StringN(1, 9, -1).Draw(t, "document"))
+			r := promptRequest(id, "a", rapid.StringN(1, 9, -1).Draw(t, "document"))
 			a, b := place(t, before, epoch, r), place(t, after, epoch, r)
 			if a.Endpoint != b.Endpoint && a.Endpoint != all[gone].ID {
 				t.Fatalf("removing %s moved a prefix from %s to %s", all[gone].ID, a.Endpoint, b.Endpoint)
@@ -254,24 +254,25 @@
 	})
 }
 
-// Another organisation, another weight version: same text, other keys. What was
-// learnt of one must count for nothing with the other.
-func TestNothingIsSharedAcrossSeeds(t *testing.T) {
+// The same text under another organisation or weight version has other keys. Holders
+// recorded for one must not count for the other.
+func TestHoldersAreSeparatedBySeed(t *testing.T) {
 	v := testView(18)
-	r := ask(1, "old weights", "sheet")
+	r := promptRequest(1, "old weights", "sheet")
 	d := place(t, v, epoch, r)
 	answer(v, epoch, r, d)
 	for id := range uint64(20) {
-		got := place(t, v, epoch, ask(id+2, fmt.Sprint("weights ", id), "sheet"))
+		got := place(t, v, epoch, promptRequest(id+2, fmt.Sprint("weights ", id), "sheet"))
 		if got.Reason == ReasonHolder {
 			t.Fatalf("relies on the cache of other weights: %+v", got)
 		}
 	}
 }
 
-// Guards against a large pool of which a few samples are weighed and the one endpoint
-// that holds the prompt's beginning is not: each prompt was read or fetched anew.
-func TestHolderIsWeighedInALargePool(t *testing.T) {
+// In a large pool only a few random endpoints are candidates. The one endpoint that
+// reported the prompt's beginning as cached must be among them, or each prompt is read or
+// fetched again.
+func TestReportedHolderIsCandidateInLargePool(t *testing.T) {
 	v := testView(1000)
 	for id := range uint64(50) {
 		r := Request{
