--- a/weights/lease_test.go
+++ b/weights/lease_test.go
@@ -34,15 +34,15 @@
 	return true
 }
 
-// The holder of the lease is frozen and another daemon takes over. When the
-// first one wakes it still has a valid looking lease in its memory, by a clock
-// that stood still. Two daemons would give orders in turn; the engines, which do
-// not check, would load one version after the other.
-func TestFrozenHolderDoesNotGiveOrders(t *testing.T) {
+// The lease holder is suspended and another daemon takes over. When the first one resumes,
+// its lease would still look valid by a clock that stopped meanwhile. Two daemons would
+// give orders in turn, and engines that do not check fencing tokens would load one version
+// after the other.
+func TestExpiredHolderMayNotOrder(t *testing.T) {
 	l := &log{}
 	a, b := NewLease("a", pauseBetween), NewLease("b", pauseBetween)
 	if !claim(t, l, a, 0, 1) || !a.MayOrder(0) {
-		t.Fatal("a does not hold")
+		t.Fatal("a does not hold the lease")
 	}
 	l.read(b, 100*time.Millisecond)
 	if _, ok := b.Claim(5*time.Second, Claim{Nonce: 2}); ok {
@@ -52,21 +52,22 @@
 		t.Error("b never takes over")
 	}
 	if a.MayOrder(6 * time.Second) {
-		t.Error("a still gives orders")
+		t.Error("a may still give orders")
 	}
 	if b.FencingToken() <= a.FencingToken() {
 		t.Errorf("token %d after %d", b.FencingToken(), a.FencingToken())
 	}
 }
 
-// Of two daemons that claim at once the log takes one. The other must not order.
-func TestOneOfTwoClaimsWins(t *testing.T) {
+// The log accepts one of two simultaneous claims. The daemon of the other must not give
+// orders.
+func TestConcurrentClaimsHaveOneHolder(t *testing.T) {
 	l := &log{}
 	a, b := NewLease("a", pauseBetween), NewLease("b", pauseBetween)
 	ca, _ := a.Claim(0, Claim{Nonce: 1})
 	cb, _ := b.Claim(0, Claim{Nonce: 2})
 	if !l.append(a.NextOffset(), ca) || l.append(b.NextOffset(), cb) {
-		t.Fatal("the log took both")
+		t.Fatal("the log accepted both claims")
 	}
 	a.ClaimAppended(0)
 	l.read(b, 0)
@@ -75,39 +76,38 @@
 	}
 }
 
-// The answer to a claim is lost, and the claim was appended seconds later. Its
-// time must count from when it was sent: others count theirs from when they saw
-// it, and an order given late would meet theirs.
-func TestLateClaimCountsFromItsSending(t *testing.T) {
+// The answer to a claim is lost and the claim is read back seconds later. The lease must
+// count from when the claim was sent: other daemons count from when they read it, and a
+// later order could overlap with theirs.
+func TestLeaseCountsFromSendingOfClaim(t *testing.T) {
 	l := &log{}
 	a := NewLease("a", pauseBetween)
 	c, _ := a.Claim(0, Claim{Nonce: 1})
 	l.append(0, c)
 	l.read(a, 2*time.Second)
 	if a.MayOrder(2 * time.Second) {
-		t.Error("holds longer than the span from the sending")
+		t.Error("holds for longer than LeaseDuration from the sending")
 	}
 }
 
-// A daemon is killed and starts again on its VM. It was the holder, so there is
-// nobody to wait for.
-func TestRestartedHolderNeedNotWait(t *testing.T) {
+// A daemon that holds the lease is killed and restarts on its VM. It is the holder itself,
+// so there is no lease to wait for.
+func TestRestartedHolderClaimsAtOnce(t *testing.T) {
 	l := &log{}
 	a := NewLease("a", pauseBetween)
 	claim(t, l, a, 0, 1)
 	again := NewLease("a", pauseBetween)
 	l.read(again, time.Second)
 	if !claim(t, l, again, time.Second, 2) || !again.MayOrder(time.Second) {
-		t.Error("waits for itself")
+		t.Error("waits for its own lease to end")
 	}
 	if again.FencingToken() <= a.FencingToken() {
 		t.Errorf("token %d after %d", again.FencingToken(), a.FencingToken())
 	}
 }
 
-// A record that nobody here wrote lies in the topic. Its writer may give orders
-// for all we know.
-func TestUnknownRecordIsWaitedFor(t *testing.T) {
+// The topic contains an unreadable record. Its writer may be giving orders.
+func TestUnreadableRecordDelaysClaim(t *testing.T) {
 	a := NewLease("a", pauseBetween)
 	a.Observe(0, 0, [][]byte{[]byte("\xff?")})
 	if _, ok := a.Claim(time.Second, Claim{Nonce: 1}); ok {
@@ -115,9 +115,9 @@
 	}
 }
 
-// Daemons claim, freeze, read late and lose answers at random. Orders of two
-// daemons must always lie at least the pause apart.
-func TestOrdersOfTwoHoldersLieApart(t *testing.T) {
+// Daemons claim, pause, read late and lose answers at random. Orders of two daemons must
+// always be at least the pause apart.
+func TestOrdersOfTwoHoldersAreSeparated(t *testing.T) {
 	for seed := range uint64(200) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		l := &log{}
@@ -156,9 +156,9 @@
 	}
 }
 
-// The claims that a daemon has not read are not kept any more. The last of them
-// may be of a holder that gives orders now.
-func TestGapIsWaitedFor(t *testing.T) {
+// The claims that a daemon has not read were deleted from the log. The last of them may
+// belong to a holder that is giving orders.
+func TestSkippedRecordsDelayClaim(t *testing.T) {
 	l := &log{records: make([][]byte, 7)}
 	a := NewLease("a", pauseBetween)
 	a.SkipTo(time.Second, 7)
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -9,69 +9,71 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Times and bounds of a rollout.
+// Durations and bounds of a rollout.
 const (
-	// leastLoadTime and loadTimes, in times of the mean, are how long an accepted
-	// order is taken to be in progress while nothing is heard of the engine.
-	leastLoadTime = 4 * time.Second
-	loadTimes     = 3
-	// lostAfter is when an order without an answer is given again. It names the
-	// same count of accepted orders, so that at most one of the two is taken.
-	lostAfter = 1500 * time.Millisecond
-	// refusedPause keeps a refused engine from being asked again at once.
+	// minLoadTime and loadTimeFactor, the latter in multiples of the mean, bound how long
+	// an accepted order is assumed to be in progress while the engine does not report.
+	minLoadTime    = 4 * time.Second
+	loadTimeFactor = 3
+	// resendAfter is when an order without an answer is sent again. It carries the same
+	// count of accepted orders, so that at most one of the two is accepted.
+	resendAfter = 1500 * time.Millisecond
+	// refusedPause keeps an engine that refused from being ordered again at once.
 	refusedPause = 300 * time.Millisecond
-	// loadPart is the part of the engines that load at a time. Platforms carry the
-	// loads of a sixth to a fifth of their engines at full speed, and some of the
-	// time until the end of a load is noticed counts as load.
-	loadPart = 0.15
-	// mostAtOncePart bounds the part of the engines under an order: the others serve.
-	mostAtOncePart = 0.5
-	// firstRatio is how much longer than a mere load an engine is taken to be away
-	// until several were seen.
-	firstRatio = 1.5
-	// leastLife is the time in which the least time rises half of the way to those
-	// seen since: loads may come to take longer.
-	leastLife = time.Minute
-	// awayGain is the weight of one engine in the mean time away.
-	awayGain = 0.2
-	// backlogStep is the difference of backlogs that decides who is ordered first:
-	// smaller ones are within the error of their estimate.
+	// loadingFraction is the fraction of the engines that load at a time. Platforms sustain
+	// the loads of a sixth to a fifth of their engines at full speed, and part of the delay
+	// until the end of a load is noticed counts as load time.
+	loadingFraction = 0.15
+	// maxOrderedFraction bounds the fraction of the engines under an order: the others
+	// serve.
+	maxOrderedFraction = 0.5
+	// initialRatio is the assumed ratio of an engine's absence to its load time until
+	// several absences were measured.
+	initialRatio = 1.5
+	// minHalfLife is the half-life with which the minimum rises towards later measurements:
+	// loads may come to take longer.
+	minAbsenceHalfLife = time.Minute
+	// meanGain is the weight of one engine in the mean absence.
+	meanGain = 0.2
+	// backlogStep is the smallest difference of backlogs that affects the order of engines:
+	// smaller ones are within the error of the estimate.
 	backlogStep = 150 * time.Millisecond
 )
 
-// Engine is what the plan needs to know of one engine.
+// Engine is the state of one engine as far as Plan depends on it.
 type Engine struct {
 	Target
 	Zone    fleet.ZoneID
 	Version int64
-	// Backlog is how long the engine has work that it ends before it loads.
+	// Backlog is the expected time until the engine has finished the work that it ends
+	// before it loads.
 	Backlog time.Duration
-	// UsableFor is how long its weights may still be used; 0 and less: not any more.
+	// UsableFor is how long the engine's present weights may still be used; 0 or less: no
+	// longer.
 	UsableFor time.Duration
 }
 
-// Plan decides which engines of one model are ordered next. It is not safe for
-// concurrent use.
+// Plan selects the engines of one model to order next. It is not safe for concurrent use.
 type Plan struct {
-	orders map[fleet.EndpointID]sentOrder
-	away   time.Duration // mean time from an order to its end, smoothed; 0: none was seen
-	least  time.Duration // the least such time, which rises slowly: that of the load alone
-	learnt time.Duration // when that changed
+	orders      map[fleet.EndpointID]sentOrder
+	meanAbsence time.Duration // smoothed mean time from an order to the end of its load; 0: none measured
+	minAbsence  time.Duration // slowly rising minimum of that time: an estimate of the load alone
+	measuredAt  time.Duration // when these were last updated
 }
 
 type sentOrder struct {
 	version int64
 	sent    time.Duration
-	until   time.Duration // the engine counts as under the order, or is left alone, until then
-	loads   bool
+	until   time.Duration // until then the engine counts as under the order, or is not ordered again
+	loading bool          // the engine may be loading
 }
 
-// NewPlan returns a plan without orders.
+// NewPlan returns a Plan without orders.
 func NewPlan() *Plan {
 	return &Plan{orders: map[fleet.EndpointID]sentOrder{}}
 }
 
-// CountOutdated counts the engines with older weights than named.
+// CountOutdated returns the number of engines with weights older than the named version.
 func CountOutdated(engines []Engine, named int64) int {
 	n := 0
 	for _, e := range engines {
@@ -82,31 +84,31 @@
 	return n
 }
 
-// NextOffset returns the engines to order now to the named version. Engines skip
-// versions that were overtaken, since only the newest is ever ordered.
+// Next returns the engines to order now to the named version. Engines skip superseded
+// versions, since only the newest is ever ordered.
 //
-// The pattern: versions are named within seconds of each other while the fleet is
-// busy. An engine that is ordered ends its requests first, and takes no others
-// meanwhile: 0.7 s in all with little to do, 3.6 s with a queue. So those whose
-// weights nobody may use any more go first, and then those with the least to end.
+// Versions may be named within seconds of each other while the fleet is busy. An ordered
+// engine finishes its requests first and accepts no others meanwhile, which takes about
+// 0.7 s in all with little to do and 3.6 s with a queue. So engines whose weights may no
+// longer be used are ordered first, and then those with the smallest backlog.
 func (p *Plan) Next(now time.Duration, engines []Engine, named int64) []Engine {
 	away := map[fleet.ZoneID]int{}
 	ordered := 0
 	var waiting []Engine
 	for _, e := range engines {
 		if e.Version >= named {
-			p.done(now, e.Key)
+			p.finish(now, e.Key)
 			continue
 		}
 		o, known := p.orders[e.Key]
-		if known && o.loads && o.version <= e.Version {
-			p.done(now, e.Key) // and overtaken since
+		if known && o.loading && o.version <= e.Version {
+			p.finish(now, e.Key) // and superseded since
 			known = false
 		}
 		switch {
 		case !known || now >= o.until:
 			waiting = append(waiting, e)
-		case o.loads:
+		case o.loading:
 			ordered++
 			away[e.Zone]++
 		}
@@ -116,60 +118,60 @@
 			cmp.Compare(min(a.UsableFor, 0), min(b.UsableFor, 0)), cmp.Compare(a.Backlog/backlogStep, b.Backlog/backlogStep),
 			cmp.Compare(a.Version, b.Version), cmp.Compare(away[a.Zone], away[b.Zone]), cmp.Compare(a.Key, b.Key))
 	})
-	room := max(0, p.atOnce(len(engines))-ordered)
-	return waiting[:min(room, len(waiting))]
+	free := max(0, p.maxOrdered(len(engines))-ordered)
+	return waiting[:min(free, len(waiting))]
 }
 
-// atOnce is how many of n engines may be under an order.
+// maxOrdered returns how many of n engines may be under an order.
 //
-// Loads share a link and slow each other down, so that more of them at once are not
-// done any sooner; but an engine that ends its requests first does not load yet. As
-// many are ordered as it takes to keep loadPart of the engines loading, by how much
-// longer than a mere load an engine is away.
-func (p *Plan) atOnce(n int) int {
-	ratio := firstRatio
-	if p.least > 0 {
-		ratio = p.away.Seconds() / p.least.Seconds()
+// Loads share a link and slow each other down, so that more of them at once do not end
+// sooner; but an engine that finishes its requests first does not load yet. So
+// loadingFraction of the engines is scaled by the ratio of the mean absence to the load
+// time.
+func (p *Plan) maxOrdered(n int) int {
+	ratio := initialRatio
+	if p.minAbsence > 0 {
+		ratio = p.meanAbsence.Seconds() / p.minAbsence.Seconds()
 	}
-	most := max(1, int(mostAtOncePart*float64(n)))
-	return min(max(1, int(math.Round(loadPart*ratio*float64(n)))), most)
+	most := max(1, int(maxOrderedFraction*float64(n)))
+	return min(max(1, int(math.Round(loadingFraction*ratio*float64(n)))), most)
 }
 
-// done takes that an engine has the weights, and learns how long it was away.
-func (p *Plan) done(now time.Duration, key fleet.EndpointID) {
-	if o, ordered := p.orders[key]; ordered && o.loads {
-		p.learn(now, now-o.sent)
+// finish records that an engine has the weights, and measures its absence.
+func (p *Plan) finish(now time.Duration, key fleet.EndpointID) {
+	if o, ordered := p.orders[key]; ordered && o.loading {
+		p.measure(now, now-o.sent)
 	}
 	delete(p.orders, key)
 }
 
-func (p *Plan) learn(now, took time.Duration) {
-	if p.least == 0 {
-		p.least, p.away = took, time.Duration(firstRatio*float64(took))
+func (p *Plan) measure(now, took time.Duration) {
+	if p.minAbsence == 0 {
+		p.minAbsence, p.meanAbsence = took, time.Duration(initialRatio*float64(took))
 	}
-	p.away += time.Duration(awayGain * float64(took-p.away))
-	rise := 1 - math.Exp2(-(now-p.learnt).Seconds()/leastLife.Seconds())
-	p.least = min(took, p.least+time.Duration(rise*float64(took-p.least)))
-	p.learnt = now
+	p.meanAbsence += time.Duration(meanGain * float64(took-p.meanAbsence))
+	rise := 1 - math.Exp2(-(now-p.measuredAt).Seconds()/minAbsenceHalfLife.Seconds())
+	p.minAbsence = min(took, p.minAbsence+time.Duration(rise*float64(took-p.minAbsence)))
+	p.measuredAt = now
 }
 
-// Replied takes what an engine said to an order.
+// Replied records an engine's reply to an order.
 func (p *Plan) Replied(now time.Duration, key fleet.EndpointID, version int64, r Reply) {
 	switch r {
 	case Accepted:
 		sent := now
-		if o, ok := p.orders[key]; ok && o.loads && o.version == version {
-			sent = o.sent // it was asked again
+		if o, ok := p.orders[key]; ok && o.loading && o.version == version {
+			sent = o.sent // the order was repeated
 		}
-		p.orders[key] = sentOrder{version: version, sent: sent, until: now + max(leastLoadTime, loadTimes*p.away), loads: true}
+		p.orders[key] = sentOrder{version: version, sent: sent, until: now + max(minLoadTime, loadTimeFactor*p.meanAbsence), loading: true}
 	case Unanswered:
-		p.orders[key] = sentOrder{version: version, sent: now, until: now + lostAfter, loads: true}
+		p.orders[key] = sentOrder{version: version, sent: now, until: now + resendAfter, loading: true}
 	case AlreadyHolds, Refused:
 		p.orders[key] = sentOrder{version: version, until: now + refusedPause}
 	}
 }
 
-// RemoveUnknown drops engines that are gone.
+// RemoveUnknown removes the state of engines that are not in known.
 func (p *Plan) RemoveUnknown(known map[fleet.EndpointID]bool) {
 	for key := range p.orders {
 		if !known[key] {
