--- a/pools/model.go
+++ b/pools/model.go
@@ -8,34 +8,33 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// model is the engines of one model of a service.
+// model holds the engines of one model of a service.
 //
-// The engines of a version stand in one order, which is the same for all daemons. The
-// first of them are for short prompts, the others for long ones. A change moves the
-// bounds between the lanes by an engine or two, and only the engines in between change
-// their pools.
+// The engines of each version have an order that is the same in all daemons. The first ones
+// serve short prompts, the others long ones. A change moves the bounds between the subpools
+// by an engine or two, and only the engines in between change pools.
 type model struct {
 	key      modelKey
-	in       int        // usable engines
+	usable   int        // usable engines
 	versions []*version // newest first
 	counts   Counts
 }
 
-// version is the engines that have one weight version.
+// version holds the engines that have one weight version.
 type version struct {
-	number  int64
-	pool    [SubpoolCount]string
-	ordered []*member // that get work
-	out     []*member // that get none for the moment; they are in the pools of both lanes
-	// shortEnd and longFrom bound the lanes in ordered: engines before shortEnd are for
-	// short prompts, those from longFrom on for long ones.
+	number    int64
+	pool      [SubpoolCount]string
+	active    []*member // engines that get requests
+	suspended []*member // engines that get no requests for now; they are in the pools of both subpools
+	// shortEnd and longFrom bound the subpools in active: engines before shortEnd serve
+	// short prompts, those from longFrom on long ones.
 	shortEnd, longFrom int
-	filled             [SubpoolCount]bool // the lane has a usable engine
+	hasPool            [SubpoolCount]bool // the subpool has a usable engine
 }
 
-func laneHash(id fleet.EndpointID) uint64 { return hash.Text("lane/" + string(id)) }
+func subpoolHash(id fleet.EndpointID) uint64 { return hash.Text("lane/" + string(id)) }
 
-// compare is the order of the engines of a version.
+// compare orders the engines of a version.
 func compare(a, b *member) int {
 	if a.limited != b.limited {
 		if a.limited {
@@ -50,8 +49,7 @@
 	return slices.BinarySearchFunc(m.versions, number, func(v *version, n int64) int { return cmp.Compare(n, v.number) })
 }
 
-// insert adds an engine, for the lane whose engines it comes between. spread has to
-// follow.
+// insert adds an engine to the subpool that its position falls into. rebalance must follow.
 func (m *model) insert(e *member, number int64, sink Sink) {
 	i, found := m.find(number)
 	if !found {
@@ -62,18 +60,18 @@
 		m.versions = slices.Insert(m.versions, i, v)
 	}
 	v := m.versions[i]
-	if e.out {
-		v.out = append(v.out, e)
-		for l, filled := range v.filled {
+	if e.suspended {
+		v.suspended = append(v.suspended, e)
+		for l, filled := range v.hasPool {
 			if filled {
 				sink.Join(v.pool[l], e.Endpoint)
 			}
 		}
 		return
 	}
-	m.in++
-	at, _ := slices.BinarySearchFunc(v.ordered, e, compare)
-	v.ordered = slices.Insert(v.ordered, at, e)
+	m.usable++
+	at, _ := slices.BinarySearchFunc(v.active, e, compare)
+	v.active = slices.Insert(v.active, at, e)
 	if at < v.shortEnd {
 		v.shortEnd++
 		sink.Join(v.pool[Short], e.Endpoint)
@@ -85,28 +83,28 @@
 	}
 }
 
-// remove takes an engine out. spread has to follow.
+// remove removes an engine. rebalance must follow.
 func (m *model) remove(e *member, number int64, sink Sink) {
 	i, found := m.find(number)
 	if !found {
 		return
 	}
 	v := m.versions[i]
-	if e.out {
-		v.out = slices.DeleteFunc(v.out, func(o *member) bool { return o == e })
-		for l, filled := range v.filled {
+	if e.suspended {
+		v.suspended = slices.DeleteFunc(v.suspended, func(o *member) bool { return o == e })
+		for l, filled := range v.hasPool {
 			if filled {
 				sink.Leave(v.pool[l], e.ID)
 			}
 		}
 		return
 	}
-	at, found := slices.BinarySearchFunc(v.ordered, e, compare)
+	at, found := slices.BinarySearchFunc(v.active, e, compare)
 	if !found {
 		return
 	}
-	m.in--
-	v.ordered = slices.Delete(v.ordered, at, at+1)
+	m.usable--
+	v.active = slices.Delete(v.active, at, at+1)
 	if at < v.shortEnd {
 		v.shortEnd--
 		sink.Leave(v.pool[Short], e.ID)
@@ -118,53 +116,53 @@
 	}
 }
 
-// spread parts the engines among the lanes. The newest come first: short prompts have
-// nothing in a cache that speaks for older weights, and while a rollout is under way
-// engines of both would be kept for them. A single engine serves both lanes.
-func (m *model) spread(part float64, sink Sink) {
-	k := ShortCount(part, m.in)
+// rebalance divides the engines among the subpools. The newest versions come first in the
+// short subpool: short prompts have no cached prefix that favours older weights, and during
+// a rollout engines of both versions would otherwise be reserved for them. A single engine
+// serves both subpools.
+func (m *model) rebalance(fraction float64, sink Sink) {
+	k := ShortCount(fraction, m.usable)
 	for _, v := range m.versions {
-		n := len(v.ordered)
+		n := len(v.active)
 		short := min(k, n)
 		k -= short
-		if m.in == 1 {
+		if m.usable == 1 {
 			v.setBounds(n, 0, sink)
 		} else {
 			v.setBounds(short, short, sink)
 		}
-		v.fill(sink)
-		m.count(v)
+		v.updateSuspended(sink)
+		m.updateCounts(v)
 	}
-	m.versions = slices.DeleteFunc(m.versions, func(v *version) bool { return len(v.ordered)+len(v.out) == 0 })
+	m.versions = slices.DeleteFunc(m.versions, func(v *version) bool { return len(v.active)+len(v.suspended) == 0 })
 }
 
-// setBounds moves the bounds between the lanes.
+// setBounds moves the bounds between the subpools.
 func (v *version) setBounds(shortEnd, longFrom int, sink Sink) {
 	for ; v.shortEnd < shortEnd; v.shortEnd++ {
-		sink.Join(v.pool[Short], v.ordered[v.shortEnd].Endpoint)
+		sink.Join(v.pool[Short], v.active[v.shortEnd].Endpoint)
 	}
 	for ; v.longFrom > longFrom; v.longFrom-- {
-		sink.Join(v.pool[Long], v.ordered[v.longFrom-1].Endpoint)
+		sink.Join(v.pool[Long], v.active[v.longFrom-1].Endpoint)
 	}
 	for ; v.shortEnd > shortEnd; v.shortEnd-- {
-		sink.Leave(v.pool[Short], v.ordered[v.shortEnd-1].ID)
+		sink.Leave(v.pool[Short], v.active[v.shortEnd-1].ID)
 	}
 	for ; v.longFrom < longFrom; v.longFrom++ {
-		sink.Leave(v.pool[Long], v.ordered[v.longFrom].ID)
+		sink.Leave(v.pool[Long], v.active[v.longFrom].ID)
 	}
 }
 
-// fill keeps the engines that get no work for the moment in the pools of both lanes, so
-// that they keep their place while they are away. A lane without a usable engine has no
-// pool.
-func (v *version) fill(sink Sink) {
-	for l, n := range v.lanes() {
+// updateSuspended keeps suspended engines in the pools of both subpools, so that they keep
+// their position while they get no requests. A subpool without a usable engine has no pool.
+func (v *version) updateSuspended(sink Sink) {
+	for l, n := range v.sizes() {
 		filled := n > 0
-		if filled == v.filled[l] {
+		if filled == v.hasPool[l] {
 			continue
 		}
-		v.filled[l] = filled
-		for _, e := range v.out {
+		v.hasPool[l] = filled
+		for _, e := range v.suspended {
 			if filled {
 				sink.Join(v.pool[l], e.Endpoint)
 			} else {
@@ -174,14 +172,14 @@
 	}
 }
 
-// lanes is the number of usable engines of each lane.
-func (v *version) lanes() [SubpoolCount]int {
-	return [SubpoolCount]int{Short: v.shortEnd, Long: len(v.ordered) - v.longFrom}
+// sizes returns the number of usable engines of each subpool.
+func (v *version) sizes() [SubpoolCount]int {
+	return [SubpoolCount]int{Short: v.shortEnd, Long: len(v.active) - v.longFrom}
 }
 
-func (m *model) count(v *version) {
-	setCount(m.counts.ByVersion, v.number, len(v.ordered))
-	for l, n := range v.lanes() {
+func (m *model) updateCounts(v *version) {
+	setCount(m.counts.ByVersion, v.number, len(v.active))
+	for l, n := range v.sizes() {
 		setCount(m.counts.BySubpool[l], v.number, n)
 	}
 }
--- a/pools/pools.go
+++ b/pools/pools.go
@@ -1,10 +1,9 @@
-// Package pools derives from the usable endpoints the pools that placement chooses
-// from: one of each service, and for each model, weight version and lane of a service
-// one of its engines.
+// Package pools derives the pools that placement chooses from: one of all endpoints of each
+// service, and one of the engines for each model, weight version and subpool of a service.
 //
-// A Table takes one endpoint's change at a time and tells a Sink what changes in the
-// pools, so that a change costs the same however many endpoints there are. It does no
-// I/O and reads no clock, and is not safe for concurrent use.
+// A Table applies changes of single endpoints and reports the resulting pool changes to a
+// Sink, so that the cost of a change does not depend on the number of endpoints. The
+// package does no I/O and reads no clock. A Table is not safe for concurrent use.
 package pools
 
 import (
@@ -14,28 +13,28 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Subpool is the kind of engines that a prompt goes to.
+// Subpool is the part of a model's engines that serves prompts of one length class.
 type Subpool uint8
 
-// The lanes.
+// Subpools of a model.
 const (
 	Long Subpool = iota
 	Short
 	SubpoolCount
 )
 
-var laneNames = [SubpoolCount]string{"long", "short"}
+var subpoolNames = [SubpoolCount]string{"long", "short"}
 
-// ServicePool is the pool of all endpoints of a service.
+// ServicePool returns the name of the pool of all endpoints of a service.
 func ServicePool(service string) string { return service }
 
-// ModelPool is the pool of the engines of a service that have a version of a model, for
-// one lane.
+// ModelPool returns the name of the pool of a service's engines that have a version of a
+// model and belong to the subpool.
 func ModelPool(service, model string, version int64, l Subpool) string {
-	return service + "\x00" + model + "\x00" + strconv.FormatInt(version, 10) + "\x00" + laneNames[l]
+	return service + "\x00" + model + "\x00" + strconv.FormatInt(version, 10) + "\x00" + subpoolNames[l]
 }
 
-// Sink takes changes of pools.
+// Sink receives pool changes.
 type Sink interface {
 	Join(pool string, e fleet.Endpoint)
 	Leave(pool string, id fleet.EndpointID)
@@ -47,149 +46,150 @@
 	Versions map[string]int64
 }
 
-// Counts are the usable engines of a model by version.
+// Counts are the numbers of usable engines of a model by weight version.
 type Counts struct {
 	ByVersion map[int64]int
 	BySubpool [SubpoolCount]map[int64]int
 }
 
-// Table is the pools. Make it with New.
+// Table holds the pools. Create it with New.
 type Table struct {
-	sink    Sink
-	part    float64 // of the engines for short prompts
-	members map[fleet.EndpointID]*member
-	models  map[modelKey]*model
+	sink          Sink
+	shortFraction float64 // of the engines, for short prompts
+	members       map[fleet.EndpointID]*member
+	models        map[modelKey]*model
 }
 
-// modelKey names the engines of a service that have a model.
+// modelKey identifies the engines of a service that have a model.
 type modelKey struct{ service, model string }
 
-// member is an endpoint as it is in the pools.
+// member is an endpoint's membership in the pools.
 type member struct {
 	fleet.Endpoint
-	out     bool // it gets no work for the moment
-	limited bool // it names a limit
-	hash    uint64
-	engines []engine
+	suspended bool // it gets no requests for now
+	limited   bool // it reports a request limit
+	hash      uint64
+	engines   []modelEngine
 }
 
-// engine is a member's place among the engines of one model.
-type engine struct {
-	of      *model
+// modelEngine is a member's entry among the engines of one model.
+type modelEngine struct {
+	model   *model
 	version int64
 }
 
-// New returns a Table without endpoints. part is the part of the engines that is for
-// short prompts.
-func New(sink Sink, part float64) *Table {
-	return &Table{sink: sink, part: part, members: map[fleet.EndpointID]*member{}, models: map[modelKey]*model{}}
+// New returns a Table without endpoints. fraction is the share of the engines that
+// serves short prompts.
+func New(sink Sink, fraction float64) *Table {
+	return &Table{sink: sink, shortFraction: fraction, members: map[fleet.EndpointID]*member{}, models: map[modelKey]*model{}}
 }
 
-// Put adds an endpoint, or replaces what is known of it. out says that it gets no work
-// for the moment, limited that it names a limit of requests.
-func (t *Table) Put(e Endpoint, out, limited bool) {
+// Put adds an endpoint or replaces its state. A suspended endpoint gets no requests for
+// now; a limited one reports a request limit.
+func (t *Table) Put(e Endpoint, suspended, limited bool) {
 	old := t.members[e.ID]
 	if old != nil && (old.Class != e.Class || old.Zone != e.Zone || old.Address != e.Address) {
 		t.Remove(e.ID)
 		old = nil
 	}
 	if old == nil {
-		old = &member{Endpoint: e.Endpoint, hash: laneHash(e.ID)}
+		old = &member{Endpoint: e.Endpoint, hash: subpoolHash(e.ID)}
 		t.members[e.ID] = old
 		t.sink.Join(ServicePool(e.Class), e.Endpoint)
 	}
-	if old.out == out && old.limited == limited && old.has(e.Versions) {
+	if old.suspended == suspended && old.limited == limited && old.hasVersions(e.Versions) {
 		return
 	}
-	t.withdraw(old)
-	old.out, old.limited = out, limited
+	t.removeFromModels(old)
+	old.suspended, old.limited = suspended, limited
 	for name, version := range e.Versions {
-		t.enter(old, modelKey{e.Class, name}, version)
+		t.insert(old, modelKey{e.Class, name}, version)
 	}
 }
 
-// enter puts a member into the pools of a model.
-func (t *Table) enter(m *member, key modelKey, version int64) {
-	of := t.modelOf(key)
-	m.engines = append(m.engines, engine{of, version})
-	of.insert(m, version, t.sink)
-	of.spread(t.part, t.sink)
+// insert adds a member to the pools of a model.
+func (t *Table) insert(m *member, key modelKey, version int64) {
+	target := t.modelOf(key)
+	m.engines = append(m.engines, modelEngine{target, version})
+	target.insert(m, version, t.sink)
+	target.rebalance(t.shortFraction, t.sink)
 }
 
-// has tells whether the member's engines are those of the versions.
-func (m *member) has(versions map[string]int64) bool {
+// hasVersions reports whether the member's engines match the versions.
+func (m *member) hasVersions(versions map[string]int64) bool {
 	if len(m.engines) != len(versions) {
 		return false
 	}
 	for _, e := range m.engines {
-		if v, ok := versions[e.of.key.model]; !ok || v != e.version {
+		if v, ok := versions[e.model.key.model]; !ok || v != e.version {
 			return false
 		}
 	}
 	return true
 }
 
-// Remove takes an endpoint out of all pools.
+// Remove removes an endpoint from all pools.
 func (t *Table) Remove(id fleet.EndpointID) {
 	m := t.members[id]
 	if m == nil {
 		return
 	}
-	t.withdraw(m)
+	t.removeFromModels(m)
 	t.sink.Leave(ServicePool(m.Class), id)
 	delete(t.members, id)
 }
 
-// withdraw takes a member out of the pools of its models.
-func (t *Table) withdraw(m *member) {
+// removeFromModels removes a member from the pools of its models.
+func (t *Table) removeFromModels(m *member) {
 	for _, e := range m.engines {
-		e.of.remove(m, e.version, t.sink)
-		e.of.spread(t.part, t.sink)
-		if len(e.of.versions) == 0 {
-			delete(t.models, e.of.key)
+		e.model.remove(m, e.version, t.sink)
+		e.model.rebalance(t.shortFraction, t.sink)
+		if len(e.model.versions) == 0 {
+			delete(t.models, e.model.key)
 		}
 	}
 	m.engines = m.engines[:0]
 }
 
-// SetSuspended says whether an endpoint gets work for the moment.
-func (t *Table) SetSuspended(id fleet.EndpointID, out bool) {
-	if m := t.members[id]; m != nil && m.out != out {
-		t.move(m, func() { m.out = out })
+// SetSuspended sets whether an endpoint gets no requests for now.
+func (t *Table) SetSuspended(id fleet.EndpointID, suspended bool) {
+	if m := t.members[id]; m != nil && m.suspended != suspended {
+		t.reinsert(m, func() { m.suspended = suspended })
 	}
 }
 
-// SetLimited says whether an endpoint names a limit of requests. Those that do come
-// last among the engines for short prompts: they serve few long prompts a second, and
-// many short ones.
+// SetLimited sets whether an endpoint reports a request limit. Limited engines come last in
+// the order, so that they are the last to serve short prompts: an engine serves few long
+// prompts a second, and many short ones.
 func (t *Table) SetLimited(id fleet.EndpointID, limited bool) {
 	if m := t.members[id]; m != nil && m.limited != limited {
-		t.move(m, func() { m.limited = limited })
+		t.reinsert(m, func() { m.limited = limited })
 	}
 }
 
-// move changes what decides on the pools of a member's models.
-func (t *Table) move(m *member, change func()) {
-	engines := append([]engine(nil), m.engines...)
-	t.withdraw(m)
+// reinsert applies a change that affects a member's position in the pools of its models.
+func (t *Table) reinsert(m *member, change func()) {
+	engines := append([]modelEngine(nil), m.engines...)
+	t.removeFromModels(m)
 	change()
 	for _, e := range engines {
-		t.enter(m, e.of.key, e.version)
+		t.insert(m, e.model.key, e.version)
 	}
 }
 
-// SetShortFraction sets the part of the engines that is for short prompts.
-func (t *Table) SetShortFraction(part float64) {
-	if part == t.part {
+// SetShortFraction sets the fraction of the engines that serves short prompts.
+func (t *Table) SetShortFraction(fraction float64) {
+	if fraction == t.shortFraction {
 		return
 	}
-	t.part = part
+	t.shortFraction = fraction
 	for _, m := range t.models {
-		m.spread(part, t.sink)
+		m.rebalance(fraction, t.sink)
 	}
 }
 
-// Counts returns the usable engines of a model. Its maps are the Table's own.
+// Counts returns the numbers of usable engines of a model. The maps belong to the Table and
+// must not be changed.
 func (t *Table) Counts(service, name string) Counts {
 	m := t.models[modelKey{service, name}]
 	if m == nil {
@@ -198,10 +198,10 @@
 	return m.counts
 }
 
-// EngineCount is the number of usable engines of a model.
+// EngineCount returns the number of usable engines of a model.
 func (t *Table) EngineCount(service, name string) int {
 	if m := t.models[modelKey{service, name}]; m != nil {
-		return m.in
+		return m.usable
 	}
 	return 0
 }
@@ -218,7 +218,7 @@
 	return m
 }
 
-// ShortCount is how many of n engines are for short prompts.
-func ShortCount(part float64, n int) int {
-	return max(1, min(int(math.Round(part*float64(n))), n-1))
+// ShortCount returns how many of n engines serve short prompts.
+func ShortCount(fraction float64, n int) int {
+	return max(1, min(int(math.Round(fraction*float64(n))), n-1))
 }
--- a/pools/pools_test.go
+++ b/pools/pools_test.go
@@ -20,15 +20,15 @@
 	os.Exit(m.Run())
 }
 
-// sets keeps the members of pools and fails on a change that changes nothing.
-type sets struct {
-	t     interface{ Fatalf(string, ...any) }
-	pools map[string]map[fleet.EndpointID]bool
-	moves int
+// recordingSink records the members of pools and fails on a change without effect.
+type recordingSink struct {
+	t       interface{ Fatalf(string, ...any) }
+	pools   map[string]map[fleet.EndpointID]bool
+	changes int
 }
 
-func (s *sets) Join(pool string, e fleet.Endpoint) {
-	s.moves++
+func (s *recordingSink) Join(pool string, e fleet.Endpoint) {
+	s.changes++
 	if s.pools[pool] == nil {
 		s.pools[pool] = map[fleet.EndpointID]bool{}
 	}
@@ -38,8 +38,8 @@
 	s.pools[pool][e.ID] = true
 }
 
-func (s *sets) Leave(pool string, id fleet.EndpointID) {
-	s.moves++
+func (s *recordingSink) Leave(pool string, id fleet.EndpointID) {
+	s.changes++
 	if !s.pools[pool][id] {
 		s.t.Fatalf("%s leaves %q and is not there", id, pool)
 	}
@@ -49,14 +49,14 @@
 	}
 }
 
-// known is an endpoint as a test has told of it.
-type known struct {
+// endpointState is an endpoint's state as the test set it.
+type endpointState struct {
 	Endpoint
 	out, limited bool
 }
 
-// rebuilt makes all pools anew from all endpoints.
-func rebuilt(all map[fleet.EndpointID]known, part float64) map[string]map[fleet.EndpointID]bool {
+// rebuildPools computes all pools from all endpoints.
+func rebuildPools(all map[fleet.EndpointID]endpointState, fraction float64) map[string]map[fleet.EndpointID]bool {
 	pools := map[string]map[fleet.EndpointID]bool{}
 	add := func(pool string, id fleet.EndpointID) {
 		if pools[pool] == nil {
@@ -64,7 +64,7 @@
 		}
 		pools[pool][id] = true
 	}
-	in, out := map[modelKey]map[int64][]known{}, map[modelKey]map[int64][]known{}
+	in, out := map[modelKey]map[int64][]endpointState{}, map[modelKey]map[int64][]endpointState{}
 	for id, k := range all {
 		add(ServicePool(k.Class), id)
 		for model, v := range k.Versions {
@@ -73,7 +73,7 @@
 				into = out
 			}
 			if into[key] == nil {
-				into[key] = map[int64][]known{}
+				into[key] = map[int64][]endpointState{}
 			}
 			into[key][v] = append(into[key][v], k)
 		}
@@ -83,21 +83,21 @@
 		for _, members := range versions {
 			n += len(members)
 		}
-		left := ShortCount(part, n)
+		left := ShortCount(fraction, n)
 		for _, v := range slices.Backward(slices.Sorted(maps.Keys(versions))) {
-			ordered := slices.SortedFunc(slices.Values(versions[v]), func(a, b known) int {
+			ordered := slices.SortedFunc(slices.Values(versions[v]), func(a, b endpointState) int {
 				if a.limited != b.limited {
 					return map[bool]int{true: 1, false: -1}[a.limited]
 				}
-				return cmp.Or(cmp.Compare(laneHash(a.ID), laneHash(b.ID)), cmp.Compare(a.ID, b.ID))
+				return cmp.Or(cmp.Compare(subpoolHash(a.ID), subpoolHash(b.ID)), cmp.Compare(a.ID, b.ID))
 			})
 			short := min(left, len(ordered))
 			left -= short
-			lanes := [SubpoolCount][]known{Short: ordered[:short], Long: ordered[short:]}
+			subpools := [SubpoolCount][]endpointState{Short: ordered[:short], Long: ordered[short:]}
 			if n == 1 {
-				lanes = [SubpoolCount][]known{Short: ordered, Long: ordered}
+				subpools = [SubpoolCount][]endpointState{Short: ordered, Long: ordered}
 			}
-			for l, members := range lanes {
+			for l, members := range subpools {
 				if len(members) == 0 {
 					continue
 				}
@@ -110,21 +110,20 @@
 	return pools
 }
 
-// Guards against pools that drift from the endpoints: whatever changes in whatever
-// order, they are those that a rebuild from all endpoints gives.
-func TestPoolsFollowEveryChange(t *testing.T) {
+// Whatever changes in whatever order, the pools must equal a rebuild from all endpoints.
+func TestPoolsMatchRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		got := &sets{t: t, pools: map[string]map[fleet.EndpointID]bool{}}
-		part := 0.2
-		table := New(got, part)
-		all := map[fleet.EndpointID]known{}
+		got := &recordingSink{t: t, pools: map[string]map[fleet.EndpointID]bool{}}
+		fraction := 0.2
+		table := New(got, fraction)
+		all := map[fleet.EndpointID]endpointState{}
 		id := rapid.Custom(func(t *rapid.T) fleet.EndpointID {
 			return fleet.EndpointID(fmt.Sprint("e", rapid.IntRange(0, 11).Draw(t, "n")))
 		})
 		versions := rapid.MapOfN(rapid.SampledFrom([]string{"m", "n"}), rapid.Int64Range(1, 3), 0, 2)
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				k := known{out: rapid.Bool().Draw(t, "out"), limited: rapid.Bool().Draw(t, "limited")}
+				k := endpointState{out: rapid.Bool().Draw(t, "out"), limited: rapid.Bool().Draw(t, "limited")}
 				k.ID, k.Class = id.Draw(t, "id"), rapid.SampledFrom([]string{"s", "t"}).Draw(t, "class")
 				k.Versions = versions.Draw(t, "versions")
 				all[k.ID] = k
@@ -151,17 +150,17 @@
 				}
 				table.SetLimited(at, limited)
 			},
-			"set part": func(t *rapid.T) {
-				part = rapid.SampledFrom([]float64{0.1, 0.2, 0.5}).Draw(t, "part")
-				table.SetShortFraction(part)
+			"set short fraction": func(t *rapid.T) {
+				fraction = rapid.SampledFrom([]float64{0.1, 0.2, 0.5}).Draw(t, "part")
+				table.SetShortFraction(fraction)
 			},
 			"": func(t *rapid.T) {
-				if want := rebuilt(all, part); !maps.EqualFunc(got.pools, want, maps.Equal) {
+				if want := rebuildPools(all, fraction); !maps.EqualFunc(got.pools, want, maps.Equal) {
 					t.Fatalf("pools %v, rebuilt %v", got.pools, want)
 				}
 				for _, service := range []string{"s", "t"} {
 					for _, model := range []string{"m", "n"} {
-						counted(t, table, got.pools, all, service, model)
+						checkCounts(t, table, got.pools, all, service, model)
 					}
 				}
 			},
@@ -169,8 +168,8 @@
 	})
 }
 
-// counted compares the counts of a model with the members of its pools.
-func counted(t *rapid.T, table *Table, pools map[string]map[fleet.EndpointID]bool, all map[fleet.EndpointID]known, service, model string) {
+// checkCounts compares the counts of a model with the members of its pools.
+func checkCounts(t *rapid.T, table *Table, pools map[string]map[fleet.EndpointID]bool, all map[fleet.EndpointID]endpointState, service, model string) {
 	counts := table.Counts(service, model)
 	usable := 0
 	for v := range int64(4) {
@@ -182,7 +181,7 @@
 		}
 		usable += n
 		if counts.ByVersion[v] != n {
-			t.Fatalf("%d engines of version %d are counted, %d there", counts.ByVersion[v], v, n)
+			t.Fatalf("%d engines of version %d are counted, %d are there", counts.ByVersion[v], v, n)
 		}
 		for l := range SubpoolCount {
 			n := 0
@@ -192,20 +191,20 @@
 				}
 			}
 			if counts.BySubpool[l][v] != n {
-				t.Fatalf("%d engines of version %d are counted in a lane, %d there", counts.BySubpool[l][v], v, n)
+				t.Fatalf("%d engines of version %d are counted in a subpool, %d are there", counts.BySubpool[l][v], v, n)
 			}
 		}
 	}
 	if table.EngineCount(service, model) != usable {
-		t.Fatalf("%d engines are counted, %d there", table.EngineCount(service, model), usable)
+		t.Fatalf("%d engines are counted, %d are there", table.EngineCount(service, model), usable)
 	}
 }
 
-// Guards against a change of one endpoint that is paid for all: a daemon with a fifth of
-// a core that rebuilds ten thousand places spends it on that alone.
-func TestOneChangeMovesFewMembers(t *testing.T) {
+// A change of one endpoint must not cost work for all endpoints: a daemon limited to a
+// fifth of a core would spend it on rebuilding the pools of ten thousand engines.
+func TestSingleChangeUpdatesFewMembers(t *testing.T) {
 	for _, n := range []int{1000, 10_000} {
-		got := &sets{t: t, pools: map[string]map[fleet.EndpointID]bool{}}
+		got := &recordingSink{t: t, pools: map[string]map[fleet.EndpointID]bool{}}
 		table := New(got, 0.2)
 		put := func(i int, version int64, out bool) {
 			e := Endpoint{Versions: map[string]int64{"m": version}}
@@ -223,9 +222,9 @@
 			"an endpoint more":  func() { put(n, 1, false) },
 			"nothing different": func() { put(10, 1, false) },
 		} {
-			before := got.moves
+			before := got.changes
 			change()
-			if moves := got.moves - before; moves > 8 {
+			if moves := got.changes - before; moves > 8 {
 				t.Errorf("%s among %d endpoints changes pools %d times", what, n, moves)
 			}
 		}
