--- a/prefix/prefix_test.go
+++ b/prefix/prefix_test.go
@@ -7,7 +7,7 @@
 	"pgregory.net/rapid"
 )
 
-func cutPrompt(c *Splitter, s Seed, messages ...string) []Level {
+func splitPrompt(c *Splitter, s Seed, messages ...string) []Level {
 	c.Reset(s)
 	for _, m := range messages {
 		c.Write([]byte(m))
@@ -16,10 +16,10 @@
 	return append([]Level(nil), c.Levels()...)
 }
 
-func TestSharedBeginningSharesKeys(t *testing.T) {
+func TestCommonBeginningHasEqualKeys(t *testing.T) {
 	c := NewSplitter(Options{PieceTokens: 4, BytesPerToken: 1})
-	a := cutPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q1")
-	b := cutPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q2")
+	a := splitPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q1")
+	b := splitPrompt(c, Seed{Organisation: "o"}, "preamble", "sheet", "q2")
 	if len(a) != 5 || len(b) != 5 {
 		t.Fatalf("levels = %d and %d, want 5", len(a), len(b))
 	}
@@ -33,10 +33,10 @@
 	}
 }
 
-// Two organisations send the same text, or one whose bytes run together with
-// its name. If their keys met, one customer's answer time would tell what the
-// other had asked, and an import would carry its cache across.
-func TestSeedsNeverMeet(t *testing.T) {
+// Two organisations send the same text, or text that together with the organisation's name
+// gives the same bytes. If their keys were equal, answer times would reveal the other's
+// prompts, and an import would transfer its cache.
+func TestSeedsSeparateKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.StringN(1, 64, -1).Draw(t, "text")
 		word := rapid.StringN(0, 6, -1)
@@ -48,25 +48,25 @@
 		}
 		one, two := draw("one"), draw("two")
 		c := NewSplitter(Options{})
-		a, b := cutPrompt(c, one, text), cutPrompt(c, two, text)
+		a, b := splitPrompt(c, one, text), splitPrompt(c, two, text)
 		if (a[0].Key == b[0].Key) != (one == two) {
 			t.Fatalf("seeds %+v and %+v: keys %v and %v", one, two, a[0].Key, b[0].Key)
 		}
 	})
 }
 
-func TestSplitWritesCutAlike(t *testing.T) {
+func TestWriteBoundariesDoNotAffectLevels(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		text := rapid.SliceOfN(rapid.Byte(), 1, 200).Draw(t, "text")
 		at := rapid.IntRange(0, len(text)).Draw(t, "at")
 		c := NewSplitter(Options{PieceTokens: 7, BytesPerToken: 2})
-		whole := cutPrompt(c, Seed{}, string(text))
+		want := splitPrompt(c, Seed{}, string(text))
 		c.Reset(Seed{})
 		c.Write(text[:at])
 		c.Write(text[at:])
 		c.EndMessage()
 		for i, l := range c.Levels() {
-			if l != whole[i] {
+			if l != want[i] {
 				t.Fatalf("level %d differs when written in two parts", i)
 			}
 		}
@@ -76,7 +76,7 @@
 	})
 }
 
-func TestAffinity(t *testing.T) {
+func TestAffinityLevel(t *testing.T) {
 	tests := []struct {
 		name     string
 		messages []int // tokens
@@ -119,14 +119,14 @@
 		t.Errorf("UnmarshalText(%s) = %v, %v", text, got, err)
 	}
 	if err := got.UnmarshalText([]byte("xyz")); err == nil {
-		t.Error("a short text was taken for a key")
+		t.Error("text that is not a key was accepted")
 	}
 }
 
-func TestCutterBoundsLevelsAndAllocations(t *testing.T) {
+func TestSplitterBoundsLevelsAndAllocations(t *testing.T) {
 	c := NewSplitter(Options{PieceTokens: 1, BytesPerToken: 1})
 	text := bytes.Repeat([]byte("x"), 2*MaxLevels)
-	if got := len(cutPrompt(c, Seed{}, string(text))); got != MaxLevels {
+	if got := len(splitPrompt(c, Seed{}, string(text))); got != MaxLevels {
 		t.Errorf("levels = %d, want the bound %d", got, MaxLevels)
 	}
 	allocs := testing.AllocsPerRun(50, func() {
@@ -139,7 +139,7 @@
 	}
 }
 
-func BenchmarkCut(b *testing.B) {
+func BenchmarkSplit(b *testing.B) {
 	text := bytes.Repeat([]byte("specification "), 4000)
 	c := NewSplitter(Options{})
 	b.SetBytes(int64(len(text)))
--- a/prefix/segments.go
+++ b/prefix/segments.go
@@ -4,17 +4,17 @@
 	"crypto/sha256"
 )
 
-// Segment is a piece of a prompt that its sender has named and counted.
+// Segment is a part of a prompt with an ID and a token count, both given by the sender.
 type Segment struct {
-	ID     string // equal ids stand for equal text
+	ID     string // equal IDs mean equal text
 	Tokens int
 }
 
-// SegmentLevels names the beginnings of a prompt that is given as named parts. As with
-// a Cutter, equal keys mean equal beginnings under the same seed. Each part
-// counts as one message, and parts past MaxLevels are not named.
-func SegmentLevels(seed Seed, parts []Segment) []Level {
-	if len(parts) == 0 {
+// SegmentLevels returns the levels of a prompt that is given as segments. As with a
+// Splitter, equal keys mean equal beginnings under the same seed. Each segment counts as
+// one message; segments beyond MaxLevels get no level.
+func SegmentLevels(seed Seed, segments []Segment) []Level {
+	if len(segments) == 0 {
 		return nil
 	}
 	sum := sha256.New()
@@ -22,10 +22,10 @@
 		sum.Write([]byte(field))
 		sum.Write([]byte{0})
 	}
-	levels := make([]Level, 0, min(len(parts), MaxLevels))
+	levels := make([]Level, 0, min(len(segments), MaxLevels))
 	tokens := 0
 	var out [sha256.Size]byte
-	for _, p := range parts[:min(len(parts), MaxLevels)] {
+	for _, p := range segments[:min(len(segments), MaxLevels)] {
 		sum.Write([]byte(p.ID))
 		sum.Write([]byte{0})
 		tokens += p.Tokens
--- a/prefix/segments_test.go
+++ b/prefix/segments_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-func TestChainOfParts(t *testing.T) {
-	parts := []Segment{{"a", 800}, {"b", 400}, {"c", 250}}
-	one := SegmentLevels(Seed{Model: "m", Version: "1"}, parts)
+func TestSegmentLevels(t *testing.T) {
+	segments := []Segment{{"a", 800}, {"b", 400}, {"c", 250}}
+	one := SegmentLevels(Seed{Model: "m", Version: "1"}, segments)
 	if len(one) != 3 || one[1].Tokens != 1200 || !one[2].Message {
 		t.Fatalf("levels %+v", one)
 	}
@@ -17,12 +17,12 @@
 		"organisation": {Model: "m", Version: "1", Organisation: "o"},
 		"model":        {Model: "n", Version: "1"},
 	} {
-		if SegmentLevels(seed, parts)[0].Key == one[0].Key {
+		if SegmentLevels(seed, segments)[0].Key == one[0].Key {
 			t.Errorf("%s: keys are shared", name)
 		}
 	}
 	if SegmentLevels(Seed{}, []Segment{{"ab", 1}, {"c", 1}})[1].Key == SegmentLevels(Seed{}, []Segment{{"a", 1}, {"bc", 1}})[1].Key {
-		t.Error("parts run into each other")
+		t.Error("segment boundaries do not affect keys")
 	}
 	if len(SegmentLevels(Seed{}, make([]Segment, MaxLevels+5))) != MaxLevels {
 		t.Error("too many levels")
--- a/prefix/wire.go
+++ b/prefix/wire.go
@@ -7,23 +7,23 @@
 	"strings"
 )
 
-// Bounds of the text that names a prompt's levels to an engine. Engines refuse
-// requests whose header is over some 8 to 16 KiB; this leaves half of it. A
-// level that is remembered and not named would be believed in for ever: an
-// answer tells that it is cached, and no event could tell that it is not.
+// Bounds of the text that lists a prompt's levels for an engine. Engines reject requests
+// whose headers exceed 8 to 16 KiB; this uses half of that. All levels that the daemon
+// records must be listed: an answer would show an unlisted level as cached, and no event
+// could ever report its removal.
 const (
-	MaxFormattedLevels = MaxLevels // all that the daemon remembers, see below
+	MaxFormattedLevels = MaxLevels // all that the daemon records, see above
 	MaxFormattedBytes  = MaxFormattedLevels * (2*KeySize + 1 + maxTokenDigits + 1)
 
-	maxTokenDigits = 9
-	maxNamedTokens = 999_999_999
+	maxTokenDigits     = 9
+	maxFormattedTokens = 999_999_999
 )
 
-// ErrInvalidLevels reports text that does not name levels.
+// ErrInvalidLevels reports text that is not a list of levels.
 var ErrInvalidLevels = errors.New("prefix: levels are written as key:tokens,key:tokens with rising tokens")
 
-// Format names levels as "key:tokens,key:tokens", outermost first, at most
-// MaxFormattedLevels of them. It allocates the text and nothing else.
+// Format formats at most MaxFormattedLevels levels as "key:tokens,key:tokens", outermost
+// first. It allocates nothing but the result.
 func Format(levels []Level) string {
 	if len(levels) == 0 {
 		return ""
@@ -33,7 +33,7 @@
 	var digits [2 * KeySize]byte
 	b.Grow(len(levels) * (len(digits) + 1 + len("123456,")))
 	for i := range levels {
-		if levels[i].Tokens > maxNamedTokens {
+		if levels[i].Tokens > maxFormattedTokens {
 			break
 		}
 		if i > 0 {
@@ -47,7 +47,8 @@
 	return b.String()
 }
 
-// Parse reads what Format wrote. It returns ErrLevels or ErrKey for other text.
+// Parse parses the output of Format. It returns ErrInvalidLevels or ErrInvalidKey for other
+// text.
 func Parse(text string) ([]Level, error) {
 	if text == "" {
 		return nil, nil
@@ -56,14 +57,14 @@
 		return nil, ErrInvalidLevels
 	}
 	var levels []Level
-	for part := range strings.SplitSeq(text, ",") {
-		key, count, _ := strings.Cut(part, ":")
+	for item := range strings.SplitSeq(text, ",") {
+		key, count, _ := strings.Cut(item, ":")
 		var l Level
 		if err := l.Key.UnmarshalText([]byte(key)); err != nil {
 			return nil, err
 		}
 		n, err := strconv.Atoi(count)
-		if err != nil || n < 0 || n > maxNamedTokens || len(levels) == MaxFormattedLevels {
+		if err != nil || n < 0 || n > maxFormattedTokens || len(levels) == MaxFormattedLevels {
 			return nil, ErrInvalidLevels
 		}
 		if len(levels) > 0 && n < levels[len(levels)-1].Tokens {
@@ -75,8 +76,8 @@
 	return levels, nil
 }
 
-// ReusableLevels returns the leading levels worth remembering. The last one is the
-// question, which only this request has.
+// ReusableLevels returns the leading levels worth recording. The last level is the
+// question, which no other request shares.
 func ReusableLevels(levels []Level) []Level {
 	return levels[:max(len(levels)-1, min(len(levels), 1))]
 }
--- a/prefix/wire_test.go
+++ b/prefix/wire_test.go
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	key := strings.Repeat("ab", KeySize)
 	for _, text := range []string{
 		"x", key, key + ":", key + ":-1", key + ":1,", key + ":5," + key + ":4",
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFormatAllocatesOnlyItsText(t *testing.T) {
+func TestFormatAllocatesOnlyResult(t *testing.T) {
 	levels := make([]Level, 12)
 	for i := range levels {
 		levels[i].Tokens = 2000 * (i + 1)
