--- a/room/room.go
+++ b/room/room.go
@@ -1,6 +1,6 @@
-// Package room is a daemon's part in keeping endpoints within the limits that they
-// name: it carries the messages of a limits.Table and of a quota.Node, and tells
-// placement which endpoints have room.
+// Package room keeps endpoints within the request limits that they report: it exchanges the
+// messages of a limits.Table and a quota.Node with other daemons, and lists the endpoints
+// at their limits for placement.
 package room
 
 import (
@@ -21,234 +21,237 @@
 	"github.com/merlindock/merlindock/quota"
 )
 
-// kindLimitQuota begins messages of package quota about limits of endpoints.
-const kindLimitQuota = 0x42
+// messageKind is the first byte of messages of package quota about limits of endpoints.
+const messageKind = 0x42
 
-// tick is how often answers of other daemons that do not come are given up.
-const tick = 20 * time.Millisecond
+// replyTick is the interval at which pending replies of other daemons are checked for
+// timeout.
+const replyTick = 20 * time.Millisecond
 
-// Times of placing while all endpoints are at their limits.
+// Retries of placement while all endpoints are at their limits.
 const (
-	// ReplyWait is how long a request waits for another daemon's answer on a limit, and Waits
-	// how often.
+	// ReplyWait is how long a request waits for another daemon's reply about a limit, and
+	// MaxReplyWaits how often.
 	ReplyWait     = 5 * time.Millisecond
 	MaxReplyWaits = 8
 )
 
-// Options are what a Keeper needs.
+// Options configures a Limiter.
 type Options struct {
 	Me    gossip.Peer
-	Clock func() time.Duration // runs on while the machine is suspended
+	Clock func() time.Duration // advances while the machine is suspended
 	Rand  *rand.Rand           // seeded
 	Scope tally.Scope
 	Log   *logging.Logger
-	// Send sends a message to another daemon and does not wait for its way.
+	// Send sends a message to another daemon without waiting for delivery.
 	Send func(to string, data []byte)
-	// LimitsChanged takes the endpoints that have a limit; nil: nobody asks. It must not call
-	// back.
+	// LimitsChanged is called with the endpoints that have a limit; nil: not called. It
+	// must not call back.
 	LimitsChanged func(limited map[fleet.EndpointID]bool)
 }
 
-// Limiter keeps all daemons' requests to an endpoint within the limit that it names. It
-// is safe for concurrent use.
+// Limiter keeps the requests of all daemons to an endpoint within the limit that the
+// endpoint reports. It is safe for concurrent use.
 type Limiter struct {
 	o Options
 
-	passed, taken tally.Counter
+	passedOver, taken tally.Counter
 
-	mu    sync.Mutex
-	table *limits.Table
-	quota *quota.Node
-	keys  map[fleet.EndpointID]quota.Key // of endpoints with a limit
-	asked map[quota.Key]bool             // another daemon's answer is waited for
-	left  []quota.Key                    // taken by that answer, for requests that went elsewhere
+	mu       sync.Mutex
+	table    *limits.Table
+	quota    *quota.Node
+	keys     map[fleet.EndpointID]quota.Key // of endpoints with a limit
+	awaiting map[quota.Key]bool             // another daemon's reply is pending
+	unused   []quota.Key                    // admitted by late replies, after the requests went elsewhere
 }
 
-// New returns a Keeper that knows no limits.
+// New returns a Limiter without limits.
 func New(o Options) *Limiter {
 	draw := func() *rand.Rand { return rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())) }
 	return &Limiter{
-		o: o, passed: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
+		o: o, passedOver: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
 		table: limits.NewTable(limits.Options{Me: o.Me, Rand: draw()}),
 		quota: quota.NewNode(quota.Options{
 			Me: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
 			Nonce: o.Rand.Uint64(), Rand: draw(),
 		}),
-		keys: map[fleet.EndpointID]quota.Key{}, asked: map[quota.Key]bool{},
+		keys: map[fleet.EndpointID]quota.Key{}, awaiting: map[quota.Key]bool{},
 	}
 }
 
-// Run does what is due with time alone until the context ends.
-func (k *Limiter) Run(ctx context.Context) {
-	var told time.Duration // when the table was last asked what to pass on
-	for pause.Tick(ctx, k.period()) == nil {
-		k.mu.Lock()
-		now := k.o.Clock()
-		if now-told >= gossip.Tick-tick/2 {
-			told = now
-			k.table.Tick(now)
+// Run performs periodic work until the context ends.
+func (l *Limiter) Run(ctx context.Context) {
+	var lastTick time.Duration // time of the table's last tick
+	for pause.Tick(ctx, l.period()) == nil {
+		l.mu.Lock()
+		now := l.o.Clock()
+		if now-lastTick >= gossip.Tick-replyTick/2 {
+			lastTick = now
+			l.table.Tick(now)
 		}
-		if len(k.keys) > 0 {
-			k.quota.Tick(now)
+		if len(l.keys) > 0 {
+			l.quota.Tick(now)
 		}
-		k.post()
-		k.mu.Unlock()
+		l.flush()
+		l.mu.Unlock()
 	}
 }
 
-// period is the time to the next tick. Answers are waited for only while limits are
+// period returns the time to the next tick. Replies are pending only while limits are
 // known.
-func (k *Limiter) period() time.Duration {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(k.keys)+len(k.asked) > 0 {
-		return tick
+func (l *Limiter) period() time.Duration {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if len(l.keys)+len(l.awaiting) > 0 {
+		return replyTick
 	}
 	return gossip.Tick
 }
 
-// Receive takes a message of another daemon. It returns false for other messages.
-func (k *Limiter) Receive(from string, data []byte) bool {
-	if len(data) == 0 || !limits.Owns(data) && data[0] != kindLimitQuota {
+// Receive handles a message of another daemon. It returns false for messages of other
+// kinds.
+func (l *Limiter) Receive(from string, data []byte) bool {
+	if len(data) == 0 || !limits.Owns(data) && data[0] != messageKind {
 		return false
 	}
 	var err error
-	k.mu.Lock()
+	l.mu.Lock()
 	if limits.Owns(data) {
-		err = k.table.Receive(k.o.Clock(), data)
+		err = l.table.Receive(l.o.Clock(), data)
 	} else {
-		err = k.quota.Receive(k.o.Clock(), from, data[1:])
+		err = l.quota.Receive(l.o.Clock(), from, data[1:])
 	}
-	k.post()
-	k.mu.Unlock()
+	l.flush()
+	l.mu.Unlock()
 	if err != nil {
-		k.o.Log.Info("Message is no daemon's.", "from", from, "error", err.Error())
+		l.o.Log.Info("Invalid message from another daemon.", "from", from, "error", err.Error())
 	}
 	return true
 }
 
-// post puts changes into force and sends what there is to send. Call it with mu held.
-func (k *Limiter) post() {
-	if changes := k.table.Changes(); len(changes) > 0 {
-		k.apply()
+// flush applies changes of limits and sends all queued messages. The caller holds mu.
+func (l *Limiter) flush() {
+	if changes := l.table.Changes(); len(changes) > 0 {
+		l.applyLimits()
 		for i := range changes {
-			k.note(&changes[i])
+			l.logChange(&changes[i])
 		}
 	}
-	for _, key := range k.left {
-		k.quota.GiveBack(key, -1)
+	for _, key := range l.unused {
+		l.quota.GiveBack(key, -1)
 	}
-	k.left = k.left[:0]
-	for _, d := range k.table.Outbox() {
-		k.o.Send(d.To, d.Data)
+	l.unused = l.unused[:0]
+	for _, d := range l.table.Outbox() {
+		l.o.Send(d.To, d.Data)
 	}
-	for _, d := range k.quota.Outbox() {
-		k.o.Send(d.To, append([]byte{kindLimitQuota}, d.Data...))
+	for _, d := range l.quota.Outbox() {
+		l.o.Send(d.To, append([]byte{messageKind}, d.Data...))
 	}
 }
 
-// apply puts the limits that are known into force.
-func (k *Limiter) apply() {
-	k.quota.SetLimits(k.o.Clock(), k.table.Limits())
-	clear(k.keys)
+// applyLimits applies the known limits.
+func (l *Limiter) applyLimits() {
+	l.quota.SetLimits(l.o.Clock(), l.table.Limits())
+	clear(l.keys)
 	limited := map[fleet.EndpointID]bool{}
-	for _, e := range k.table.Limited() {
-		k.keys[e] = limits.KeyOf(e)
+	for _, e := range l.table.Limited() {
+		l.keys[e] = limits.KeyOf(e)
 		limited[e] = true
 	}
-	if k.o.LimitsChanged != nil {
-		k.o.LimitsChanged(limited)
+	if l.o.LimitsChanged != nil {
+		l.o.LimitsChanged(limited)
 	}
 }
 
-func (k *Limiter) note(c *limits.Change) {
+func (l *Limiter) logChange(c *limits.Change) {
 	fields := []any{"endpoint", string(c.Endpoint), "from_peer", c.FromPeer, "age_ms", c.Age.Milliseconds()}
 	if c.Limit == nil {
-		k.o.Log.Info("Endpoint names no limit any more.", fields...)
+		l.o.Log.Info("Endpoint no longer reports a limit.", fields...)
 		return
 	}
-	k.o.Log.Info("Endpoint names a limit.", append(fields, "limit", *c.Limit)...)
+	l.o.Log.Info("Endpoint reports a limit.", append(fields, "limit", *c.Limit)...)
 }
 
-// SetDaemons takes the list of all daemons.
-func (k *Limiter) SetDaemons(all []gossip.Peer) {
+// SetDaemons sets the list of all daemons.
+func (l *Limiter) SetDaemons(all []gossip.Peer) {
 	var daemons []quota.Daemon
 	for _, d := range all {
 		if d.Address != "" {
 			daemons = append(daemons, quota.Daemon{Name: d.Name, Address: d.Address})
 		}
 	}
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.table.SetPeers(all)
-	k.quota.SetDaemons(daemons)
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.table.SetPeers(all)
+	l.quota.SetDaemons(daemons)
 }
 
-// Leave has other daemons turn elsewhere at once.
-func (k *Limiter) Leave() {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.quota.Leave()
+// Leave stops lending to other daemons, so that they turn to another daemon at once.
+func (l *Limiter) Leave() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.quota.Leave()
 }
 
-// Answered takes the limit that an answer of the endpoint named; nil: none.
-func (k *Limiter) Answered(e fleet.EndpointID, limit *float64) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	k.table.Answered(k.o.Clock(), e, limit)
-	k.post()
+// Answered records the limit that an answer of the endpoint reported; nil: none.
+func (l *Limiter) Answered(e fleet.EndpointID, limit *float64) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.table.Answered(l.o.Clock(), e, limit)
+	l.flush()
 }
 
-// AtLimit lists the endpoints that are at their limits.
-func (k *Limiter) AtLimit() []fleet.EndpointID {
-	k.mu.Lock()
-	defer k.mu.Unlock()
+// AtLimit returns the endpoints that are at their limits, and those for which another
+// daemon's reply is pending.
+func (l *Limiter) AtLimit() []fleet.EndpointID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
 	var out []fleet.EndpointID
-	now := k.o.Clock()
-	for e, key := range k.keys {
-		if k.asked[key] || k.quota.Denied(now, key) {
+	now := l.o.Clock()
+	for e, key := range l.keys {
+		if l.awaiting[key] || l.quota.Denied(now, key) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-// Limited lists the endpoints that have a limit.
-func (k *Limiter) Limited() []fleet.EndpointID {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return slices.Collect(maps.Keys(k.keys))
+// Limited returns the endpoints that have a limit.
+func (l *Limiter) Limited() []fleet.EndpointID {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return slices.Collect(maps.Keys(l.keys))
 }
 
 // Acquire counts a request that is about to be sent to the endpoint. It returns false if
-// that has no room. It never waits: the answer of another daemon that comes later counts
-// for the next request.
-func (k *Limiter) Acquire(e fleet.EndpointID) bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	key, limited := k.keys[e]
+// the endpoint is at its limit or another daemon's reply is pending. It never waits: a
+// later reply counts for the next request.
+func (l *Limiter) Acquire(e fleet.EndpointID) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	key, limited := l.keys[e]
 	if !limited {
 		return true
 	}
-	if !k.asked[key] && k.admit(key) {
-		k.taken.Inc(1)
+	if !l.awaiting[key] && l.admit(key) {
+		l.taken.Inc(1)
 		return true
 	}
-	k.passed.Inc(1)
+	l.passedOver.Inc(1)
 	return false
 }
 
-// admit asks for one request. Call it with mu held.
-func (k *Limiter) admit(key quota.Key) bool {
+// admit requests the admission of one request. The caller holds mu.
+func (l *Limiter) admit(key quota.Key) bool {
 	admitted, decided, returned := false, false, false
-	v, now := k.quota.Admit(k.o.Clock(), key, -1, func(v quota.Verdict) {
-		if !returned { // this daemon lends itself
+	v, now := l.quota.Admit(l.o.Clock(), key, -1, func(v quota.Verdict) {
+		if !returned { // decided by this daemon itself
 			admitted, decided = v.Admitted, true
 			return
 		}
-		delete(k.asked, key)
+		delete(l.awaiting, key)
 		if v.Admitted {
-			k.left = append(k.left, key)
+			l.unused = append(l.unused, key)
 		}
 	})
 	returned = true
@@ -256,24 +259,24 @@
 		admitted, decided = v.Admitted, true
 	}
 	if !decided {
-		k.asked[key] = true
+		l.awaiting[key] = true
 	}
-	k.post()
+	l.flush()
 	return admitted
 }
 
-// AwaitingReply tells whether some daemon's answer on a limit is waited for.
-func (k *Limiter) AwaitingReply() bool {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return len(k.asked) > 0
+// AwaitingReply reports whether another daemon's reply about a limit is pending.
+func (l *Limiter) AwaitingReply() bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return len(l.awaiting) > 0
 }
 
-// Release returns what a request took that was not sent.
-func (k *Limiter) Release(e fleet.EndpointID) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if key, limited := k.keys[e]; limited {
-		k.quota.GiveBack(key, -1)
+// Release returns the admission of a request that was not sent.
+func (l *Limiter) Release(e fleet.EndpointID) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if key, limited := l.keys[e]; limited {
+		l.quota.GiveBack(key, -1)
 	}
 }
