--- a/retry/retry.go
+++ b/retry/retry.go
@@ -1,10 +1,9 @@
-// Package retry decides what follows a failed attempt of a request: another
-// attempt, elsewhere and after a pause, or the final answer, at once.
+// Package retry decides what follows a failed attempt of a request: another attempt on
+// another endpoint after a delay, or the final answer at once.
 //
-// Only an attempt that is known not to have run, or a request that may run
-// twice, is repeated. The package does no I/O and reads no clock. Its objects
-// aren't safe for concurrent use; the shell guards a Budget by its own lock,
-// which is the last one taken.
+// An attempt is repeated only if it is known not to have run or the request may run twice.
+// The package does no I/O and reads no clock. Its types are not safe for concurrent use;
+// the caller guards a Budget by a lock of its own, which must be the last one acquired.
 package retry
 
 import (
@@ -15,30 +14,30 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Failure is how an attempt ended, as far as its effect is known.
+// Failure is the way an attempt ended, by what is known of its effect.
 type Failure uint8
 
-// The kinds of failure.
+// Kinds of failure.
 const (
-	// NotSent: no byte of the request left for the endpoint.
+	// NotSent: no byte of the request was sent to the endpoint.
 	NotSent Failure = iota
-	// NotRun: the endpoint itself said that it did no part of the request.
+	// NotRun: the endpoint itself reported that it ran no part of the request.
 	NotRun
-	// Unknown: bytes of the request left, and no answer tells what became of it.
+	// Unknown: bytes of the request were sent, and no answer shows whether it ran.
 	Unknown
 	// Broken: the answer began and ended without its end marker.
 	Broken
-	// Rejected: the endpoint gave a final answer that is an error of the
-	// caller's, such as a malformed body.
+	// Rejected: the endpoint gave a final answer that reports an error of the caller, such
+	// as a malformed body.
 	Rejected
-	// CallerLeft: nobody waits for the answer any more.
+	// CallerLeft: the caller no longer waits for the answer.
 	CallerLeft
 	failureCount
 )
 
 var failureNames = [failureCount]string{"not_sent", "not_run", "unknown", "broken", "rejected", "caller_left"}
 
-// String returns the name used in dumps and metrics.
+// String returns the failure's name in dumps and metrics.
 func (f Failure) String() string {
 	if f >= failureCount {
 		return "failure(?)"
@@ -46,21 +45,21 @@
 	return failureNames[f]
 }
 
-// Outcome is what a caller is told of a request without an answer.
+// Outcome is the reported effect of a request without an answer.
 type Outcome string
 
-// The outcomes of the callers' protocol. OutcomeNotRun is said only if it is
-// true of every attempt.
+// Outcomes in the callers' protocol. OutcomeNotRun is used only if it is true of every
+// attempt.
 const (
 	OutcomeNotRun  Outcome = "not_run"
 	OutcomeUnknown Outcome = "unknown"
 	OutcomeRefused Outcome = "refused"
 )
 
-// Code tells why a request was given up. Codes are stable.
+// Code is the reason why a request was given up. Codes are stable.
 type Code string
 
-// The codes.
+// Reasons for giving up.
 const (
 	CodeDeadline      Code = "deadline_exceeded"
 	CodeNoBudget      Code = "retry_budget_exhausted"
@@ -71,72 +70,71 @@
 	CodeCallerLeft    Code = "caller_left"
 )
 
-// Bounds and times.
+// Bounds and durations.
 const (
 	// MaxAttempts bounds the attempts of one request, the first one included.
 	MaxAttempts = 4
 
-	baseBackoff   = 25 * time.Millisecond
-	maxBackoff    = time.Second
-	minAttempt    = 50 * time.Millisecond // less than this before the deadline is no use
-	minRetryAfter = time.Second
-	maxRetryAfter = time.Minute
+	baseBackoff    = 25 * time.Millisecond
+	maxBackoff     = time.Second
+	minAttemptTime = 50 * time.Millisecond // an attempt with less time before the deadline is pointless
+	minRetryAfter  = time.Second
+	maxRetryAfter  = time.Minute
 )
 
-// Request is one request over all its attempts. The shell makes one for each
-// and changes only the exported fields.
+// Request is the state of one request over all its attempts. The caller of this package
+// creates one for each request and changes only the exported fields.
 type Request struct {
-	// Idempotent requests may run twice: model requests without an effect, and
-	// calls that the manifest says may be repeated.
+	// Idempotent requests may run twice: model requests without side effects, and calls
+	// that the manifest marks as repeatable.
 	Idempotent bool
-	// Resumable streams can go on elsewhere from what was delivered.
+	// Resumable streams can continue on another endpoint after the delivered part.
 	Resumable bool
-	Deadline  time.Time // the caller's; zero means none
-	Delivered int       // tokens or bytes that the caller has
-	// MaxEndpoints bounds the endpoints that the request reaches; 0: MaxAttempts. One
-	// that could not be reached does not count, nor does it cost of the budget.
+	Deadline  time.Time // the caller's; zero: none
+	Delivered int       // tokens or bytes that the caller has received
+	// MaxEndpoints bounds the endpoints that the request reaches; 0: MaxAttempts. With a
+	// bound, endpoints that could not be reached do not count and use no budget.
 	MaxEndpoints int
 
-	sent       int
+	reached    int
 	attempts   int
 	mayHaveRun bool
 	excluded   [MaxAttempts]fleet.EndpointID
 }
 
-// RestoreRequest returns a request of which some attempts have failed before, for a
-// shell that keeps count of them itself. The attempt to decide on isn't among
-// them.
+// RestoreRequest returns a request with the given number of failed attempts, for a caller
+// that counts them itself. The attempt to decide on must not be included.
 func RestoreRequest(r Request, failed int, mayHaveRun bool) Request {
 	r.attempts = min(max(failed, 0), MaxAttempts)
 	r.mayHaveRun = mayHaveRun
 	return r
 }
 
-func (r *Request) count(e fleet.EndpointID) {
+func (r *Request) exclude(e fleet.EndpointID) {
 	if r.attempts < MaxAttempts {
 		r.excluded[r.attempts] = e
 		r.attempts++
 	}
 }
 
-// Excluded lists the endpoints that attempts failed at. The next attempt goes
-// elsewhere if there is an elsewhere.
+// Excluded returns the endpoints at which attempts failed. The next attempt goes to another
+// endpoint if there is one.
 func (r *Request) Excluded() []fleet.EndpointID { return r.excluded[:r.attempts] }
 
-// Attempts is the number of failed attempts.
+// Attempts returns the number of failed attempts.
 func (r *Request) Attempts() int { return r.attempts }
 
-// FailedAttempt is one that failed.
+// FailedAttempt describes an attempt that failed.
 type FailedAttempt struct {
 	Endpoint   fleet.EndpointID
 	Failure    Failure
-	RetryAfter time.Duration // the endpoint's wish, zero if it had none
+	RetryAfter time.Duration // requested by the endpoint; zero: none
 }
 
-// Decision follows an attempt. A retry comes After a pause, and not at the
-// excluded endpoints; a resumed one begins behind the token ResumeFrom.
-// Otherwise Code and Outcome are the final answer, to be given at once, and
-// RetryAfter tells the caller when to ask again.
+// Decision is the result of Decide. With Retry, the next attempt follows after Delay, not
+// at the excluded endpoints; a resumed stream continues after the token ResumeFrom.
+// Otherwise Code and Outcome are the final answer, to be given at once, and RetryAfter is
+// the time after which the caller may send the request again.
 type Decision struct {
 	Retry      bool
 	Delay      time.Duration
@@ -147,15 +145,15 @@
 	RetryAfter time.Duration
 }
 
-// Decide takes a failed attempt of the request. Randomness spreads the pauses,
-// so that the requests that one crash has broken don't come back together.
+// Decide decides what follows a failed attempt of the request. Delays are random, so that
+// requests that failed in the same crash are not all repeated at the same time.
 func Decide(now time.Time, r *Request, a FailedAttempt, budget *Budget, rng *rand.Rand) Decision {
 	if a.Failure == Unknown || a.Failure == Broken {
 		r.mayHaveRun = true
 	}
-	r.count(a.Endpoint)
+	r.exclude(a.Endpoint)
 	if a.Failure != NotSent {
-		r.sent++
+		r.reached++
 	}
 	switch a.Failure {
 	case CallerLeft:
@@ -164,23 +162,23 @@
 		return Decision{Code: CodeRejected, Outcome: OutcomeRefused}
 	case NotSent, NotRun, Unknown, Broken:
 	}
-	if code := r.notRepeatable(a.Failure); code != "" {
+	if code := r.notRepeatableCode(a.Failure); code != "" {
 		return r.giveUp(now, code, a, budget)
 	}
-	if r.attempts >= MaxAttempts || (r.MaxEndpoints > 0 && r.sent >= r.MaxEndpoints) {
+	if r.attempts >= MaxAttempts || (r.MaxEndpoints > 0 && r.reached >= r.MaxEndpoints) {
 		return r.giveUp(now, CodeAttempts, a, budget)
 	}
 	after := r.backoff(a, rng)
-	if r.tooLate(now.Add(after + minAttempt)) {
+	if r.pastDeadline(now.Add(after + minAttemptTime)) {
 		return r.giveUp(now, CodeDeadline, a, budget)
 	}
-	if !r.spend(now, a.Failure, budget) {
+	if !r.spendBudget(now, a.Failure, budget) {
 		return r.giveUp(now, CodeNoBudget, a, budget)
 	}
 	return Decision{Retry: true, Delay: after, ResumeFrom: r.Delivered}
 }
 
-func (r *Request) spend(now time.Time, f Failure, budget *Budget) bool {
+func (r *Request) spendBudget(now time.Time, f Failure, budget *Budget) bool {
 	if f == NotSent && r.MaxEndpoints > 0 {
 		return true
 	}
@@ -190,11 +188,11 @@
 	return budget.Spend(now)
 }
 
-// notRepeatable is the code of a request that must not be sent again, or "". A
-// booking that was sent twice sends two families to one inspection hour; it
-// would be noticed only there. So one attempt that may have run ends a request
-// that isn't idempotent, whatever came before it.
-func (r *Request) notRepeatable(f Failure) Code {
+// notRepeatableCode returns the code for a request that must not be sent again, or "". A
+// booking that is sent twice assigns two families to one appointment, which would only be
+// noticed there. So a single attempt that may have run ends a request that is not
+// idempotent, whatever preceded it.
+func (r *Request) notRepeatableCode(f Failure) Code {
 	switch f {
 	case NotSent, NotRun:
 		return ""
@@ -210,8 +208,9 @@
 	return ""
 }
 
-// backoff is short for the first retry, which goes elsewhere and costs the
-// caller its first token, and grows with full jitter after it.
+// backoff returns the delay before the next attempt. It is short for the first retry, which
+// goes to another endpoint and delays the caller's first token, and grows with full jitter
+// after that.
 func (r *Request) backoff(a FailedAttempt, rng *rand.Rand) time.Duration {
 	ceiling := min(baseBackoff<<(r.attempts-1), maxBackoff)
 	pause := time.Duration(rng.Float64() * float64(ceiling))
@@ -221,13 +220,12 @@
 	return pause
 }
 
-func (r *Request) tooLate(at time.Time) bool {
+func (r *Request) pastDeadline(at time.Time) bool {
 	return !r.Deadline.IsZero() && at.After(r.Deadline)
 }
 
-// giveUp is the final answer. The time to come back is no earlier than the
-// budget allows the next retry, and grows as retries fail, as many callers are
-// told to come back at such a time.
+// giveUp returns the final answer. Its RetryAfter is no earlier than the budget allows the
+// next retry and grows as retries fail, since many callers get the same advice.
 func (r *Request) giveUp(now time.Time, code Code, a FailedAttempt, budget *Budget) Decision {
 	d := Decision{Code: code, Outcome: OutcomeNotRun}
 	if r.mayHaveRun {
@@ -241,5 +239,5 @@
 	return d
 }
 
-// MayHaveRun tells whether some attempt may have run the request.
+// MayHaveRun reports whether some attempt may have run the request.
 func (r *Request) MayHaveRun() bool { return r.mayHaveRun }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -12,8 +12,7 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict.
+// TestMain fixes the seed of the property tests, so that each run gives the same result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260301")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -22,7 +21,7 @@
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-func source() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 2)) }
 
 func TestDecide(t *testing.T) {
 	soon := epoch.Add(20 * time.Millisecond)
@@ -45,9 +44,9 @@
 		"broken before first token": {Request{Idempotent: true}, Broken, Decision{Retry: true}},
 	} {
 		r := c.request
-		got := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: c.failure}, NewBudget(BudgetOptions{}), source())
+		got := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: c.failure}, NewBudget(BudgetOptions{}), newRand())
 		if got.Delay > baseBackoff {
-			t.Errorf("%s: pause of %v", name, got.Delay)
+			t.Errorf("%s: delay of %v", name, got.Delay)
 		}
 		got.Delay = 0
 		if got != c.want {
@@ -56,9 +55,9 @@
 	}
 }
 
-// An attempt may have run, and a later one surely didn't. The caller who is
-// told "not run" would send the booking again under another key.
-func TestNotRunIsSaidOfAllAttempts(t *testing.T) {
+// One attempt may have run, and a later one certainly did not. A caller that got "not run"
+// would send the booking again under another key.
+func TestOutcomeNotRunHoldsForAllAttempts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{Idempotent: rapid.Bool().Draw(t, "idempotent"), Resumable: true}
 		budget := NewBudget(BudgetOptions{Burst: 100})
@@ -72,7 +71,7 @@
 			mayHaveRun = mayHaveRun || f == Unknown || f == Broken
 			e := fleet.EndpointID(rune('a' + i))
 			sent[e] = true
-			d := Decide(epoch, &r, FailedAttempt{Endpoint: e, Failure: f}, budget, source())
+			d := Decide(epoch, &r, FailedAttempt{Endpoint: e, Failure: f}, budget, newRand())
 			if d.Retry {
 				if len(r.Excluded()) != len(sent) {
 					t.Fatalf("excluded %v of %v", r.Excluded(), sent)
@@ -81,7 +80,7 @@
 			}
 			ended = true
 			if (d.Outcome == OutcomeNotRun) == mayHaveRun {
-				t.Fatalf("told %q, may have run: %v", d.Outcome, mayHaveRun)
+				t.Fatalf("outcome %q, may have run: %v", d.Outcome, mayHaveRun)
 			}
 			break
 		}
@@ -91,9 +90,9 @@
 	})
 }
 
-// Retries never exceed the fraction of the requests, the floor, the burst and
-// the debt for resumed streams.
-func TestBudgetHolds(t *testing.T) {
+// Retries never exceed the fraction of the requests, the floor, the burst and the debt for
+// resumed streams.
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := NewBudget(BudgetOptions{})
 		b.TimeToNext(epoch)
@@ -118,23 +117,23 @@
 	})
 }
 
-// A rack fails and breaks a thousand requests in one instant, each of which
-// would be sent again. The endpoints that are left would get twice their load
-// and fail too. The callers that are given up learn it at once.
-func TestHerdOfRetries(t *testing.T) {
+// A rack fails and breaks a thousand requests at once. If all were sent again, the
+// remaining endpoints would get twice their load and fail too. Callers whose requests are
+// given up must get the answer at once.
+func TestBudgetBoundsSimultaneousRetries(t *testing.T) {
 	budget := NewBudget(BudgetOptions{})
 	for range 100 {
 		budget.RecordRequest(epoch)
 	}
-	rng := source()
+	rng := newRand()
 	retried := 0
-	pauses := map[time.Duration]bool{}
+	delays := map[time.Duration]bool{}
 	for range 1000 {
 		r := Request{Idempotent: true, Deadline: epoch.Add(time.Minute)}
 		d := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: Unknown}, budget, rng)
 		if d.Retry {
 			retried++
-			pauses[d.Delay] = true
+			delays[d.Delay] = true
 		} else if d.Code != CodeNoBudget || d.RetryAfter < time.Second {
 			t.Fatalf("final answer %+v", d)
 		}
@@ -142,21 +141,21 @@
 	if retried > DefaultBurst {
 		t.Errorf("%d retries at once", retried)
 	}
-	if len(pauses) < retried/2 {
-		t.Errorf("%d retries have only %d different pauses", retried, len(pauses))
+	if len(delays) < retried/2 {
+		t.Errorf("%d retries have only %d different delays", retried, len(delays))
 	}
 }
 
-// A zone fails and breaks streams in the middle just after other retries have
-// used the budget up. Callers would see their answers cut.
-func TestStreamsAreResumedOnDebt(t *testing.T) {
+// A zone fails and breaks streams midway, just after other retries have used up the budget.
+// Without debt the answers would be truncated.
+func TestResumedStreamsUseDebt(t *testing.T) {
 	budget := NewBudget(BudgetOptions{})
 	for budget.Spend(epoch) {
 	}
 	resumed := 0
 	for range 100 {
 		r := Request{Idempotent: true, Resumable: true, Delivered: 3}
-		if Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: Broken}, budget, source()).Retry {
+		if Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: Broken}, budget, newRand()).Retry {
 			resumed++
 		}
 	}
@@ -164,16 +163,16 @@
 		t.Errorf("%d streams are resumed, want %d", resumed, DefaultDebt)
 	}
 	if budget.Spend(epoch.Add((DefaultDebt - 1) * time.Second)) {
-		t.Error("a fresh retry comes before the debt is paid")
+		t.Error("a retry is allowed before the debt is repaid")
 	}
 }
 
-// A shell that keeps the count of attempts itself hands it back each time; the
+// A caller of this package that counts attempts itself passes the count each time; the
 // bound on attempts must hold there too.
-func TestResumeKeepsTheBound(t *testing.T) {
+func TestRestoreRequestKeepsAttemptBound(t *testing.T) {
 	for failed := range MaxAttempts + 2 {
 		r := RestoreRequest(Request{Idempotent: true}, failed, false)
-		d := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: NotSent}, NewBudget(BudgetOptions{}), source())
+		d := Decide(epoch, &r, FailedAttempt{Endpoint: "e1", Failure: NotSent}, NewBudget(BudgetOptions{}), newRand())
 		if want := failed+1 < MaxAttempts; d.Retry != want {
 			t.Errorf("after %d failures and one more: retry %v, want %v", failed, d.Retry, want)
 		}
--- a/retry/sent_test.go
+++ b/retry/sent_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// A route allows two endpoints. Connections that were refused have reached none
-// and do not count; those that were sent do.
-func TestOnlyWhatWasSentCountsAgainstTheRoute(t *testing.T) {
+// A route allows two endpoints. Refused connections have reached no endpoint and do not
+// count; requests that were sent do.
+func TestMaxEndpointsCountsOnlyReachedEndpoints(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	budget := NewBudget(BudgetOptions{Burst: 20})
@@ -17,16 +17,16 @@
 		t.Errorf("a refused connection ends the request: %+v", d)
 	}
 	if d := Decide(now, &r, FailedAttempt{Endpoint: "b", Failure: NotRun}, budget, rng); !d.Retry {
-		t.Errorf("the first endpoint ends it: %+v", d)
+		t.Errorf("the first reached endpoint ends the request: %+v", d)
 	}
 	if d := Decide(now, &r, FailedAttempt{Endpoint: "c", Failure: NotRun}, budget, rng); d.Retry || d.Code != CodeAttempts || d.Outcome != OutcomeNotRun {
 		t.Errorf("after two endpoints: %+v", d)
 	}
 }
 
-// Nobody listens anywhere. Connections that reach nobody load nobody, and must
-// not use up the retries that others need.
-func TestRefusedConnectionsCostNoRetry(t *testing.T) {
+// No endpoint accepts connections. Refused connections add no load, so they must not use up
+// the retries that other requests need.
+func TestRefusedConnectionsCostNoBudget(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	rng := rand.New(rand.NewPCG(1, 2))
 	budget := NewBudget(BudgetOptions{Burst: 4})
@@ -34,9 +34,9 @@
 	r := Request{MaxEndpoints: 1}
 	Decide(now, &r, FailedAttempt{Endpoint: "a", Failure: NotSent}, budget, rng)
 	if budget.Available() < before {
-		t.Errorf("%v of %v left", budget.Available(), before)
+		t.Errorf("%v of %v retries are left", budget.Available(), before)
 	}
 	if r.MayHaveRun() {
-		t.Error("may have run")
+		t.Error("MayHaveRun is set for a request that was not sent")
 	}
 }
