--- a/placement/announcements.go
+++ b/placement/announcements.go
@@ -48,7 +48,7 @@
 		if h := t.holderOf(ep); h != nil && v.probability(now, h) > coldThreshold {
 			continue
 		}
-		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, inFlight: true, confirmedAt: now})
+		t.addHolder(holder{endpoint: ep, generation: e.generation, eventGaps: e.eventGaps, inFlight: true, confirmedAt: now})
 		v.outbox.push(Announcement{
 			Key: l.Key, Endpoint: e.id, Incarnation: e.incarnation, Tokens: tokens, Priority: r.Priority, At: now,
 		})
@@ -89,7 +89,7 @@
 		if h := t.holderOf(ep); h != nil && h.generation == e.generation && !h.confirmedAt.Before(n.At) {
 			continue
 		}
-		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, inFlight: true, confirmedAt: n.At})
+		t.addHolder(holder{endpoint: ep, generation: e.generation, eventGaps: e.eventGaps, inFlight: true, confirmedAt: n.At})
 	}
 }
 
--- a/placement/cost.go
+++ b/placement/cost.go
@@ -24,7 +24,7 @@
 	exclusive      bool
 }
 
-func (v *View) costModel(now time.Time, r *Request, affinity *entry) costModel {
+func (v *View) costModel(now time.Time, r *Request, affinity *prefixEntry) costModel {
 	m := costModel{
 		id: r.ID, priority: r.Priority, tokens: float64(r.Tokens), preferred: 1, storedTokens: v.storedTokens(now, r),
 		locations: r.Locations, exclusive: r.Exclusive,
@@ -56,13 +56,13 @@
 // prepareTime returns the time in seconds until the candidate has the prompt's KV cache, by
 // the faster of prefill and fetch.
 func (m *costModel) prepareTime(v *View, e *endpoint, c *candidate) float64 {
-	reach := m.reusable(c)
-	if reach <= c.expectedCached || m.locations.FetchRate <= 0 {
+	reusable := m.reusable(c)
+	if reusable <= c.expectedCached || m.locations.FetchRate <= 0 {
 		t, _ := v.computeTime(e, m.tokens-c.expectedCached, m.storedTokens-c.expectedCached)
 		return t
 	}
-	fetch := v.o.ImportLatency.Seconds() + (reach-c.expectedCached)/m.locations.FetchRate
-	return min((m.tokens-c.expectedCached)/e.prefillRate, fetch+(m.tokens-reach)/e.prefillRate)
+	fetch := v.o.ImportLatency.Seconds() + (reusable-c.expectedCached)/m.locations.FetchRate
+	return min((m.tokens-c.expectedCached)/e.prefillRate, fetch+(m.tokens-reusable)/e.prefillRate)
 }
 
 // evaluate computes the candidate's cost in seconds.
@@ -115,24 +115,24 @@
 // nothing and assumes that the other daemons used the preferred endpoint. An endpoint that
 // lost its cache starts at 0 and approaches the full prior over time.
 func (v *View) prior(now time.Time, e *endpoint) float64 {
-	filled := 1.0
+	populated := 1.0
 	if !e.cacheLostAt.IsZero() {
-		filled -= math.Exp2(-max(0, now.Sub(e.cacheLostAt).Seconds()) / v.o.CacheHalfLife.Seconds())
+		populated -= math.Exp2(-max(0, now.Sub(e.cacheLostAt).Seconds()) / v.o.CacheHalfLife.Seconds())
 	}
 	if !e.followsEvents {
-		return v.o.PreferredPrior * filled
+		return v.o.PreferredPrior * populated
 	}
-	return v.o.PreferredPrior * filled * math.Exp2(-now.Sub(e.followedSince).Seconds()/priorHalfLife)
+	return v.o.PreferredPrior * populated * math.Exp2(-now.Sub(e.followedSince).Seconds()/priorHalfLife)
 }
 
-// unknownAge marks a load that was never reported.
+// unknownLoadAge marks a load that was never reported.
 const unknownLoadAge = -time.Millisecond
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // preferredFor returns the number of preferred endpoints among which the prefix is spread:
 // as many as its requests would keep busy, by prefill time or by batch slots.
-func (v *View) preferredFor(now time.Time, t *entry, r *Request) int32 {
+func (v *View) preferredFor(now time.Time, t *prefixEntry, r *Request) int32 {
 	suffix := r.Tokens - r.Levels[prefix.AffinityLevel(r.Levels)].Tokens
 	each := float64(suffix) / v.o.PrefillRate
 	if slots := v.endpoints[t.preferred[0]].load.Slots; slots > 0 {
@@ -209,8 +209,8 @@
 	}
 	at := e.loadAt
 	for urgent := range p + 1 {
-		if e.waits[urgent].at.After(at) {
-			at = e.waits[urgent].at
+		if e.waits[urgent].observedAt.After(at) {
+			at = e.waits[urgent].observedAt
 		}
 	}
 	if at.IsZero() {
--- a/placement/dump.go
+++ b/placement/dump.go
@@ -52,7 +52,7 @@
 			PendingTokens: e.pendingTokens(), PendingCount: e.pendingCount,
 			WaitMS:        v.wait(now, int32(i), contract.PriorityBatch) * 1000,
 			CacheLifeMS:   float64(e.idleHalfLife) / float64(time.Millisecond),
-			FollowsEvents: e.followsEvents, EventGaps: e.gaps,
+			FollowsEvents: e.followsEvents, EventGaps: e.eventGaps,
 		})
 	}
 	return d
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -44,7 +44,7 @@
 	idleHalfLife time.Duration
 
 	nextSeq          uint64    // of the cache events; 0: none seen
-	gaps             uint32    // incremented when events are lost
+	eventGaps        uint32    // incremented when events are lost
 	followsEvents    bool      // events of the present incarnation have been received
 	followedSince    time.Time // events received without a large gap since then
 	firstReservation int32     // oldest reservation that no load report covers
@@ -73,8 +73,8 @@
 
 // observedWait is the last wait observed at an endpoint.
 type observedWait struct {
-	wait time.Duration
-	at   time.Time
+	wait       time.Duration
+	observedAt time.Time
 }
 
 // pool is the set of endpoints that can serve one kind of request.
@@ -318,7 +318,7 @@
 	e.draining = l.Draining
 	for i := e.firstReservation; i != none; {
 		r := &v.reservations[i]
-		if r.placed.Add(v.delayTo(e)).After(l.At) {
+		if r.placedAt.Add(v.delayTo(e)).After(l.At) {
 			return
 		}
 		next := r.next
--- a/placement/imports.go
+++ b/placement/imports.go
@@ -38,16 +38,16 @@
 // wait for them would fall behind, and more prefixes would be missing elsewhere. A daemon
 // that keeps to its share avoids that without coordination.
 type importBudget struct {
-	rate   float64 // tokens/s
-	tokens float64 // available now; negative after a large import
-	at     time.Time
+	rate       float64 // tokens/s
+	tokens     float64 // available now; negative after a large import
+	refilledAt time.Time
 }
 
 // take reports whether an import is allowed, and charges it. It is refused while the budget
 // is negative from earlier imports.
 func (b *importBudget) take(now time.Time, tokens float64) bool {
-	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.at).Seconds())
-	b.at = now
+	b.tokens = min(b.rate, b.tokens+b.rate*now.Sub(b.refilledAt).Seconds())
+	b.refilledAt = now
 	if b.tokens < 0 {
 		return false
 	}
--- a/placement/place.go
+++ b/placement/place.go
@@ -118,7 +118,7 @@
 	if p == nil {
 		return Decision{}, ErrUnknownPool
 	}
-	var affinity *entry
+	var affinity *prefixEntry
 	if i := prefix.AffinityLevel(r.Levels); i >= 0 {
 		affinity = v.prefixes.touch(r.Levels[i].Key)
 		v.rankPreferred(affinity, p)
@@ -154,7 +154,7 @@
 //
 // Every daemon computes the same order without communication, and the removal of an
 // endpoint moves only the prefixes that it was preferred for.
-func (v *View) rankPreferred(t *entry, p *pool) {
+func (v *View) rankPreferred(t *prefixEntry, p *pool) {
 	if t.preferredEpoch == p.epoch {
 		return
 	}
@@ -188,11 +188,11 @@
 
 // collectCandidates lists the endpoints to compare: the preferred ones first, then all
 // others of a small pool, or holders and samples of a large one.
-func (v *View) collectCandidates(p *pool, affinity *entry, r *Request, gate Availability) {
+func (v *View) collectCandidates(p *pool, affinity *prefixEntry, r *Request, minAvailability Availability) {
 	v.scratch.begin()
 	if affinity != nil {
 		for _, ep := range affinity.preferred[:affinity.preferredCount] {
-			v.addCandidate(ep, r, gate)
+			v.addCandidate(ep, r, minAvailability)
 		}
 	}
 	for i := range v.scratch.candidates {
@@ -200,20 +200,20 @@
 	}
 	if len(p.members) <= fullScanLimit {
 		for _, ep := range p.members {
-			v.addCandidate(ep, r, gate)
+			v.addCandidate(ep, r, minAvailability)
 		}
 		return
 	}
-	v.collectHolders(p, r, gate)
-	v.collectReporting(p, r, gate)
+	v.collectHolders(p, r, minAvailability)
+	v.collectReporting(p, r, minAvailability)
 	for i := range uint64(sampleCount) {
 		at := mix(r.ID^i<<32) % uint64(len(p.members))
-		v.addCandidate(p.members[at], r, gate)
+		v.addCandidate(p.members[at], r, minAvailability)
 	}
 }
 
 // collectHolders adds endpoints that probably cache one of the levels, deepest level first.
-func (v *View) collectHolders(p *pool, r *Request, gate Availability) {
+func (v *View) collectHolders(p *pool, r *Request, minAvailability Availability) {
 	for i := len(r.Levels) - 1; i >= 0; i-- {
 		t := v.prefixes.find(r.Levels[i].Key)
 		if t == nil {
@@ -221,7 +221,7 @@
 		}
 		for _, h := range t.holders {
 			if v.endpoints[h.endpoint].generation == h.generation && v.inPool(p, h.endpoint) {
-				v.addCandidate(h.endpoint, r, gate)
+				v.addCandidate(h.endpoint, r, minAvailability)
 			}
 		}
 		if len(v.scratch.candidates) > fullScanLimit {
@@ -232,13 +232,13 @@
 
 // collectReporting adds the endpoints that reported the beginning of the prompt as cached.
 // The few samples of a large pool would miss them.
-func (v *View) collectReporting(p *pool, r *Request, gate Availability) {
+func (v *View) collectReporting(p *pool, r *Request, minAvailability Availability) {
 	if r.Locations == nil {
 		return
 	}
 	for _, id := range slices.Sorted(maps.Keys(r.Locations.Tokens)) {
 		if ep, known := v.byID[id]; known && v.inPool(p, ep) {
-			v.addCandidate(ep, r, gate)
+			v.addCandidate(ep, r, minAvailability)
 		}
 	}
 }
@@ -249,12 +249,12 @@
 	return ok
 }
 
-func (v *View) addCandidate(ep int32, r *Request, gate Availability) {
+func (v *View) addCandidate(ep int32, r *Request, minAvailability Availability) {
 	s, e := &v.scratch, &v.endpoints[ep]
 	if s.stamp[ep] == s.round || len(s.candidates) == maxCandidates {
 		return
 	}
-	if e.availability() > gate || slices.Contains(r.Avoid, e.id) {
+	if e.availability() > minAvailability || slices.Contains(r.Avoid, e.id) {
 		return
 	}
 	s.stamp[ep], s.slot[ep] = s.round, int32(len(s.candidates))
@@ -314,7 +314,7 @@
 }
 
 // choose returns the candidate with the lowest cost.
-func (v *View) choose(now time.Time, r *Request, affinity *entry, reason Reason) Decision {
+func (v *View) choose(now time.Time, r *Request, affinity *prefixEntry, reason Reason) Decision {
 	m := v.costModel(now, r, affinity)
 	if !r.Exclusive {
 		m.typicalWait = v.typicalWait(now, r.Priority)
@@ -362,7 +362,7 @@
 
 // alternate returns the first preferred endpoint of the prefix other than the given one, or
 // "" if there is none.
-func (v *View) alternate(affinity *entry, endpoint int32) fleet.EndpointID {
+func (v *View) alternate(affinity *prefixEntry, endpoint int32) fleet.EndpointID {
 	for _, h := range affinity.preferred[:affinity.preferredCount] {
 		if h != endpoint {
 			return v.endpoints[h].id
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -132,13 +132,13 @@
 // Decision is the chosen endpoint and the estimates behind the choice.
 type Decision struct {
 	Endpoint           fleet.EndpointID
-	Incarnation        fleet.Incarnation // incarnation whose cache the decision relies on; zero: none or unknown
-	ExpectedCached     int               // prompt tokens that probably need no prefill: cached there or fetched
+	Incarnation        fleet.Incarnation // whose cache the decision relies on; zero: none or unknown
+	ExpectedCached     int               // tokens that probably need no prefill: cached there or fetched
 	ExpectedWait       time.Duration     // in the endpoint's queue
 	ExpectedFirstToken time.Duration     // until the first token
 	LoadAge            time.Duration     // age of the last load report; negative: none was received
 	ImportFrom         fleet.EndpointID  // KV store to import from; empty: none
-	AlternateEndpoint  fleet.EndpointID  // another endpoint that probably caches the prefix: its first preferred one other than Endpoint
+	AlternateEndpoint  fleet.EndpointID  // first preferred endpoint other than Endpoint; empty: none
 	Reason             Reason
 }
 
--- a/placement/reservations.go
+++ b/placement/reservations.go
@@ -15,17 +15,17 @@
 // the request, and an expiry, and ends with the first of: a later load report, the answer,
 // the failure, the expiry.
 type reservation struct {
-	owner     uint64
-	endpoint  int32
-	tokens    int
-	priority  contract.Priority
-	placed    time.Time
-	first     time.Time // arrival of the answer's first token
-	expires   time.Time
-	covered   bool // by a load report or the answer
-	exclusive bool // ended only by its own answer, see Request.Exclusive
-	prev      int32
-	next      int32 // in the endpoint's list
+	owner        uint64
+	endpoint     int32
+	tokens       int
+	priority     contract.Priority
+	placedAt     time.Time
+	firstTokenAt time.Time // arrival of the answer's first token
+	expiresAt    time.Time
+	covered      bool // by a load report or the answer
+	exclusive    bool // ended only by its own answer, see Request.Exclusive
+	prev         int32
+	next         int32 // in the endpoint's list
 }
 
 // expiriesPerReservation bounds the expiry queue, which also holds entries of requests that
@@ -42,15 +42,15 @@
 	}
 	i := v.freeReservation()
 	v.reservations[i] = reservation{
-		owner: owner, endpoint: ep, tokens: tokens, priority: r.Priority, placed: now,
-		expires: now.Add(v.o.ReservationTTL), prev: none, next: none, exclusive: r.Exclusive,
+		owner: owner, endpoint: ep, tokens: tokens, priority: r.Priority, placedAt: now,
+		expiresAt: now.Add(v.o.ReservationTTL), prev: none, next: none, exclusive: r.Exclusive,
 	}
 	v.byOwner[owner] = i
 	if v.expiries.size >= expiriesPerReservation*v.o.MaxReservations {
 		a, _ := v.expiries.pop()
 		v.releaseExpired(a)
 	}
-	v.expiries.push(expiry{owner: owner, expires: v.reservations[i].expires})
+	v.expiries.push(expiry{owner: owner, at: v.reservations[i].expiresAt})
 	e := &v.endpoints[ep]
 	v.reservations[i].prev = e.lastReservation
 	if e.lastReservation == none {
@@ -132,7 +132,7 @@
 // again since.
 func (v *View) releaseExpired(a expiry) bool {
 	i, ok := v.byOwner[a.owner]
-	if !ok || !v.reservations[i].expires.Equal(a.expires) {
+	if !ok || !v.reservations[i].expiresAt.Equal(a.at) {
 		return false
 	}
 	v.release(i)
@@ -152,7 +152,7 @@
 func (v *View) Expire(now time.Time) {
 	for {
 		a, ok := v.expiries.peek()
-		if !ok || a.expires.After(now) {
+		if !ok || a.at.After(now) {
 			return
 		}
 		v.expiries.pop()
@@ -163,8 +163,8 @@
 // expiry is the expiry of one reservation. All reservations have the same lifetime, so the
 // queue is in order of expiry.
 type expiry struct {
-	owner   uint64
-	expires time.Time
+	owner uint64
+	at    time.Time
 }
 
 // expiryQueue is a ring buffer that grows and keeps its memory.
--- a/placement/table.go
+++ b/placement/table.go
@@ -15,14 +15,14 @@
 type holder struct {
 	endpoint    int32
 	generation  uint32 // the endpoint's generation at that time
-	gaps        uint32 // the endpoint's gap count at that time
+	eventGaps   uint32 // the endpoint's gap count at that time
 	fromEvent   bool   // reported by a cache event
 	inFlight    bool   // sent there, and not confirmed by an answer or event
 	confirmedAt time.Time
 }
 
-// entry is the state of one prefix.
-type entry struct {
+// prefixEntry is the state of one prefix.
+type prefixEntry struct {
 	key     prefix.Key
 	newer   int32
 	older   int32
@@ -38,20 +38,20 @@
 	storedAt time.Time // when an endpoint last computed it, for the KV store
 }
 
-// table holds a bounded number of prefixes and evicts the least recently used one.
-type table struct {
+// prefixTable holds a bounded number of prefixes and evicts the least recently used one.
+type prefixTable struct {
 	max     int
 	index   map[prefix.Key]int32
-	entries []entry
+	entries []prefixEntry
 	newest  int32
 	oldest  int32
 }
 
-func newTable(limit int) table {
-	return table{max: limit, index: map[prefix.Key]int32{}, newest: none, oldest: none}
+func newPrefixTable(limit int) prefixTable {
+	return prefixTable{max: limit, index: map[prefix.Key]int32{}, newest: none, oldest: none}
 }
 
-func (t *table) find(k prefix.Key) *entry {
+func (t *prefixTable) find(k prefix.Key) *prefixEntry {
 	i, ok := t.index[k]
 	if !ok {
 		return nil
@@ -60,23 +60,23 @@
 }
 
 // touch returns the key's entry as the newest, and creates it if it is missing.
-func (t *table) touch(k prefix.Key) *entry {
+func (t *prefixTable) touch(k prefix.Key) *prefixEntry {
 	i, ok := t.index[k]
 	if ok {
 		t.unlink(i)
 	} else {
 		i = t.slot()
 		e := &t.entries[i]
-		*e = entry{key: k, holders: e.holders[:0]}
+		*e = prefixEntry{key: k, holders: e.holders[:0]}
 		t.index[k] = i
 	}
 	t.pushNewest(i)
 	return &t.entries[i]
 }
 
-func (t *table) slot() int32 {
+func (t *prefixTable) slot() int32 {
 	if len(t.entries) < t.max {
-		t.entries = append(t.entries, entry{})
+		t.entries = append(t.entries, prefixEntry{})
 		return int32(len(t.entries) - 1)
 	}
 	i := t.oldest
@@ -85,7 +85,7 @@
 	return i
 }
 
-func (t *table) unlink(i int32) {
+func (t *prefixTable) unlink(i int32) {
 	e := &t.entries[i]
 	if e.newer == none {
 		t.newest = e.older
@@ -99,7 +99,7 @@
 	}
 }
 
-func (t *table) pushNewest(i int32) {
+func (t *prefixTable) pushNewest(i int32) {
 	e := &t.entries[i]
 	e.newer, e.older = none, t.newest
 	if t.newest == none {
@@ -111,13 +111,13 @@
 }
 
 // countRequest adds one request to the rate and returns the rate, in requests/s.
-func (e *entry) countRequest(now time.Time) float64 {
+func (e *prefixEntry) countRequest(now time.Time) float64 {
 	e.requestRate = e.rateAt(now) + math.Ln2/rateHalfLife.Seconds()
 	e.rateUpdatedAt = now
 	return e.requestRate
 }
 
-func (e *entry) rateAt(now time.Time) float64 {
+func (e *prefixEntry) rateAt(now time.Time) float64 {
 	if e.requestRate == 0 {
 		return 0
 	}
@@ -126,7 +126,7 @@
 
 // addHolder records that the endpoint caches the prefix. In a full list it replaces the
 // holder whose confirmation is oldest.
-func (e *entry) addHolder(h holder) {
+func (e *prefixEntry) addHolder(h holder) {
 	oldest := 0
 	for i := range e.holders {
 		if e.holders[i].endpoint == h.endpoint {
@@ -144,7 +144,7 @@
 	e.holders[oldest] = h
 }
 
-func (e *entry) holderOf(ep int32) *holder {
+func (e *prefixEntry) holderOf(ep int32) *holder {
 	for i := range e.holders {
 		if e.holders[i].endpoint == ep {
 			return &e.holders[i]
@@ -155,7 +155,7 @@
 
 // dropHolder removes the endpoint's holder record, unless it was confirmed after the given
 // time.
-func (e *entry) dropHolder(ep int32, at time.Time) {
+func (e *prefixEntry) dropHolder(ep int32, at time.Time) {
 	for i := range e.holders {
 		h := e.holders[i]
 		if h.endpoint != ep {
@@ -168,7 +168,7 @@
 	}
 }
 
-func (e *entry) removeHolder(i int) {
+func (e *prefixEntry) removeHolder(i int) {
 	last := len(e.holders) - 1
 	e.holders[i] = e.holders[last]
 	e.holders = e.holders[:last]
--- a/placement/view.go
+++ b/placement/view.go
@@ -21,7 +21,7 @@
 	lastGeneration uint32 // last cache generation assigned
 	lastEpoch      uint32 // last pool epoch assigned
 
-	prefixes table
+	prefixes prefixTable
 
 	reservations     []reservation
 	freeReservations []int32
@@ -42,7 +42,7 @@
 		o:           o,
 		byID:        map[fleet.EndpointID]int32{},
 		pools:       map[string]*pool{},
-		prefixes:    newTable(o.MaxPrefixes),
+		prefixes:    newPrefixTable(o.MaxPrefixes),
 		byOwner:     map[uint64]int32{},
 		serviceTime: DefaultServiceTime.Seconds(),
 	}
@@ -68,7 +68,7 @@
 func (v *View) Answered(now time.Time, a Answer) {
 	i, owned := v.byOwner[a.ID]
 	if owned {
-		v.reservations[i].first = now
+		v.reservations[i].firstTokenAt = now
 	}
 	e := v.endpointOf(a.Endpoint)
 	if e == nil || !v.accept(e, a.Incarnation, now) {
@@ -96,7 +96,7 @@
 	}
 	if answered || wait > v.decayedWait(now, e, p) {
 		e.ownReport()
-		e.waits[p] = observedWait{wait: max(wait, 0), at: now}
+		e.waits[p] = observedWait{wait: max(wait, 0), observedAt: now}
 	}
 }
 
@@ -107,7 +107,7 @@
 	longest := time.Duration(0)
 	for urgent := range p + 1 {
 		if w := e.waits[urgent]; w.wait > 0 && v.o.QueueHalfLife > 0 {
-			left := float64(w.wait) * math.Exp2(-now.Sub(w.at).Seconds()/v.o.QueueHalfLife.Seconds())
+			left := float64(w.wait) * math.Exp2(-now.Sub(w.observedAt).Seconds()/v.o.QueueHalfLife.Seconds())
 			longest = max(longest, time.Duration(left))
 		}
 	}
@@ -138,7 +138,7 @@
 // long entries last there.
 func (v *View) recordCached(now time.Time, e *endpoint, a Answer) {
 	ep := v.byID[a.Endpoint]
-	h := holder{endpoint: ep, generation: e.generation, gaps: e.gaps, confirmedAt: now}
+	h := holder{endpoint: ep, generation: e.generation, eventGaps: e.eventGaps, confirmedAt: now}
 	for i := range sharedCount(a.Levels) {
 		l := &a.Levels[i]
 		t := v.prefixes.touch(l.Key)
@@ -158,7 +158,7 @@
 
 // updateHalfLife adjusts the endpoint's half-life by whether the answer confirmed a
 // recorded holder.
-func (v *View) updateHalfLife(now time.Time, e *endpoint, t *entry, ep int32, hit bool) {
+func (v *View) updateHalfLife(now time.Time, e *endpoint, t *prefixEntry, ep int32, hit bool) {
 	for _, h := range t.holders {
 		if h.endpoint != ep || h.generation != e.generation {
 			continue
@@ -180,7 +180,7 @@
 	if !ok {
 		return
 	}
-	if first := v.reservations[i].first; !first.IsZero() {
+	if first := v.reservations[i].firstTokenAt; !first.IsZero() {
 		v.serviceTime += smoothingGain * (now.Sub(first).Seconds() - v.serviceTime)
 	}
 	v.release(i)
@@ -211,7 +211,7 @@
 		return
 	}
 	e.followsEvents, e.nextSeq = false, 0
-	e.gaps++
+	e.eventGaps++
 }
 
 // CacheEvents applies events of one endpoint. A gap in the sequence makes everything that
@@ -229,7 +229,7 @@
 		e.followedSince = b.At
 	}
 	if !e.followsEvents || b.Seq != e.nextSeq {
-		e.gaps++
+		e.eventGaps++
 	}
 	e.followsEvents = true
 	e.nextSeq = b.Seq + uint64(len(b.Events))
@@ -250,7 +250,7 @@
 		e.followsEvents, e.nextSeq = true, seq
 	case EventStored:
 		t := v.prefixes.touch(ev.Key)
-		t.addHolder(holder{endpoint: ep, generation: e.generation, gaps: e.gaps, fromEvent: true, confirmedAt: at})
+		t.addHolder(holder{endpoint: ep, generation: e.generation, eventGaps: e.eventGaps, fromEvent: true, confirmedAt: at})
 		if t.storedAt.Before(at) {
 			t.storedAt = at
 		}
@@ -271,7 +271,7 @@
 	if h.generation != e.generation {
 		return 0
 	}
-	if e.followsEvents && h.gaps == e.gaps && !h.inFlight {
+	if e.followsEvents && h.eventGaps == e.eventGaps && !h.inFlight {
 		return eventConfidence
 	}
 	return math.Exp2(-now.Sub(h.confirmedAt).Seconds() / e.idleHalfLife.Seconds())
--- a/pools/model.go
+++ b/pools/model.go
@@ -62,8 +62,8 @@
 	v := m.versions[i]
 	if e.suspended {
 		v.suspended = append(v.suspended, e)
-		for l, filled := range v.hasPool {
-			if filled {
+		for l, usable := range v.hasPool {
+			if usable {
 				sink.Join(v.pool[l], e.Endpoint)
 			}
 		}
@@ -92,8 +92,8 @@
 	v := m.versions[i]
 	if e.suspended {
 		v.suspended = slices.DeleteFunc(v.suspended, func(o *member) bool { return o == e })
-		for l, filled := range v.hasPool {
-			if filled {
+		for l, usable := range v.hasPool {
+			if usable {
 				sink.Leave(v.pool[l], e.ID)
 			}
 		}
@@ -157,13 +157,13 @@
 // their position while they get no requests. A subpool without a usable engine has no pool.
 func (v *version) updateSuspended(sink Sink) {
 	for l, n := range v.sizes() {
-		filled := n > 0
-		if filled == v.hasPool[l] {
+		usable := n > 0
+		if usable == v.hasPool[l] {
 			continue
 		}
-		v.hasPool[l] = filled
+		v.hasPool[l] = usable
 		for _, e := range v.suspended {
-			if filled {
+			if usable {
 				sink.Join(v.pool[l], e.Endpoint)
 			} else {
 				sink.Leave(v.pool[l], e.ID)
--- a/prefix/prefix.go
+++ b/prefix/prefix.go
@@ -102,7 +102,7 @@
 	levels       []Level
 }
 
-// NewSplitter returns a Cutter. Call Reset before each prompt.
+// NewSplitter returns a Splitter. Call Reset before each prompt.
 func NewSplitter(o Options) *Splitter {
 	if o.PieceTokens <= 0 {
 		o.PieceTokens = DefaultPieceTokens
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -6,9 +6,9 @@
 // quiet times. Without it, each daemon sends each request several times to endpoints that
 // have slowed down, and they never recover: attempts increase while answers do not.
 type Budget struct {
-	opts      BudgetOptions
-	available float64
-	at        time.Time
+	opts       BudgetOptions
+	available  float64
+	refilledAt time.Time
 }
 
 // BudgetOptions configures a Budget. Zero values mean the defaults.
@@ -24,7 +24,9 @@
 	DefaultFraction = 0.1
 	DefaultFloor    = 1
 	DefaultBurst    = 20
-	DefaultDebt     = 64 // the streams that a zone failure breaks at one daemon, at 250 open ones and five zones
+	// DefaultDebt covers the streams that a zone failure breaks at one daemon with 250
+	// open streams in five zones.
+	DefaultDebt = 64
 )
 
 // NewBudget returns a Budget with half its burst saved, so that a daemon that has just
@@ -88,11 +90,11 @@
 // refill adds the retries of the floor since the last call. A clock that steps back adds
 // none, and one that jumps ahead no more than the burst.
 func (b *Budget) refill(now time.Time) {
-	if b.at.IsZero() {
-		b.at = now
+	if b.refilledAt.IsZero() {
+		b.refilledAt = now
 	}
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
+	if passed := now.Sub(b.refilledAt).Seconds(); passed > 0 {
 		b.available = min(b.available+passed*b.opts.Floor, b.opts.Burst)
-		b.at = now
+		b.refilledAt = now
 	}
 }
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -109,7 +109,7 @@
 				retries++
 			}
 		}
-		latest := b.at.Sub(epoch).Seconds()
+		latest := b.refilledAt.Sub(epoch).Seconds()
 		most := DefaultBurst/2 + DefaultDebt + DefaultFraction*float64(requests) + DefaultFloor*latest
 		if float64(retries) > most+1e-6 {
 			t.Fatalf("%d retries for %d requests in %.1f s, at most %.1f", retries, requests, latest, most)
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -30,7 +30,7 @@
 	// initialRatio is the assumed ratio of an engine's absence to its load time until
 	// several absences were measured.
 	initialRatio = 1.5
-	// minHalfLife is the half-life with which the minimum rises towards later measurements:
+	// minAbsenceHalfLife is the half-life with which the minimum rises towards later measurements:
 	// loads may come to take longer.
 	minAbsenceHalfLife = time.Minute
 	// meanGain is the weight of one engine in the mean absence.
