--- a/prefix/wire_test.go
+++ b/prefix/wire_test.go
@@ -19,11 +19,11 @@
 			levels = append(levels, l)
 		}
 		text := Format(levels)
-		if len(text) > MaxNamedBytes {
+		if len(text) > MaxFormattedBytes {
 			t.Fatalf("%d bytes", len(text))
 		}
 		got, err := Parse(text)
-		if err != nil || len(got) != min(len(levels), MaxNamed) {
+		if err != nil || len(got) != min(len(levels), MaxFormattedLevels) {
 			t.Fatalf("%d of %d levels, %v", len(got), len(levels), err)
 		}
 		for i := range got {
@@ -34,7 +34,7 @@
 	})
 }
 
-func TestParseRefuses(t *testing.T) {
+func TestParseRejectsInvalidText(t *testing.T) {
 	key := strings.Repeat("ab", KeySize)
 	for _, text := range []string{
 		"x", key, key + ":", key + ":-1", key + ":1,", key + ":5," + key + ":4",
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestFormatAllocatesOnlyItsText(t *testing.T) {
+func TestFormatAllocatesOnlyResult(t *testing.T) {
 	levels := make([]Level, 12)
 	for i := range levels {
 		levels[i].Tokens = 2000 * (i + 1)
