--- a/claims/claims.go
+++ b/claims/claims.go
@@ -80,7 +80,7 @@
 // DigestOf is the digest of a call: a repeat under the same key must have the
 // same.
 func DigestOf(method, path string, body []byte) ledger.ID {
-	return ledger.IDOf(method, path, string(body))
+	return ledger.HashID(method, path, string(body))
 }
 
 // Answer is the outcome of a Claim.
@@ -185,7 +185,7 @@
 		return Answer{Outcome: Refused, Reason: ReasonKey, Detail: err.Error()}
 	}
 	c := &call{s: s, req: req, keyTime: keyTime}
-	c.scope = ledger.IDOf(req.Organisation, req.Service, key)
+	c.scope = ledger.HashID(req.Organisation, req.Service, key)
 	c.p = s.parts[s.opt.Layout.Partition(c.scope)]
 	wait, cancel := context.WithTimeout(ctx, s.opt.RepeatWait)
 	defer cancel()
@@ -253,7 +253,7 @@
 // claim appends a claim and waits until it is read back.
 func (c *call) claim(ctx context.Context) (a Answer, again bool) {
 	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: c.scope, KeyTime: c.keyTime.UnixMilli(), Request: &c.req.Digest}
-	op.Attempt = ledger.IDOf(c.s.opt.Owner, fmt.Sprint(c.s.attempts.Add(1)))
+	op.Attempt = ledger.HashID(c.s.opt.Owner, fmt.Sprint(c.s.attempts.Add(1)))
 	ctx, cancel := context.WithTimeout(ctx, c.s.opt.ClaimTimeout)
 	defer cancel()
 	w := c.p.claim(op, time.Now().Add(c.s.opt.ClaimTimeout))
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -55,7 +55,7 @@
 	}
 	fold := ledger.NewClaims(ledger.Layout{Partitions: 2, Window: layout.Window})
 	fold.Apply(ports.Record{Offset: 1, Time: time.Now(), Data: data})
-	if !fold.Poisoned() {
+	if !fold.LayoutConflict() {
 		t.Fatal("a mark with a long name was not read")
 	}
 }
--- a/claims/partition.go
+++ b/claims/partition.go
@@ -42,7 +42,7 @@
 
 func newPartition(o Options, i int) *partition {
 	p := &partition{
-		opt: o, stream: ledger.StreamClaims(i), fold: ledger.NewClaims(o.Layout),
+		opt: o, stream: ledger.ClaimStream(i), fold: ledger.NewClaims(o.Layout),
 		waiting: make(map[ledger.ID]*waiter), news: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 	p.tail = logio.NewTail(logio.TailOptions{
@@ -113,13 +113,13 @@
 func (p *partition) poisoned() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Poisoned()
+	return p.fold.LayoutConflict()
 }
 
 func (p *partition) whole(keyTime time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Whole(keyTime)
+	return p.fold.CanDecide(keyTime)
 }
 
 // early tells whether a claim for a key of the given time might reach the log
@@ -226,7 +226,7 @@
 }
 
 // result reads the result of a call back from the log.
-func (p *partition) result(ctx context.Context, at ledger.Ref) (*ledger.Result, error) {
+func (p *partition) result(ctx context.Context, at ledger.OpRef) (*ledger.Result, error) {
 	page, err := p.opt.Log.Read(ctx, p.stream, at.Offset, 1)
 	if err != nil {
 		return nil, err
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -110,7 +110,7 @@
 	a := service.Claim(ctx, claims.Request{
 		Organisation: string(r.Organisation),
 		Key:          r.Key,
-		Digest:       ledger.IDOf(string(r.Digest[:])),
+		Digest:       ledger.HashID(string(r.Digest[:])),
 	})
 	c.daemon.metrics.Scope.Tagged(map[string]string{"outcome": string(a.Outcome)}).Counter("claims").Inc(1)
 	switch a.Outcome {
--- a/lab/history/claims_test.go
+++ b/lab/history/claims_test.go
@@ -329,9 +329,9 @@
 type hasty struct{ log *plog.Cut }
 
 func (h hasty) Claim(ctx context.Context, r claims.Request) claims.Answer {
-	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: ledger.IDOf(r.Key), Request: &r.Digest}
+	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: ledger.HashID(r.Key), Request: &r.Digest}
 	data, _ := ledger.Encode(1, &ledger.ClaimBatch{Layout: ledger.Layout{Partitions: 1, Window: manifest.Duration(Window)}, Ops: []ledger.ClaimOp{op}})
-	if _, err := h.log.Append(ctx, ledger.StreamClaims(0), data); err != nil {
+	if _, err := h.log.Append(ctx, ledger.ClaimStream(0), data); err != nil {
 		return claims.Answer{Outcome: claims.Refused}
 	}
 	return claims.Answer{Outcome: claims.Granted}
--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -71,14 +71,14 @@
 
 // ClaimRecords are batches of claims as daemons append them.
 func ClaimRecords(records, claimsEach int) ([]ports.Record, error) {
-	request := ledger.IDOf("request")
+	request := ledger.HashID("request")
 	var list []ports.Record
 	for i := range records {
 		at := foldStart.Add(time.Duration(i) * 3 * time.Millisecond)
 		b := &ledger.ClaimBatch{Writer: "entry-0001", Layout: ClaimLayout()}
 		for j := range claimsEach {
 			b.Ops = append(b.Ops, ledger.ClaimOp{
-				Verb: ledger.VerbClaim, Scope: ledger.IDOf(fmt.Sprint(i), fmt.Sprint(j)), Attempt: ledger.IDOf("attempt", fmt.Sprint(i), fmt.Sprint(j)),
+				Verb: ledger.VerbClaim, Scope: ledger.HashID(fmt.Sprint(i), fmt.Sprint(j)), Attempt: ledger.HashID("attempt", fmt.Sprint(i), fmt.Sprint(j)),
 				KeyTime: at.UnixMilli(), Request: &request,
 			})
 		}
--- a/ledger/agreement_test.go
+++ b/ledger/agreement_test.go
@@ -30,7 +30,7 @@
 func TestReadersOfManifestsAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		full, l := NewState(Options{}), &logbook{t: t}
-		readers := []*State{NewState(Options{Held: 3}), NewState(Options{}), NewState(Options{Lazy: true})}
+		readers := []*State{NewState(Options{MaxHeld: 3}), NewState(Options{}), NewState(Options{Lazy: true})}
 		before := make([]Revision, len(readers))
 		accepted := map[ports.Offset]Revision{0: {}}
 		rt.Repeat(map[string]func(*rapid.T){
@@ -53,7 +53,7 @@
 			},
 			"checkpoint": func(rt *rapid.T) {
 				s := rapid.SampledFrom(append(readers, full)).Draw(rt, "writer")
-				if c, ok := s.Proof(); ok {
+				if c, ok := s.Checkpoint(); ok {
 					feed(full, l.add(&c))
 				}
 			},
@@ -64,14 +64,14 @@
 					feed(s, l.records[s.Next()-1])
 				}
 			},
-			"settle": func(*rapid.T) { readers[2].Settle() },
+			"settle": func(*rapid.T) { readers[2].UseNewestCheckpoint() },
 			"expire": func(rt *rapid.T) {
 				s := rapid.SampledFrom(readers).Draw(rt, "reader")
 				s.Gap(ports.Offset(rapid.IntRange(1, len(l.records)+1).Draw(rt, "first")))
 			},
 			"hear": func(rt *rapid.T) {
 				s, from := rapid.SampledFrom(readers).Draw(rt, "to"), rapid.SampledFrom(append(readers, full)).Draw(rt, "from")
-				if c, ok := from.Proof(); ok {
+				if c, ok := from.Checkpoint(); ok {
 					_, _ = s.Adopt(c) // one that is behind is refused
 				}
 			},
@@ -139,7 +139,7 @@
 
 func TestReadersOfClaimsAgree(t *testing.T) {
 	layout := Layout{Partitions: 1, Window: manifest.Duration(20 * time.Minute)}
-	request := IDOf("request")
+	request := HashID("request")
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &drawnLog{logbook: logbook{t: t}, now: epoch}
 		full, late := NewClaims(layout), NewClaims(layout)
@@ -154,8 +154,8 @@
 			}
 			op := ClaimOp{
 				Verb:  rapid.SampledFrom([]ClaimVerb{VerbClaim, VerbClaim, VerbComplete, VerbAbandon}).Draw(rt, "verb"),
-				Scope: IDOf(key), KeyTime: keyTimes[key].UnixMilli(),
-				Attempt: IDOf(fmt.Sprint(rapid.IntRange(1, 4).Draw(rt, "attempt"))),
+				Scope: HashID(key), KeyTime: keyTimes[key].UnixMilli(),
+				Attempt: HashID(fmt.Sprint(rapid.IntRange(1, 4).Draw(rt, "attempt"))),
 			}
 			switch op.Verb {
 			case VerbClaim:
@@ -195,7 +195,7 @@
 		{Partitions: 1, Window: manifest.Duration(40 * time.Minute)},
 		{Partitions: 2, Window: manifest.Duration(30 * time.Minute)}, // a daemon with a wrong setting
 	}
-	request := IDOf("request")
+	request := HashID("request")
 	rapid.Check(t, func(rt *rapid.T) {
 		l := &drawnLog{logbook: logbook{t: t}, now: epoch}
 		var folds []*Claims
@@ -220,7 +220,7 @@
 				continue // daemons append nothing for a key that is ahead
 			}
 			attempt := fmt.Sprintf("%d/%d", owner, rapid.IntRange(1, 3).Draw(rt, "attempt"))
-			op := ClaimOp{Verb: VerbClaim, Scope: IDOf("key"), KeyTime: keyTime.UnixMilli(), Attempt: IDOf(attempt), Request: &request}
+			op := ClaimOp{Verb: VerbClaim, Scope: HashID("key"), KeyTime: keyTime.UnixMilli(), Attempt: HashID(attempt), Request: &request}
 			if sent != attempt && rapid.IntRange(0, 3).Draw(rt, "abandon") == 0 {
 				op.Verb, op.Request = VerbAbandon, nil
 				givenUp[attempt] = true
@@ -240,11 +240,11 @@
 }
 
 func FuzzRecord(f *testing.F) {
-	id := IDOf("x")
+	id := HashID("x")
 	for _, b := range []Body{
 		proposal(f, 0, 1),
 		&Checkpoint{Through: 3, Rules: 1},
-		&Raise{To: 2},
+		&RulesUpgrade{To: 2},
 		&LeaseRecord{Op: LeaseAcquire, Name: "orders", Holder: "a", TTL: manifest.Duration(time.Minute)},
 		&ClaimBatch{Layout: Layout{1, manifest.Duration(time.Hour)}, Ops: []ClaimOp{{Verb: VerbClaim, Request: &id}}},
 	} {
--- a/ledger/claimrecord.go
+++ b/ledger/claimrecord.go
@@ -39,9 +39,9 @@
 	return err
 }
 
-// IDOf hashes the parts of an identifier, each with its length, so that no
+// HashID hashes the parts of an identifier, each with its length, so that no
 // two lists of parts meet.
-func IDOf(parts ...string) ID {
+func HashID(parts ...string) ID {
 	h := sha256.New()
 	for _, p := range parts {
 		h.Write(strconv.AppendInt(nil, int64(len(p)), 10))
@@ -70,8 +70,8 @@
 	return (int(scope[0])<<8 | int(scope[1])) % l.Partitions
 }
 
-// StreamClaims is the stream of a partition.
-func StreamClaims(partition int) ports.Stream {
+// ClaimStream is the stream of a partition.
+func ClaimStream(partition int) ports.Stream {
 	return ports.Stream(claimsPrefix + strconv.Itoa(partition))
 }
 
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -11,10 +11,10 @@
 
 // The states of a key.
 const (
-	ClaimFree   ClaimState = iota // never claimed, or every claim given up before sending
-	ClaimHeld                     // claimed, no result: running, or the outcome is unknown
-	ClaimDone                     // ran, the result is in the log
-	ClaimUnsure                   // claimed behind a gap
+	ClaimFree      ClaimState = iota // never claimed, or every claim given up before sending
+	ClaimHeld                        // claimed, no result: running, or the outcome is unknown
+	ClaimDone                        // ran, the result is in the log
+	ClaimUncertain                   // claimed behind a gap
 )
 
 // Reasons that only claims give.
@@ -28,8 +28,8 @@
 	ReasonLayout    Reason = "layout"    // daemons with different settings
 )
 
-// Ref is the place of an operation in a claim stream.
-type Ref struct {
+// OpRef is the place of an operation in a claim stream.
+type OpRef struct {
 	Offset ports.Offset
 	Index  int
 }
@@ -38,14 +38,14 @@
 type ClaimView struct {
 	State   ClaimState
 	Attempt ID
-	Request ID  // of the claim that holds or held the key
-	Result  Ref // when done
+	Request ID    // of the claim that holds or held the key
+	Result  OpRef // when done
 }
 
 // ClaimDecision is the outcome of one operation. A claim is granted only by
 // Accepted, or Repeated when its own record was appended twice.
 type ClaimDecision struct {
-	Ref     Ref
+	Ref     OpRef
 	Op      ClaimVerb
 	Scope   ID
 	Attempt ID
@@ -102,16 +102,16 @@
 	c.through, c.gap = first-1, true
 }
 
-// Whole tells whether a claim for a key of the given time can be decided.
-func (c *Claims) Whole(keyTime time.Time) bool {
+// CanDecide tells whether a claim for a key of the given time can be decided.
+func (c *Claims) CanDecide(keyTime time.Time) bool {
 	if c.gap {
 		return false
 	}
 	return c.lost.IsZero() || keyTime.Add(-MaxKeySkew).After(c.lost)
 }
 
-// Poisoned tells whether another layout was in use within its window.
-func (c *Claims) Poisoned() bool { return c.clock.Before(c.poisoned) }
+// LayoutConflict tells whether another layout was in use within its window.
+func (c *Claims) LayoutConflict() bool { return c.clock.Before(c.poisoned) }
 
 // Lookup returns what is known of a key.
 func (c *Claims) Lookup(scope ID) ClaimView {
@@ -145,7 +145,7 @@
 	c.compare(batch.Layout)
 	decisions := make([]ClaimDecision, len(batch.Ops))
 	for i := range batch.Ops {
-		decisions[i] = c.decide(&batch.Ops[i], Ref{Offset: r.Offset, Index: i})
+		decisions[i] = c.decide(&batch.Ops[i], OpRef{Offset: r.Offset, Index: i})
 	}
 	return decisions
 }
@@ -163,7 +163,7 @@
 	}
 }
 
-func (c *Claims) decide(o *ClaimOp, at Ref) ClaimDecision {
+func (c *Claims) decide(o *ClaimOp, at OpRef) ClaimDecision {
 	d := ClaimDecision{Ref: at, Op: o.Verb, Scope: o.Scope, Attempt: o.Attempt}
 	keyTime := time.UnixMilli(o.KeyTime)
 	switch {
@@ -171,11 +171,11 @@
 		d.Outcome, d.Reason = Refused, ReasonExpired
 	case keyTime.After(c.clock.Add(MaxKeySkew)):
 		d.Outcome, d.Reason = Refused, ReasonEarly
-	case o.Verb == VerbClaim && c.Poisoned():
+	case o.Verb == VerbClaim && c.LayoutConflict():
 		// Kept in mind, since a fold with a shorter window may grant it.
 		c.doubt(o, at)
 		d.Outcome, d.Reason = Undecided, ReasonLayout
-	case !c.Whole(keyTime):
+	case !c.CanDecide(keyTime):
 		d.Outcome, d.Reason = c.doubt(o, at)
 	default:
 		d.Outcome, d.Reason = c.settle(o, at)
@@ -183,7 +183,7 @@
 	return d
 }
 
-func (c *Claims) settle(o *ClaimOp, at Ref) (Outcome, Reason) {
+func (c *Claims) settle(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	e := c.entry(o)
 	switch o.Verb {
 	case VerbClaim:
@@ -197,13 +197,13 @@
 
 // doubt keeps what can be said of a key behind a gap: nothing is granted, but
 // a result is one, since only a granted attempt writes it.
-func (c *Claims) doubt(o *ClaimOp, at Ref) (Outcome, Reason) {
+func (c *Claims) doubt(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	e := c.entry(o)
 	switch {
 	case o.Verb == VerbComplete && e.State != ClaimDone:
 		e.State, e.Attempt, e.Result = ClaimDone, o.Attempt, at
 	case o.Verb == VerbClaim && e.State == ClaimFree:
-		e.State, e.Attempt, e.Request = ClaimUnsure, o.Attempt, *o.Request
+		e.State, e.Attempt, e.Request = ClaimUncertain, o.Attempt, *o.Request
 	}
 	return Undecided, ReasonGap
 }
@@ -263,7 +263,7 @@
 	return reason
 }
 
-func (e *claimEntry) complete(o *ClaimOp, at Ref) (Outcome, Reason) {
+func (e *claimEntry) complete(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	if e.Attempt != o.Attempt || e.State == ClaimFree {
 		return Refused, ReasonClaimed
 	}
--- a/ledger/decision.go
+++ b/ledger/decision.go
@@ -24,17 +24,17 @@
 
 // The reasons.
 const (
-	ReasonStale     Reason = "stale"      // made against what is no longer the latest; By is
-	ReasonMalformed Reason = "malformed"  // not a record of the rules in force
-	ReasonTooLong   Reason = "too_long"   // over a size limit
-	ReasonRules     Reason = "rules"      // of other rules than those in force
-	ReasonInvalid   Reason = "invalid"    // a manifest with faults
-	ReasonDigest    Reason = "digest"     // the digest is not that of the content
-	ReasonGap       Reason = "gap"        // records before it have expired unread
-	ReasonBehind    Reason = "behind"     // rules newer than this release are in force
-	ReasonConflict  Reason = "conflict"   // contradicts what this daemon knows
-	ReasonSeen      Reason = "seen"       // delivered before
-	ReasonNotProven Reason = "not_proven" // does not reach far enough to close a gap
+	ReasonStale            Reason = "stale"      // made against what is no longer the latest; By is
+	ReasonMalformed        Reason = "malformed"  // not a record of the rules in force
+	ReasonTooLong          Reason = "too_long"   // over a size limit
+	ReasonRules            Reason = "rules"      // of other rules than those in force
+	ReasonInvalid          Reason = "invalid"    // a manifest with faults
+	ReasonDigest           Reason = "digest"     // the digest is not that of the content
+	ReasonGap              Reason = "gap"        // records before it have expired unread
+	ReasonRulesUnsupported Reason = "behind"     // rules newer than this release are in force
+	ReasonConflict         Reason = "conflict"   // contradicts what this daemon knows
+	ReasonSeen             Reason = "seen"       // delivered before
+	ReasonNotProven        Reason = "not_proven" // does not reach far enough to close a gap
 )
 
 // Decision is the outcome of one record.
--- a/ledger/manifests.go
+++ b/ledger/manifests.go
@@ -11,19 +11,19 @@
 
 // Limits of a State. Zero values of Options take them.
 const (
-	DefaultHistory   = 256      // decisions remembered
-	DefaultHeld      = 1024     // records held until a gap is closed
-	DefaultHeldBytes = 32 << 20 // in all
-	MaxRecent        = 128      // acceptances remembered to recognise repeats
-	maxAuthorBytes   = 256
-	maxDetailBytes   = 1024 // of a decision that is remembered
+	DefaultMaxHistory    = 256      // decisions remembered
+	DefaultMaxHeld       = 1024     // records held until a gap is closed
+	DefaultMaxHeldBytes  = 32 << 20 // in all
+	MaxRecentAcceptances = 128      // acceptances remembered to recognise repeats
+	maxAuthorBytes       = 256
+	maxDetailBytes       = 1024 // of a decision that is remembered
 )
 
 // Options of a State.
 type Options struct {
-	History   int
-	Held      int
-	HeldBytes int
+	MaxHistory   int
+	MaxHeld      int
+	MaxHeldBytes int
 	// Lazy makes a fold that begins behind a gap wait for Settle, which takes
 	// the newest checkpoint instead of the first. A reader of a long stream is
 	// then spared the changes that the newest one already holds.
@@ -66,14 +66,14 @@
 
 // NewState returns a fold that has read nothing.
 func NewState(o Options) *State {
-	if o.History == 0 {
-		o.History = DefaultHistory
+	if o.MaxHistory == 0 {
+		o.MaxHistory = DefaultMaxHistory
 	}
-	if o.Held == 0 {
-		o.Held = DefaultHeld
+	if o.MaxHeld == 0 {
+		o.MaxHeld = DefaultMaxHeld
 	}
-	if o.HeldBytes == 0 {
-		o.HeldBytes = DefaultHeldBytes
+	if o.MaxHeldBytes == 0 {
+		o.MaxHeldBytes = DefaultMaxHeldBytes
 	}
 	return &State{opt: o, rules: 1, lazy: o.Lazy}
 }
@@ -106,11 +106,11 @@
 	return s.through + 1
 }
 
-// Decided tells whether the fold can decide the next record.
-func (s *State) Decided() bool { return s.gapEnd == 0 && !s.behind }
+// CanDecide tells whether the fold can decide the next record.
+func (s *State) CanDecide() bool { return s.gapEnd == 0 && !s.behind }
 
-// Behind tells whether rules newer than this release are in force.
-func (s *State) Behind() bool { return s.behind }
+// RulesUnsupported tells whether rules newer than this release are in force.
+func (s *State) RulesUnsupported() bool { return s.behind }
 
 // Conflicts counts records and proofs that contradicted the fold. Anything
 // but 0 means a faulty writer.
@@ -153,7 +153,7 @@
 func (s *State) hold(r ports.Record) []Decision {
 	s.held = append(s.held, r)
 	s.bytes += len(r.Data)
-	for len(s.held) > s.opt.Held || s.bytes > s.opt.HeldBytes {
+	for len(s.held) > s.opt.MaxHeld || s.bytes > s.opt.MaxHeldBytes {
 		s.bytes -= len(s.held[0].Data)
 		s.gapEnd = s.held[0].Offset + 1
 		s.held = s.held[1:]
@@ -166,8 +166,8 @@
 	return []Decision{{Offset: r.Offset, Time: r.Time, Outcome: Undecided, Reason: ReasonGap}}
 }
 
-// Settle ends the lazy beginning, once the stream was read to its end.
-func (s *State) Settle() []Decision {
+// UseNewestCheckpoint ends the lazy beginning, once the stream was read to its end.
+func (s *State) UseNewestCheckpoint() []Decision {
 	s.lazy = false
 	for i := len(s.held) - 1; i >= 0; i-- {
 		if done := s.closeBy(s.held[i]); done != nil {
@@ -250,14 +250,14 @@
 		d.Detail = d.Detail[:maxDetailBytes]
 	}
 	s.history = append(s.history, d)
-	if len(s.history) > s.opt.History {
+	if len(s.history) > s.opt.MaxHistory {
 		s.history = s.history[1:]
 	}
 }
 
 func (s *State) decide(r ports.Record) Decision {
 	if s.behind {
-		return Decision{Outcome: Undecided, Reason: ReasonBehind}
+		return Decision{Outcome: Undecided, Reason: ReasonRulesUnsupported}
 	}
 	rules, body, err := Decode(r.Data)
 	if err != nil {
@@ -273,7 +273,7 @@
 		return s.change(r, b)
 	case *Checkpoint:
 		return s.compare(r, b)
-	case *Raise:
+	case *RulesUpgrade:
 		return s.raise(b)
 	default:
 		return Decision{Kind: body.kind(), Outcome: Refused, Reason: ReasonMalformed}
@@ -338,7 +338,7 @@
 func (s *State) accept(a Acceptance) {
 	s.since++
 	s.recent = append(s.recent, a)
-	if len(s.recent) > MaxRecent {
+	if len(s.recent) > MaxRecentAcceptances {
 		s.recent = append([]Acceptance(nil), s.recent[1:]...)
 	}
 }
@@ -365,11 +365,11 @@
 	return m, nil
 }
 
-func (s *State) raise(b *Raise) Decision {
+func (s *State) raise(b *RulesUpgrade) Decision {
 	if b.To != s.rules+1 {
-		return Decision{Kind: KindRaise, Outcome: Refused, Reason: ReasonRules, Detail: fmt.Sprintf("rules %d are in force", s.rules)}
+		return Decision{Kind: KindRulesUpgrade, Outcome: Refused, Reason: ReasonRules, Detail: fmt.Sprintf("rules %d are in force", s.rules)}
 	}
 	s.rules = b.To
 	s.behind = s.rules > RulesVersion
-	return Decision{Kind: KindRaise, Outcome: Accepted}
+	return Decision{Kind: KindRulesUpgrade, Outcome: Accepted}
 }
--- a/ledger/manifests_test.go
+++ b/ledger/manifests_test.go
@@ -130,10 +130,10 @@
 	// does not know them. Those keep serving what was accepted and say that
 	// they are behind; deciding by old rules would split the daemons in two.
 	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)), l.add(&Raise{To: 2}))
-	want(t, feed(s, l.add(proposal(t, 1, 2))), Undecided, ReasonBehind, 0)
-	if !s.Behind() || s.Revision().Offset != 1 {
-		t.Fatalf("behind %v, offset %d in force", s.Behind(), s.Revision().Offset)
+	feed(s, l.add(proposal(t, 0, 1)), l.add(&RulesUpgrade{To: 2}))
+	want(t, feed(s, l.add(proposal(t, 1, 2))), Undecided, ReasonRulesUnsupported, 0)
+	if !s.RulesUnsupported() || s.Revision().Offset != 1 {
+		t.Fatalf("behind %v, offset %d in force", s.RulesUnsupported(), s.Revision().Offset)
 	}
 }
 
@@ -144,7 +144,7 @@
 	// settles it, and the manifest is then accepted.
 	full, l := NewState(Options{}), &logbook{t: t}
 	feed(full, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
-	checkpoint, _ := full.Proof()
+	checkpoint, _ := full.Checkpoint()
 	feed(full, l.add(proposal(t, 2, 3)))
 	feed(full, l.add(&checkpoint))
 
@@ -168,9 +168,9 @@
 func TestANeighboursProofClosesAGapAndNeverGoesBack(t *testing.T) {
 	full, l := NewState(Options{}), &logbook{t: t}
 	feed(full, l.add(proposal(t, 0, 1)))
-	old, _ := full.Proof()
+	old, _ := full.Checkpoint()
 	feed(full, l.add(proposal(t, 1, 2)), l.add(proposal(t, 2, 3)))
-	newer, _ := full.Proof()
+	newer, _ := full.Checkpoint()
 
 	cut := NewState(Options{})
 	feed(cut, l.records[0])
@@ -206,7 +206,7 @@
 func TestACheckpointThatContradictsIsCountedAndIgnored(t *testing.T) {
 	s, l := NewState(Options{}), &logbook{t: t}
 	feed(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
-	wrong, _ := s.Proof()
+	wrong, _ := s.Checkpoint()
 	text, _ := manifest.Encode(sample(9))
 	wrong.Manifest, wrong.Revision.Digest = text, manifest.SumText(text)
 	want(t, feed(s, l.add(&wrong)), Refused, ReasonConflict, 2)
@@ -228,7 +228,7 @@
 			t.Fatalf("not due after half the retention with jitter %v", jitter)
 		}
 	}
-	c, _ := s.Proof()
+	c, _ := s.Checkpoint()
 	r := l.add(&c)
 	feed(s, r)
 	if s.CheckpointDue(r.Time.Add(kept/4-time.Second), kept, 0) {
@@ -238,7 +238,7 @@
 
 func section(t *testing.T, s *State, id string, share float64) *SectionRecord {
 	t.Helper()
-	text := fmt.Sprintf(`{"id":%q,"key_hashes":["%x%x"],"share":%v,"priorities":["batch"]}`, id, IDOf(id), IDOf(id), share)
+	text := fmt.Sprintf(`{"id":%q,"key_hashes":["%x%x"],"share":%v,"priorities":["batch"]}`, id, HashID(id), HashID(id), share)
 	b, err := NewSectionRecord(s.InForce(), manifest.SectionOrganisation, id, []byte(text))
 	if err != nil {
 		t.Fatal(err)
@@ -260,7 +260,7 @@
 		t.Fatalf("organisations %+v", got)
 	}
 	late := NewState(Options{})
-	c, _ := s.Proof()
+	c, _ := s.Checkpoint()
 	if _, err := late.Adopt(c); err != nil || late.Revision() != s.Revision() {
 		t.Fatalf("adopted %+v: %v", late.Revision(), err)
 	}
@@ -275,7 +275,7 @@
 	feed(s, l.add(change))
 	feed(s, l.add(section(t, s, "registre", 1)))
 	want(t, feed(s, l.add(change)), Repeated, "", 2)
-	for i := range MaxRecent {
+	for i := range MaxRecentAcceptances {
 		feed(s, l.add(section(t, s, "tsukushi", float64(i+1))))
 	}
 	want(t, feed(s, l.add(change)), Refused, ReasonStale, s.Revision().Offset)
@@ -290,7 +290,7 @@
 	for i := range 5 * checkpointChanges {
 		feed(full, l.add(section(t, full, "tsukushi", float64(i+1))))
 		if full.CheckpointDue(l.records[len(l.records)-1].Time, 1000*time.Hour, 0) {
-			c, _ := full.Proof()
+			c, _ := full.Checkpoint()
 			feed(full, l.add(&c))
 			due++
 		}
@@ -298,7 +298,7 @@
 	late := NewState(Options{Lazy: true})
 	late.Gap(first)
 	feed(late, l.records[first-1:]...)
-	late.Settle()
+	late.UseNewestCheckpoint()
 	folded := len(late.History())
 	if due != 5 || folded > checkpointChanges || late.Revision() != full.Revision() {
 		t.Fatalf("%d checkpoints, %d records folded, in force %+v, elsewhere %+v", due, folded, late.Revision(), full.Revision())
--- a/ledger/proof.go
+++ b/ledger/proof.go
@@ -19,9 +19,9 @@
 // starts from a checkpoint has to fold.
 const checkpointChanges = 64
 
-// Proof returns what a neighbour or a later reader needs to take over the
+// Checkpoint returns what a neighbour or a later reader needs to take over the
 // manifest in force. It is false when the fold cannot vouch for any.
-func (s *State) Proof() (Checkpoint, bool) {
+func (s *State) Checkpoint() (Checkpoint, bool) {
 	v := s.InForce()
 	if v != s.latest {
 		c := *s.adopted
@@ -49,7 +49,7 @@
 // the others see it. A clock that is wrong by minutes does no harm: the
 // checkpoint is due long before anything expires and decides nothing.
 func (s *State) CheckpointDue(now time.Time, retention time.Duration, jitter float64) bool {
-	if !s.Decided() || s.through == 0 {
+	if !s.CanDecide() || s.through == 0 {
 		return false
 	}
 	if float64(s.since) >= checkpointChanges*(1+jitter) {
@@ -121,7 +121,7 @@
 	if c.Rules < 1 || c.Rules > RulesVersion {
 		return &RecordError{Reason: ReasonRules, Detail: fmt.Sprintf("rules %d", c.Rules)}
 	}
-	if len(c.Recent) > MaxRecent {
+	if len(c.Recent) > MaxRecentAcceptances {
 		return &RecordError{Reason: ReasonTooLong, Detail: fmt.Sprintf("%d acceptances", len(c.Recent))}
 	}
 	var last Revision
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -36,12 +36,12 @@
 
 // The kinds of record.
 const (
-	KindManifest   Kind = "manifest"
-	KindCheckpoint Kind = "checkpoint"
-	KindSection    Kind = "section"
-	KindRaise      Kind = "rules"
-	KindLease      Kind = "lease"
-	KindClaims     Kind = "claims"
+	KindManifest     Kind = "manifest"
+	KindCheckpoint   Kind = "checkpoint"
+	KindSection      Kind = "section"
+	KindRulesUpgrade Kind = "rules"
+	KindLease        Kind = "lease"
+	KindClaims       Kind = "claims"
 )
 
 // Revision identifies an accepted manifest: the offset of the record that
@@ -80,15 +80,15 @@
 // Acceptance remembers an accepted manifest without its content, so that a
 // late repeat of it is recognised.
 type Acceptance struct {
-	Offset ports.Offset    `json:"offset"`
-	Base   ports.Offset    `json:"base"`
-	Digest manifest.Digest `json:"digest"`          // of what the record brought
-	Whole  manifest.Digest `json:"whole,omitempty"` // of the manifest after it, where a section came
+	Offset         ports.Offset    `json:"offset"`
+	Base           ports.Offset    `json:"base"`
+	Digest         manifest.Digest `json:"digest"`          // of what the record brought
+	ManifestDigest manifest.Digest `json:"whole,omitempty"` // of the manifest after it, where a section came
 }
 
 func (a Acceptance) revision() Revision {
-	if a.Whole != "" {
-		return Revision{Offset: a.Offset, Digest: a.Whole}
+	if a.ManifestDigest != "" {
+		return Revision{Offset: a.Offset, Digest: a.ManifestDigest}
 	}
 	return Revision{Offset: a.Offset, Digest: a.Digest}
 }
@@ -105,16 +105,16 @@
 	Value   json.RawMessage      `json:"value,omitempty"`
 }
 
-// Raise puts newer rules in force from the next record on. A release that
+// RulesUpgrade puts newer rules in force from the next record on. A release that
 // does not know them keeps what is accepted and decides nothing more.
-type Raise struct {
+type RulesUpgrade struct {
 	To int `json:"to"`
 }
 
 func (*ManifestRecord) kind() Kind { return KindManifest }
 func (*Checkpoint) kind() Kind     { return KindCheckpoint }
 func (*SectionRecord) kind() Kind  { return KindSection }
-func (*Raise) kind() Kind          { return KindRaise }
+func (*RulesUpgrade) kind() Kind   { return KindRulesUpgrade }
 
 type envelope struct {
 	Rules int             `json:"rules"`
@@ -169,8 +169,8 @@
 		return &Checkpoint{}
 	case KindSection:
 		return &SectionRecord{}
-	case KindRaise:
-		return &Raise{}
+	case KindRulesUpgrade:
+		return &RulesUpgrade{}
 	case KindLease:
 		return &LeaseRecord{}
 	case KindClaims:
--- a/ledger/sections.go
+++ b/ledger/sections.go
@@ -12,8 +12,8 @@
 // revision that is not remembered either, and is refused as stale. Without
 // that, a late repeat could undo a change that brought the section back.
 func (s *State) change(r ports.Record, b *SectionRecord) Decision {
-	d := Decision{Kind: KindSection, Base: b.Base, Digest: b.Digest, Section: b.Name()}
-	if by := s.broughtBy(b.Base, b.Key()); by > 0 {
+	d := Decision{Kind: KindSection, Base: b.Base, Digest: b.Digest, Section: b.SectionName()}
+	if by := s.broughtBy(b.Base, b.ChangeDigest()); by > 0 {
 		d.Outcome, d.By = Repeated, by
 		return d
 	}
@@ -32,14 +32,14 @@
 		return d
 	}
 	s.latest = v
-	s.accept(Acceptance{Offset: r.Offset, Base: b.Base, Digest: b.Key(), Whole: v.Revision.Digest})
+	s.accept(Acceptance{Offset: r.Offset, Base: b.Base, Digest: b.ChangeDigest(), ManifestDigest: v.Revision.Digest})
 	s.checkAhead()
 	d.Outcome = Accepted
 	return d
 }
 
-// Name is the kind and id of the section.
-func (b *SectionRecord) Name() string { return string(b.Section) + "/" + b.ID }
+// SectionName is the kind and id of the section.
+func (b *SectionRecord) SectionName() string { return string(b.Section) + "/" + b.ID }
 
 func (s *State) remembers(base ports.Offset) bool {
 	for _, a := range s.recent {
@@ -65,9 +65,9 @@
 	return &SectionRecord{Section: kind, ID: id, Base: v.Revision.Offset, Was: was, Digest: digest, Value: text}, err
 }
 
-// Key identifies the change among acceptances: two changes can lead to the
+// ChangeDigest identifies the change among acceptances: two changes can lead to the
 // same content, such as the removals of two sections.
-func (b *SectionRecord) Key() manifest.Digest {
+func (b *SectionRecord) ChangeDigest() manifest.Digest {
 	return manifest.SumText([]byte(string(b.Section) + "\n" + b.ID + "\n" + string(b.Was) + "\n" + string(b.Digest)))
 }
 
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -92,14 +92,14 @@
 func (m *Manifests) NeedsProof() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return !m.state.Decided() && !m.state.Behind()
+	return !m.state.CanDecide() && !m.state.RulesUnsupported()
 }
 
 // Proof returns what a neighbour needs to take the manifest in force over.
 func (m *Manifests) Proof() (ledger.Checkpoint, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.state.Proof()
+	return m.state.Checkpoint()
 }
 
 // Adopt takes a neighbour's proof over. The error is a *ledger.RecordError;
@@ -166,7 +166,7 @@
 	}
 	// What the publication has read is in force here at once, and goes on to
 	// the neighbours, even if the log fails the moment after.
-	if c, ok := state.Proof(); ok {
+	if c, ok := state.Checkpoint(); ok {
 		_ = m.Adopt(c)
 	}
 	return r, nil
@@ -189,8 +189,8 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return ManifestsStatus{
-		Revision: m.state.Revision(), Next: m.state.Next(), Decided: m.state.Decided(),
-		Behind: m.state.Behind(), CaughtUp: m.caught, Conflicts: m.state.Conflicts(),
+		Revision: m.state.Revision(), Next: m.state.Next(), Decided: m.state.CanDecide(),
+		Behind: m.state.RulesUnsupported(), CaughtUp: m.caught, Conflicts: m.state.Conflicts(),
 		Failures: m.tail.Failures(), History: m.state.History(),
 	}
 }
@@ -225,7 +225,7 @@
 	m.mu.Lock()
 	if !m.caught {
 		m.caught = true
-		m.state.Settle()
+		m.state.UseNewestCheckpoint()
 	}
 	m.mu.Unlock()
 	m.tell()
@@ -271,7 +271,7 @@
 	if !m.state.CheckpointDue(now, retention, m.jitter) {
 		return nil
 	}
-	c, ok := m.state.Proof()
+	c, ok := m.state.Checkpoint()
 	if !ok {
 		return nil
 	}
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -114,7 +114,7 @@
 
 func propose(req PublishRequest) (proposal, ledger.Body, error) {
 	if s := req.Section; s != nil {
-		return proposal{kind: ledger.KindSection, section: s.Name(), base: s.Base, digest: s.Digest, key: s.Key()}, s, nil
+		return proposal{kind: ledger.KindSection, section: s.SectionName(), base: s.Base, digest: s.Digest, key: s.ChangeDigest()}, s, nil
 	}
 	if err := manifest.Check(req.Manifest); err != nil {
 		return proposal{}, nil, err
@@ -132,7 +132,7 @@
 	if err := p.catchUp(ctx, 0); err != nil {
 		return p.undecided(err.Error())
 	}
-	if !p.state.Decided() {
+	if !p.state.CanDecide() {
 		return PublishResult{Outcome: PublishNotAppended, Reason: ledger.ReasonGap}
 	}
 	if r, ok := p.verdict(); ok {
@@ -212,7 +212,7 @@
 			p.reads.reset()
 			p.fold(page.Records)
 			if p.state.Next() >= page.Next && p.state.Next() > through {
-				p.state.Settle()
+				p.state.UseNewestCheckpoint()
 				return nil
 			}
 			if len(page.Records) > 0 {
