--- a/claims/claims.go
+++ b/claims/claims.go
@@ -32,7 +32,7 @@
 	awaitPoll           = 200 * time.Millisecond // between reads while another's result is awaited
 	maxOwnerBytes       = 64
 	keyLen              = 36              // of a key: a UUID in text
-	MaxKeys             = 1 << 18         // remembered in one partition
+	MaxKeysPerPartition = 1 << 18         // remembered in one partition
 	failuresDown        = 3               // failed reads after which the log counts as down
 	retryAfter          = 5 * time.Second // told to callers that were refused
 	marksPerWindow      = 4               // marks of the layout in one window
@@ -54,19 +54,19 @@
 
 // The reasons.
 const (
-	ReasonKey       Reason = "key_unusable"      // not a UUIDv7, so its age is unknown
-	ReasonExpired   Reason = "key_expired"       // older than the window
-	ReasonEarly     Reason = "key_early"         // its time is ahead of the log's
-	ReasonDiffers   Reason = "key_reused"        // stands for another request
-	ReasonLog       Reason = "log_unavailable"   // the log is down or slow
-	ReasonBehind    Reason = "not_ready"         // this daemon has not read enough of the log
-	ReasonFull      Reason = "too_many_keys"     // the table of keys is full
-	ReasonLayout    Reason = "settings_differ"   // daemons disagree on partitions or window
-	ReasonAttempts  Reason = "too_many_attempts" // given up too often under this key
-	ReasonRunning   Reason = "no_result"         // claimed, and no result so far
-	ReasonUnread    Reason = "result_unreadable" // it ran; its answer cannot be read now
-	ReasonDropped   Reason = "result_not_kept"   // it ran; its answer was too long to keep
-	ReasonCancelled Reason = "caller_gave_up"    // the context ended first
+	ReasonInvalidKey      Reason = "key_unusable"      // not a UUIDv7, so its age is unknown
+	ReasonExpired         Reason = "key_expired"       // older than the window
+	ReasonEarly           Reason = "key_early"         // its time is ahead of the log's
+	ReasonDiffers         Reason = "key_reused"        // stands for another request
+	ReasonLogUnavailable  Reason = "log_unavailable"   // the log is down or slow
+	ReasonNotReady        Reason = "not_ready"         // this daemon has not read enough of the log
+	ReasonTooManyKeys     Reason = "too_many_keys"     // the table of keys is full
+	ReasonLayout          Reason = "settings_differ"   // daemons disagree on partitions or window
+	ReasonTooManyAttempts Reason = "too_many_attempts" // given up too often under this key
+	ReasonNoResult        Reason = "no_result"         // claimed, and no result so far
+	ReasonUnreadable      Reason = "result_unreadable" // it ran; its answer cannot be read now
+	ReasonResultNotKept   Reason = "result_not_kept"   // it ran; its answer was too long to keep
+	ReasonCancelled       Reason = "caller_gave_up"    // the context ended first
 )
 
 // Request names what is to be claimed.
@@ -77,9 +77,9 @@
 	Digest       ledger.ID // of what the key stands for, see DigestOf
 }
 
-// DigestOf is the digest of a call: a repeat under the same key must have the
+// RequestDigest is the digest of a call: a repeat under the same key must have the
 // same.
-func DigestOf(method, path string, body []byte) ledger.ID {
+func RequestDigest(method, path string, body []byte) ledger.ID {
 	return ledger.HashID(method, path, string(body))
 }
 
@@ -161,7 +161,7 @@
 			return ReasonLayout
 		}
 		if !p.ready(now) {
-			return ReasonBehind
+			return ReasonNotReady
 		}
 	}
 	return ""
@@ -182,7 +182,7 @@
 func (s *Service) Claim(ctx context.Context, req Request) Answer {
 	key, keyTime, err := parseKey(req.Key)
 	if err != nil {
-		return Answer{Outcome: Refused, Reason: ReasonKey, Detail: err.Error()}
+		return Answer{Outcome: Refused, Reason: ReasonInvalidKey, Detail: err.Error()}
 	}
 	c := &call{s: s, req: req, keyTime: keyTime}
 	c.scope = ledger.HashID(req.Organisation, req.Service, key)
@@ -196,7 +196,7 @@
 			return a
 		}
 		if !c.p.await(wait, news) {
-			return Answer{Outcome: Unknown, Reason: ReasonRunning, RetryAfter: retryAfter}
+			return Answer{Outcome: Unknown, Reason: ReasonNoResult, RetryAfter: retryAfter}
 		}
 	}
 }
@@ -235,13 +235,13 @@
 	case view.State != ledger.ClaimFree:
 		return Answer{}, true
 	case c.p.tail.Failures() >= failuresDown:
-		return refuse(ReasonLog), false
+		return refuse(ReasonLogUnavailable), false
 	case c.p.early(c.keyTime, time.Now()):
 		return refuse(ReasonEarly), false
 	case !c.p.whole(c.keyTime):
-		return refuse(ReasonBehind), false
-	case keys >= MaxKeys:
-		return refuse(ReasonFull), false
+		return refuse(ReasonNotReady), false
+	case keys >= MaxKeysPerPartition:
+		return refuse(ReasonTooManyKeys), false
 	}
 	return c.claim(ctx)
 }
@@ -263,7 +263,7 @@
 	case err := <-w.failed:
 		if errors.Is(err, ports.ErrNotAppended) || errors.Is(err, logio.ErrQueueFull) {
 			c.p.forget(op.Attempt)
-			return refuse(ReasonLog), false
+			return refuse(ReasonLogUnavailable), false
 		}
 	case <-ctx.Done():
 	}
@@ -272,7 +272,7 @@
 	// for ever although the caller is told "not run".
 	c.p.forget(op.Attempt)
 	c.p.abandon(op)
-	return refuse(ReasonLog), false
+	return refuse(ReasonLogUnavailable), false
 }
 
 func (c *call) decided(op ledger.ClaimOp, d ledger.ClaimDecision) (a Answer, again bool) {
@@ -293,14 +293,14 @@
 	case ledger.ReasonEarly:
 		return refuse(ReasonEarly), false
 	case ledger.ReasonLimit:
-		return Answer{Outcome: Refused, Reason: ReasonAttempts}, false
+		return Answer{Outcome: Refused, Reason: ReasonTooManyAttempts}, false
 	case ledger.ReasonLayout:
 		c.p.abandon(op)
 		return refuse(ReasonLayout), false
 	default:
 		// Another reader may have seen more and granted it.
 		c.p.abandon(op)
-		return refuse(ReasonBehind), false
+		return refuse(ReasonNotReady), false
 	}
 }
 
@@ -309,9 +309,9 @@
 	r, err := c.p.result(ctx, view.Result)
 	switch {
 	case err != nil:
-		return Answer{Outcome: Unknown, Reason: ReasonUnread, RetryAfter: retryAfter, Detail: err.Error()}
+		return Answer{Outcome: Unknown, Reason: ReasonUnreadable, RetryAfter: retryAfter, Detail: err.Error()}
 	case r.Dropped:
-		return Answer{Outcome: Unknown, Reason: ReasonDropped}
+		return Answer{Outcome: Unknown, Reason: ReasonResultNotKept}
 	default:
 		return Answer{Outcome: Stored, Result: r}
 	}
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -105,7 +105,7 @@
 func (c *claimer) Claim(ctx context.Context, r gateway.ClaimRequest) (gateway.Claim, error) {
 	service := c.current()
 	if service == nil {
-		return gateway.Claim{}, claimRefusal(claims.Answer{Reason: claims.ReasonBehind, RetryAfter: time.Second})
+		return gateway.Claim{}, claimRefusal(claims.Answer{Reason: claims.ReasonNotReady, RetryAfter: time.Second})
 	}
 	a := service.Claim(ctx, claims.Request{
 		Organisation: string(r.Organisation),
@@ -138,7 +138,7 @@
 // claimRefusals says how each reason is told to the caller. Nothing has run in
 // any of them.
 var claimRefusals = map[claims.Reason]gateway.Refusal{
-	claims.ReasonKey: {
+	claims.ReasonInvalidKey: {
 		Status: http.StatusBadRequest, Code: gateway.CodeKeyInvalid, Outcome: gateway.OutcomeRefused,
 		Message: "the idempotency key must be a UUIDv7",
 	},
@@ -154,7 +154,7 @@
 		Status: http.StatusUnprocessableEntity, Code: gateway.CodeKeyReused, Outcome: gateway.OutcomeRefused,
 		Message: "the idempotency key stands for another call",
 	},
-	claims.ReasonAttempts: {
+	claims.ReasonTooManyAttempts: {
 		Status: http.StatusConflict, Code: gateway.CodeKeyInvalid, Outcome: gateway.OutcomeNotRun,
 		Message: "the call was given up too often under this key; take a new one",
 	},
--- a/daemon/listen_test.go
+++ b/daemon/listen_test.go
@@ -117,15 +117,15 @@
 		status  int
 		outcome gateway.Outcome
 	}{
-		claims.ReasonKey:      {400, gateway.OutcomeRefused},
-		claims.ReasonExpired:  {409, gateway.OutcomeNotRun},
-		claims.ReasonEarly:    {409, gateway.OutcomeNotRun},
-		claims.ReasonDiffers:  {422, gateway.OutcomeRefused},
-		claims.ReasonAttempts: {409, gateway.OutcomeNotRun},
-		claims.ReasonLog:      {503, gateway.OutcomeNotRun},
-		claims.ReasonBehind:   {503, gateway.OutcomeNotRun},
-		claims.ReasonFull:     {503, gateway.OutcomeNotRun},
-		claims.ReasonLayout:   {503, gateway.OutcomeNotRun},
+		claims.ReasonInvalidKey:      {400, gateway.OutcomeRefused},
+		claims.ReasonExpired:         {409, gateway.OutcomeNotRun},
+		claims.ReasonEarly:           {409, gateway.OutcomeNotRun},
+		claims.ReasonDiffers:         {422, gateway.OutcomeRefused},
+		claims.ReasonTooManyAttempts: {409, gateway.OutcomeNotRun},
+		claims.ReasonLogUnavailable:  {503, gateway.OutcomeNotRun},
+		claims.ReasonNotReady:        {503, gateway.OutcomeNotRun},
+		claims.ReasonTooManyKeys:     {503, gateway.OutcomeNotRun},
+		claims.ReasonLayout:          {503, gateway.OutcomeNotRun},
 	} {
 		r := claimRefusal(claims.Answer{Outcome: claims.Refused, Reason: reason, RetryAfter: wait})
 		if r.Status != want.status || r.Outcome != want.outcome || r.RetryAfter != wait || r.Message == "" {
--- a/lab/history/desk.go
+++ b/lab/history/desk.go
@@ -92,7 +92,7 @@
 }
 
 func (d *Desk) serve(call int, key string) callOutput {
-	request := claims.Request{Organisation: "registre", Service: "counter", Key: key, Digest: claims.DigestOf("POST", "/receipt", []byte(key))}
+	request := claims.Request{Organisation: "registre", Service: "counter", Key: key, Digest: claims.RequestDigest("POST", "/receipt", []byte(key))}
 	a := d.claimer.Claim(d.ctx, request)
 	if d.ctx.Err() != nil {
 		return callOutput{outcome: CallUnknown} // the connection broke
