--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -55,7 +55,7 @@
 	dirty    bool // pools must be worked out anew
 	pools    map[string][]fleet.Endpoint
 	capacity map[string]capacity // by model
-	shares   map[string][]rollout.Share
+	shares   map[string][]rollout.VersionGroup
 	said     map[fleet.EndpointID]saying
 	gates    map[fleet.EndpointID]placement.Gate
 	all      []fleet.Member // as of the last refresh, by id
--- a/daemon/pools.go
+++ b/daemon/pools.go
@@ -56,10 +56,10 @@
 		}
 	}
 	v.capacity = map[string]capacity{}
-	v.shares = map[string][]rollout.Share{}
+	v.shares = map[string][]rollout.VersionGroup{}
 	for i := range v.manifest.Models {
 		model := v.manifest.Models[i].ID
-		shares := rollout.Shares(v.manifest, model, staying)
+		shares := rollout.GroupByVersion(v.manifest, model, staying)
 		v.shares[model] = shares
 		for _, s := range shares {
 			v.setPool(modelPool(model, s.Version), s.Endpoints)
@@ -169,7 +169,7 @@
 	v.mu.Lock()
 	shares := v.shares[t.Model]
 	v.mu.Unlock()
-	if s, ok := rollout.Bind(shares, t.Version, d.Sum64()); ok {
+	if s, ok := rollout.ChooseVersion(shares, t.Version, d.Sum64()); ok {
 		t.Version = s.Version
 	}
 	return t
--- a/lab/measure/rollout.go
+++ b/lab/measure/rollout.go
@@ -55,7 +55,7 @@
 // rolled out.
 func PlanOnce(count int) func() rollout.Plan {
 	now := time.Unix(1000, 0)
-	in := rollout.Input{Manifest: rolloutManifest(3), Revision: 2, Since: now, Endpoints: runners(count)}
+	in := rollout.Input{Manifest: rolloutManifest(3), Revision: 2, HeldSince: now, Endpoints: runners(count)}
 	planner := rollout.NewPlanner(rollout.Options{})
 	for i, e := range in.Endpoints {
 		version := fmt.Sprintf("v%d", 1+i%2)
@@ -110,7 +110,7 @@
 			}
 		}
 		result.LeastUp, result.MostLoad = min(result.LeastUp, up), max(result.MostLoad, loads)
-		plan := planner.Plan(now, rollout.Input{Manifest: m, Revision: 2, Fence: 1, Since: began, Endpoints: members})
+		plan := planner.Plan(now, rollout.Input{Manifest: m, Revision: 2, Fence: 1, HeldSince: began, Endpoints: members})
 		if plan.Done == o.Runners {
 			result.Took = now.Sub(began)
 			return result
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -40,7 +40,7 @@
 		return !g.tenure.lost, false
 	}
 	g.end(ErrLapsed)
-	g.tenure = tenure{fence: h.Fence, since: now.Add(g.o.Rollout.LongestOrder)}
+	g.tenure = tenure{fence: h.Fence, since: now.Add(g.o.Rollout.MaxOrderTime)}
 	g.o.Observe(Event{Kind: EventTaken, Fence: h.Fence})
 	return true, true
 }
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -141,7 +141,7 @@
 	setDuration(&o.Tick, DefaultTick)
 	setDuration(&o.SendTimeout, DefaultSendTimeout)
 	setDuration(&o.ReadTimeout, DefaultReadTimeout)
-	setDuration(&o.Rollout.LongestOrder, rollout.DefaultLongestOrder)
+	setDuration(&o.Rollout.MaxOrderTime, rollout.DefaultMaxOrderTime)
 	if o.MaxReads <= 0 {
 		o.MaxReads = DefaultMaxReads
 	}
@@ -202,7 +202,7 @@
 		Manifest:  s.Manifest,
 		Revision:  s.Revision,
 		Fence:     g.tenure.fence,
-		Since:     g.tenure.since,
+		HeldSince: g.tenure.since,
 		Endpoints: s.Endpoints,
 	})
 	g.last.Store(&Report{At: now, Fence: g.tenure.fence, Plan: plan})
--- a/rollout/bind.go
+++ b/rollout/bind.go
@@ -8,20 +8,20 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// Share is a weight version with the endpoints that serve it.
-type Share struct {
+// VersionGroup is a weight version with the endpoints that serve it.
+type VersionGroup struct {
 	Version   string
 	Endpoints []fleet.Endpoint
 }
 
-// Shares groups the endpoints that may get work for a model by the version
+// GroupByVersion groups the endpoints that may get work for a model by the version
 // that they say they serve, by version. Each group is a pool for placement.
 //
 // Endpoints that were heard and name no weights are taken to serve the declared
 // version; one that does not refuses by its number. Those that were not heard
 // yet, after a restart of this daemon, are taken to serve what most others do:
 // in the middle of a rollout the declared version would be refused by many.
-func Shares(m *manifest.Manifest, model string, members []fleet.Member) []Share {
+func GroupByVersion(m *manifest.Manifest, model string, members []fleet.Member) []VersionGroup {
 	declared := ""
 	for _, x := range m.Models {
 		if x.ID == model {
@@ -46,11 +46,11 @@
 		v := commonest(groups, declared)
 		groups[v] = append(groups[v], unheard...)
 	}
-	shares := make([]Share, 0, len(groups))
+	shares := make([]VersionGroup, 0, len(groups))
 	for v, es := range groups {
-		shares = append(shares, Share{v, es})
+		shares = append(shares, VersionGroup{v, es})
 	}
-	slices.SortFunc(shares, func(a, b Share) int { return strings.Compare(a.Version, b.Version) })
+	slices.SortFunc(shares, func(a, b VersionGroup) int { return strings.Compare(a.Version, b.Version) })
 	return shares
 }
 
@@ -87,19 +87,19 @@
 	return ""
 }
 
-// Bind chooses the weight version for a request, once; the request keeps it
+// ChooseVersion chooses the weight version for a request, once; the request keeps it
 // through every retry and resumption. Requests with the same key, a hash of
 // the prefix's first level, get the same version as long as the shares stay,
 // so that a rollout moves prefixes over bit by bit and not to and fro. The
 // declared version is reached first by the smallest keys: once a key has
 // moved to it, the growing share keeps it there.
-func Bind(shares []Share, declared string, key uint64) (Share, bool) {
+func ChooseVersion(shares []VersionGroup, declared string, key uint64) (VersionGroup, bool) {
 	total := 0
 	for _, s := range shares {
 		total += len(s.Endpoints)
 	}
 	if total == 0 {
-		return Share{}, false
+		return VersionGroup{}, false
 	}
 	at := int(float64(key) / (1 << 64) * float64(total))
 	for _, s := range declaredFirst(shares, declared) {
@@ -111,8 +111,8 @@
 	return shares[len(shares)-1], true
 }
 
-func declaredFirst(shares []Share, declared string) []Share {
-	out := make([]Share, 0, len(shares))
+func declaredFirst(shares []VersionGroup, declared string) []VersionGroup {
+	out := make([]VersionGroup, 0, len(shares))
 	for _, s := range shares {
 		if s.Version == declared {
 			out = append(out, s)
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -46,7 +46,7 @@
 	r.reads(cs)
 	unread := r.count(cs)
 	r.budget = in.Manifest.Fleet.LoadsAtOnce - r.plan.Loading
-	waits := unread > 0 && now.Sub(in.Since) < p.o.UnreadGrace
+	waits := unread > 0 && now.Sub(in.HeldSince) < p.o.UnreadGrace
 	for _, c := range cs {
 		if !c.member.Leaving {
 			r.decide(c, waits)
@@ -89,10 +89,10 @@
 // not been read for very long is given up with it: kept, the place among the
 // loads of an endpoint that died would be lost until the list forgot it.
 func (r *round) fresh(m fleet.Member, x *row) bool {
-	if x.sent != nil && r.now.Sub(x.sentAt) >= r.p.o.LostAfter {
+	if x.sent != nil && r.now.Sub(x.sentAt) >= r.p.o.UnreachableTimeout {
 		x.sent = nil
 	}
-	if x.read.IsZero() || x.read.Before(r.in.Since) || r.now.Sub(x.read) >= r.p.o.LostAfter {
+	if x.read.IsZero() || x.read.Before(r.in.HeldSince) || r.now.Sub(x.read) >= r.p.o.UnreachableTimeout {
 		return false
 	}
 	return sameLife(m, &x.status)
@@ -162,7 +162,7 @@
 func (r *round) reads(cs []*candidate) {
 	var due []*candidate
 	for _, c := range cs {
-		after := r.p.o.ReadAfter
+		after := r.p.o.StatusMaxAge
 		if c.busy() || !c.fresh {
 			after /= busyReads
 		}
@@ -262,22 +262,22 @@
 }
 
 // hold tells why an endpoint must wait; empty: it need not.
-func (r *round) hold(c *candidate, waits bool) Hold {
+func (r *round) hold(c *candidate, waits bool) HoldReason {
 	switch {
 	case c.row.sent != nil:
-		return HoldUnsettled
+		return HoldUnconfirmed
 	case !c.fresh:
 		return HoldUnread
 	case c.row.status.Loading != nil:
 		return HoldLoading
 	case waits:
-		return HoldOtherReads
+		return HoldInitialReads
 	case c.next.loads() && r.now.Before(r.p.storeUntil):
 		return HoldStore
 	case c.next.loads() && r.budget <= 0:
 		return HoldLoadLimit
 	case c.next.interrupts() && !r.spare(c):
-		return HoldServing
+		return HoldNeeded
 	}
 	return ""
 }
@@ -298,7 +298,7 @@
 // are dead count less than those that orders took away: if they counted the
 // same, a few of them would stop every rollout for good.
 func (r *round) spares(u *use) bool {
-	allowed := max(1, int(r.p.o.AwayShare*float64(u.all)))
+	allowed := max(1, int(r.p.o.MaxUnavailableFraction*float64(u.all)))
 	if u.ordered >= allowed {
 		return false
 	}
@@ -320,7 +320,7 @@
 	if u.ordered+u.broken >= max(allowed, maxBroken) {
 		return false
 	}
-	return r.now.Sub(r.p.failed) >= r.p.o.RetryAfter && r.now.Sub(r.p.probed) >= r.p.o.RetryAfter
+	return r.now.Sub(r.p.failed) >= r.p.o.LoadFailureDelay && r.now.Sub(r.p.probed) >= r.p.o.LoadFailureDelay
 }
 
 // maxBroken is how many endpoints of a small model may have failed their loads
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -237,10 +237,10 @@
 	moved := map[uint64]bool{}
 	for done := range len(members) {
 		members[done].Load.Weights = []fleet.Weights{{Model: "model-0", Version: "v2"}}
-		shares := Shares(m, "model-0", members)
+		shares := GroupByVersion(m, "model-0", members)
 		for i := range 100 {
 			key := uint64(i) * (1 << 64 / 100)
-			s, ok := Bind(shares, "v2", key)
+			s, ok := ChooseVersion(shares, "v2", key)
 			if !ok || moved[key] && s.Version != "v2" {
 				t.Fatalf("key %d bound to %q with %d done", key, s.Version, done+1)
 			}
@@ -250,7 +250,7 @@
 	if len(moved) != 100 {
 		t.Errorf("%d keys", len(moved))
 	}
-	if _, ok := Bind(nil, "v2", 1); ok {
+	if _, ok := ChooseVersion(nil, "v2", 1); ok {
 		t.Error("bound without endpoints")
 	}
 }
@@ -277,7 +277,7 @@
 		{members[3:], map[string]int{"v2": 2}},
 		{members[1:], map[string]int{"v1": 1, "v2": 3}},
 	} {
-		for _, s := range Shares(m, "model-0", c.members) {
+		for _, s := range GroupByVersion(m, "model-0", c.members) {
 			if len(s.Endpoints) != c.want[s.Version] {
 				t.Errorf("%d of %d endpoints for %s, want %d", len(s.Endpoints), len(c.members), s.Version, c.want[s.Version])
 			}
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -10,53 +10,53 @@
 
 // Options holds the planner's times and shares. Zero fields take the defaults.
 type Options struct {
-	// LongestOrder is how long an order may be under way to an endpoint; after
+	// MaxOrderTime is how long an order may be under way to an endpoint; after
 	// it, an order without an answer has either taken effect or never will.
-	LongestOrder time.Duration
-	// ReadAfter is the age at which an endpoint's status is read again.
-	ReadAfter time.Duration
+	MaxOrderTime time.Duration
+	// StatusMaxAge is the age at which an endpoint's status is read again.
+	StatusMaxAge time.Duration
 	// UnreadGrace is how long a new holder waits for endpoints that it could
 	// not read yet before it gives its first order.
 	UnreadGrace time.Duration
-	// FailPause is how long an order that failed is not given again.
-	FailPause time.Duration
-	// StorePause is how long no load is begun after the weight store was busy,
+	// FailedOrderDelay is how long an order that failed is not given again.
+	FailedOrderDelay time.Duration
+	// StoreBusyDelay is how long no load is begun after the weight store was busy,
 	// when the endpoint named no time.
-	StorePause time.Duration
-	// LostAfter is how long an endpoint that cannot be read any more counts as
+	StoreBusyDelay time.Duration
+	// UnreachableTimeout is how long an endpoint that cannot be read any more counts as
 	// loading.
-	LostAfter time.Duration
-	// RetryAfter is how long no further endpoint is taken out of service for a
+	UnreachableTimeout time.Duration
+	// LoadFailureDelay is how long no further endpoint is taken out of service for a
 	// load after loads have failed and none has succeeded since.
-	RetryAfter time.Duration
-	// AwayShare is the share of a model's endpoints that may serve nothing at
+	LoadFailureDelay time.Duration
+	// MaxUnavailableFraction is the share of a model's endpoints that may serve nothing at
 	// once, of which at least one endpoint.
-	AwayShare float64
+	MaxUnavailableFraction float64
 }
 
 // The defaults of Options.
 const (
-	DefaultLongestOrder = 5 * time.Second
-	DefaultReadAfter    = 5 * time.Second
-	DefaultUnreadGrace  = 20 * time.Second
-	DefaultFailPause    = 30 * time.Second
-	DefaultStorePause   = 15 * time.Second
-	DefaultLostAfter    = 15 * time.Minute
-	DefaultRetryAfter   = 10 * time.Minute
-	DefaultAwayShare    = 0.25
+	DefaultMaxOrderTime           = 5 * time.Second
+	DefaultStatusMaxAge           = 5 * time.Second
+	DefaultUnreadGrace            = 20 * time.Second
+	DefaultFailedOrderDelay       = 30 * time.Second
+	DefaultStoreBusyDelay         = 15 * time.Second
+	DefaultUnreachableTimeout     = 15 * time.Minute
+	DefaultLoadFailureDelay       = 10 * time.Minute
+	DefaultMaxUnavailableFraction = 0.25
 )
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.LongestOrder, DefaultLongestOrder)
-	setDuration(&o.ReadAfter, DefaultReadAfter)
-	setDuration(&o.ReadAfter, DefaultReadAfter)
+	setDuration(&o.MaxOrderTime, DefaultMaxOrderTime)
+	setDuration(&o.StatusMaxAge, DefaultStatusMaxAge)
+	setDuration(&o.StatusMaxAge, DefaultStatusMaxAge)
 	setDuration(&o.UnreadGrace, DefaultUnreadGrace)
-	setDuration(&o.FailPause, DefaultFailPause)
-	setDuration(&o.StorePause, DefaultStorePause)
-	setDuration(&o.LostAfter, DefaultLostAfter)
-	setDuration(&o.RetryAfter, DefaultRetryAfter)
-	if o.AwayShare <= 0 {
-		o.AwayShare = DefaultAwayShare
+	setDuration(&o.FailedOrderDelay, DefaultFailedOrderDelay)
+	setDuration(&o.StoreBusyDelay, DefaultStoreBusyDelay)
+	setDuration(&o.UnreachableTimeout, DefaultUnreachableTimeout)
+	setDuration(&o.LoadFailureDelay, DefaultLoadFailureDelay)
+	if o.MaxUnavailableFraction <= 0 {
+		o.MaxUnavailableFraction = DefaultMaxUnavailableFraction
 	}
 	return o
 }
@@ -72,31 +72,31 @@
 	Manifest *manifest.Manifest
 	Revision ports.Offset // of the manifest
 	Fence    ports.Offset // of the lease held
-	// Since is when this holder began: the old holder's longest order had ended
+	// HeldSince is when this holder began: the old holder's longest order had ended
 	// by then. Nothing read before counts.
-	Since     time.Time
+	HeldSince time.Time
 	Endpoints []fleet.Member
 }
 
-// Hold tells why an endpoint is not given its next order.
-type Hold string
+// HoldReason tells why an endpoint is not given its next order.
+type HoldReason string
 
 // The reasons, besides an order under way.
 const (
-	HoldUnread     Hold = "not read"        // its state is not known
-	HoldLoading    Hold = "loading"         // carries an order out
-	HoldUnsettled  Hold = "order unsettled" // sent, and not yet read back
-	HoldLoadLimit  Hold = "load limit"      // as many loads as the fleet may have
-	HoldStore      Hold = "store busy"      // the weight store asked for a pause
-	HoldServing    Hold = "needed"          // too few others serve its models
-	HoldFailed     Hold = "failed"          // the order failed a moment ago
-	HoldOtherReads Hold = "reading others"  // a new holder reads the fleet first
+	HoldUnread       HoldReason = "not read"        // its state is not known
+	HoldLoading      HoldReason = "loading"         // carries an order out
+	HoldUnconfirmed  HoldReason = "order unsettled" // sent, and not yet read back
+	HoldLoadLimit    HoldReason = "load limit"      // as many loads as the fleet may have
+	HoldStore        HoldReason = "store busy"      // the weight store asked for a pause
+	HoldNeeded       HoldReason = "needed"          // too few others serve its models
+	HoldFailed       HoldReason = "failed"          // the order failed a moment ago
+	HoldInitialReads HoldReason = "reading others"  // a new holder reads the fleet first
 )
 
 // Held is an endpoint that is not as declared and not given an order now.
 type Held struct {
 	Endpoint fleet.EndpointID
-	Hold     Hold
+	Reason   HoldReason
 }
 
 // Plan is what to do now.
@@ -182,7 +182,7 @@
 		r.failing, p.failed = now, now
 	}
 	if fresh {
-		r.failed, r.failedTill = was.ID, now.Add(p.o.FailPause)
+		r.failed, r.failedTill = was.ID, now.Add(p.o.FailedOrderDelay)
 	}
 }
 
@@ -190,7 +190,7 @@
 // result alone does not if the endpoint has not answered, since it may be of
 // an earlier try of the same order.
 func (p *Planner) settled(r *row, asked time.Time) bool {
-	if asked.Sub(r.sentAt) >= p.o.LongestOrder || r.status.Incarnation != r.sent.Incarnation {
+	if asked.Sub(r.sentAt) >= p.o.MaxOrderTime || r.status.Incarnation != r.sent.Incarnation {
 		return true
 	}
 	if r.status.Loading != nil && r.status.Loading.ID == r.sent.ID {
@@ -202,7 +202,7 @@
 func (p *Planner) settle(now time.Time, r *row) {
 	last := r.status.Last
 	if last != nil && last.Order == r.sent.ID && !last.Done {
-		r.failed, r.failedTill = r.sent.ID, now.Add(p.o.FailPause)
+		r.failed, r.failedTill = r.sent.ID, now.Add(p.o.FailedOrderDelay)
 	}
 	r.sent = nil
 }
@@ -240,7 +240,7 @@
 // those under way and serve nobody earlier.
 func (p *Planner) StoreBusy(now time.Time, pause time.Duration) {
 	if pause <= 0 {
-		pause = p.o.StorePause
+		pause = p.o.StoreBusyDelay
 	}
 	if until := now.Add(pause); until.After(p.storeUntil) {
 		p.storeUntil = until
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -70,7 +70,7 @@
 func (w *world) hold(fence int) {
 	w.planner = NewPlanner(Options{})
 	w.in.Fence++
-	w.in.Since = w.now
+	w.in.HeldSince = w.now
 	_ = fence
 }
 
