--- a/admin/sections.go
+++ b/admin/sections.go
@@ -37,7 +37,7 @@
 		answer(w, http.StatusNotFound, problem{Error: "the manifest in force has no such section"})
 		return
 	}
-	w.Header().Set("ETag", strconv.Quote(string(manifest.SumText(text))))
+	w.Header().Set("ETag", strconv.Quote(string(manifest.DigestOfText(text))))
 	w.Header().Set("Content-Type", "application/json")
 	_, _ = w.Write(append(text, '\n'))
 }
--- a/lab/capacity/parts.go
+++ b/lab/capacity/parts.go
@@ -168,7 +168,7 @@
 func manifestRecord(n int) []byte {
 	m := manifestOf(n)
 	text := must(manifest.Encode(m))
-	return must(ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.SumText(text), Manifest: text}))
+	return must(ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.DigestOfText(text), Manifest: text}))
 }
 
 func manifestBytes() Slope {
--- a/lab/history/manifests_test.go
+++ b/lab/history/manifests_test.go
@@ -285,7 +285,7 @@
 func (f *lastWins) publish(t *testing.T, base ports.Offset, loads int) publishedOutput {
 	t.Helper()
 	text, _ := manifest.Encode(Sample(loads))
-	data, _ := ledger.Encode(1, &ledger.ManifestRecord{Base: base, Digest: manifest.SumText(text), Manifest: text})
+	data, _ := ledger.Encode(1, &ledger.ManifestRecord{Base: base, Digest: manifest.DigestOfText(text), Manifest: text})
 	own, err := f.log.Append(t.Context(), ledger.StreamManifest, data)
 	if err != nil {
 		t.Fatal(err)
--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return ports.Record{}, err
 	}
-	data, err := ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.SumText(text), Manifest: text})
+	data, err := ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.DigestOfText(text), Manifest: text})
 	return ports.Record{Offset: 1, Time: foldStart, Data: data}, err
 }
 
--- a/ledger/checkpoints.go
+++ b/ledger/checkpoints.go
@@ -11,7 +11,7 @@
 	d := Decision{Kind: KindCheckpoint, Base: c.Base, Digest: c.Revision.Digest, By: s.latest.offset()}
 	then, known := s.asOf(c.Through)
 	switch {
-	case c.Through >= r.Offset, manifest.SumText(c.Manifest) != c.Revision.Digest && c.Revision.Offset > 0:
+	case c.Through >= r.Offset, manifest.DigestOfText(c.Manifest) != c.Revision.Digest && c.Revision.Offset > 0:
 		d.Outcome, d.Reason = Refused, ReasonMalformed
 	case !known:
 		d.Outcome, d.Reason = Refused, ReasonStale
--- a/ledger/manifests_test.go
+++ b/ledger/manifests_test.go
@@ -34,7 +34,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &ManifestRecord{Base: base, Digest: manifest.SumText(text), Manifest: text}
+	return &ManifestRecord{Base: base, Digest: manifest.DigestOfText(text), Manifest: text}
 }
 
 // logbook numbers records as the log does.
@@ -208,7 +208,7 @@
 	feed(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
 	wrong, _ := s.Checkpoint()
 	text, _ := manifest.Encode(sample(9))
-	wrong.Manifest, wrong.Revision.Digest = text, manifest.SumText(text)
+	wrong.Manifest, wrong.Revision.Digest = text, manifest.DigestOfText(text)
 	want(t, feed(s, l.add(&wrong)), Refused, ReasonConflict, 2)
 	if s.Conflicts() != 1 || s.InForce().Manifest.Fleet.LoadsAtOnce != 2 {
 		t.Fatalf("conflicts %d, in force %+v", s.Conflicts(), s.Revision())
--- a/ledger/sections.go
+++ b/ledger/sections.go
@@ -57,7 +57,7 @@
 	if err != nil {
 		return nil, err
 	}
-	after, err := manifest.Replace(v.Manifest, kind, id, text)
+	after, err := manifest.ReplaceSection(v.Manifest, kind, id, text)
 	if err != nil {
 		return nil, err
 	}
@@ -68,11 +68,11 @@
 // ChangeDigest identifies the change among acceptances: two changes can lead to the
 // same content, such as the removals of two sections.
 func (b *SectionRecord) ChangeDigest() manifest.Digest {
-	return manifest.SumText([]byte(string(b.Section) + "\n" + b.ID + "\n" + string(b.Was) + "\n" + string(b.Digest)))
+	return manifest.DigestOfText([]byte(string(b.Section) + "\n" + b.ID + "\n" + string(b.Was) + "\n" + string(b.Digest)))
 }
 
 func (s *State) changed(r ports.Record, b *SectionRecord) (*Version, error) {
-	m, err := manifest.Replace(s.latest.Manifest, b.Section, b.ID, b.Value)
+	m, err := manifest.ReplaceSection(s.latest.Manifest, b.Section, b.ID, b.Value)
 	if err != nil {
 		return nil, &RecordError{Reason: ReasonInvalid, Detail: err.Error()}
 	}
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -123,7 +123,7 @@
 	if err != nil {
 		return proposal{}, nil, err
 	}
-	digest := manifest.SumText(text)
+	digest := manifest.DigestOfText(text)
 	record := &ledger.ManifestRecord{Base: req.Base, Digest: digest, Author: req.Author, Manifest: text}
 	return proposal{kind: ledger.KindManifest, base: req.Base, digest: digest, key: digest}, record, nil
 }
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -12,23 +12,23 @@
 
 // Limits of what a manifest declares.
 const (
-	MaxOrganisations      = 20_000
-	MaxKeysEach           = 64 // API keys of one organisation
-	MaxModels             = 256
-	MaxAdaptersEach       = 4_096 // adapters of one model
-	MaxClasses            = 256
-	MaxServices           = 256
-	MaxCallsEach          = 1_024 // calls of one service
-	MaxIDBytes            = 128
-	MaxShare              = 1e6
-	MaxPieceTokens        = 1 << 20
-	MaxLoadsAtOnce        = 10_000
-	MaxClaimWindow        = 24 * time.Hour
-	MinClaimWindow        = time.Minute
-	RetentionPerWindow    = 2 // records must be kept this many claim windows
-	keyHashBytes          = 32
-	modelProtocolPrefix   = "/v1/"
-	administrationsPrefix = "/merlin/"
+	MaxOrganisations       = 20_000
+	MaxKeysPerOrganisation = 64 // API keys of one organisation
+	MaxModels              = 256
+	MaxAdaptersPerModel    = 4_096 // adapters of one model
+	MaxClasses             = 256
+	MaxServices            = 256
+	MaxCallsPerService     = 1_024 // calls of one service
+	MaxIDBytes             = 128
+	MaxShare               = 1e6
+	MaxPieceTokens         = 1 << 20
+	MaxLoadsAtOnce         = 10_000
+	MaxClaimWindow         = 24 * time.Hour
+	MinClaimWindow         = time.Minute
+	MinRetentionWindows    = 2 // records must be kept this many claim windows
+	keyHashBytes           = 32
+	modelProtocolPrefix    = "/v1/"
+	administrationsPrefix  = "/merlin/"
 )
 
 // Check returns nil, or an *Error with every fault of m that can be seen
@@ -104,7 +104,7 @@
 		c.faults.add(p.field("id"), "%q is declared twice", o.ID)
 	}
 	c.orgs[o.ID] = true
-	c.between(p.field("key_hashes"), len(o.KeyHashes), 1, MaxKeysEach)
+	c.between(p.field("key_hashes"), len(o.KeyHashes), 1, MaxKeysPerOrganisation)
 	for i, h := range o.KeyHashes {
 		c.keyHash(p.field("key_hashes").item(i), h)
 		c.once(p.field("key_hashes").item(i), keys, h)
@@ -132,7 +132,7 @@
 func (c *checker) adapters() {
 	for i, model := range c.m.Models {
 		p := at("models").item(i).field("adapters")
-		c.between(p, len(model.Adapters), 0, MaxAdaptersEach)
+		c.between(p, len(model.Adapters), 0, MaxAdaptersPerModel)
 		seen := make(map[string]bool, len(model.Adapters))
 		for j, a := range model.Adapters {
 			c.id(p.item(j).field("id"), a.ID)
@@ -195,7 +195,7 @@
 		if c.kinds[s.Class] != fleet.KindService {
 			c.faults.add(p.item(i).field("class"), "%q is not a class of kind service", s.Class)
 		}
-		c.between(p.item(i).field("calls"), len(s.Calls), 0, MaxCallsEach)
+		c.between(p.item(i).field("calls"), len(s.Calls), 0, MaxCallsPerService)
 		for j, call := range s.Calls {
 			c.call(p.item(i).field("calls").item(j), call)
 		}
@@ -244,8 +244,8 @@
 	if window < MinClaimWindow || window > MaxClaimWindow {
 		c.faults.add(p.field("claim_window"), "is %v, expected %v to %v", window, MinClaimWindow, MaxClaimWindow)
 	}
-	if kept < RetentionPerWindow*window {
-		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", kept, RetentionPerWindow, window)
+	if kept < MinRetentionWindows*window {
+		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", kept, MinRetentionWindows, window)
 	}
 }
 
--- a/manifest/decode_test.go
+++ b/manifest/decode_test.go
@@ -24,7 +24,7 @@
 			Adapters: []Adapter{{ID: "title-blocks", Version: "a1", Organisations: []contract.OrganisationID{"org-0"}}},
 		}},
 		Classes: []Class{
-			{ID: "runner", Kind: fleet.KindModel, Models: []string{"plan-reader"}, Fences: true},
+			{ID: "runner", Kind: fleet.KindModel, Models: []string{"plan-reader"}, ChecksFence: true},
 			{ID: "counter", Kind: fleet.KindService},
 		},
 		Services: []Service{{
@@ -137,8 +137,8 @@
 	}
 	var e *Error
 	_, err := Decode([]byte(`{` + strings.Repeat(`"x":1,`, 500) + `"x":1}`))
-	if !errors.As(err, &e) || len(e.Faults) != MaxFaults || e.More == 0 {
-		t.Fatalf("got %d faults and %d more", len(e.Faults), e.More)
+	if !errors.As(err, &e) || len(e.Faults) != MaxFaults || e.Omitted == 0 {
+		t.Fatalf("got %d faults and %d more", len(e.Faults), e.Omitted)
 	}
 }
 
--- a/manifest/diff.go
+++ b/manifest/diff.go
@@ -8,16 +8,16 @@
 
 // Change is one line of the difference between two manifests.
 type Change struct {
-	What string `json:"what"` // such as organisation or service
-	ID   string `json:"id"`
-	How  string `json:"how"` // added, removed or changed
+	Kind   string `json:"what"` // such as organisation or service
+	ID     string `json:"id"`
+	Action string `json:"how"` // added, removed or changed
 }
 
 func (c Change) String() string {
 	if c.ID == "" {
-		return c.What + " " + c.How
+		return c.Kind + " " + c.Action
 	}
-	return fmt.Sprintf("%s %s %s", c.What, c.ID, c.How)
+	return fmt.Sprintf("%s %s %s", c.Kind, c.ID, c.Action)
 }
 
 // Diff lists what b changes of a, by kind and id. A changed order alone is
@@ -39,7 +39,7 @@
 	if reflect.DeepEqual(a, b) {
 		return list
 	}
-	return append(list, Change{What: what, How: "changed"})
+	return append(list, Change{Kind: what, Action: "changed"})
 }
 
 func appendParts[T any](list []Change, what string, a, b []T, id func(T) string) []Change {
@@ -53,13 +53,13 @@
 		delete(old, id(part))
 		switch {
 		case !known:
-			list = append(list, Change{What: what, ID: id(part), How: "added"})
+			list = append(list, Change{Kind: what, ID: id(part), Action: "added"})
 		case !reflect.DeepEqual(before, part):
-			list = append(list, Change{What: what, ID: id(part), How: "changed"})
+			list = append(list, Change{Kind: what, ID: id(part), Action: "changed"})
 		}
 	}
 	for gone := range old {
-		list = append(list, Change{What: what, ID: gone, How: "removed"})
+		list = append(list, Change{Kind: what, ID: gone, Action: "removed"})
 	}
 	added := list[start:]
 	sort.Slice(added, func(i, j int) bool { return added[i].ID < added[j].ID })
--- a/manifest/digest.go
+++ b/manifest/digest.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return "", err
 	}
-	return SumText(text), nil
+	return DigestOfText(text), nil
 }
 
-// SumText returns the digest of a manifest's canonical text.
-func SumText(text []byte) Digest {
+// DigestOfText returns the digest of a manifest's canonical text.
+func DigestOfText(text []byte) Digest {
 	sum := sha256.Sum256(text)
 	return Digest(hex.EncodeToString(sum[:]))
 }
--- a/manifest/faults.go
+++ b/manifest/faults.go
@@ -15,8 +15,8 @@
 
 // Error lists the faults of a manifest.
 type Error struct {
-	Faults []Fault `json:"faults"`
-	More   int     `json:"more"` // further faults that are not listed
+	Faults  []Fault `json:"faults"`
+	Omitted int     `json:"more"` // further faults that are not listed
 }
 
 func (e *Error) Error() string {
@@ -24,8 +24,8 @@
 	for _, f := range e.Faults {
 		lines = append(lines, f.String())
 	}
-	if e.More > 0 {
-		lines = append(lines, fmt.Sprintf("and %d more", e.More))
+	if e.Omitted > 0 {
+		lines = append(lines, fmt.Sprintf("and %d more", e.Omitted))
 	}
 	return "manifest: " + strings.Join(lines, "; ")
 }
@@ -47,5 +47,5 @@
 	if len(l.faults) == 0 {
 		return nil
 	}
-	return &Error{Faults: l.faults, More: l.more}
+	return &Error{Faults: l.faults, Omitted: l.more}
 }
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -64,11 +64,11 @@
 // Class describes endpoints that are alike. The platform's list gives each
 // endpoint's class.
 type Class struct {
-	ID     string     `json:"id"`
-	Kind   fleet.Kind `json:"kind"`
-	Models []string   `json:"models,omitempty"` // served by this class
-	Fences bool       `json:"fences"`           // refuses orders with an old fencing number
-	Role   string     `json:"role,omitempty"`   // that its endpoints are ordered to take; empty: any
+	ID          string     `json:"id"`
+	Kind        fleet.Kind `json:"kind"`
+	Models      []string   `json:"models,omitempty"` // served by this class
+	ChecksFence bool       `json:"fences"`           // refuses orders with an old fencing number
+	Role        string     `json:"role,omitempty"`   // that its endpoints are ordered to take; empty: any
 }
 
 // Service is a plain service that is routed to by path.
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -26,7 +26,7 @@
 	if err != nil || text == nil {
 		return "", err
 	}
-	return SumText(text), nil
+	return DigestOfText(text), nil
 }
 
 // SectionText returns the canonical text of one section, and nil when the
@@ -52,9 +52,9 @@
 	return json.Marshal(part)
 }
 
-// Replace returns m with one section set to the given text, or without it when
+// ReplaceSection returns m with one section set to the given text, or without it when
 // the text is empty. It shares the other sections with m, and checks the whole.
-func Replace(m Manifest, kind SectionKind, id string, text []byte) (Manifest, error) {
+func ReplaceSection(m Manifest, kind SectionKind, id string, text []byte) (Manifest, error) {
 	var err error
 	switch kind {
 	case SectionOrganisation:
