--- a/ledger/agreement_test.go
+++ b/ledger/agreement_test.go
@@ -12,9 +12,9 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// A fixed seed gives the same verdict on every run. The number of draws is
-// such that a fold that forgets claims made under another layout is caught,
-// which took 161. Flags on the command line override both.
+// The fixed seed makes runs reproducible. With it, a Claims that forgets claims
+// made under another layout fails at check 161, well within 500 checks. Flags on
+// the command line override both values.
 func init() {
 	for name, value := range map[string]string{"rapid.seed": "20260301", "rapid.checks": "500"} {
 		if err := flag.Set(name, value); err != nil {
@@ -23,13 +23,13 @@
 	}
 }
 
-// The machines below draw records at random and fold them in one reader that
-// misses nothing and in others that start late, read with gaps and hear each
-// other's proofs. What any of them accepts, the first must have accepted too.
+// The tests below apply random records to one reader that misses none and to
+// others that start late, have gaps and adopt each other's checkpoints. Whatever
+// one of these accepts, the complete reader must have accepted too.
 
-func TestReadersOfManifestsAgree(t *testing.T) {
+func TestManifestReadersAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		full, l := NewState(Options{}), &logbook{t: t}
+		full, l := NewState(Options{}), &testLog{t: t}
 		readers := []*State{NewState(Options{MaxHeld: 3}), NewState(Options{}), NewState(Options{Lazy: true})}
 		before := make([]Revision, len(readers))
 		accepted := map[ports.Offset]Revision{0: {}}
@@ -39,7 +39,7 @@
 				if rapid.Bool().Draw(rt, "latest") {
 					base = full.Revision().Offset
 				}
-				feed(full, l.add(proposal(t, base, rapid.IntRange(1, 6).Draw(rt, "loads"))))
+				apply(full, l.add(proposal(t, base, rapid.IntRange(1, 6).Draw(rt, "loads"))))
 				accepted[full.Revision().Offset] = full.Revision()
 			},
 			"change": func(rt *rapid.T) {
@@ -48,20 +48,20 @@
 					return
 				}
 				share := float64(rapid.IntRange(1, 3).Draw(rt, "share"))
-				feed(full, l.add(section(t, s, rapid.SampledFrom([]string{"registre", "x"}).Draw(rt, "id"), share)))
+				apply(full, l.add(section(t, s, rapid.SampledFrom([]string{"registre", "x"}).Draw(rt, "id"), share)))
 				accepted[full.Revision().Offset] = full.Revision()
 			},
 			"checkpoint": func(rt *rapid.T) {
 				s := rapid.SampledFrom(append(readers, full)).Draw(rt, "writer")
 				if c, ok := s.Checkpoint(); ok {
-					feed(full, l.add(&c))
+					apply(full, l.add(&c))
 				}
 			},
 			"read": func(rt *rapid.T) {
 				s := rapid.SampledFrom(readers).Draw(rt, "reader")
 				to := ports.Offset(rapid.IntRange(0, len(l.records)).Draw(rt, "to"))
 				for s.Next() <= to {
-					feed(s, l.records[s.Next()-1])
+					apply(s, l.records[s.Next()-1])
 				}
 			},
 			"settle": func(*rapid.T) { readers[2].UseNewestCheckpoint() },
@@ -72,7 +72,7 @@
 			"hear": func(rt *rapid.T) {
 				s, from := rapid.SampledFrom(readers).Draw(rt, "to"), rapid.SampledFrom(append(readers, full)).Draw(rt, "from")
 				if c, ok := from.Checkpoint(); ok {
-					_, _ = s.Adopt(c) // one that is behind is refused
+					_, _ = s.Adopt(c) // a stale checkpoint is refused
 				}
 			},
 			"": func(rt *rapid.T) {
@@ -88,9 +88,9 @@
 	})
 }
 
-// drawnLog gives records rising times at random steps.
+// drawnLog is a testLog whose record times increase by random steps.
 type drawnLog struct {
-	logbook
+	testLog
 	now time.Time
 }
 
@@ -102,9 +102,9 @@
 	return r
 }
 
-func TestReadersOfLeasesAgree(t *testing.T) {
+func TestLeaseReadersAgree(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		l := &drawnLog{logbook: logbook{t: t}, now: epoch}
+		l := &drawnLog{testLog: testLog{t: t}, now: epoch}
 		full, late := NewLeases(), NewLeases()
 		n := rapid.IntRange(1, 60).Draw(rt, "records")
 		start := ports.Offset(rapid.IntRange(1, n).Draw(rt, "start"))
@@ -121,7 +121,7 @@
 			want := full.Apply(r)
 			if want.Outcome == Accepted {
 				if b.Op == LeaseAcquire && want.Fence <= fence {
-					rt.Fatalf("fence fell from %d to %d", fence, want.Fence)
+					rt.Fatalf("fence decreased from %d to %d", fence, want.Fence)
 				}
 				fence = want.Fence
 			}
@@ -137,11 +137,11 @@
 	})
 }
 
-func TestReadersOfClaimsAgree(t *testing.T) {
+func TestClaimReadersAgree(t *testing.T) {
 	layout := Layout{Partitions: 1, Window: manifest.Duration(20 * time.Minute)}
 	request := HashID("request")
 	rapid.Check(t, func(rt *rapid.T) {
-		l := &drawnLog{logbook: logbook{t: t}, now: epoch}
+		l := &drawnLog{testLog: testLog{t: t}, now: epoch}
 		full, late := NewClaims(layout), NewClaims(layout)
 		n := rapid.IntRange(1, 80).Draw(rt, "records")
 		start := ports.Offset(rapid.IntRange(1, n).Draw(rt, "start"))
@@ -189,35 +189,35 @@
 	})
 }
 
-func TestFoldsWithOtherWindowsNeverGrantAKeyTwice(t *testing.T) {
+func TestClaimsWithDifferentWindowsGrantKeyOnce(t *testing.T) {
 	windows := []Layout{
 		{Partitions: 1, Window: manifest.Duration(20 * time.Minute)},
 		{Partitions: 1, Window: manifest.Duration(40 * time.Minute)},
-		{Partitions: 2, Window: manifest.Duration(30 * time.Minute)}, // a daemon with a wrong setting
+		{Partitions: 2, Window: manifest.Duration(30 * time.Minute)}, // a misconfigured daemon
 	}
 	request := HashID("request")
 	rapid.Check(t, func(rt *rapid.T) {
-		l := &drawnLog{logbook: logbook{t: t}, now: epoch}
-		var folds []*Claims
+		l := &drawnLog{testLog: testLog{t: t}, now: epoch}
+		var readers []*Claims
 		for _, w := range windows[:2] {
-			folds = append(folds, NewClaims(w))
+			readers = append(readers, NewClaims(w))
 		}
 		keyTime := epoch.Add(time.Duration(rapid.IntRange(0, 12).Draw(rt, "key")) * 5 * time.Minute)
-		strays := rapid.IntRange(0, 2).Draw(rt, "strays") // first marks of the third layout
+		strays := rapid.IntRange(0, 2).Draw(rt, "strays") // number of marker records with the third layout at the start
 		var sent string
 		givenUp := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(rt, "records") {
 			owner := rapid.IntRange(0, 1).Draw(rt, "owner")
 			if i < strays {
 				mark := l.put(rt, &ClaimBatch{Layout: windows[2]}, 0, time.Minute)
-				for _, f := range folds {
+				for _, f := range readers {
 					f.Apply(mark)
 				}
 				continue
 			}
 			if keyTime.After(l.now.Add(MaxKeySkew)) {
 				l.now = l.now.Add(time.Minute)
-				continue // daemons append nothing for a key that is ahead
+				continue // daemons append no claim for a key whose time is ahead
 			}
 			attempt := fmt.Sprintf("%d/%d", owner, rapid.IntRange(1, 3).Draw(rt, "attempt"))
 			op := ClaimOp{Verb: VerbClaim, Scope: HashID("key"), KeyTime: keyTime.UnixMilli(), Attempt: HashID(attempt), Request: &request}
@@ -226,7 +226,7 @@
 				givenUp[attempt] = true
 			}
 			r := l.put(rt, &ClaimBatch{Layout: windows[owner], Ops: []ClaimOp{op}}, 0, time.Second, time.Minute, 5*time.Minute)
-			for i, f := range folds {
+			for i, f := range readers {
 				granted := f.Apply(r)[0].Outcome == Accepted && op.Verb == VerbClaim && i == owner
 				if granted && (sent != "" && sent != attempt || givenUp[attempt]) {
 					rt.Fatalf("granted to %s after %q was sent; given up: %v", attempt, sent, givenUp)
@@ -265,10 +265,10 @@
 		}
 		again, err := Encode(rules, body)
 		if err != nil {
-			t.Fatalf("what was read cannot be written: %v", err)
+			t.Fatalf("decoded record cannot be encoded: %v", err)
 		}
 		if _, _, err := Decode(again); err != nil {
-			t.Fatalf("what was written cannot be read: %v", err)
+			t.Fatalf("encoded record cannot be decoded: %v", err)
 		}
 	})
 }
--- a/ledger/claimrecord.go
+++ b/ledger/claimrecord.go
@@ -11,26 +11,27 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Limits of claims. They are part of the rules.
+// Limits of claims. All daemons must apply the same ones; changing them needs a
+// new RulesVersion.
 const (
-	MaxClaimOps    = 1024            // in one record
-	MaxResultBytes = 64 << 10        // of a kept answer's body
-	MaxPartitions  = 256             // of the claim streams
-	MaxKeySkew     = 5 * time.Minute // how far a key's time may be ahead of the log's
-	maxAbandoned   = 8               // attempts given up for one key
-	bucketWidth    = time.Minute     // in which expired claims are dropped
-	idBytes        = 16              // of an ID
-	maxHeaderBytes = 4 << 10         // of a kept answer's content type
-	claimsPrefix   = "claims-"       // of the streams' names
+	MaxClaimOps          = 1024            // operations in one record
+	MaxResultBytes       = 64 << 10        // body of a stored result
+	MaxPartitions        = 256             // number of claim streams
+	MaxKeySkew           = 5 * time.Minute // maximum by which a key's time may be ahead of the log's
+	maxAbandonedAttempts = 8               // abandoned attempts of one key; further claims are refused
+	sweepBucketWidth     = time.Minute     // expired keys are dropped in buckets of this width
+	idBytes              = 16              // length of an ID
+	maxContentTypeBytes  = 4 << 10         // content type of a stored result
+	claimStreamPrefix    = "claims-"       // prefix of the names of claim streams
 )
 
 // ID is a 128-bit identifier, written in hex.
 type ID [idBytes]byte
 
-// MarshalText writes hex.
+// MarshalText encodes the ID in hex.
 func (id ID) MarshalText() ([]byte, error) { return hex.AppendEncode(nil, id[:]), nil }
 
-// UnmarshalText reads hex of the exact length.
+// UnmarshalText decodes hex of exactly the length of an ID.
 func (id *ID) UnmarshalText(text []byte) error {
 	if len(text) != hex.EncodedLen(idBytes) {
 		return fmt.Errorf("ledger: id has %d characters", len(text))
@@ -39,8 +40,8 @@
 	return err
 }
 
-// HashID hashes the parts of an identifier, each with its length, so that no
-// two lists of parts meet.
+// HashID returns the hash of the given parts as an ID. Each part is hashed with
+// its length, so that different lists of parts never have the same encoding.
 func HashID(parts ...string) ID {
 	h := sha256.New()
 	for _, p := range parts {
@@ -51,60 +52,61 @@
 	return ID(h.Sum(nil)[:idBytes])
 }
 
-// Layout is how claims are laid out in the log. All daemons must have the same
-// partitions: one that looked for a key in another stream than its neighbours
-// would run it a second time. Windows may differ for a while.
+// Layout describes how claims are distributed over streams of the log and how
+// long they are kept. All daemons must use the same number of partitions: a
+// daemon that looks for a key in a different stream could run its call a second
+// time. Windows may differ temporarily.
 type Layout struct {
 	Partitions int               `json:"partitions"`
-	Window     manifest.Duration `json:"window"` // how old a key may be
+	Window     manifest.Duration `json:"window"` // maximum age of a key
 }
 
-// Valid tells whether the layout is within the limits.
+// Valid reports whether the layout is within the limits.
 func (l Layout) Valid() bool {
 	w := time.Duration(l.Window)
 	return l.Partitions >= 1 && l.Partitions <= MaxPartitions && w >= manifest.MinClaimWindow && w <= manifest.MaxClaimWindow
 }
 
-// Partition returns the partition of a key.
+// Partition returns the index of the partition that holds a key.
 func (l Layout) Partition(scope ID) int {
 	return (int(scope[0])<<8 | int(scope[1])) % l.Partitions
 }
 
-// ClaimStream is the stream of a partition.
+// ClaimStream returns the log stream of a partition.
 func ClaimStream(partition int) ports.Stream {
-	return ports.Stream(claimsPrefix + strconv.Itoa(partition))
+	return ports.Stream(claimStreamPrefix + strconv.Itoa(partition))
 }
 
-// ClaimVerb is what a claim operation does.
+// ClaimVerb is the type of a claim operation.
 type ClaimVerb string
 
-// The verbs.
+// Types of claim operations.
 const (
 	VerbClaim    ClaimVerb = "claim"
-	VerbComplete ClaimVerb = "complete" // ran, with its result
-	VerbAbandon  ClaimVerb = "abandon"  // certainly not sent, and never will be
+	VerbComplete ClaimVerb = "complete" // the call ran; carries its result
+	VerbAbandon  ClaimVerb = "abandon"  // the call was not sent and never will be
 )
 
 // ClaimOp is one operation on one key.
 type ClaimOp struct {
 	Verb    ClaimVerb `json:"op"`
-	Scope   ID        `json:"scope"`             // of organisation, service and key
-	Attempt ID        `json:"attempt"`           // unique to one try to claim
-	KeyTime int64     `json:"time"`              // of the key, in milliseconds since 1970
-	Request *ID       `json:"request,omitempty"` // claim: digest of what the key stands for
-	Result  *Result   `json:"result,omitempty"`  // complete
+	Scope   ID        `json:"scope"`             // hash of organisation, service and key
+	Attempt ID        `json:"attempt"`           // unique to one attempt to claim the key
+	KeyTime int64     `json:"time"`              // time in the key, in milliseconds since 1970
+	Request *ID       `json:"request,omitempty"` // claim only: digest of the call that the key identifies
+	Result  *Result   `json:"result,omitempty"`  // complete only
 }
 
-// Result is the answer that a repeat gets again.
+// Result is the stored response of a call; repeats of the call receive it.
 type Result struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
-	Dropped     bool   `json:"dropped,omitempty"` // the body was longer than is kept
+	Dropped     bool   `json:"dropped,omitempty"` // the body exceeded MaxResultBytes and is not kept
 }
 
-// ClaimBatch is one record with the operations of many requests. One without
-// operations marks that its writer uses this layout.
+// ClaimBatch is a record with claim operations of several requests. A batch
+// without operations is a marker: it announces the writer's layout.
 type ClaimBatch struct {
 	Writer string    `json:"writer"`
 	Layout Layout    `json:"layout"`
@@ -114,7 +116,7 @@
 func (*ClaimBatch) kind() Kind { return KindClaims }
 
 func (b *ClaimBatch) valid() bool {
-	if len(b.Ops) > MaxClaimOps || len(b.Writer) > maxLeaseBytes || !b.Layout.Valid() {
+	if len(b.Ops) > MaxClaimOps || len(b.Writer) > maxNameBytes || !b.Layout.Valid() {
 		return false
 	}
 	for i := range b.Ops {
@@ -138,7 +140,7 @@
 	}
 }
 
-// Valid tells whether the result is within the limits of a record.
+// Valid reports whether the result is within the limits of a record.
 func (r *Result) Valid() bool {
-	return r.Status >= 100 && r.Status <= 999 && len(r.Body) <= MaxResultBytes && len(r.ContentType) <= maxHeaderBytes
+	return r.Status >= 100 && r.Status <= 999 && len(r.Body) <= MaxResultBytes && len(r.ContentType) <= maxContentTypeBytes
 }
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -6,44 +6,44 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// ClaimState is what is known of a key.
+// ClaimState is the state of an idempotency key.
 type ClaimState uint8
 
-// The states of a key.
+// States of a key.
 const (
-	ClaimFree      ClaimState = iota // never claimed, or every claim given up before sending
-	ClaimHeld                        // claimed, no result: running, or the outcome is unknown
-	ClaimDone                        // ran, the result is in the log
-	ClaimUncertain                   // claimed behind a gap
+	ClaimFree      ClaimState = iota // never claimed, or every claim was abandoned
+	ClaimHeld                        // claimed without a result: running, or the outcome is unknown
+	ClaimDone                        // completed; the result is in the log
+	ClaimUncertain                   // claimed by a record after a gap; an earlier claim may exist
 )
 
-// Reasons that only claims give.
+// Reasons specific to claims.
 const (
 	ReasonClaimed   Reason = "claimed"   // another attempt holds the key
-	ReasonDone      Reason = "done"      // ran before; there is a result
-	ReasonDiffers   Reason = "differs"   // the key stands for another request
-	ReasonExpired   Reason = "expired"   // the key is older than the window
-	ReasonEarly     Reason = "early"     // the key's time is ahead of the log's
-	ReasonAbandoned Reason = "abandoned" // the attempt was given up
-	ReasonLayout    Reason = "layout"    // daemons with different settings
+	ReasonDone      Reason = "done"      // the call ran before and has a result
+	ReasonDiffers   Reason = "differs"   // the key was claimed for a different request
+	ReasonExpired   Reason = "expired"   // the key is older than the claim window
+	ReasonEarly     Reason = "early"     // the key's time is more than MaxKeySkew ahead of the log's
+	ReasonAbandoned Reason = "abandoned" // the attempt was abandoned earlier
+	ReasonLayout    Reason = "layout"    // daemons use different numbers of partitions
 )
 
-// OpRef is the place of an operation in a claim stream.
+// OpRef is the position of an operation in a claim stream.
 type OpRef struct {
 	Offset ports.Offset
 	Index  int
 }
 
-// ClaimView is what the fold knows of one key.
+// ClaimView is the state of one key as recorded in the log.
 type ClaimView struct {
 	State   ClaimState
 	Attempt ID
-	Request ID    // of the claim that holds or held the key
-	Result  OpRef // when done
+	Request ID    // digest of the request that claimed the key
+	Result  OpRef // position of the result, if State is ClaimDone
 }
 
-// ClaimDecision is the outcome of one operation. A claim is granted only by
-// Accepted, or Repeated when its own record was appended twice.
+// ClaimDecision is the outcome of one operation. A claim is granted only if the
+// outcome is Accepted, or Repeated after its own record was appended twice.
 type ClaimDecision struct {
 	Ref     OpRef
 	Op      ClaimVerb
@@ -53,25 +53,27 @@
 	Reason  Reason
 }
 
-// Claims is the fold of one partition's claim stream.
+// Claims is the state of one partition, built by applying the records of its
+// claim stream in order.
 //
-// For each key the first claim in the log's order holds it, for good: only
-// its own attempt can give it up, by saying that nothing was sent. A claim is
-// judged by the key's time and the log's time of the record, so that a key is
-// forgotten only when every later claim for it is refused as too old.
+// The first claim for a key in log order holds it permanently. Only the same
+// attempt can release it, by an abandon operation that states that nothing was
+// sent. The age of a key is the difference between the time in the key and the
+// log's time of the record, so that a key is dropped only when every later claim
+// for it is refused as expired.
 //
-// Behind a gap, a key is judged only if no lost record can have claimed it: a
-// claim cannot be older than its key, less the skew that is allowed.
+// After a gap, a claim is decided only if no missing record can have claimed its
+// key: a claim cannot be older than its key, less MaxKeySkew.
 type Claims struct {
-	layout   Layout
-	clock    time.Time // latest record time
-	through  ports.Offset
-	gap      bool      // the next record is the first after a gap
-	lost     time.Time // lost records are not newer; zero: none lost
-	poisoned time.Time // another layout was in use up to here
-	table    map[ID]*claimEntry
-	buckets  map[int64][]ID // scopes by minute of the key
-	swept    int64          // buckets before this are gone
+	layout              Layout
+	clock               time.Time // latest record time
+	through             ports.Offset
+	afterGap            bool      // the next record is the first one after a gap
+	lostUntil           time.Time // missing records are not newer than this; zero: none missing
+	layoutConflictUntil time.Time // claims under another layout may be live until this time
+	entries             map[ID]*claimEntry
+	buckets             map[int64][]ID // scopes by key time, in units of sweepBucketWidth
+	sweptBucket         int64          // buckets before this one were dropped
 }
 
 type claimEntry struct {
@@ -80,49 +82,52 @@
 	abandoned []ID
 }
 
-// NewClaims returns a fold that has read nothing.
+// NewClaims returns the state before the first record.
 func NewClaims(layout Layout) *Claims {
-	return &Claims{layout: layout, table: make(map[ID]*claimEntry), buckets: make(map[int64][]ID)}
+	return &Claims{layout: layout, entries: make(map[ID]*claimEntry), buckets: make(map[int64][]ID)}
 }
 
-// Next is the offset to read next.
+// Next returns the offset of the next record to apply.
 func (c *Claims) Next() ports.Offset { return c.through + 1 }
 
-// Len is the number of keys remembered.
-func (c *Claims) Len() int { return len(c.table) }
+// Len returns the number of keys held in memory.
+func (c *Claims) Len() int { return len(c.entries) }
 
-// Clock is the latest time of a record.
+// Clock returns the latest record time applied, by the log's clock.
 func (c *Claims) Clock() time.Time { return c.clock }
 
-// Gap says that the records before first have expired unread.
+// Gap reports that the records before first expired before they were read.
 func (c *Claims) Gap(first ports.Offset) {
 	if first <= c.Next() {
 		return
 	}
-	c.through, c.gap = first-1, true
+	c.through, c.afterGap = first-1, true
 }
 
-// CanDecide tells whether a claim for a key of the given time can be decided.
+// CanDecide reports whether a claim for a key with the given time can be decided. It
+// is false if a missing record may have claimed the key.
 func (c *Claims) CanDecide(keyTime time.Time) bool {
-	if c.gap {
+	if c.afterGap {
 		return false
 	}
-	return c.lost.IsZero() || keyTime.Add(-MaxKeySkew).After(c.lost)
+	return c.lostUntil.IsZero() || keyTime.Add(-MaxKeySkew).After(c.lostUntil)
 }
 
-// LayoutConflict tells whether another layout was in use within its window.
-func (c *Claims) LayoutConflict() bool { return c.clock.Before(c.poisoned) }
+// LayoutConflict reports whether another daemon used a different number of
+// partitions so recently that keys claimed there may still be valid.
+func (c *Claims) LayoutConflict() bool { return c.clock.Before(c.layoutConflictUntil) }
 
-// Lookup returns what is known of a key.
+// Lookup returns the state of a key; ClaimFree if there is no record of it.
 func (c *Claims) Lookup(scope ID) ClaimView {
-	if e := c.table[scope]; e != nil {
+	if e := c.entries[scope]; e != nil {
 		return e.ClaimView
 	}
 	return ClaimView{}
 }
 
-// Apply folds one record. The decisions are those of its operations, in
-// order; nil for a record that is no batch of claims or was seen before.
+// Apply applies one record and returns the decisions on its operations, in
+// order. It returns nil for a record that is not a valid batch of claims or was
+// applied before.
 func (c *Claims) Apply(r ports.Record) []ClaimDecision {
 	if r.Offset < c.Next() {
 		return nil
@@ -132,9 +137,9 @@
 	if r.Time.After(c.clock) {
 		c.clock = r.Time
 	}
-	if c.gap {
-		// Everything lost came before this record, hence is not newer.
-		c.gap, c.lost = false, c.clock
+	if c.afterGap {
+		// Missing records precede this one, so they are not newer.
+		c.afterGap, c.lostUntil = false, c.clock
 	}
 	c.sweep()
 	_, body, err := Decode(r.Data)
@@ -142,7 +147,7 @@
 	if err != nil || !ok || !batch.valid() {
 		return nil
 	}
-	c.compare(batch.Layout)
+	c.checkLayout(batch.Layout)
 	decisions := make([]ClaimDecision, len(batch.Ops))
 	for i := range batch.Ops {
 		decisions[i] = c.decide(&batch.Ops[i], OpRef{Offset: r.Offset, Index: i})
@@ -150,16 +155,17 @@
 	return decisions
 }
 
-// compare stops all grants when a daemon with another number of partitions
-// turns up: it looks for the same key in another stream, and each could find
-// the key free in its own. This way callers are told "not run" until every key
-// that the other may have claimed is too old here, and operators see why.
+// checkLayout stops all grants if another daemon uses a different number of
+// partitions: it looks for the same key in a different stream, and both daemons
+// could find the key free. Until every key that the other daemon may have
+// claimed has expired here, callers receive "not run" and operators see the
+// reason.
 //
-// Windows may differ. A claim that one fold refuses as too old comes before
-// every later claim for that key, which is older still.
-func (c *Claims) compare(other Layout) {
+// Different windows are safe: if one reader refuses a claim as expired, every
+// later claim for the same key is even older.
+func (c *Claims) checkLayout(other Layout) {
 	if other.Partitions != c.layout.Partitions {
-		c.poisoned = c.clock.Add(time.Duration(c.layout.Window) + MaxKeySkew)
+		c.layoutConflictUntil = c.clock.Add(time.Duration(c.layout.Window) + MaxKeySkew)
 	}
 }
 
@@ -172,18 +178,18 @@
 	case keyTime.After(c.clock.Add(MaxKeySkew)):
 		d.Outcome, d.Reason = Refused, ReasonEarly
 	case o.Verb == VerbClaim && c.LayoutConflict():
-		// Kept in mind, since a fold with a shorter window may grant it.
-		c.doubt(o, at)
+		// Recorded nevertheless: a reader with a shorter window may grant it.
+		c.recordUndecided(o, at)
 		d.Outcome, d.Reason = Undecided, ReasonLayout
 	case !c.CanDecide(keyTime):
-		d.Outcome, d.Reason = c.doubt(o, at)
+		d.Outcome, d.Reason = c.recordUndecided(o, at)
 	default:
-		d.Outcome, d.Reason = c.settle(o, at)
+		d.Outcome, d.Reason = c.applyOp(o, at)
 	}
 	return d
 }
 
-func (c *Claims) settle(o *ClaimOp, at OpRef) (Outcome, Reason) {
+func (c *Claims) applyOp(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	e := c.entry(o)
 	switch o.Verb {
 	case VerbClaim:
@@ -195,9 +201,10 @@
 	}
 }
 
-// doubt keeps what can be said of a key behind a gap: nothing is granted, but
-// a result is one, since only a granted attempt writes it.
-func (c *Claims) doubt(o *ClaimOp, at OpRef) (Outcome, Reason) {
+// recordUndecided records an operation that cannot be decided because of a gap
+// or a layout conflict. Claims are not granted, but a result is accepted, since
+// only a granted attempt writes one.
+func (c *Claims) recordUndecided(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	e := c.entry(o)
 	switch {
 	case o.Verb == VerbComplete && e.State != ClaimDone:
@@ -209,31 +216,31 @@
 }
 
 func (c *Claims) entry(o *ClaimOp) *claimEntry {
-	e := c.table[o.Scope]
+	e := c.entries[o.Scope]
 	if e == nil {
 		e = &claimEntry{keyTime: o.KeyTime}
-		c.table[o.Scope] = e
+		c.entries[o.Scope] = e
 		b := bucket(o.KeyTime)
 		c.buckets[b] = append(c.buckets[b], o.Scope)
 	}
 	return e
 }
 
-func bucket(keyTime int64) int64 { return keyTime / bucketWidth.Milliseconds() }
+func bucket(keyTime int64) int64 { return keyTime / sweepBucketWidth.Milliseconds() }
 
-// sweep drops keys for which every further claim is too old.
+// sweep drops keys for which every further claim would be refused as expired.
 func (c *Claims) sweep() {
 	oldest := bucket(c.clock.Add(-time.Duration(c.layout.Window)).UnixMilli())
-	if oldest <= c.swept {
+	if oldest <= c.sweptBucket {
 		return
 	}
-	c.swept = oldest
+	c.sweptBucket = oldest
 	for b, scopes := range c.buckets {
 		if b >= oldest {
 			continue
 		}
 		for _, scope := range scopes {
-			delete(c.table, scope)
+			delete(c.entries, scope)
 		}
 		delete(c.buckets, b)
 	}
@@ -242,21 +249,21 @@
 func (e *claimEntry) claim(o *ClaimOp) (Outcome, Reason) {
 	switch {
 	case e.State == ClaimDone:
-		return Refused, e.same(o, ReasonDone)
+		return Refused, e.refusalReason(o, ReasonDone)
 	case e.State != ClaimFree && e.Attempt == o.Attempt:
 		return Repeated, ""
 	case e.State != ClaimFree:
-		return Refused, e.same(o, ReasonClaimed)
-	case e.gaveUp(o.Attempt):
+		return Refused, e.refusalReason(o, ReasonClaimed)
+	case e.hasAbandoned(o.Attempt):
 		return Refused, ReasonAbandoned
-	case len(e.abandoned) >= maxAbandoned:
+	case len(e.abandoned) >= maxAbandonedAttempts:
 		return Refused, ReasonLimit
 	}
 	e.State, e.Attempt, e.Request = ClaimHeld, o.Attempt, *o.Request
 	return Accepted, ""
 }
 
-func (e *claimEntry) same(o *ClaimOp, reason Reason) Reason {
+func (e *claimEntry) refusalReason(o *ClaimOp, reason Reason) Reason {
 	if e.Request != *o.Request {
 		return ReasonDiffers
 	}
@@ -274,18 +281,18 @@
 	return Accepted, ""
 }
 
-// abandon frees the key for other attempts. It is remembered also when the
-// attempt's claim is not there: an append that seemed lost may arrive after
-// its abandonment, and would otherwise hold the key for an attempt that has
-// told its caller "not run".
+// abandon releases the key for other attempts. The attempt is recorded even if
+// its claim has not been seen: an append that appeared to fail may arrive after
+// the abandon operation, and would otherwise hold the key for an attempt whose
+// caller was already answered "not run".
 func (e *claimEntry) abandon(o *ClaimOp) (Outcome, Reason) {
 	if e.State == ClaimDone {
 		return Refused, ReasonDone
 	}
-	if e.gaveUp(o.Attempt) {
+	if e.hasAbandoned(o.Attempt) {
 		return Repeated, ""
 	}
-	if len(e.abandoned) < maxAbandoned {
+	if len(e.abandoned) < maxAbandonedAttempts {
 		e.abandoned = append(e.abandoned, o.Attempt)
 	}
 	if e.State != ClaimFree && e.Attempt == o.Attempt {
@@ -294,7 +301,7 @@
 	return Accepted, ""
 }
 
-func (e *claimEntry) gaveUp(attempt ID) bool {
+func (e *claimEntry) hasAbandoned(attempt ID) bool {
 	for _, a := range e.abandoned {
 		if a == attempt {
 			return true
--- a/ledger/decision.go
+++ b/ledger/decision.go
@@ -7,52 +7,53 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Outcome is what the fold makes of a record.
+// Outcome is the result of applying a record.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a record.
 const (
 	Accepted  Outcome = "accepted"
-	Repeated  Outcome = "repeated"  // says what an earlier record, By, already brought
-	Refused   Outcome = "refused"   // without effect, for Reason
-	Undecided Outcome = "undecided" // records before it are missing; may be decided later
-	Noted     Outcome = "noted"     // read, nothing to decide
+	Repeated  Outcome = "repeated"  // has the same effect as the earlier record By
+	Refused   Outcome = "refused"   // has no effect; Reason says why
+	Undecided Outcome = "undecided" // earlier records are missing; may be decided later
+	Noted     Outcome = "noted"     // applied; requires no decision
 )
 
-// Reason tells why a record was refused or is undecided.
+// Reason is the cause of a Refused or Undecided outcome.
 type Reason string
 
-// The reasons.
+// Reasons that apply to several kinds of record.
 const (
-	ReasonStale            Reason = "stale"      // made against what is no longer the latest; By is
-	ReasonMalformed        Reason = "malformed"  // not a record of the rules in force
-	ReasonTooLong          Reason = "too_long"   // over a size limit
-	ReasonRules            Reason = "rules"      // of other rules than those in force
-	ReasonInvalid          Reason = "invalid"    // a manifest with faults
-	ReasonDigest           Reason = "digest"     // the digest is not that of the content
-	ReasonGap              Reason = "gap"        // records before it have expired unread
-	ReasonRulesUnsupported Reason = "behind"     // rules newer than this release are in force
-	ReasonConflict         Reason = "conflict"   // contradicts what this daemon knows
-	ReasonSeen             Reason = "seen"       // delivered before
-	ReasonNotProven        Reason = "not_proven" // does not reach far enough to close a gap
+	ReasonStale            Reason = "stale"      // based on an outdated manifest; By is the latest one
+	ReasonMalformed        Reason = "malformed"  // not a valid record under the rules in force
+	ReasonTooLong          Reason = "too_long"   // exceeds a size limit
+	ReasonRules            Reason = "rules"      // written under rules that are not in force
+	ReasonInvalid          Reason = "invalid"    // the manifest is not valid
+	ReasonDigest           Reason = "digest"     // the digest does not match the content
+	ReasonGap              Reason = "gap"        // earlier records expired before they were read
+	ReasonRulesUnsupported Reason = "behind"     // the rules in force are newer than this release supports
+	ReasonConflict         Reason = "conflict"   // contradicts the state of this daemon
+	ReasonSeen             Reason = "seen"       // the record was applied before
+	ReasonNotProven        Reason = "not_proven" // the checkpoint does not cover the gap
 )
 
-// Decision is the outcome of one record.
+// Decision is the outcome of applying one record.
 type Decision struct {
 	Offset  ports.Offset    `json:"offset"`
-	Time    time.Time       `json:"time"` // by the log
+	Time    time.Time       `json:"time"` // assigned by the log
 	Kind    Kind            `json:"kind"`
 	Outcome Outcome         `json:"outcome"`
 	Reason  Reason          `json:"reason,omitempty"`
 	Detail  string          `json:"detail,omitempty"`
-	By      ports.Offset    `json:"by,omitempty"` // the record that decided it
+	By      ports.Offset    `json:"by,omitempty"` // offset of the record that caused the outcome
 	Base    ports.Offset    `json:"base,omitempty"`
 	Digest  manifest.Digest `json:"digest,omitempty"`
 	Author  string          `json:"author,omitempty"`
-	Section string          `json:"section,omitempty"` // kind and id, for a section's change
+	Section string          `json:"section,omitempty"` // kind and id of a changed section
 }
 
-// RecordError says why a record cannot be read or a proof not be taken.
+// RecordError is the error for a record that cannot be decoded or a checkpoint
+// that cannot be adopted.
 type RecordError struct {
 	Reason Reason
 	Detail string
--- a/ledger/leases.go
+++ b/ledger/leases.go
@@ -7,54 +7,55 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Limits of leases. They are part of the rules: every reader must have the
-// same.
+// Limits of leases. All daemons must apply the same ones; changing them needs a
+// new RulesVersion.
 const (
-	MinLeaseTTL   = time.Second
-	MaxLeaseTTL   = 5 * time.Minute
-	MaxLeases     = 1024 // held at once
-	maxLeaseBytes = 128  // of a name or a holder
+	MinLeaseTTL  = time.Second
+	MaxLeaseTTL  = 5 * time.Minute
+	MaxLeases    = 1024 // names in the table at a time
+	maxNameBytes = 128  // length of a lease name, a holder or a writer
 )
 
-// LeaseOp is what a lease record asks for.
+// LeaseOp is the type of operation in a lease record.
 type LeaseOp string
 
-// The operations on a lease.
+// Operations on a lease.
 const (
 	LeaseAcquire LeaseOp = "acquire"
 	LeaseRenew   LeaseOp = "renew"
 	LeaseRelease LeaseOp = "release"
 )
 
-// Reasons that only leases give.
+// Reasons specific to leases, and ReasonLimit, which claims use as well.
 const (
-	ReasonHeld   Reason = "held"   // another holds the lease; By is its fence
-	ReasonLapsed Reason = "lapsed" // the lease is no longer this holder's
-	ReasonLimit  Reason = "limit"  // a figure out of range, or a full table
+	ReasonHeld   Reason = "held"   // another holder has the lease; the decision has its fence
+	ReasonLapsed Reason = "lapsed" // the lease expired or belongs to another holder
+	ReasonLimit  Reason = "limit"  // a field is out of range, or the table is full
 )
 
-// LeaseRecord asks for a lease, more time on it, or its end.
+// LeaseRecord is a request to acquire, renew or release a lease.
 type LeaseRecord struct {
 	Op     LeaseOp           `json:"op"`
 	Name   string            `json:"name"`
-	Holder string            `json:"holder"` // unique to one life of a process
+	Holder string            `json:"holder"` // unique to one process incarnation
 	TTL    manifest.Duration `json:"ttl,omitempty"`
-	Fence  ports.Offset      `json:"fence,omitempty"` // renew and release: of the lease held
-	Serial int               `json:"serial"`          // by which the holder knows its record again
+	Fence  ports.Offset      `json:"fence,omitempty"` // renew and release only: fence of the lease held
+	Serial int               `json:"serial"`          // lets the holder recognise its own record
 }
 
 func (*LeaseRecord) kind() Kind { return KindLease }
 
-// Lease is a lease that is held.
+// Lease is a lease with its current holder.
 type Lease struct {
 	Name    string       `json:"name"`
 	Holder  string       `json:"holder"`
-	Fence   ports.Offset `json:"fence"`   // fencing number: the offset that acquired it
-	Expires time.Time    `json:"expires"` // by the log's clock
+	Fence   ports.Offset `json:"fence"`   // fencing token: offset of the record that acquired it
+	Expires time.Time    `json:"expires"` // time on the log's clock
 }
 
-// LeaseDecision is the outcome of a lease record. Fence is the lease's after
-// an acceptance, and the present holder's, if any, after a refusal.
+// LeaseDecision is the outcome of a lease record. If the record was accepted,
+// Fence is the fencing token of its lease; if it was refused, Fence is that of
+// the current holder, or 0 if there is none.
 type LeaseDecision struct {
 	Offset  ports.Offset `json:"offset"`
 	Time    time.Time    `json:"time"`
@@ -64,63 +65,66 @@
 	Record  LeaseRecord  `json:"record"`
 }
 
-// Leases is the fold of the lease stream. A lease ends when a record arrives
-// whose time by the log is past its expiry, so that all readers see the same
-// holder, whatever their clocks say.
+// Leases is the state of all leases, built by applying the records of the lease
+// stream in order. A lease ends with the first record whose log time is past the
+// lease's expiry, so that all readers agree on the holder regardless of their
+// own clocks.
 //
-// Behind a gap a name is unsure until no lost or undecided record can still
-// hold it; an acquisition after that is accepted by every reader.
+// After a gap the holder of a name is uncertain until no lease from a missing or
+// undecided record can still be valid; after that, every reader accepts an
+// acquisition.
 type Leases struct {
-	clock   time.Time // latest record time
-	through ports.Offset
-	gap     bool      // the next record is the first after a gap
-	unsure  time.Time // names not in table may be held up to here
-	table   map[string]*leaseEntry
+	clock          time.Time // latest record time
+	through        ports.Offset
+	afterGap       bool      // the next record is the first one after a gap
+	uncertainUntil time.Time // names without an entry may be held until this time
+	entries        map[string]*leaseEntry
 }
 
 type leaseEntry struct {
 	lease Lease
-	// unsure marks a name whose holder is not known; lease.Expires is then
-	// the latest time to which it may be held.
-	unsure bool
+	// uncertain is set if the holder is not known because of a gap.
+	// lease.Expires is then the latest time until which the name may be held.
+	uncertain bool
 }
 
-// NewLeases returns a fold that has read nothing.
-func NewLeases() *Leases { return &Leases{table: make(map[string]*leaseEntry)} }
+// NewLeases returns the state before the first record.
+func NewLeases() *Leases { return &Leases{entries: make(map[string]*leaseEntry)} }
 
-// Next is the offset to read next.
+// Next returns the offset of the next record to apply.
 func (l *Leases) Next() ports.Offset { return l.through + 1 }
 
-// Gap says that the records before first have expired unread.
+// Gap reports that the records before first expired before they were read.
 func (l *Leases) Gap(first ports.Offset) {
 	if first <= l.Next() {
 		return
 	}
 	l.through = first - 1
-	l.gap = true
-	clear(l.table)
+	l.afterGap = true
+	clear(l.entries)
 }
 
-// Holder returns who holds a lease at the given time of the log's clock.
-// Known is false while lost records may hold it.
+// Holder returns the lease of a name at the given time on the log's clock. Ok is
+// false if nobody holds it, and known is false while a missing record may have
+// acquired it.
 func (l *Leases) Holder(name string, at time.Time) (held Lease, ok, known bool) {
-	if l.gap {
+	if l.afterGap {
 		return Lease{}, false, false
 	}
-	e := l.table[name]
+	e := l.entries[name]
 	if e == nil {
-		return Lease{}, false, !at.Before(l.unsure)
+		return Lease{}, false, !at.Before(l.uncertainUntil)
 	}
 	if !at.Before(e.lease.Expires) {
 		return Lease{}, false, true
 	}
-	return e.lease, !e.unsure, !e.unsure
+	return e.lease, !e.uncertain, !e.uncertain
 }
 
-// Clock is the latest time of a record.
+// Clock returns the latest record time applied, by the log's clock.
 func (l *Leases) Clock() time.Time { return l.clock }
 
-// Apply folds one record.
+// Apply applies one record and returns the decision on it.
 func (l *Leases) Apply(r ports.Record) LeaseDecision {
 	if r.Offset < l.Next() {
 		return LeaseDecision{Offset: r.Offset, Time: r.Time, Outcome: Noted, Reason: ReasonSeen}
@@ -130,11 +134,11 @@
 	if r.Time.After(l.clock) {
 		l.clock = r.Time
 	}
-	if l.gap {
-		// Everything lost is older than this record, and holds nothing for
-		// longer than the longest lease.
-		l.gap = false
-		l.unsure = l.clock.Add(MaxLeaseTTL)
+	if l.afterGap {
+		// Missing records are older than this one, and a lease that they
+		// acquired lasts at most MaxLeaseTTL.
+		l.afterGap = false
+		l.uncertainUntil = l.clock.Add(MaxLeaseTTL)
 	}
 	d := l.decide(r)
 	d.Offset, d.Time = r.Offset, r.Time
@@ -159,19 +163,19 @@
 	switch {
 	case e == nil:
 		d.Outcome, d.Reason = Refused, ReasonLimit
-	case e.unsure && l.clock.Before(e.lease.Expires):
-		e.doubt(b, l.clock)
+	case e.uncertain && l.clock.Before(e.lease.Expires):
+		e.extendUncertainty(b, l.clock)
 		d.Outcome, d.Reason = Undecided, ReasonGap
 	case b.Op == LeaseAcquire:
 		d.Outcome, d.Reason, d.Fence = e.acquire(b, r.Offset, l.clock)
 	default:
-		d.Outcome, d.Reason, d.Fence = e.prolong(b, l.clock)
+		d.Outcome, d.Reason, d.Fence = e.renewOrRelease(b, l.clock)
 	}
 	return d
 }
 
 func (b *LeaseRecord) valid() bool {
-	if b.Name == "" || b.Holder == "" || len(b.Name) > maxLeaseBytes || len(b.Holder) > maxLeaseBytes {
+	if b.Name == "" || b.Holder == "" || len(b.Name) > maxNameBytes || len(b.Holder) > maxNameBytes {
 		return false
 	}
 	ttl := time.Duration(b.TTL)
@@ -185,36 +189,38 @@
 	}
 }
 
-// entry returns the entry of a name, nil when the table is full.
+// entry returns the entry of a name, adding it if needed. It returns nil if the
+// table is full.
 func (l *Leases) entry(name string) *leaseEntry {
-	if e := l.table[name]; e != nil {
+	if e := l.entries[name]; e != nil {
 		return e
 	}
-	if len(l.table) >= MaxLeases {
+	if len(l.entries) >= MaxLeases {
 		l.sweep()
 	}
-	if len(l.table) >= MaxLeases {
+	if len(l.entries) >= MaxLeases {
 		return nil
 	}
 	e := &leaseEntry{lease: Lease{Name: name}}
-	if l.clock.Before(l.unsure) {
-		e.unsure = true
-		e.lease.Expires = l.unsure
+	if l.clock.Before(l.uncertainUntil) {
+		e.uncertain = true
+		e.lease.Expires = l.uncertainUntil
 	}
-	l.table[name] = e
+	l.entries[name] = e
 	return e
 }
 
 func (l *Leases) sweep() {
-	for name, e := range l.table {
+	for name, e := range l.entries {
 		if !l.clock.Before(e.lease.Expires) {
-			delete(l.table, name)
+			delete(l.entries, name)
 		}
 	}
 }
 
-// doubt keeps in mind that an undecided record may have been accepted.
-func (e *leaseEntry) doubt(b *LeaseRecord, now time.Time) {
+// extendUncertainty extends the uncertain period by the lease of an undecided
+// record, which other readers may have accepted.
+func (e *leaseEntry) extendUncertainty(b *LeaseRecord, now time.Time) {
 	until := now.Add(time.Duration(b.TTL))
 	if b.Op != LeaseRelease && until.After(e.lease.Expires) {
 		e.lease.Expires = until
@@ -228,13 +234,13 @@
 		}
 		return Refused, ReasonHeld, e.lease.Fence
 	}
-	e.unsure = false
+	e.uncertain = false
 	e.lease.Holder, e.lease.Fence = b.Holder, offset
 	e.lease.Expires = now.Add(time.Duration(b.TTL))
 	return Accepted, "", offset
 }
 
-func (e *leaseEntry) prolong(b *LeaseRecord, now time.Time) (Outcome, Reason, ports.Offset) {
+func (e *leaseEntry) renewOrRelease(b *LeaseRecord, now time.Time) (Outcome, Reason, ports.Offset) {
 	if !now.Before(e.lease.Expires) {
 		return Refused, ReasonLapsed, 0
 	}
--- a/ledger/manifests.go
+++ b/ledger/manifests.go
@@ -9,62 +9,65 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Limits of a State. Zero values of Options take them.
+// Defaults of Options, and further limits of a State.
 const (
-	DefaultMaxHistory    = 256      // decisions remembered
-	DefaultMaxHeld       = 1024     // records held until a gap is closed
-	DefaultMaxHeldBytes  = 32 << 20 // in all
-	MaxRecentAcceptances = 128      // acceptances remembered to recognise repeats
+	DefaultMaxHistory    = 256      // decisions kept
+	DefaultMaxHeld       = 1024     // records held back after a gap
+	DefaultMaxHeldBytes  = 32 << 20 // bytes of records held back
+	MaxRecentAcceptances = 128      // acceptances kept to recognise repeated proposals
 	maxAuthorBytes       = 256
-	maxDetailBytes       = 1024 // of a decision that is remembered
+	maxDetailBytes       = 1024 // length of Detail in a decision that is kept
 )
 
-// Options of a State.
+// Options configures a State. Zero fields take the defaults.
 type Options struct {
 	MaxHistory   int
 	MaxHeld      int
 	MaxHeldBytes int
-	// Lazy makes a fold that begins behind a gap wait for Settle, which takes
-	// the newest checkpoint instead of the first. A reader of a long stream is
-	// then spared the changes that the newest one already holds.
+	// Lazy makes a State that starts after a gap hold records back until
+	// UseNewestCheckpoint is called, instead of using the first checkpoint. The
+	// reader of a long stream then skips the changes that the newest checkpoint
+	// already includes.
 	Lazy bool
 }
 
-// Version is an accepted manifest. It is never changed.
+// Version is an accepted manifest with its revision. It is immutable.
 type Version struct {
 	Revision Revision
 	Base     ports.Offset
 	Manifest manifest.Manifest
 }
 
-// State is the fold of the manifest stream.
+// State is the manifest in force, built by applying the records of the manifest
+// stream in order.
 //
-// What a reader has seen may have a gap in front: records expire, and a
-// daemon may start late or read slowly. Behind a gap the fold accepts nothing,
-// since an expired record may have been accepted in between; a checkpoint or a
-// neighbour's proof that covers the gap lets it go on. Without that rule two
-// daemons could hold different manifests for true, and one would later revert.
+// Records expire, and a daemon may start late or read slowly, so that records
+// can be missing before those that it reads. After such a gap State accepts
+// nothing, since an expired record may have been accepted; it continues with a
+// checkpoint, from the stream or from a neighbour, that covers the gap. Without
+// that rule two daemons could consider different manifests accepted, and one of
+// them would have to revert later.
 type State struct {
-	opt     Options
-	rules   int
-	behind  bool
-	through ports.Offset // every record up to here is folded
-	gapEnd  ports.Offset // first record after a gap; 0 without a gap
-	latest  *Version     // by the fold; nil before the first
-	adopted *Checkpoint  // newest proof of a neighbour
-	ahead   *Version     // the manifest of adopted
-	held    []ports.Record
-	bytes   int // of held
-	history []Decision
-	recent  []Acceptance // oldest first
-	carrier time.Time    // of the newest record that holds latest whole
-	since   int          // acceptances since then
-	lazy    bool         // until Settle
+	opt              Options
+	rules            int
+	rulesUnsupported bool
+	through          ports.Offset // offset of the last record applied
+	gapEnd           ports.Offset // offset of the first record after a gap; 0: no gap
+	latest           *Version     // last manifest accepted from the stream; nil: none
+	adopted          *Checkpoint  // newest checkpoint from a neighbour
+	adoptedVersion   *Version     // manifest of adopted
+	held             []ports.Record
+	heldBytes        int // size of the records in held
+	history          []Decision
+	recent           []Acceptance // oldest first
+	carriedAt        time.Time    // time of the newest record with the complete text of latest
+	acceptedSince    int          // manifests accepted since carriedAt
+	deferCheckpoints bool         // set by Options.Lazy until UseNewestCheckpoint
 
 	conflicts int
 }
 
-// NewState returns a fold that has read nothing.
+// NewState returns the state before the first record.
 func NewState(o Options) *State {
 	if o.MaxHistory == 0 {
 		o.MaxHistory = DefaultMaxHistory
@@ -75,19 +78,19 @@
 	if o.MaxHeldBytes == 0 {
 		o.MaxHeldBytes = DefaultMaxHeldBytes
 	}
-	return &State{opt: o, rules: 1, lazy: o.Lazy}
+	return &State{opt: o, rules: 1, deferCheckpoints: o.Lazy}
 }
 
-// InForce returns the newest accepted manifest that is known by the fold or
-// by a neighbour's proof, and nil when there is none. It never goes back.
+// InForce returns the newest accepted manifest, from the stream or from a
+// neighbour's checkpoint, and nil if there is none. Its offset never decreases.
 func (s *State) InForce() *Version {
-	if s.ahead != nil && (s.latest == nil || s.ahead.Revision.Offset > s.latest.Revision.Offset) {
-		return s.ahead
+	if s.adoptedVersion != nil && (s.latest == nil || s.adoptedVersion.Revision.Offset > s.latest.Revision.Offset) {
+		return s.adoptedVersion
 	}
 	return s.latest
 }
 
-// Revision returns the revision in force.
+// Revision returns the revision in force, and the zero Revision if there is none.
 func (s *State) Revision() Revision {
 	if v := s.InForce(); v != nil {
 		return v.Revision
@@ -95,7 +98,7 @@
 	return Revision{}
 }
 
-// Next is the offset that the fold wants to read next.
+// Next returns the offset of the next record to read.
 func (s *State) Next() ports.Offset {
 	if n := len(s.held); n > 0 {
 		return s.held[n-1].Offset + 1
@@ -106,21 +109,23 @@
 	return s.through + 1
 }
 
-// CanDecide tells whether the fold can decide the next record.
-func (s *State) CanDecide() bool { return s.gapEnd == 0 && !s.behind }
+// CanDecide reports whether the next record can be decided: there is no open gap and
+// this release supports the rules in force.
+func (s *State) CanDecide() bool { return s.gapEnd == 0 && !s.rulesUnsupported }
 
-// RulesUnsupported tells whether rules newer than this release are in force.
-func (s *State) RulesUnsupported() bool { return s.behind }
+// RulesUnsupported reports whether the rules in force are newer than this
+// release supports.
+func (s *State) RulesUnsupported() bool { return s.rulesUnsupported }
 
-// Conflicts counts records and proofs that contradicted the fold. Anything
-// but 0 means a faulty writer.
+// Conflicts returns the number of checkpoints that contradicted this state. Any
+// value but 0 means that a writer is faulty.
 func (s *State) Conflicts() int { return s.conflicts }
 
-// History returns the remembered decisions, oldest first.
+// History returns the most recent decisions, oldest first.
 func (s *State) History() []Decision { return append([]Decision(nil), s.history...) }
 
-// Apply folds one record and returns the decisions it led to: its own last,
-// and before it those of held records that it allowed to decide.
+// Apply applies one record and returns the resulting decisions: first those on
+// held records that could now be decided, and last the one on r.
 func (s *State) Apply(r ports.Record) []Decision {
 	if r.Offset < s.Next() {
 		return []Decision{{Offset: r.Offset, Time: r.Time, Outcome: Noted, Reason: ReasonSeen}}
@@ -135,50 +140,53 @@
 	case r.Offset <= s.through:
 		return append(closed, Decision{Offset: r.Offset, Time: r.Time, Outcome: Noted, Reason: ReasonSeen})
 	default:
-		return append(closed, s.fold(r))
+		return append(closed, s.applyNext(r))
 	}
 }
 
-// Gap tells the fold that the records before first have expired unread. It
-// returns the decisions that a neighbour's proof allows at once.
+// Gap reports that the records before first expired before they were read. It
+// returns the decisions that an adopted checkpoint makes possible immediately.
 func (s *State) Gap(first ports.Offset) []Decision {
 	if first <= s.Next() {
 		return nil
 	}
-	s.held, s.bytes = nil, 0
+	s.held, s.heldBytes = nil, 0
 	s.gapEnd = first
-	return s.close(s.adopted, s.ahead)
+	return s.closeGap(s.adopted, s.adoptedVersion)
 }
 
 func (s *State) hold(r ports.Record) []Decision {
 	s.held = append(s.held, r)
-	s.bytes += len(r.Data)
-	for len(s.held) > s.opt.MaxHeld || s.bytes > s.opt.MaxHeldBytes {
-		s.bytes -= len(s.held[0].Data)
+	s.heldBytes += len(r.Data)
+	for len(s.held) > s.opt.MaxHeld || s.heldBytes > s.opt.MaxHeldBytes {
+		s.heldBytes -= len(s.held[0].Data)
 		s.gapEnd = s.held[0].Offset + 1
 		s.held = s.held[1:]
 	}
-	if !s.lazy {
-		if done := s.closeBy(r); done != nil {
+	if !s.deferCheckpoints {
+		if done := s.closeGapWithRecord(r); done != nil {
 			return done
 		}
 	}
 	return []Decision{{Offset: r.Offset, Time: r.Time, Outcome: Undecided, Reason: ReasonGap}}
 }
 
-// UseNewestCheckpoint ends the lazy beginning, once the stream was read to its end.
+// UseNewestCheckpoint closes the gap of a Lazy state with the newest checkpoint
+// among the held records that covers it, and returns the resulting decisions. It
+// is called once the stream has been read to its end.
 func (s *State) UseNewestCheckpoint() []Decision {
-	s.lazy = false
+	s.deferCheckpoints = false
 	for i := len(s.held) - 1; i >= 0; i-- {
-		if done := s.closeBy(s.held[i]); done != nil {
+		if done := s.closeGapWithRecord(s.held[i]); done != nil {
 			return done
 		}
 	}
 	return nil
 }
 
-// closeBy ends a gap with a held record, if that is a checkpoint which does.
-func (s *State) closeBy(r ports.Record) []Decision {
+// closeGapWithRecord closes the gap if r is a checkpoint that covers it. It
+// returns nil if it does not.
+func (s *State) closeGapWithRecord(r ports.Record) []Decision {
 	_, body, err := Decode(r.Data)
 	c, ok := body.(*Checkpoint)
 	if err != nil || !ok || c.Through >= r.Offset || c.Through < s.gapEnd-1 {
@@ -188,35 +196,37 @@
 	if err != nil {
 		return nil
 	}
-	return s.close(c, v)
+	return s.closeGap(c, v)
 }
 
-// close ends a gap with a proof that covers it, and folds what was held.
-func (s *State) close(c *Checkpoint, v *Version) []Decision {
+// closeGap closes the gap if c covers it: it restores the state from c, whose
+// manifest is v, and applies the held records. It returns nil if the gap stays
+// open.
+func (s *State) closeGap(c *Checkpoint, v *Version) []Decision {
 	if c == nil || s.gapEnd == 0 || c.Through < s.gapEnd-1 {
 		return nil
 	}
-	if v.older(s.latest) {
+	if v.olderThan(s.latest) {
 		s.conflicts++
 		return nil
 	}
 	held := s.held
-	s.gapEnd, s.held, s.bytes = 0, nil, 0
-	s.take(c, v)
+	s.gapEnd, s.held, s.heldBytes = 0, nil, 0
+	s.restore(c, v)
 	decisions := []Decision{}
 	for _, r := range held {
 		if r.Offset > s.through {
-			decisions = append(decisions, s.fold(r))
+			decisions = append(decisions, s.applyNext(r))
 		}
 	}
 	return decisions
 }
 
-// take makes a proof the fold's own state.
-func (s *State) take(c *Checkpoint, v *Version) {
-	s.through, s.latest, s.rules, s.carrier = c.Through, v, c.Rules, c.Carried
+// restore replaces the state by that of a checkpoint.
+func (s *State) restore(c *Checkpoint, v *Version) {
+	s.through, s.latest, s.rules, s.carriedAt = c.Through, v, c.Rules, c.Carried
 	s.recent = append([]Acceptance(nil), c.Recent...)
-	s.since = 0
+	s.acceptedSince = 0
 }
 
 func (v *Version) offset() ports.Offset {
@@ -226,17 +236,17 @@
 	return v.Revision.Offset
 }
 
-func (v *Version) older(than *Version) bool { return v.offset() < than.offset() }
+func (v *Version) olderThan(than *Version) bool { return v.offset() < than.offset() }
 
-// fold decides r, the record after through.
-func (s *State) fold(r ports.Record) Decision {
+// applyNext applies r, the record that follows through.
+func (s *State) applyNext(r ports.Record) Decision {
 	d := s.decide(r)
 	d.Offset, d.Time = r.Offset, r.Time
 	s.through = r.Offset
-	if s.carrier.IsZero() {
-		// Nothing is accepted yet, which has to be carried on as well: once
-		// this record has expired, a reader could not know it.
-		s.carrier = r.Time
+	if s.carriedAt.IsZero() {
+		// That no manifest has been accepted must be checkpointed as well:
+		// once this record has expired, a reader could not tell.
+		s.carriedAt = r.Time
 	}
 	s.remember(d)
 	return d
@@ -256,7 +266,7 @@
 }
 
 func (s *State) decide(r ports.Record) Decision {
-	if s.behind {
+	if s.rulesUnsupported {
 		return Decision{Outcome: Undecided, Reason: ReasonRulesUnsupported}
 	}
 	rules, body, err := Decode(r.Data)
@@ -268,13 +278,13 @@
 	}
 	switch b := body.(type) {
 	case *ManifestRecord:
-		return s.propose(r, b)
+		return s.applyManifest(r, b)
 	case *SectionRecord:
-		return s.change(r, b)
+		return s.applySection(r, b)
 	case *Checkpoint:
-		return s.compare(r, b)
+		return s.applyCheckpoint(r, b)
 	case *RulesUpgrade:
-		return s.raise(b)
+		return s.applyRulesUpgrade(b)
 	default:
 		return Decision{Kind: body.kind(), Outcome: Refused, Reason: ReasonMalformed}
 	}
@@ -290,10 +300,10 @@
 
 func reasonOf(err error) Reason { return refused(err).Reason }
 
-// propose accepts a manifest only against the latest one. Two operators that
-// publish at once from the same base are thereby told apart by the log's
-// order, and the second learns which record came first.
-func (s *State) propose(r ports.Record, b *ManifestRecord) Decision {
+// applyManifest accepts a manifest only if it is based on the latest one. If two
+// operators publish from the same base at the same time, the first in log order
+// is accepted and the second is refused with the offset of the first.
+func (s *State) applyManifest(r ports.Record, b *ManifestRecord) Decision {
 	d := Decision{Kind: KindManifest, Base: b.Base, Digest: b.Digest, Author: b.Author}
 	if len(b.Author) > maxAuthorBytes {
 		d.Outcome, d.Reason = Refused, ReasonTooLong
@@ -303,7 +313,7 @@
 		d.Outcome, d.By = Repeated, s.latest.Revision.Offset
 		return d
 	}
-	if by := s.broughtBy(b.Base, b.Digest); by > 0 {
+	if by := s.acceptedOffset(b.Base, b.Digest); by > 0 {
 		d.Outcome, d.By = Repeated, by
 		return d
 	}
@@ -317,16 +327,17 @@
 		return d
 	}
 	s.latest = &Version{Revision: Revision{Offset: r.Offset, Digest: b.Digest}, Base: b.Base, Manifest: m}
-	s.accept(Acceptance{Offset: r.Offset, Base: b.Base, Digest: b.Digest})
-	s.carrier, s.since = r.Time, 0
-	s.checkAhead()
+	s.recordAcceptance(Acceptance{Offset: r.Offset, Base: b.Base, Digest: b.Digest})
+	s.carriedAt, s.acceptedSince = r.Time, 0
+	s.checkAdopted()
 	d.Outcome = Accepted
 	return d
 }
 
-// broughtBy finds the accepted record with the same base and content. A
-// publisher whose answer was lost and who repeats it thus has it accepted once.
-func (s *State) broughtBy(base ports.Offset, digest manifest.Digest) ports.Offset {
+// acceptedOffset returns the offset of the accepted record with the same base
+// and content, and 0 if there is none. It lets a publisher whose answer was lost
+// repeat the record without having it accepted twice.
+func (s *State) acceptedOffset(base ports.Offset, digest manifest.Digest) ports.Offset {
 	for _, a := range s.recent {
 		if a.Base == base && a.Digest == digest {
 			return a.Offset
@@ -335,15 +346,15 @@
 	return 0
 }
 
-func (s *State) accept(a Acceptance) {
-	s.since++
+func (s *State) recordAcceptance(a Acceptance) {
+	s.acceptedSince++
 	s.recent = append(s.recent, a)
 	if len(s.recent) > MaxRecentAcceptances {
 		s.recent = append([]Acceptance(nil), s.recent[1:]...)
 	}
 }
 
-// Recent returns the last acceptances, oldest first.
+// Recent returns the last acceptances, at most MaxRecentAcceptances, oldest first.
 func (s *State) Recent() []Acceptance { return append([]Acceptance(nil), s.recent...) }
 
 func (b *ManifestRecord) read() (manifest.Manifest, error) {
@@ -365,11 +376,11 @@
 	return m, nil
 }
 
-func (s *State) raise(b *RulesUpgrade) Decision {
+func (s *State) applyRulesUpgrade(b *RulesUpgrade) Decision {
 	if b.To != s.rules+1 {
 		return Decision{Kind: KindRulesUpgrade, Outcome: Refused, Reason: ReasonRules, Detail: fmt.Sprintf("rules %d are in force", s.rules)}
 	}
 	s.rules = b.To
-	s.behind = s.rules > RulesVersion
+	s.rulesUnsupported = s.rules > RulesVersion
 	return Decision{Kind: KindRulesUpgrade, Outcome: Accepted}
 }
--- a/ledger/manifests_test.go
+++ b/ledger/manifests_test.go
@@ -14,7 +14,7 @@
 
 var epoch = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// sample is a small manifest that differs by its loads at once.
+// sample returns a small valid manifest; different loads give different digests.
 func sample(loads int) manifest.Manifest {
 	return manifest.Manifest{
 		Rules: 1, Name: "quebec-est",
@@ -37,13 +37,13 @@
 	return &ManifestRecord{Base: base, Digest: manifest.DigestOfText(text), Manifest: text}
 }
 
-// logbook numbers records as the log does.
-type logbook struct {
+// testLog assigns offsets and times to records as the log does.
+type testLog struct {
 	t       testing.TB
 	records []ports.Record
 }
 
-func (l *logbook) add(b Body) ports.Record {
+func (l *testLog) add(b Body) ports.Record {
 	l.t.Helper()
 	data, err := Encode(1, b)
 	if err != nil {
@@ -52,14 +52,14 @@
 	return l.raw(data)
 }
 
-func (l *logbook) raw(data []byte) ports.Record {
+func (l *testLog) raw(data []byte) ports.Record {
 	n := len(l.records) + 1
 	r := ports.Record{Offset: ports.Offset(n), Time: epoch.Add(time.Duration(n) * time.Minute), Data: data}
 	l.records = append(l.records, r)
 	return r
 }
 
-func feed(s *State, records ...ports.Record) Decision {
+func apply(s *State, records ...ports.Record) Decision {
 	var last Decision
 	for _, r := range records {
 		d := s.Apply(r)
@@ -68,42 +68,41 @@
 	return last
 }
 
-func want(t *testing.T, d Decision, o Outcome, reason Reason, by ports.Offset) {
+func checkDecision(t *testing.T, d Decision, o Outcome, reason Reason, by ports.Offset) {
 	t.Helper()
 	if d.Outcome != o || d.Reason != reason || d.By != by {
 		t.Fatalf("got %+v, expected %s %s by %d", d, o, reason, by)
 	}
 }
 
-func TestTheSecondOfTwoRacingOperatorsIsRefused(t *testing.T) {
-	// Two operators publish at the same time against the same manifest. The
-	// second is refused and learns which record came first; the manifest in
-	// force does not flap between the two.
-	s, l := NewState(Options{}), &logbook{t: t}
-	want(t, feed(s, l.add(proposal(t, 0, 1))), Accepted, "", 0)
-	want(t, feed(s, l.add(proposal(t, 1, 2))), Accepted, "", 0)
-	want(t, feed(s, l.add(proposal(t, 1, 3))), Refused, ReasonStale, 2)
+func TestRefusesManifestWithStaleBase(t *testing.T) {
+	// Two operators publish from the same base at the same time. The second is
+	// refused with the offset of the first, so that the manifest in force does
+	// not change back and forth.
+	s, l := NewState(Options{}), &testLog{t: t}
+	checkDecision(t, apply(s, l.add(proposal(t, 0, 1))), Accepted, "", 0)
+	checkDecision(t, apply(s, l.add(proposal(t, 1, 2))), Accepted, "", 0)
+	checkDecision(t, apply(s, l.add(proposal(t, 1, 3))), Refused, ReasonStale, 2)
 	if s.Revision().Offset != 2 {
 		t.Fatalf("offset %d is in force", s.Revision().Offset)
 	}
 }
 
-func TestARepeatedPublicationIsAcceptedOnce(t *testing.T) {
-	// The answer to an append is lost and the operator's pipeline sends the
-	// manifest again, at once or after another manifest. It must not be
-	// accepted twice, nor push the newer one out.
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
-	want(t, feed(s, l.add(proposal(t, 1, 2))), Repeated, "", 2)
-	feed(s, l.add(proposal(t, 2, 3)))
-	want(t, feed(s, l.add(proposal(t, 1, 2))), Repeated, "", 2)
+func TestAcceptsRepeatedManifestOnce(t *testing.T) {
+	// An append whose answer was lost is repeated, immediately or after another
+	// manifest. It must not be accepted twice or replace the newer manifest.
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
+	checkDecision(t, apply(s, l.add(proposal(t, 1, 2))), Repeated, "", 2)
+	apply(s, l.add(proposal(t, 2, 3)))
+	checkDecision(t, apply(s, l.add(proposal(t, 1, 2))), Repeated, "", 2)
 	if s.Revision().Offset != 4 {
 		t.Fatalf("offset %d is in force", s.Revision().Offset)
 	}
 }
 
-func TestUnreadableRecordsAreRefusedAlike(t *testing.T) {
-	s, l := NewState(Options{}), &logbook{t: t}
+func TestRefusesInvalidRecords(t *testing.T) {
+	s, l := NewState(Options{}), &testLog{t: t}
 	bad := proposal(t, 0, 1)
 	bad.Digest = "00"
 	invalid := proposal(t, 0, 0)
@@ -120,104 +119,103 @@
 		{l.add(invalid), ReasonInvalid},
 	}
 	for _, tt := range tests {
-		want(t, feed(s, tt.record), Refused, tt.reason, 0)
+		checkDecision(t, apply(s, tt.record), Refused, tt.reason, 0)
 	}
-	want(t, feed(s, l.add(proposal(t, 0, 1))), Accepted, "", 0)
+	checkDecision(t, apply(s, l.add(proposal(t, 0, 1))), Accepted, "", 0)
 }
 
-func TestNewerRulesStopAnOldReleaseFromDeciding(t *testing.T) {
-	// Operators raise the rules while some daemons still run the release that
-	// does not know them. Those keep serving what was accepted and say that
-	// they are behind; deciding by old rules would split the daemons in two.
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)), l.add(&RulesUpgrade{To: 2}))
-	want(t, feed(s, l.add(proposal(t, 1, 2))), Undecided, ReasonRulesUnsupported, 0)
+func TestNewerRulesLeaveRecordsUndecided(t *testing.T) {
+	// Rules are upgraded while some daemons run a release that does not support
+	// them. These must keep the accepted manifest and decide nothing more;
+	// deciding by the old rules would make daemons disagree.
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)), l.add(&RulesUpgrade{To: 2}))
+	checkDecision(t, apply(s, l.add(proposal(t, 1, 2))), Undecided, ReasonRulesUnsupported, 0)
 	if !s.RulesUnsupported() || s.Revision().Offset != 1 {
 		t.Fatalf("behind %v, offset %d in force", s.RulesUnsupported(), s.Revision().Offset)
 	}
 }
 
-func TestBehindAGapNothingIsAcceptedUntilProven(t *testing.T) {
-	// A daemon starts late: the record that the next manifest builds on has
-	// expired. Whether something in between was accepted cannot be known, so
-	// the daemon must not accept; a checkpoint that reaches over the gap
-	// settles it, and the manifest is then accepted.
-	full, l := NewState(Options{}), &logbook{t: t}
-	feed(full, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
+func TestGapLeavesRecordsUndecidedUntilCheckpoint(t *testing.T) {
+	// A daemon starts after records have expired, one of which may have been
+	// accepted. It must not accept the next manifest until a checkpoint covers
+	// the gap.
+	full, l := NewState(Options{}), &testLog{t: t}
+	apply(full, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
 	checkpoint, _ := full.Checkpoint()
-	feed(full, l.add(proposal(t, 2, 3)))
-	feed(full, l.add(&checkpoint))
+	apply(full, l.add(proposal(t, 2, 3)))
+	apply(full, l.add(&checkpoint))
 
 	late := NewState(Options{})
 	late.Gap(3)
-	want(t, feed(late, l.records[2]), Undecided, ReasonGap, 0)
+	checkDecision(t, apply(late, l.records[2]), Undecided, ReasonGap, 0)
 	if late.InForce() != nil {
-		t.Fatal("accepted behind a gap")
+		t.Fatal("accepted after a gap")
 	}
-	feed(late, l.records[3])
+	apply(late, l.records[3])
 	if late.Revision() != full.Revision() {
 		t.Fatalf("in force %+v, elsewhere %+v", late.Revision(), full.Revision())
 	}
 
-	// A checkpoint that does not reach over the gap settles nothing.
+	// A checkpoint that does not cover the gap leaves it open.
 	later := NewState(Options{})
 	later.Gap(4)
-	want(t, feed(later, l.records[3]), Undecided, ReasonGap, 0)
+	checkDecision(t, apply(later, l.records[3]), Undecided, ReasonGap, 0)
 }
 
-func TestANeighboursProofClosesAGapAndNeverGoesBack(t *testing.T) {
-	full, l := NewState(Options{}), &logbook{t: t}
-	feed(full, l.add(proposal(t, 0, 1)))
+func TestAdoptedCheckpointClosesGap(t *testing.T) {
+	full, l := NewState(Options{}), &testLog{t: t}
+	apply(full, l.add(proposal(t, 0, 1)))
 	old, _ := full.Checkpoint()
-	feed(full, l.add(proposal(t, 1, 2)), l.add(proposal(t, 2, 3)))
+	apply(full, l.add(proposal(t, 1, 2)), l.add(proposal(t, 2, 3)))
 	newer, _ := full.Checkpoint()
 
 	cut := NewState(Options{})
-	feed(cut, l.records[0])
+	apply(cut, l.records[0])
 	if _, err := cut.Adopt(newer); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := cut.Adopt(old); reasonOf(err) != ReasonStale {
-		t.Fatalf("an older proof was answered %v", err)
+		t.Fatalf("adopting an older checkpoint returned %v", err)
 	}
 	if cut.Revision().Offset != 3 {
 		t.Fatalf("offset %d is in force", cut.Revision().Offset)
 	}
-	cut.Gap(4) // the log came back, and the records in between have expired
-	want(t, feed(cut, l.add(proposal(t, 3, 4))), Accepted, "", 0)
+	cut.Gap(4) // the log is available again; the records in between have expired
+	checkDecision(t, apply(cut, l.add(proposal(t, 3, 4))), Accepted, "", 0)
 
 	forged := newer
 	forged.Through, forged.Recent = 9, newer.Recent[:2]
 	forged.Revision, forged.Manifest = newer.Recent[1].revision(), proposal(t, 1, 2).Manifest
 	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonConflict {
-		t.Fatalf("a proof that contradicts was answered %v", err)
+		t.Fatalf("adopting a contradictory checkpoint returned %v", err)
 	}
 	forged = newer
 	forged.Through, forged.Revision = 20, Revision{Offset: 20, Digest: "00"}
 	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonMalformed {
-		t.Fatalf("a proof without its acceptance was answered %v", err)
+		t.Fatalf("adopting a checkpoint without its acceptance returned %v", err)
 	}
 	forged.Recent = slices.Concat(newer.Recent, []Acceptance{{Offset: 20, Base: 3, Digest: "00"}})
 	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonDigest {
-		t.Fatalf("a proof with a wrong digest was answered %v", err)
+		t.Fatalf("adopting a checkpoint with a wrong digest returned %v", err)
 	}
 }
 
-func TestACheckpointThatContradictsIsCountedAndIgnored(t *testing.T) {
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
+func TestRefusesConflictingCheckpoint(t *testing.T) {
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)), l.add(proposal(t, 1, 2)))
 	wrong, _ := s.Checkpoint()
 	text, _ := manifest.Encode(sample(9))
 	wrong.Manifest, wrong.Revision.Digest = text, manifest.DigestOfText(text)
-	want(t, feed(s, l.add(&wrong)), Refused, ReasonConflict, 2)
+	checkDecision(t, apply(s, l.add(&wrong)), Refused, ReasonConflict, 2)
 	if s.Conflicts() != 1 || s.InForce().Manifest.Fleet.LoadsAtOnce != 2 {
 		t.Fatalf("conflicts %d, in force %+v", s.Conflicts(), s.Revision())
 	}
 }
 
-func TestACheckpointIsDueBeforeTheRecordExpires(t *testing.T) {
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)))
+func TestCheckpointDueBeforeRecordExpires(t *testing.T) {
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)))
 	kept := 6 * time.Hour
 	at := l.records[0].Time
 	for _, jitter := range []float64{0, 0.5, 1} {
@@ -230,9 +228,9 @@
 	}
 	c, _ := s.Checkpoint()
 	r := l.add(&c)
-	feed(s, r)
+	apply(s, r)
 	if s.CheckpointDue(r.Time.Add(kept/4-time.Second), kept, 0) {
-		t.Fatal("due again at once after another daemon's checkpoint")
+		t.Fatal("due immediately after another daemon's checkpoint")
 	}
 }
 
@@ -246,16 +244,15 @@
 	return b
 }
 
-func TestSectionsChangeSideBySide(t *testing.T) {
-	// Two operators change different organisations against the same manifest,
-	// and both are accepted; a third changes one of them without having seen
-	// the change, and is refused.
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)))
+func TestConcurrentSectionChanges(t *testing.T) {
+	// Two changes of different organisations with the same base are both
+	// accepted. A third, of an organisation that has changed since, is refused.
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)))
 	first, second, third := section(t, s, "tsukushi", 2), section(t, s, "registre", 3), section(t, s, "registre", 4)
-	want(t, feed(s, l.add(first)), Accepted, "", 0)
-	want(t, feed(s, l.add(second)), Accepted, "", 0)
-	want(t, feed(s, l.add(third)), Refused, ReasonStale, 3)
+	checkDecision(t, apply(s, l.add(first)), Accepted, "", 0)
+	checkDecision(t, apply(s, l.add(second)), Accepted, "", 0)
+	checkDecision(t, apply(s, l.add(third)), Refused, ReasonStale, 3)
 	if got := s.InForce().Manifest.Organisations; len(got) != 2 || got[0].Share != 3 || got[1].Share != 2 {
 		t.Fatalf("organisations %+v", got)
 	}
@@ -266,41 +263,42 @@
 	}
 }
 
-func TestALateRepeatDoesNotUndoALaterChange(t *testing.T) {
-	// An operator's change is appended twice, the second time late. Meanwhile
-	// another set the section back, so that the repeat would fit again.
-	s, l := NewState(Options{}), &logbook{t: t}
-	feed(s, l.add(proposal(t, 0, 1)))
+func TestLateRepeatDoesNotRevertSection(t *testing.T) {
+	// A change is appended again after another change has restored the section's
+	// earlier content, so that the digest it is based on matches again. It must
+	// not be accepted a second time.
+	s, l := NewState(Options{}), &testLog{t: t}
+	apply(s, l.add(proposal(t, 0, 1)))
 	change := section(t, s, "registre", 2)
-	feed(s, l.add(change))
-	feed(s, l.add(section(t, s, "registre", 1)))
-	want(t, feed(s, l.add(change)), Repeated, "", 2)
+	apply(s, l.add(change))
+	apply(s, l.add(section(t, s, "registre", 1)))
+	checkDecision(t, apply(s, l.add(change)), Repeated, "", 2)
 	for i := range MaxRecentAcceptances {
-		feed(s, l.add(section(t, s, "tsukushi", float64(i+1))))
+		apply(s, l.add(section(t, s, "tsukushi", float64(i+1))))
 	}
-	want(t, feed(s, l.add(change)), Refused, ReasonStale, s.Revision().Offset)
+	checkDecision(t, apply(s, l.add(change)), Refused, ReasonStale, s.Revision().Offset)
 }
 
-func TestAReaderBeginsAtTheNewestCheckpoint(t *testing.T) {
-	// A daemon starts and finds hours of changes. Folding each of them would
-	// take it seconds in which it serves what is long replaced.
-	full, l := NewState(Options{}), &logbook{t: t}
-	feed(full, l.add(proposal(t, 0, 1)))
+func TestLazyStateStartsAtNewestCheckpoint(t *testing.T) {
+	// A daemon starts and finds hours of changes. Applying each of them would
+	// take seconds, during which it would serve an outdated manifest.
+	full, l := NewState(Options{}), &testLog{t: t}
+	apply(full, l.add(proposal(t, 0, 1)))
 	first, due := ports.Offset(2), 0
-	for i := range 5 * checkpointChanges {
-		feed(full, l.add(section(t, full, "tsukushi", float64(i+1))))
+	for i := range 5 * checkpointMinChanges {
+		apply(full, l.add(section(t, full, "tsukushi", float64(i+1))))
 		if full.CheckpointDue(l.records[len(l.records)-1].Time, 1000*time.Hour, 0) {
 			c, _ := full.Checkpoint()
-			feed(full, l.add(&c))
+			apply(full, l.add(&c))
 			due++
 		}
 	}
 	late := NewState(Options{Lazy: true})
 	late.Gap(first)
-	feed(late, l.records[first-1:]...)
+	apply(late, l.records[first-1:]...)
 	late.UseNewestCheckpoint()
-	folded := len(late.History())
-	if due != 5 || folded > checkpointChanges || late.Revision() != full.Revision() {
-		t.Fatalf("%d checkpoints, %d records folded, in force %+v, elsewhere %+v", due, folded, late.Revision(), full.Revision())
+	applied := len(late.History())
+	if due != 5 || applied > checkpointMinChanges || late.Revision() != full.Revision() {
+		t.Fatalf("%d checkpoints, %d records applied, in force %+v, elsewhere %+v", due, applied, late.Revision(), full.Revision())
 	}
 }
--- a/ledger/proof.go
+++ b/ledger/proof.go
@@ -7,34 +7,35 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// Shares of the retention after which a checkpoint is due: a first part that
-// is the same for all daemons and a part over which they spread.
+// Fractions of the log retention after which a checkpoint is due: a minimum that
+// is the same for all daemons, and a range over which jitter spreads them.
 const (
-	checkpointAfter  = 0.25
-	checkpointSpread = 0.25
+	checkpointMinFraction    = 0.25
+	checkpointJitterFraction = 0.25
 )
 
-// checkpointChanges is after how many changes of sections a checkpoint is due
-// at the earliest, and twice that at the latest. It bounds what a reader that
-// starts from a checkpoint has to fold.
-const checkpointChanges = 64
+// checkpointMinChanges is the smallest number of accepted changes after which a
+// checkpoint is due; with jitter it is at most twice that. It bounds the records
+// that a reader which starts from a checkpoint has to apply.
+const checkpointMinChanges = 64
 
-// Checkpoint returns what a neighbour or a later reader needs to take over the
-// manifest in force. It is false when the fold cannot vouch for any.
+// Checkpoint returns the state that a neighbour or a later reader needs to adopt
+// the manifest in force. It reports false if nothing has been applied, the rules
+// are not supported or the manifest cannot be encoded.
 func (s *State) Checkpoint() (Checkpoint, bool) {
 	v := s.InForce()
 	if v != s.latest {
 		c := *s.adopted
-		return c, c.fill(v) == nil
+		return c, c.setVersion(v) == nil
 	}
-	if s.behind || (s.through == 0 && v == nil) {
+	if s.rulesUnsupported || (s.through == 0 && v == nil) {
 		return Checkpoint{}, false
 	}
-	c := Checkpoint{Through: s.through, Rules: s.rules, Carried: s.carrier, Recent: s.Recent()}
-	return c, c.fill(v) == nil
+	c := Checkpoint{Through: s.through, Rules: s.rules, Carried: s.carriedAt, Recent: s.Recent()}
+	return c, c.setVersion(v) == nil
 }
 
-func (c *Checkpoint) fill(v *Version) error {
+func (c *Checkpoint) setVersion(v *Version) error {
 	if v == nil {
 		return nil
 	}
@@ -43,52 +44,55 @@
 	return err
 }
 
-// CheckpointDue tells whether a checkpoint should be appended at now, for a
-// log that keeps records for the given time. Jitter, from 0 to 1 and drawn
-// once by each daemon, spreads the daemons, so that usually one appends and
-// the others see it. A clock that is wrong by minutes does no harm: the
-// checkpoint is due long before anything expires and decides nothing.
+// CheckpointDue reports whether a checkpoint should be appended at time now, for
+// a log that keeps records for the given retention. Jitter is a random number
+// from 0 to 1 that each daemon draws once. It spreads the daemons over time, so
+// that usually one of them appends and the others see its checkpoint. A local
+// clock that is wrong by minutes is harmless: a checkpoint is due long before a
+// record expires, and it changes no decision.
 func (s *State) CheckpointDue(now time.Time, retention time.Duration, jitter float64) bool {
 	if !s.CanDecide() || s.through == 0 {
 		return false
 	}
-	if float64(s.since) >= checkpointChanges*(1+jitter) {
+	if float64(s.acceptedSince) >= checkpointMinChanges*(1+jitter) {
 		return true
 	}
-	share := checkpointAfter + checkpointSpread*jitter
-	return now.Sub(s.carrier) >= time.Duration(float64(retention)*share)
+	share := checkpointMinFraction + checkpointJitterFraction*jitter
+	return now.Sub(s.carriedAt) >= time.Duration(float64(retention)*share)
 }
 
-// Adopt takes over a neighbour's proof. Only a newer manifest than the one in
-// force changes anything, so a neighbour that is behind does no harm. A proof
-// of the revision in force may leave the manifest out; it then only tells how
-// far the neighbour has folded. The error is a *RecordError.
+// Adopt takes over a neighbour's checkpoint and returns the decisions on held
+// records that it made possible. Only a manifest newer than the one in force has
+// an effect, so a checkpoint from a neighbour that lags is harmless. A checkpoint
+// of the revision in force may omit the manifest; it then only shows how far the
+// neighbour has read. The error is a *RecordError.
 func (s *State) Adopt(c Checkpoint) ([]Decision, error) {
 	if c.Revision.Offset < s.Revision().Offset && c.Through < s.Revision().Offset {
 		return nil, &RecordError{Reason: ReasonStale, Detail: fmt.Sprintf("offset %d is in force", s.Revision().Offset)}
 	}
-	v, err := s.proven(&c)
+	v, err := s.adoptableVersion(&c)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.contradiction(&c, v); err != nil {
+	if err := s.checkConsistent(&c, v); err != nil {
 		s.conflicts++
 		return nil, err
 	}
 	if s.adopted == nil || c.Through > s.adopted.Through {
 		c.Manifest = nil // v holds it
-		s.adopted, s.ahead = &c, v
+		s.adopted, s.adoptedVersion = &c, v
 	}
 	if s.through == 0 && s.gapEnd == 0 {
-		s.take(&c, v)
+		s.restore(&c, v)
 		return nil, nil
 	}
-	return s.close(s.adopted, s.ahead), nil
+	return s.closeGap(s.adopted, s.adoptedVersion), nil
 }
 
-// proven reads the manifest of a proof, unless it is the one in force.
-func (s *State) proven(c *Checkpoint) (*Version, error) {
-	if err := c.check(); err != nil {
+// adoptableVersion validates a checkpoint and returns its manifest. It does not
+// decode the manifest if its revision is the one in force.
+func (s *State) adoptableVersion(c *Checkpoint) (*Version, error) {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	if mine := s.InForce(); mine != nil && c.Revision == mine.Revision {
@@ -97,27 +101,27 @@
 	return c.version()
 }
 
-// contradiction refuses a proof that cannot come from the same log: it has
-// folded as far as the manifest in force and yet knows an older one, or
-// another content under the same offset.
-func (s *State) contradiction(c *Checkpoint, v *Version) error {
+// checkConsistent returns an error for a checkpoint that cannot come from the
+// same log: it covers the offset of the manifest in force but has an older
+// manifest, or it has different content at the same offset.
+func (s *State) checkConsistent(c *Checkpoint, v *Version) error {
 	mine := s.InForce()
 	if mine == nil {
 		return nil
 	}
-	if v.older(mine) && c.Through >= mine.Revision.Offset {
-		return &RecordError{Reason: ReasonConflict, Detail: "folded past the manifest in force without accepting it"}
+	if v.olderThan(mine) && c.Through >= mine.Revision.Offset {
+		return &RecordError{Reason: ReasonConflict, Detail: "covers the offset of the manifest in force without accepting it"}
 	}
 	if v.offset() == mine.Revision.Offset && c.Revision != mine.Revision {
-		return &RecordError{Reason: ReasonConflict, Detail: "another content under the offset in force"}
+		return &RecordError{Reason: ReasonConflict, Detail: "different content at the offset in force"}
 	}
 	return nil
 }
 
-// check judges the proof's figures by themselves. The acceptances are part of
-// what daemons agree on, since they decide on repeats and sections; a proof
-// without them would make its reader decide unlike the others.
-func (c *Checkpoint) check() error {
+// validate checks the fields of the checkpoint for consistency with each other.
+// The acceptances must be complete: they determine the decisions on repeats and
+// on sections, so a reader without them would decide differently from others.
+func (c *Checkpoint) validate() error {
 	if c.Rules < 1 || c.Rules > RulesVersion {
 		return &RecordError{Reason: ReasonRules, Detail: fmt.Sprintf("rules %d", c.Rules)}
 	}
@@ -137,9 +141,10 @@
 	return nil
 }
 
-// version checks the proof and returns its manifest, nil for none.
+// version validates the checkpoint and returns its manifest, and nil if no
+// manifest had been accepted.
 func (c *Checkpoint) version() (*Version, error) {
-	if err := c.check(); err != nil {
+	if err := c.validate(); err != nil {
 		return nil, err
 	}
 	if c.Revision == (Revision{}) {
@@ -152,13 +157,13 @@
 	return &Version{Revision: c.Revision, Base: c.Base, Manifest: m}, nil
 }
 
-// checkAhead counts a conflict when the fold passes the offset that a
-// neighbour vouched for with another result.
-func (s *State) checkAhead() {
-	if s.ahead == nil || s.latest.offset() < s.ahead.offset() {
+// checkAdopted counts a conflict if this daemon accepts a revision at the offset
+// of the adopted manifest that differs from it.
+func (s *State) checkAdopted() {
+	if s.adoptedVersion == nil || s.latest.offset() < s.adoptedVersion.offset() {
 		return
 	}
-	if s.latest.offset() == s.ahead.offset() && s.latest.Revision != s.ahead.Revision {
+	if s.latest.offset() == s.adoptedVersion.offset() && s.latest.Revision != s.adoptedVersion.Revision {
 		s.conflicts++
 	}
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -1,10 +1,10 @@
-// Package ledger folds the records of the platform's log into what all
-// daemons agree on: the manifest in force, leases, and claims of idempotency
+// Package ledger builds the state that all daemons share from the records of
+// the platform's log: the manifest in force, leases, and claims of idempotency
 // keys.
 //
-// The package does no I/O and reads no clock. The log's order and the log's
-// own record times are the only inputs to a decision, so that every daemon
-// that reads the same records decides alike, whatever its clock says.
+// The package does no I/O and reads no clock. Decisions depend only on the order
+// of records and the record times that the log assigns, so that all daemons that
+// read the same records decide the same, regardless of their own clocks.
 package ledger
 
 import (
@@ -18,11 +18,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// RulesVersion is the newest set of rules for folding that this release
-// knows. The rules in force are part of the folded state, see Raise.
+// RulesVersion is the newest version of the rules for applying records that this
+// release supports. The version in force is part of the state; a RulesUpgrade
+// record changes it.
 const RulesVersion = 1
 
-// MaxRecordBytes bounds one record: a whole manifest and its envelope.
+// MaxRecordBytes is the maximum size of a record: a complete manifest and its
+// envelope.
 const MaxRecordBytes = manifest.MaxBytes + 64<<10
 
 // Streams of the log.
@@ -31,10 +33,10 @@
 	StreamLeases   ports.Stream = "leases"
 )
 
-// Kind tells records apart.
+// Kind is the type of a record.
 type Kind string
 
-// The kinds of record.
+// Kinds of record.
 const (
 	KindManifest     Kind = "manifest"
 	KindCheckpoint   Kind = "checkpoint"
@@ -44,46 +46,46 @@
 	KindClaims       Kind = "claims"
 )
 
-// Revision identifies an accepted manifest: the offset of the record that
-// brought it and the digest of its content. Offset 0 means that none has been
-// accepted.
+// Revision identifies an accepted manifest by the offset of the record that
+// introduced it and the digest of its content. Offset 0 means that no manifest
+// has been accepted.
 type Revision struct {
 	Offset ports.Offset    `json:"offset"`
 	Digest manifest.Digest `json:"digest"`
 }
 
-// Body is what a record says: *ManifestRecord, *Checkpoint, *SectionRecord,
+// Body is the content of a record: *ManifestRecord, *Checkpoint, *SectionRecord,
 // *Raise, *LeaseRecord or *ClaimBatch.
 type Body interface{ kind() Kind }
 
-// ManifestRecord proposes a whole manifest.
+// ManifestRecord proposes a complete manifest.
 type ManifestRecord struct {
-	Base     ports.Offset    `json:"base"` // the accepted manifest it was made against
+	Base     ports.Offset    `json:"base"` // offset of the accepted manifest that it replaces
 	Digest   manifest.Digest `json:"digest"`
 	Author   string          `json:"author,omitempty"`
 	Manifest json.RawMessage `json:"manifest"`
 }
 
-// Checkpoint repeats the accepted manifest, so that it outlives the record
-// that brought it. It is also the proof with which a neighbour passes its
-// accepted manifest on.
+// Checkpoint is a copy of the state at an offset. In the stream it keeps the
+// accepted manifest available after the record that proposed it has expired;
+// daemons also send checkpoints to their neighbours.
 type Checkpoint struct {
-	Through  ports.Offset    `json:"through"` // every record up to here was folded
+	Through  ports.Offset    `json:"through"` // offset of the last record applied
 	Revision Revision        `json:"revision"`
 	Base     ports.Offset    `json:"base"`
-	Rules    int             `json:"rules"`            // in force after Through
-	Carried  time.Time       `json:"carried"`          // log's time of the newest record with the manifest; decides nothing
-	Recent   []Acceptance    `json:"recent,omitempty"` // oldest first, the revision last
+	Rules    int             `json:"rules"`            // version of the rules in force after Through
+	Carried  time.Time       `json:"carried"`          // log time of the newest record with the complete manifest; affects no decision
+	Recent   []Acceptance    `json:"recent,omitempty"` // oldest first; the last one is Revision
 	Manifest json.RawMessage `json:"manifest,omitempty"`
 }
 
-// Acceptance remembers an accepted manifest without its content, so that a
-// late repeat of it is recognised.
+// Acceptance identifies an accepted record without its content, so that a late
+// repeat of the record is recognised.
 type Acceptance struct {
 	Offset         ports.Offset    `json:"offset"`
 	Base           ports.Offset    `json:"base"`
-	Digest         manifest.Digest `json:"digest"`          // of what the record brought
-	ManifestDigest manifest.Digest `json:"whole,omitempty"` // of the manifest after it, where a section came
+	Digest         manifest.Digest `json:"digest"`          // digest of the record's content
+	ManifestDigest manifest.Digest `json:"whole,omitempty"` // for a section: digest of the resulting manifest
 }
 
 func (a Acceptance) revision() Revision {
@@ -93,20 +95,22 @@
 	return Revision{Offset: a.Offset, Digest: a.Digest}
 }
 
-// SectionRecord proposes a change of one part of the manifest, so that a
-// change of one organisation among thousands does not carry them all. It holds
-// if the part is still what it was, whatever else has changed since.
+// SectionRecord proposes a change of one section of the manifest, so that a
+// change of one organisation among thousands does not contain all of them. It is
+// accepted if the section still has the digest Was, even if other sections have
+// changed since Base.
 type SectionRecord struct {
 	Section manifest.SectionKind `json:"section"`
 	ID      string               `json:"id"`
-	Base    ports.Offset         `json:"base"`             // the revision it was made against, among the last MaxRecent
-	Was     manifest.Digest      `json:"was,omitempty"`    // of the section before; empty: none
-	Digest  manifest.Digest      `json:"digest,omitempty"` // of the section after; empty: removed
+	Base    ports.Offset         `json:"base"`             // offset of the revision it is based on, one of the last MaxRecentAcceptances
+	Was     manifest.Digest      `json:"was,omitempty"`    // digest of the section before the change; empty: absent
+	Digest  manifest.Digest      `json:"digest,omitempty"` // digest of the section after the change; empty: removed
 	Value   json.RawMessage      `json:"value,omitempty"`
 }
 
-// RulesUpgrade puts newer rules in force from the next record on. A release that
-// does not know them keeps what is accepted and decides nothing more.
+// RulesUpgrade puts a newer version of the rules in force from the next record on. A
+// release that does not support it keeps the accepted manifest and leaves all
+// further records undecided.
 type RulesUpgrade struct {
 	To int `json:"to"`
 }
@@ -122,7 +126,8 @@
 	Body  json.RawMessage `json:"body"`
 }
 
-// Encode writes a record under the given rules.
+// Encode encodes a record for the given version of the rules. It returns a
+// *RecordError if the record exceeds MaxRecordBytes.
 func Encode(rules int, b Body) ([]byte, error) {
 	body, err := json.Marshal(b)
 	if err != nil {
@@ -138,14 +143,15 @@
 	return data, nil
 }
 
-// Decode reads a record strictly. The rules come back also when the record is
-// of newer rules and cannot be read further. The error is a *RecordError.
+// Decode decodes a record and refuses unknown fields. It returns the version of
+// the rules even if that is not supported and the body cannot be decoded. The
+// error is a *RecordError.
 func Decode(data []byte) (rules int, b Body, err error) {
 	if len(data) > MaxRecordBytes {
 		return 0, nil, &RecordError{Reason: ReasonTooLong, Detail: fmt.Sprintf("%d bytes", len(data))}
 	}
 	var e envelope
-	if err := strict(data, &e); err != nil {
+	if err := decodeStrict(data, &e); err != nil {
 		return 0, nil, &RecordError{Reason: ReasonMalformed, Detail: err.Error()}
 	}
 	if e.Rules < 1 || e.Rules > RulesVersion {
@@ -155,7 +161,7 @@
 	if b == nil {
 		return e.Rules, nil, &RecordError{Reason: ReasonMalformed, Detail: fmt.Sprintf("kind %q", e.Kind)}
 	}
-	if err := strict(e.Body, b); err != nil {
+	if err := decodeStrict(e.Body, b); err != nil {
 		return e.Rules, nil, &RecordError{Reason: ReasonMalformed, Detail: err.Error()}
 	}
 	return e.Rules, b, nil
@@ -180,7 +186,7 @@
 	}
 }
 
-func strict(data []byte, into any) error {
+func decodeStrict(data []byte, into any) error {
 	d := json.NewDecoder(bytes.NewReader(data))
 	d.DisallowUnknownFields()
 	if err := d.Decode(into); err != nil {
