--- a/claims/claims.go
+++ b/claims/claims.go
@@ -1,12 +1,13 @@
-// Package claims sends keyed calls that may not be repeated at most once, over
-// all daemons: it claims the key in the platform's log, reads its own claim
-// back as the first, and keeps the result there for repeats.
+// Package claims ensures that a call with an idempotency key is sent at most
+// once by all daemons together. A daemon appends a claim for the key to the
+// platform's log, sends the call only if it reads its own claim back as the
+// first one, and stores the result in the log for repeats.
 //
-// Package ledger decides; this package appends, reads and waits. docs/design/
-// at-most-once.md gives the reasons.
+// Package ledger decides on claims; this package appends, reads and waits.
+// docs/design/at-most-once.md describes the design.
 //
-// Lock order: each partition has one mutex; no two are held at once, and
-// nothing is called while one is held but the fold.
+// Locking: each partition has one mutex. A goroutine holds at most one of them,
+// and while it does, calls nothing but methods of ledger.Claims.
 package claims
 
 import (
@@ -26,94 +27,95 @@
 
 // Defaults and limits of a Service.
 const (
-	DefaultClaimTimeout = 2 * time.Second        // until a claim is read back
-	DefaultRepeatWait   = 5 * time.Second        // of a repeat for the first answer
-	DefaultPoll         = time.Second            // between reads while nothing is awaited
-	awaitPoll           = 200 * time.Millisecond // between reads while another's result is awaited
+	DefaultClaimTimeout = 2 * time.Second        // timeout for reading a claim back
+	DefaultRepeatWait   = 5 * time.Second        // time that a repeat waits for the result of the first call
+	DefaultPoll         = time.Second            // interval between reads of an idle stream
+	awaitPoll           = 200 * time.Millisecond // interval between reads while a repeat waits for a result
 	maxOwnerBytes       = 64
-	keyLen              = 36              // of a key: a UUID in text
-	MaxKeysPerPartition = 1 << 18         // remembered in one partition
-	failuresDown        = 3               // failed reads after which the log counts as down
-	retryAfter          = 5 * time.Second // told to callers that were refused
-	marksPerWindow      = 4               // marks of the layout in one window
+	keyLength           = 36              // length of a key: a UUID in text form
+	MaxKeysPerPartition = 1 << 18         // keys held in memory by one partition
+	maxReadFailures     = 3               // consecutive failed reads after which the log is considered unavailable
+	retryAfter          = 5 * time.Second // sent to refused callers as Retry-After
+	markersPerWindow    = 4               // marker records per claim window
 )
 
-// Outcome is what a caller of Claim is told.
+// Outcome is the result of Claim.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a claim.
 const (
 	Granted Outcome = "granted" // this daemon, and no other, is to send the call
-	Stored  Outcome = "stored"  // ran before; Result is its answer
-	Unknown Outcome = "unknown" // claimed before, no result: it may have run
-	Refused Outcome = "refused" // this request was not run
+	Stored  Outcome = "stored"  // the call ran before; Result is its response
+	Unknown Outcome = "unknown" // claimed before without a result; the call may have run
+	Refused Outcome = "refused" // the call was not sent for this request
 )
 
-// Reason tells why a claim was refused or is unknown.
+// Reason is the cause of a Refused or Unknown outcome.
 type Reason string
 
-// The reasons.
+// Reasons of a Refused or Unknown outcome.
 const (
-	ReasonInvalidKey      Reason = "key_unusable"      // not a UUIDv7, so its age is unknown
-	ReasonExpired         Reason = "key_expired"       // older than the window
-	ReasonEarly           Reason = "key_early"         // its time is ahead of the log's
-	ReasonDiffers         Reason = "key_reused"        // stands for another request
-	ReasonLogUnavailable  Reason = "log_unavailable"   // the log is down or slow
-	ReasonNotReady        Reason = "not_ready"         // this daemon has not read enough of the log
-	ReasonTooManyKeys     Reason = "too_many_keys"     // the table of keys is full
-	ReasonLayout          Reason = "settings_differ"   // daemons disagree on partitions or window
-	ReasonTooManyAttempts Reason = "too_many_attempts" // given up too often under this key
-	ReasonNoResult        Reason = "no_result"         // claimed, and no result so far
-	ReasonUnreadable      Reason = "result_unreadable" // it ran; its answer cannot be read now
-	ReasonResultNotKept   Reason = "result_not_kept"   // it ran; its answer was too long to keep
-	ReasonCancelled       Reason = "caller_gave_up"    // the context ended first
+	ReasonInvalidKey      Reason = "key_unusable"      // the key is not a UUIDv7, so its age is unknown
+	ReasonExpired         Reason = "key_expired"       // the key is older than the claim window
+	ReasonEarly           Reason = "key_early"         // the key's time is ahead of the log's
+	ReasonDiffers         Reason = "key_reused"        // the key was used for a different request
+	ReasonLogUnavailable  Reason = "log_unavailable"   // the log is unavailable or too slow
+	ReasonNotReady        Reason = "not_ready"         // this daemon has not read the log far enough
+	ReasonTooManyKeys     Reason = "too_many_keys"     // the partition holds MaxKeysPerPartition keys
+	ReasonLayout          Reason = "settings_differ"   // daemons use different numbers of partitions
+	ReasonTooManyAttempts Reason = "too_many_attempts" // too many attempts with this key were abandoned
+	ReasonNoResult        Reason = "no_result"         // claimed, without a result so far
+	ReasonUnreadable      Reason = "result_unreadable" // the call ran, but its result cannot be read now
+	ReasonResultNotKept   Reason = "result_not_kept"   // the call ran, but its response was too long to store
+	ReasonCancelled       Reason = "caller_gave_up"    // the context was done before there was an outcome
 )
 
-// Request names what is to be claimed.
+// Request identifies the call to claim.
 type Request struct {
 	Organisation string
 	Service      string
 	Key          string    // the caller's Idempotency-Key
-	Digest       ledger.ID // of what the key stands for, see DigestOf
+	Digest       ledger.ID // digest of the call, see RequestDigest
 }
 
-// RequestDigest is the digest of a call: a repeat under the same key must have the
-// same.
+// RequestDigest returns the digest of a call. Repeats with the same key must have
+// the same digest.
 func RequestDigest(method, path string, body []byte) ledger.ID {
 	return ledger.HashID(method, path, string(body))
 }
 
-// Answer is the outcome of a Claim.
+// Answer is the outcome of Claim with its details.
 type Answer struct {
 	Outcome    Outcome
 	Reason     Reason
 	Detail     string
-	RetryAfter time.Duration  // when a repeat may fare better; 0: never
-	Grant      *Grant         // when granted
-	Result     *ledger.Result // when stored
+	RetryAfter time.Duration  // time until a repeat may succeed; 0: never
+	Grant      *Grant         // set if Outcome is Granted
+	Result     *ledger.Result // set if Outcome is Stored
 }
 
-// Options of a Service.
+// Options configures a Service.
 type Options struct {
 	Log          ports.Log
-	Owner        string // names the process to operators; 64 bytes of it are kept
+	Owner        string // process name shown to operators; the first 64 bytes are used
 	Layout       ledger.Layout
-	BatchItems   int           // claims in one append
-	Linger       time.Duration // waited for company, see logio.BatchOptions
+	BatchItems   int           // maximum number of operations in one append
+	Linger       time.Duration // time to wait for further operations, see logio.BatchOptions
 	ClaimTimeout time.Duration
 	RepeatWait   time.Duration
 	Poll         time.Duration
 	Seed         uint64
 }
 
-// Service claims keys.
+// Service claims idempotency keys in the log.
 type Service struct {
 	opt      Options
 	parts    []*partition
 	attempts atomic.Uint64
 }
 
-// New returns a service that is not ready until Run has read the log.
+// New returns a service, which is not ready until Run has read the log. It
+// returns an error if the layout is out of range.
 func New(o Options) (*Service, error) {
 	if !o.Layout.Valid() {
 		return nil, fmt.Errorf("claims: layout %+v is out of range", o.Layout)
@@ -127,8 +129,9 @@
 	if o.Poll == 0 {
 		o.Poll = DefaultPoll
 	}
-	// Attempts and marks of an earlier service of this process must not pass
-	// for this one's: a repeated attempt is granted again.
+	// The owner must be unique: attempts and markers of an earlier service with
+	// the same name would be taken for this one's, and a repeated attempt is
+	// granted again.
 	o.Owner = o.Owner[:min(len(o.Owner), maxOwnerBytes)] + "/" + uuid.NewString()
 	s := &Service{opt: o}
 	for i := range o.Layout.Partitions {
@@ -137,7 +140,7 @@
 	return s, nil
 }
 
-// Run follows and writes the claim streams until the context ends.
+// Run reads and writes the claim streams until the context is done.
 func (s *Service) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	for _, p := range s.parts {
@@ -146,18 +149,18 @@
 	return g.Wait()
 }
 
-// Ready tells whether claims can be granted now.
+// Ready reports whether claims can be granted now.
 func (s *Service) Ready() bool {
-	return s.hindrance() == ""
+	return s.unavailableReason() == ""
 }
 
-// hindrance is why no claim can be granted now, empty for none. It looks at
-// all partitions, since a daemon with fewer of them shows itself in the first
-// ones only.
-func (s *Service) hindrance() Reason {
+// unavailableReason returns the reason why no claim can be granted now, and the
+// empty Reason if claims can be granted. It checks all partitions, since a daemon
+// with fewer partitions writes markers to the first ones only.
+func (s *Service) unavailableReason() Reason {
 	now := time.Now()
 	for _, p := range s.parts {
-		if p.poisoned() {
+		if p.layoutConflict() {
 			return ReasonLayout
 		}
 		if !p.ready(now) {
@@ -167,7 +170,7 @@
 	return ""
 }
 
-// call is one Claim under way.
+// call is the state of one Claim in progress.
 type call struct {
 	s       *Service
 	p       *partition
@@ -176,9 +179,9 @@
 	keyTime time.Time
 }
 
-// Claim claims a key, waits for the result of an earlier claim, or refuses.
-// Only after Granted may anything be sent, and then one of the grant's
-// Complete and Abandon must follow.
+// Claim claims the key of a request. If the key is already claimed, it waits for
+// the result, at most RepeatWait. The call may be sent only if the outcome is
+// Granted; Complete or Abandon of the grant must be called afterwards.
 func (s *Service) Claim(ctx context.Context, req Request) Answer {
 	key, keyTime, err := parseKey(req.Key)
 	if err != nil {
@@ -190,22 +193,22 @@
 	wait, cancel := context.WithTimeout(ctx, s.opt.RepeatWait)
 	defer cancel()
 	for {
-		news := c.p.nextChange()
+		changed := c.p.nextChange()
 		a, again := c.try(ctx)
 		if !again {
 			return a
 		}
-		if !c.p.await(wait, news) {
+		if !c.p.await(wait, changed) {
 			return Answer{Outcome: Unknown, Reason: ReasonNoResult, RetryAfter: retryAfter}
 		}
 	}
 }
 
-// parseKey reads a UUIDv7 and its time. Other keys are refused: nothing bounds
-// their age, so a late repeat could not be told from a first call once the
-// first one's records have expired.
+// parseKey returns a UUIDv7 in canonical form and the time in it. Other keys are
+// refused: their age is unknown, so that after the records of a call have
+// expired, a late repeat could not be distinguished from a new call.
 func parseKey(key string) (string, time.Time, error) {
-	if len(key) != keyLen {
+	if len(key) != keyLength {
 		return "", time.Time{}, errKey
 	}
 	id, err := uuid.Parse(key)
@@ -218,11 +221,11 @@
 
 var errKey = errors.New("key is not a UUID of version 7, whose time tells how old a call is")
 
-// try answers from what is known, or claims. Again means that another attempt
-// holds the key and its result may still come.
+// try answers from the state of the key or, if the key is free, claims it. Again
+// is true if another attempt holds the key and its result may still arrive.
 func (c *call) try(ctx context.Context) (a Answer, again bool) {
-	if why := c.s.hindrance(); why != "" {
-		return refuse(why), false
+	if reason := c.s.unavailableReason(); reason != "" {
+		return refuse(reason), false
 	}
 	view, keys := c.p.lookup(c.scope)
 	switch {
@@ -234,11 +237,11 @@
 		return c.stored(ctx, view), false
 	case view.State != ledger.ClaimFree:
 		return Answer{}, true
-	case c.p.tail.Failures() >= failuresDown:
+	case c.p.tail.Failures() >= maxReadFailures:
 		return refuse(ReasonLogUnavailable), false
 	case c.p.early(c.keyTime, time.Now()):
 		return refuse(ReasonEarly), false
-	case !c.p.whole(c.keyTime):
+	case !c.p.canDecide(c.keyTime):
 		return refuse(ReasonNotReady), false
 	case keys >= MaxKeysPerPartition:
 		return refuse(ReasonTooManyKeys), false
@@ -250,7 +253,7 @@
 	return Answer{Outcome: Refused, Reason: r, RetryAfter: retryAfter}
 }
 
-// claim appends a claim and waits until it is read back.
+// claim appends a claim and waits until it is read back, at most ClaimTimeout.
 func (c *call) claim(ctx context.Context) (a Answer, again bool) {
 	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: c.scope, KeyTime: c.keyTime.UnixMilli(), Request: &c.req.Digest}
 	op.Attempt = ledger.HashID(c.s.opt.Owner, fmt.Sprint(c.s.attempts.Add(1)))
@@ -267,9 +270,9 @@
 		}
 	case <-ctx.Done():
 	}
-	// The claim may be in the log or still arrive there. Nothing was sent for
-	// it, so it is given up for good; without that the key would look claimed
-	// for ever although the caller is told "not run".
+	// The claim may be in the log or still arrive there. The call was not sent,
+	// so the claim is abandoned; otherwise the key would remain claimed although
+	// the caller receives "not run".
 	c.p.forget(op.Attempt)
 	c.p.abandon(op)
 	return refuse(ReasonLogUnavailable), false
@@ -277,9 +280,9 @@
 
 func (c *call) decided(op ledger.ClaimOp, d ledger.ClaimDecision) (a Answer, again bool) {
 	if d.Outcome == ledger.Accepted || d.Outcome == ledger.Repeated {
-		if why := c.s.hindrance(); why != "" {
+		if reason := c.s.unavailableReason(); reason != "" {
 			c.p.abandon(op)
-			return refuse(why), false
+			return refuse(reason), false
 		}
 		return Answer{Outcome: Granted, Grant: &Grant{p: c.p, op: op}}, false
 	}
@@ -298,13 +301,14 @@
 		c.p.abandon(op)
 		return refuse(ReasonLayout), false
 	default:
-		// Another reader may have seen more and granted it.
+		// A reader that misses fewer records may have granted the claim.
 		c.p.abandon(op)
 		return refuse(ReasonNotReady), false
 	}
 }
 
-// stored reads the result of a call that ran.
+// stored returns the answer for a call that ran before, with its result read
+// from the log.
 func (c *call) stored(ctx context.Context, view ledger.ClaimView) Answer {
 	r, err := c.p.result(ctx, view.Result)
 	switch {
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -12,7 +12,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-func TestOnlyKeysThatTellTheirAgeAreTaken(t *testing.T) {
+func TestParseKeyAcceptsOnlyUUIDv7(t *testing.T) {
 	v7, err := uuid.NewV7()
 	if err != nil {
 		t.Fatal(err)
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAnOwnersNameMayBeLong(t *testing.T) {
+func TestTruncatesLongOwner(t *testing.T) {
 	layout := ledger.Layout{Partitions: 1, Window: manifest.Duration(time.Hour)}
 	s, err := New(Options{Owner: strings.Repeat("entry-", 100), Layout: layout})
 	if err != nil {
@@ -53,9 +53,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fold := ledger.NewClaims(ledger.Layout{Partitions: 2, Window: layout.Window})
-	fold.Apply(ports.Record{Offset: 1, Time: time.Now(), Data: data})
-	if !fold.LayoutConflict() {
-		t.Fatal("a mark with a long name was not read")
+	state := ledger.NewClaims(ledger.Layout{Partitions: 2, Window: layout.Window})
+	state.Apply(ports.Record{Offset: 1, Time: time.Now(), Data: data})
+	if !state.LayoutConflict() {
+		t.Fatal("a marker with a long writer name was not applied")
 	}
 }
--- a/claims/grant.go
+++ b/claims/grant.go
@@ -8,19 +8,20 @@
 	"github.com/merlindock/merlindock/ledger"
 )
 
-// Grant is the right to send one call, once.
+// Grant is the permission to send a call once.
 type Grant struct {
-	p    *partition
-	op   ledger.ClaimOp
-	over atomic.Bool
+	p     *partition
+	op    ledger.ClaimOp
+	ended atomic.Bool
 }
 
-// Complete keeps the answer for repeats. It returns when the log has it or
-// the context ends; in the latter case it is still written as soon as the log
-// takes it, and until then a repeat is told that the outcome is unknown. An
-// answer over the limits of ledger.Result is not kept, only that there was one.
+// Complete stores the response for repeats. It returns when the log has accepted
+// the record or the context is done. In the latter case the record stays queued
+// and is written as soon as the log accepts it; until then the outcome for
+// repeats is Unknown. For a response that exceeds the limits of ledger.Result,
+// only the fact that the call completed is stored.
 func (g *Grant) Complete(ctx context.Context, r ledger.Result) error {
-	if g.over.Swap(true) {
+	if g.ended.Swap(true) {
 		return nil
 	}
 	if !r.Valid() {
@@ -30,15 +31,16 @@
 	return g.p.write(ctx, op)
 }
 
-// Abandon gives the claim up, so that a repeat may run. Call it only when no
-// byte of the call was sent, or the endpoint said that it did not run.
+// Abandon releases the claim, so that a repeat may run. It must be called only if
+// no byte of the call was sent or the endpoint reported that the call did not
+// run.
 func (g *Grant) Abandon(ctx context.Context) error {
-	if g.over.Swap(true) {
+	if g.ended.Swap(true) {
 		return nil
 	}
-	return g.p.write(ctx, abandonment(g.op))
+	return g.p.write(ctx, abandonOp(g.op))
 }
 
-func abandonment(claim ledger.ClaimOp) ledger.ClaimOp {
+func abandonOp(claim ledger.ClaimOp) ledger.ClaimOp {
 	return ledger.ClaimOp{Verb: ledger.VerbAbandon, Scope: claim.Scope, Attempt: claim.Attempt, KeyTime: claim.KeyTime}
 }
--- a/claims/partition.go
+++ b/claims/partition.go
@@ -13,13 +13,14 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// opBytes is about what an operation without a result takes in a record.
+// opBytes is the approximate encoded size of an operation without a result.
 const opBytes = 220
 
-// markRetry is the longest wait after a mark that the log did not take.
-const markRetry = 2 * time.Second
+// maxMarkerRetryDelay is the maximum delay before a marker that the log did not accept is
+// appended again.
+const maxMarkerRetryDelay = 2 * time.Second
 
-// partition follows and writes one claim stream.
+// partition reads and writes one claim stream.
 type partition struct {
 	opt    Options
 	stream ports.Stream
@@ -27,12 +28,12 @@
 	batch  *logio.Batcher[ledger.ClaimOp]
 	wake   chan struct{}
 
-	mu      sync.Mutex // guards what follows
-	fold    *ledger.Claims
-	waiting map[ledger.ID]*waiter // by attempt
-	marked  time.Time             // when this daemon's last mark was read back
-	applied time.Time             // when the last record was read, by this process's clock
-	news    chan struct{}         // closed when the fold has changed
+	mu        sync.Mutex // guards the fields below
+	state     *ledger.Claims
+	waiters   map[ledger.ID]*waiter // by attempt
+	markedAt  time.Time             // when this daemon's last marker was read back
+	appliedAt time.Time             // when the last record was applied, by the local clock
+	changed   chan struct{}         // closed after the next operation is applied
 }
 
 type waiter struct {
@@ -42,8 +43,8 @@
 
 func newPartition(o Options, i int) *partition {
 	p := &partition{
-		opt: o, stream: ledger.ClaimStream(i), fold: ledger.NewClaims(o.Layout),
-		waiting: make(map[ledger.ID]*waiter), news: make(chan struct{}), wake: make(chan struct{}, 1),
+		opt: o, stream: ledger.ClaimStream(i), state: ledger.NewClaims(o.Layout),
+		waiters: make(map[ledger.ID]*waiter), changed: make(chan struct{}), wake: make(chan struct{}, 1),
 	}
 	p.tail = logio.NewTail(logio.TailOptions{
 		Log: o.Log, Stream: p.stream, Sink: p, Poll: o.Poll, Seed: o.Seed + uint64(i), Wake: p.wake,
@@ -62,23 +63,24 @@
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return p.tail.Run(ctx) })
 	g.Go(func() error { return p.batch.Run(ctx) })
-	g.Go(func() error { return p.mark(ctx) })
+	g.Go(func() error { return p.appendMarkers(ctx) })
 	return g.Wait()
 }
 
-// mark appends empty batches. They show other daemons this one's layout, and
-// the first one read back shows that the stream was read to its end.
-func (p *partition) mark(ctx context.Context) error {
-	every := time.Duration(p.opt.Layout.Window) / marksPerWindow
-	again := p.opt.Poll
+// appendMarkers appends empty batches periodically. They announce this daemon's
+// layout to other daemons, and reading the first one back shows that the stream
+// was read up to the time of its append.
+func (p *partition) appendMarkers(ctx context.Context) error {
+	every := time.Duration(p.opt.Layout.Window) / markersPerWindow
+	retryDelay := p.opt.Poll
 	for {
 		wait := every
-		if !p.append(ctx) {
-			wait = again
-			again = min(2*again, markRetry)
+		if !p.appendMarker(ctx) {
+			wait = retryDelay
+			retryDelay = min(2*retryDelay, maxMarkerRetryDelay)
 		} else {
-			again = p.opt.Poll
-			p.look()
+			retryDelay = p.opt.Poll
+			p.readNow()
 		}
 		timer := time.NewTimer(wait)
 		select {
@@ -90,7 +92,7 @@
 	}
 }
 
-func (p *partition) append(ctx context.Context) bool {
+func (p *partition) appendMarker(ctx context.Context) bool {
 	data, err := p.encode(nil)
 	if err != nil {
 		return false
@@ -101,70 +103,70 @@
 	return err == nil
 }
 
-// ready tells whether a mark of this daemon was read back within the last two
-// of the marks that fit in a window. A daemon that could not mark for longer
-// may have neighbours that do not know its layout.
+// ready reports whether a marker of this daemon was read back within the last two
+// marker intervals. If not, other daemons may not know this daemon's layout.
 func (p *partition) ready(now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return !p.marked.IsZero() && now.Sub(p.marked) < 2*time.Duration(p.opt.Layout.Window)/marksPerWindow
+	return !p.markedAt.IsZero() && now.Sub(p.markedAt) < 2*time.Duration(p.opt.Layout.Window)/markersPerWindow
 }
 
-func (p *partition) poisoned() bool {
+func (p *partition) layoutConflict() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.LayoutConflict()
+	return p.state.LayoutConflict()
 }
 
-func (p *partition) whole(keyTime time.Time) bool {
+func (p *partition) canDecide(keyTime time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.CanDecide(keyTime)
+	return p.state.CanDecide(keyTime)
 }
 
-// early tells whether a claim for a key of the given time might reach the log
-// before the log's clock is near enough. The log's clock is at least the last
-// record's time and what has passed here since it was read; this process's own
-// idea of the hour does not count. A claim that came early would be refused
-// by the fold, and so would its abandonment, and could yet arrive once more
-// when the key no longer is early, to hold it for nobody.
+// early reports whether a claim for a key with the given time could be appended
+// while that time is still more than MaxKeySkew ahead of the log's clock. The
+// log's clock is at least the last record time plus the time elapsed here since
+// that record was applied; the local wall clock is not used. An early claim
+// would be refused, and so would its abandon operation; if the claim arrived a
+// second time after the key had become valid, it would hold the key although no
+// request uses it.
 func (p *partition) early(keyTime, now time.Time) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	least := p.fold.Clock().Add(now.Sub(p.applied))
-	return keyTime.After(least.Add(ledger.MaxKeySkew))
+	minLogTime := p.state.Clock().Add(now.Sub(p.appliedAt))
+	return keyTime.After(minLogTime.Add(ledger.MaxKeySkew))
 }
 
 func (p *partition) lookup(scope ledger.ID) (view ledger.ClaimView, keys int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Lookup(scope), p.fold.Len()
+	return p.state.Lookup(scope), p.state.Len()
 }
 
-// look makes the tail read at once.
-func (p *partition) look() {
+// readNow makes the tail read immediately.
+func (p *partition) readNow() {
 	select {
 	case p.wake <- struct{}{}:
 	default:
 	}
 }
 
-// nextChange is closed when the fold changes next.
+// nextChange returns a channel that is closed after the next operation is applied.
 func (p *partition) nextChange() <-chan struct{} {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.news
+	return p.changed
 }
 
-// await waits for news while it reads more often, and is false when the
-// context ends first.
-func (p *partition) await(ctx context.Context, news <-chan struct{}) bool {
+// await waits until changed is closed and makes the tail read every awaitPoll
+// meanwhile. It returns false if the context is done first.
+func (p *partition) await(ctx context.Context, changed <-chan struct{}) bool {
 	ticker := time.NewTicker(awaitPoll)
 	defer ticker.Stop()
 	for {
-		p.look()
+		p.readNow()
 		select {
-		case <-news:
+		case <-changed:
 			return true
 		case <-ctx.Done():
 			return false
@@ -173,18 +175,19 @@
 	}
 }
 
-// claim queues a claim and returns who is told of its fate.
+// claim queues a claim and returns a waiter that receives the decision on it or
+// the error of its append.
 func (p *partition) claim(op ledger.ClaimOp, deadline time.Time) *waiter {
 	w := &waiter{decided: make(chan ledger.ClaimDecision, 1), failed: make(chan error, 1)}
 	p.mu.Lock()
-	p.waiting[op.Attempt] = w
+	p.waiters[op.Attempt] = w
 	p.mu.Unlock()
 	done := func(err error) {
 		if err != nil {
 			w.failed <- err
 			return
 		}
-		p.look()
+		p.readNow()
 	}
 	err := p.batch.Add(logio.Item[ledger.ClaimOp]{Value: op, Bytes: opBytes, Deadline: deadline, Done: done})
 	if err != nil {
@@ -196,24 +199,25 @@
 func (p *partition) forget(attempt ledger.ID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	delete(p.waiting, attempt)
+	delete(p.waiters, attempt)
 }
 
-// abandon gives a claim up in the background, for as long as it takes.
+// abandon queues an abandon operation without a deadline and does not wait for it.
 func (p *partition) abandon(claim ledger.ClaimOp) {
-	// A full queue loses it; the key then stays "outcome unknown", which is
-	// safe.
-	_ = p.batch.Add(logio.Item[ledger.ClaimOp]{Value: abandonment(claim), Bytes: opBytes, Done: func(error) { p.look() }})
+	// If the queue is full the operation is dropped. The outcome of the key
+	// then stays unknown, which is safe.
+	_ = p.batch.Add(logio.Item[ledger.ClaimOp]{Value: abandonOp(claim), Bytes: opBytes, Done: func(error) { p.readNow() }})
 }
 
-// write queues an operation that must reach the log and waits for it.
+// write queues an operation without a deadline and waits until it is in the log
+// or the context is done.
 func (p *partition) write(ctx context.Context, op ledger.ClaimOp) error {
 	done := make(chan error, 1)
 	size := opBytes
 	if op.Result != nil {
 		size += len(op.Result.Body) * 4 / 3
 	}
-	err := p.batch.Add(logio.Item[ledger.ClaimOp]{Value: op, Bytes: size, Done: func(err error) { done <- err; p.look() }})
+	err := p.batch.Add(logio.Item[ledger.ClaimOp]{Value: op, Bytes: size, Done: func(err error) { done <- err; p.readNow() }})
 	if err != nil {
 		return err
 	}
@@ -225,7 +229,7 @@
 	}
 }
 
-// result reads the result of a call back from the log.
+// result reads the result of a call from the log.
 func (p *partition) result(ctx context.Context, at ledger.OpRef) (*ledger.Result, error) {
 	page, err := p.opt.Log.Read(ctx, p.stream, at.Offset, 1)
 	if err != nil {
@@ -246,14 +250,14 @@
 func (p *partition) Next() ports.Offset {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.fold.Next()
+	return p.state.Next()
 }
 
 // Gap implements logio.Sink.
 func (p *partition) Gap(first ports.Offset) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.fold.Gap(first)
+	p.state.Gap(first)
 }
 
 // CaughtUp implements logio.Sink.
@@ -263,33 +267,33 @@
 func (p *partition) Apply(r ports.Record) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	decisions := p.fold.Apply(r)
-	p.applied = time.Now()
+	decisions := p.state.Apply(r)
+	p.appliedAt = time.Now()
 	for _, d := range decisions {
-		p.decide(d)
+		p.deliver(d)
 	}
 	if len(decisions) == 0 {
-		p.ownMark(r)
+		p.checkOwnMarker(r)
 		return
 	}
-	close(p.news)
-	p.news = make(chan struct{})
+	close(p.changed)
+	p.changed = make(chan struct{})
 }
 
-func (p *partition) decide(d ledger.ClaimDecision) {
+func (p *partition) deliver(d ledger.ClaimDecision) {
 	if d.Op != ledger.VerbClaim {
 		return
 	}
-	if w := p.waiting[d.Attempt]; w != nil {
-		delete(p.waiting, d.Attempt)
+	if w := p.waiters[d.Attempt]; w != nil {
+		delete(p.waiters, d.Attempt)
 		w.decided <- d
 	}
 }
 
-func (p *partition) ownMark(r ports.Record) {
+func (p *partition) checkOwnMarker(r ports.Record) {
 	_, body, err := ledger.Decode(r.Data)
 	b, ok := body.(*ledger.ClaimBatch)
 	if err == nil && ok && len(b.Ops) == 0 && b.Writer == p.opt.Owner {
-		p.marked = time.Now()
+		p.markedAt = time.Now()
 	}
 }
