--- a/rollout/bind.go
+++ b/rollout/bind.go
@@ -8,19 +8,21 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// VersionGroup is a weight version with the endpoints that serve it.
+// VersionGroup is a weight version of a model and the endpoints that serve it.
 type VersionGroup struct {
 	Version   string
 	Endpoints []fleet.Endpoint
 }
 
-// GroupByVersion groups the endpoints that may get work for a model by the version
-// that they say they serve, by version. Each group is a pool for placement.
+// GroupByVersion groups the endpoints that can serve a model by the weight
+// version that they report, and returns the groups sorted by version. Each group
+// is a pool for placement.
 //
-// Endpoints that were heard and name no weights are taken to serve the declared
-// version; one that does not refuses by its number. Those that were not heard
-// yet, after a restart of this daemon, are taken to serve what most others do:
-// in the middle of a rollout the declared version would be refused by many.
+// Endpoints that have reported but name no weights are assumed to serve the
+// declared version; an endpoint that does not serve it refuses the request by
+// its version. Endpoints that have not reported since this daemon started are
+// assumed to serve the version that most others serve: in the middle of a
+// rollout, many of them would refuse the declared version.
 func GroupByVersion(m *manifest.Manifest, model string, members []fleet.Member) []VersionGroup {
 	declared := ""
 	for _, x := range m.Models {
@@ -29,34 +31,35 @@
 		}
 	}
 	groups := map[string][]fleet.Endpoint{}
-	var unheard []fleet.Endpoint
+	var unreported []fleet.Endpoint
 	for _, e := range members {
-		if !servesClass(m, e.Class, model) {
+		if !classServesModel(m, e.Class, model) {
 			continue
 		}
 		if e.Heard.IsZero() && len(e.Load.Weights) == 0 {
-			unheard = append(unheard, e.Endpoint)
+			unreported = append(unreported, e.Endpoint)
 			continue
 		}
-		if v := versionOn(e.Load.Weights, model, declared); v != "" {
+		if v := servedVersion(e.Load.Weights, model, declared); v != "" {
 			groups[v] = append(groups[v], e.Endpoint)
 		}
 	}
-	if len(unheard) > 0 {
-		v := commonest(groups, declared)
-		groups[v] = append(groups[v], unheard...)
+	if len(unreported) > 0 {
+		v := mostCommonVersion(groups, declared)
+		groups[v] = append(groups[v], unreported...)
 	}
-	shares := make([]VersionGroup, 0, len(groups))
+	groupList := make([]VersionGroup, 0, len(groups))
 	for v, es := range groups {
-		shares = append(shares, VersionGroup{v, es})
+		groupList = append(groupList, VersionGroup{v, es})
 	}
-	slices.SortFunc(shares, func(a, b VersionGroup) int { return strings.Compare(a.Version, b.Version) })
-	return shares
+	slices.SortFunc(groupList, func(a, b VersionGroup) int { return strings.Compare(a.Version, b.Version) })
+	return groupList
 }
 
-// commonest returns the version with the most endpoints; the declared one if
-// there is none.
-func commonest(groups map[string][]fleet.Endpoint, declared string) string {
+// mostCommonVersion returns the version with the most endpoints. Ties go to the
+// declared version, then to the one that sorts first. Without any endpoint it
+// returns the declared version.
+func mostCommonVersion(groups map[string][]fleet.Endpoint, declared string) string {
 	best := declared
 	for v, es := range groups {
 		most := len(groups[best])
@@ -67,15 +70,16 @@
 	return best
 }
 
-func servesClass(m *manifest.Manifest, class, model string) bool {
+func classServesModel(m *manifest.Manifest, class, model string) bool {
 	return slices.ContainsFunc(m.Classes, func(c manifest.Class) bool {
 		return c.ID == class && c.Kind == fleet.KindModel && slices.Contains(c.Models, model)
 	})
 }
 
-// versionOn returns the version of a model among an endpoint's weights; empty
-// when it serves others only.
-func versionOn(weights []fleet.Weights, model, declared string) string {
+// servedVersion returns the version of a model among an endpoint's weights, and
+// the empty string if the endpoint serves other models only. Without weights it
+// returns the declared version.
+func servedVersion(weights []fleet.Weights, model, declared string) string {
 	if len(weights) == 0 {
 		return declared
 	}
@@ -87,38 +91,40 @@
 	return ""
 }
 
-// ChooseVersion chooses the weight version for a request, once; the request keeps it
-// through every retry and resumption. Requests with the same key, a hash of
-// the prefix's first level, get the same version as long as the shares stay,
-// so that a rollout moves prefixes over bit by bit and not to and fro. The
-// declared version is reached first by the smallest keys: once a key has
-// moved to it, the growing share keeps it there.
-func ChooseVersion(shares []VersionGroup, declared string, key uint64) (VersionGroup, bool) {
+// ChooseVersion returns the group for a request; the request keeps its weight
+// version through all retries and resumptions. It reports false if no group has
+// an endpoint.
+//
+// Key is a hash of the first level of the prompt's prefix. Requests with the same
+// key get the same version as long as the groups do not change. The declared
+// version takes the lowest keys, in proportion to its endpoints, so that during
+// a rollout a key moves to the declared version once and stays there.
+func ChooseVersion(groups []VersionGroup, declared string, key uint64) (VersionGroup, bool) {
 	total := 0
-	for _, s := range shares {
+	for _, s := range groups {
 		total += len(s.Endpoints)
 	}
 	if total == 0 {
 		return VersionGroup{}, false
 	}
 	at := int(float64(key) / (1 << 64) * float64(total))
-	for _, s := range declaredFirst(shares, declared) {
+	for _, s := range declaredFirst(groups, declared) {
 		if at < len(s.Endpoints) {
 			return s, true
 		}
 		at -= len(s.Endpoints)
 	}
-	return shares[len(shares)-1], true
+	return groups[len(groups)-1], true
 }
 
-func declaredFirst(shares []VersionGroup, declared string) []VersionGroup {
-	out := make([]VersionGroup, 0, len(shares))
-	for _, s := range shares {
+func declaredFirst(groups []VersionGroup, declared string) []VersionGroup {
+	out := make([]VersionGroup, 0, len(groups))
+	for _, s := range groups {
 		if s.Version == declared {
 			out = append(out, s)
 		}
 	}
-	for _, s := range shares {
+	for _, s := range groups {
 		if s.Version != declared {
 			out = append(out, s)
 		}
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -10,56 +10,57 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// candidate is an endpoint that has something declared.
+// candidate is an endpoint for whose class the manifest declares models or a role.
 type candidate struct {
-	member fleet.Member
-	target target
-	row    *row
-	fresh  bool // its status may be relied on
-	next   *Order
+	member      fleet.Member
+	target      target
+	state       *endpointState
+	statusValid bool // the last status read still applies
+	nextOrder   *Order
 }
 
-// round is the work of one call of Plan.
+// round is the state of one call of Plan.
 type round struct {
 	p      *Planner
 	now    time.Time
 	in     Input
 	plan   Plan
-	budget int // loads that may still begin
-	models map[string]*use
+	budget int // number of loads that may still be started
+	models map[string]*modelCounts
 }
 
-// use counts the endpoints of one model.
-type use struct {
-	all     int // that should serve it
-	serving int // that serve it, in any version
-	ordered int // that an order keeps from serving
-	broken  int // that do not serve after a failed load
-	failed  int // of these, with no successful load anywhere since
+// modelCounts counts the endpoints of one model by state.
+type modelCounts struct {
+	total       int // endpoints that should serve the model
+	serving     int // endpoints that serve it, in any version
+	interrupted int // endpoints that an order keeps from serving
+	failing     int // endpoints that do not serve it after a failed load
+	unresolved  int // failing endpoints since whose failure no load has succeeded anywhere
 }
 
-// Plan decides what to read and which orders to send now.
+// Plan returns the endpoints to read and the orders to send at time now.
 func (p *Planner) Plan(now time.Time, in Input) Plan {
-	r := &round{p: p, now: now, in: in, models: map[string]*use{}}
+	r := &round{p: p, now: now, in: in, models: map[string]*modelCounts{}}
 	cs := r.candidates()
-	p.forget(in.Endpoints)
-	r.reads(cs)
-	unread := r.count(cs)
+	p.removeAbsent(in.Endpoints)
+	r.listReads(cs)
+	unread := r.countEndpoints(cs)
 	r.budget = in.Manifest.Fleet.LoadsAtOnce - r.plan.Loading
-	waits := unread > 0 && now.Sub(in.HeldSince) < p.o.UnreadGrace
+	waitForReads := unread > 0 && now.Sub(in.HeldSince) < p.opt.UnreadGrace
 	for _, c := range cs {
 		if !c.member.Leaving {
-			r.decide(c, waits)
+			r.planEndpoint(c, waitForReads)
 		}
 	}
 	return r.plan
 }
 
-// candidates returns the endpoints with something declared, those that serve
-// nothing first, then by a hash of their ids, so that two holders go through
-// them in the same order and neighbours in the list are not loaded together.
+// candidates returns the endpoints for whose class the manifest declares models
+// or a role: those that serve nothing first, then by a hash of their ids. Two
+// holders thus process them in the same order, and endpoints next to each other
+// in the platform's list are not loaded together.
 func (r *round) candidates() []*candidate {
-	byClass := targets(r.in.Manifest)
+	byClass := classTargets(r.in.Manifest)
 	var cs []*candidate
 	for _, m := range r.in.Endpoints {
 		t, declared := byClass[m.Class]
@@ -69,50 +70,52 @@
 		if !m.Leaving {
 			r.plan.Total++
 		}
-		c := &candidate{member: m, target: t, row: r.p.row(m.ID)}
-		c.fresh = r.fresh(m, c.row)
-		if c.fresh {
-			c.next = t.next(&c.row.status)
+		c := &candidate{member: m, target: t, state: r.p.state(m.ID)}
+		c.statusValid = r.statusValid(m, c.state)
+		if c.statusValid {
+			c.nextOrder = t.nextOrder(&c.state.status)
 		}
 		cs = append(cs, c)
 	}
 	slices.SortFunc(cs, func(a, b *candidate) int {
 		if a.serves() != b.serves() {
-			return cmp.Compare(rank(a.serves()), rank(b.serves()))
+			return cmp.Compare(boolRank(a.serves()), boolRank(b.serves()))
 		}
 		return cmp.Compare(xxhash.Sum64String(string(a.member.ID)), xxhash.Sum64String(string(b.member.ID)))
 	})
 	return cs
 }
 
-// fresh tells whether a status may be relied on. An order to an endpoint that has
-// not been read for very long is given up with it: kept, the place among the
-// loads of an endpoint that died would be lost until the list forgot it.
-func (r *round) fresh(m fleet.Member, x *row) bool {
-	if x.sent != nil && r.now.Sub(x.sentAt) >= r.p.o.UnreachableTimeout {
+// statusValid reports whether the last status of an endpoint still applies: it was
+// read by this holder, within UnreachableTimeout, from the present incarnation.
+// An order that has had no result for UnreachableTimeout is dropped; otherwise
+// a dead endpoint would count as loading until the platform's list omitted it.
+func (r *round) statusValid(m fleet.Member, x *endpointState) bool {
+	if x.sent != nil && r.now.Sub(x.sentAt) >= r.p.opt.UnreachableTimeout {
 		x.sent = nil
 	}
-	if x.read.IsZero() || x.read.Before(r.in.HeldSince) || r.now.Sub(x.read) >= r.p.o.UnreachableTimeout {
+	if x.statusAt.IsZero() || x.statusAt.Before(r.in.HeldSince) || r.now.Sub(x.statusAt) >= r.p.opt.UnreachableTimeout {
 		return false
 	}
-	return sameLife(m, &x.status)
+	return sameIncarnation(m, &x.status)
 }
 
-func rank(later bool) int {
+func boolRank(later bool) int {
 	if later {
 		return 1
 	}
 	return 0
 }
 
-// sameLife tells whether a status is of the life that answers requests now.
-func sameLife(m fleet.Member, s *Status) bool {
+// sameIncarnation reports whether a status is from the incarnation that serves
+// requests now. An unknown incarnation counts as the same.
+func sameIncarnation(m fleet.Member, s *Status) bool {
 	return m.Incarnation == 0 || s.Incarnation == 0 || m.Incarnation == s.Incarnation
 }
 
-// serves tells whether the endpoint has any declared model ready.
+// serves reports whether the endpoint serves any declared model.
 func (c *candidate) serves() bool {
-	if !c.fresh || c.member.Doubtful {
+	if !c.statusValid || c.member.Doubtful {
 		return false
 	}
 	for _, m := range c.target.models {
@@ -123,212 +126,223 @@
 	return false
 }
 
-// servesModel tells whether requests for the model can run on the endpoint, in
-// whichever version.
+// servesModel reports whether requests for the model, in any version, can run on
+// the endpoint.
 func (c *candidate) servesModel(id string) bool {
-	if !c.fresh || c.member.Doubtful || c.interrupted() {
+	if !c.statusValid || c.member.Doubtful || c.interrupted() {
 		return false
 	}
-	return c.row.status.model(id) != nil
+	return c.state.status.model(id) != nil
 }
 
-// interrupted tells whether an order keeps the endpoint from serving.
+// interrupted reports whether an order keeps the endpoint from serving.
 func (c *candidate) interrupted() bool {
-	if c.row.sent != nil && c.row.sent.interrupts() {
+	if c.state.sent != nil && c.state.sent.interrupts() {
 		return true
 	}
-	return c.fresh && c.row.status.Loading != nil && c.row.status.Loading.interrupts()
+	return c.statusValid && c.state.status.Loading != nil && c.state.status.Loading.interrupts()
 }
 
-// forget drops rows of endpoints that are no more. One with an unsettled order
-// stays until it cannot be under way any longer.
-func (p *Planner) forget(members []fleet.Member) {
-	if len(p.rows) <= 2*len(members)+1 {
+// removeAbsent drops the state of endpoints that are no longer listed, once there
+// are more than twice as many as listed endpoints. State with an unconfirmed
+// order is kept, since the order may still be in progress.
+func (p *Planner) removeAbsent(members []fleet.Member) {
+	if len(p.endpoints) <= 2*len(members)+1 {
 		return
 	}
 	present := map[fleet.EndpointID]bool{}
 	for _, m := range members {
 		present[m.ID] = true
 	}
-	for id, r := range p.rows {
+	for id, r := range p.endpoints {
 		if !present[id] && r.sent == nil {
-			delete(p.rows, id)
+			delete(p.endpoints, id)
 		}
 	}
 }
 
-// reads lists the endpoints whose status is due: those with an order under way
-// first, then the longest unread.
-func (r *round) reads(cs []*candidate) {
+// listReads adds the endpoints whose status is due to the plan: those with an
+// order in progress first, then by the time of the last attempt to read them.
+func (r *round) listReads(cs []*candidate) {
 	var due []*candidate
 	for _, c := range cs {
-		after := r.p.o.StatusMaxAge
-		if c.busy() || !c.fresh {
-			after /= busyReads
+		after := r.p.opt.StatusMaxAge
+		if c.busy() || !c.statusValid {
+			after /= busyReadFactor
 		}
-		if r.now.Sub(c.row.tried) >= after {
+		if r.now.Sub(c.state.readAttemptAt) >= after {
 			due = append(due, c)
 		}
 	}
 	slices.SortStableFunc(due, func(a, b *candidate) int {
 		if a.busy() != b.busy() {
-			return cmp.Compare(rank(b.busy()), rank(a.busy()))
+			return cmp.Compare(boolRank(b.busy()), boolRank(a.busy()))
 		}
-		return a.row.tried.Compare(b.row.tried)
+		return a.state.readAttemptAt.Compare(b.state.readAttemptAt)
 	})
 	for _, c := range due {
 		r.plan.Read = append(r.plan.Read, c.member.ID)
 	}
 }
 
-// busyReads is how many times as often an endpoint is read that carries out an
-// order or is not known yet.
-const busyReads = 5
+// busyReadFactor divides StatusMaxAge for endpoints that execute an order or
+// whose status is not known.
+const busyReadFactor = 5
 
-// busy tells whether an order to the endpoint is under way.
-func (c *candidate) busy() bool { return c.row.sent != nil || c.row.status.Loading != nil }
+// busy reports whether an order to the endpoint is in progress.
+func (c *candidate) busy() bool { return c.state.sent != nil || c.state.status.Loading != nil }
 
-// count adds up the loads under way and the endpoints that serve each model,
-// and returns how many endpoints are not read yet.
-func (r *round) count(cs []*candidate) int {
+// countEndpoints counts the loads in progress and, by model, the endpoints in
+// each state. It returns the number of endpoints without a valid status.
+func (r *round) countEndpoints(cs []*candidate) int {
 	unread := 0
 	for _, c := range cs {
-		if !c.fresh {
+		if !c.statusValid {
 			unread++
 		}
 		if c.loading() {
 			r.plan.Loading++
 		}
 		if c.member.Leaving {
-			continue // what it still loads counts, what it serves does not
+			continue // its load counts, but not the models it serves
 		}
 		for _, m := range c.target.models {
-			r.models[m.ID] = r.models[m.ID].plus(c, m.ID, r.p.loaded)
+			r.models[m.ID] = r.models[m.ID].add(c, m.ID, r.p.lastLoadSuccess)
 		}
 	}
 	return unread
 }
 
-// plus counts one endpoint in; u may be nil. Loaded is when a load last succeeded.
-func (u *use) plus(c *candidate, model string, loaded time.Time) *use {
+// add counts one endpoint and returns u, or new counts if u is nil. Loaded is the
+// time of the last successful load of any endpoint.
+func (u *modelCounts) add(c *candidate, model string, loaded time.Time) *modelCounts {
 	if u == nil {
-		u = &use{}
+		u = &modelCounts{}
 	}
-	u.all++
+	u.total++
 	if c.servesModel(model) {
 		u.serving++
 	}
 	switch {
 	case c.interrupted():
-		u.ordered++
-	case !c.row.failing.IsZero() && !c.servesModel(model):
-		u.broken++
-		if !loaded.After(c.row.failing) {
-			u.failed++
+		u.interrupted++
+	case !c.state.failingSince.IsZero() && !c.servesModel(model):
+		u.failing++
+		if !loaded.After(c.state.failingSince) {
+			u.unresolved++
 		}
 	}
 	return u
 }
 
-// loading tells whether the endpoint reads from the weight store, as far as
-// anyone can tell. An unsettled order counts: its answer may have been lost.
+// loading reports whether the endpoint may be reading from the weight store. An
+// unconfirmed order counts, since its answer may have been lost.
 func (c *candidate) loading() bool {
-	if c.row.sent != nil && c.row.sent.loads() {
+	if c.state.sent != nil && c.state.sent.loads() {
 		return true
 	}
-	return c.fresh && c.row.status.Loading != nil && c.row.status.Loading.loads()
+	return c.statusValid && c.state.status.Loading != nil && c.state.status.Loading.loads()
 }
 
-// decide gives one endpoint its next order, or says why not.
-func (r *round) decide(c *candidate, waits bool) {
-	if c.fresh && c.next == nil && c.row.status.Loading == nil && c.row.sent == nil {
+// planEndpoint adds the next order of one endpoint to the plan, or the reason why
+// it gets none.
+func (r *round) planEndpoint(c *candidate, waitForReads bool) {
+	if c.statusValid && c.nextOrder == nil && c.state.status.Loading == nil && c.state.sent == nil {
 		r.plan.Done++
 		return
 	}
-	if h := r.hold(c, waits); h != "" {
+	if h := r.holdReason(c, waitForReads); h != "" {
 		r.plan.Held = append(r.plan.Held, Held{c.member.ID, h})
 		return
 	}
-	o := *c.next
-	o.Endpoint, o.Incarnation = c.member.ID, c.row.status.Incarnation
+	o := *c.nextOrder
+	o.Endpoint, o.Incarnation = c.member.ID, c.state.status.Incarnation
 	o.Revision, o.Fence = r.in.Revision, r.in.Fence
 	o.identify()
-	if c.row.failed == o.ID && r.now.Before(c.row.failedTill) {
+	if c.state.failedOrder == o.ID && r.now.Before(c.state.failedUntil) {
 		r.plan.Held = append(r.plan.Held, Held{c.member.ID, HoldFailed})
 		return
 	}
-	r.spend(c, &o)
+	r.countOrder(c, &o)
 	r.plan.Orders = append(r.plan.Orders, o)
 }
 
-// hold tells why an endpoint must wait; empty: it need not.
-func (r *round) hold(c *candidate, waits bool) HoldReason {
+// holdReason returns the reason why an endpoint must wait for its next order, and
+// the empty string if it need not wait.
+func (r *round) holdReason(c *candidate, waitForReads bool) HoldReason {
 	switch {
-	case c.row.sent != nil:
+	case c.state.sent != nil:
 		return HoldUnconfirmed
-	case !c.fresh:
+	case !c.statusValid:
 		return HoldUnread
-	case c.row.status.Loading != nil:
+	case c.state.status.Loading != nil:
 		return HoldLoading
-	case waits:
+	case waitForReads:
 		return HoldInitialReads
-	case c.next.loads() && r.now.Before(r.p.storeUntil):
+	case c.nextOrder.loads() && r.now.Before(r.p.storeBusyUntil):
 		return HoldStore
-	case c.next.loads() && r.budget <= 0:
+	case c.nextOrder.loads() && r.budget <= 0:
 		return HoldLoadLimit
-	case c.next.interrupts() && !r.spare(c):
+	case c.nextOrder.interrupts() && !r.canInterrupt(c):
 		return HoldNeeded
 	}
 	return ""
 }
 
-// spare tells whether the models that this endpoint serves can do without it.
-// Without the rule a rollout would take a small model away whole, and its
-// callers would be refused until the first endpoint had loaded.
-func (r *round) spare(c *candidate) bool {
+// canInterrupt reports whether enough other endpoints serve the models of this
+// one. Without this check a rollout would interrupt all endpoints of a small
+// model at once, and its callers would be refused until the first load ended.
+func (r *round) canInterrupt(c *candidate) bool {
 	for _, m := range c.target.models {
-		if c.servesModel(m.ID) && !r.spares(r.models[m.ID]) {
+		if c.servesModel(m.ID) && !r.canInterruptModel(r.models[m.ID]) {
 			return false
 		}
 	}
 	return true
 }
 
-// spares tells whether one more endpoint of a model may be taken away. Those that
-// are dead count less than those that orders took away: if they counted the
-// same, a few of them would stop every rollout for good.
-func (r *round) spares(u *use) bool {
-	allowed := max(1, int(r.p.o.MaxUnavailableFraction*float64(u.all)))
-	if u.ordered >= allowed {
+// canInterruptModel reports whether one more endpoint of a model may be
+// interrupted. MaxUnavailableFraction limits the number of endpoints that are
+// interrupted by orders, and, except for retries, the number of those that are
+// interrupted or failing since the last successful load. Half of the endpoints
+// must keep serving; if dead endpoints make that impossible, one that serves is
+// enough while no other is interrupted. If dead endpoints counted like interrupted
+// ones, a few of them would block every rollout permanently.
+func (r *round) canInterruptModel(u *modelCounts) bool {
+	allowed := max(1, int(r.p.opt.MaxUnavailableFraction*float64(u.total)))
+	if u.interrupted >= allowed {
 		return false
 	}
-	if u.ordered+u.failed >= allowed && !r.retries(u, allowed) {
+	if u.interrupted+u.unresolved >= allowed && !r.canRetryAfterFailure(u, allowed) {
 		return false
 	}
 	left := u.serving - 1
-	if 2*left >= u.all || u.all == 1 {
+	if 2*left >= u.total || u.total == 1 {
 		return true
 	}
-	return left >= 1 && u.ordered == 0
+	return left >= 1 && u.interrupted == 0
 }
 
-// retries tells whether to go on although loads failed. When the weight store is
-// down each load fails and leaves an endpoint that serves nothing; a rollout
-// that went on would empty the fleet. When only an engine is broken, another
-// one's load shows it. So one more is tried now and then, up to a bound.
-func (r *round) retries(u *use, allowed int) bool {
-	if u.ordered+u.broken >= max(allowed, maxBroken) {
+// canRetryAfterFailure reports whether one more endpoint may be interrupted
+// although loads have failed. If the weight store is unavailable, each load
+// fails and leaves an endpoint that serves nothing, so that a rollout that
+// continued would interrupt the whole fleet. If only one engine is faulty, a
+// successful load elsewhere shows it. Therefore one more endpoint is tried per
+// LoadFailureDelay, up to a maximum of interrupted and failing endpoints.
+func (r *round) canRetryAfterFailure(u *modelCounts, allowed int) bool {
+	if u.interrupted+u.failing >= max(allowed, maxFailingEndpoints) {
 		return false
 	}
-	return r.now.Sub(r.p.failed) >= r.p.o.LoadFailureDelay && r.now.Sub(r.p.probed) >= r.p.o.LoadFailureDelay
+	return r.now.Sub(r.p.lastFailure) >= r.p.opt.LoadFailureDelay && r.now.Sub(r.p.lastRetry) >= r.p.opt.LoadFailureDelay
 }
 
-// maxBroken is how many endpoints of a small model may have failed their loads
-// before no more is tried.
-const maxBroken = 2
+// maxFailingEndpoints is the minimum, for models with few endpoints, of the number
+// of interrupted and failing endpoints at which failed loads are no longer
+// retried.
+const maxFailingEndpoints = 2
 
-// spend books an order against the limits of this round.
-func (r *round) spend(c *candidate, o *Order) {
+// countOrder counts an order towards the limits of this round.
+func (r *round) countOrder(c *candidate, o *Order) {
 	if o.loads() {
 		r.budget--
 	}
@@ -337,13 +351,13 @@
 	}
 	for _, m := range c.target.models {
 		u := r.models[m.ID]
-		u.ordered++
+		u.interrupted++
 		if !c.servesModel(m.ID) {
 			continue
 		}
 		u.serving--
-		if u.failed > 0 {
-			r.p.probed = r.now
+		if u.unresolved > 0 {
+			r.p.lastRetry = r.now
 		}
 	}
 }
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -12,35 +12,34 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-func TestRolloutKeepsToTheLimits(t *testing.T) {
+func TestRolloutRespectsLimits(t *testing.T) {
 	for _, c := range []struct{ count, limit, leastUp int }{{18, 3, 15}, {9, 2, 7}, {3, 3, 2}, {1, 2, 0}} {
 		t.Run(fmt.Sprintf("%d by %d", c.count, c.limit), func(t *testing.T) {
-			w := newWorld(t, c.count, c.limit)
+			w := newSimulation(t, c.count, c.limit)
 			w.manifest = declared(c.limit, "v2")
 			took := w.finish(c.count)
 			t.Logf("%d runners, %d loads at once: %v in loads of %v", c.count, c.limit, took, loadTime)
-			if w.serving("v2") != c.count || w.leastUp < c.leastUp {
-				t.Errorf("%d serve v2; at the least %d served anything", w.serving("v2"), w.leastUp)
+			if w.serving("v2") != c.count || w.minServing < c.leastUp {
+				t.Errorf("%d serve v2; at the least %d served anything", w.serving("v2"), w.minServing)
 			}
 		})
 	}
 }
 
-// The answer to an order is lost after the engine has taken it. A planner that
-// believed the order lost would begin a load elsewhere, and the weight store
-// would slow down all of them.
-func TestLostAnswersDoNotRaiseTheLoads(t *testing.T) {
-	w := newWorld(t, 18, 3)
+// Answers to orders are lost after the engine has accepted the order. The planner
+// must count these loads, or it would exceed the limit of loads.
+func TestLostAnswersCountAsLoads(t *testing.T) {
+	w := newSimulation(t, 18, 3)
 	n := 0
-	w.lose = func() bool { n++; return n%2 == 0 }
+	w.loseAnswer = func() bool { n++; return n%2 == 0 }
 	w.manifest = declared(3, "v2")
 	w.finish(18)
 }
 
-// An engine crashes in the middle of a load and comes back empty. Nobody would
-// load it again if the order counted as given.
-func TestEngineRestartsInMidLoad(t *testing.T) {
-	w := newWorld(t, 6, 2)
+// An engine restarts during a load, without models. It must be ordered to load
+// again although the first order was accepted.
+func TestEngineRestartDuringLoad(t *testing.T) {
+	w := newSimulation(t, 6, 2)
 	w.manifest = declared(2, "v2")
 	for w.serving("v1") == 6 {
 		w.step()
@@ -56,10 +55,10 @@
 	}
 }
 
-// The operators publish another manifest while a rollout runs, and then go back to
-// the first version. Engines that never left it are not loaded again.
-func TestManifestChangesInMidRollout(t *testing.T) {
-	w := newWorld(t, 18, 3)
+// Operators publish another version during a rollout and then return to the first
+// one. All endpoints must return to it; some have never left it.
+func TestManifestChangeDuringRollout(t *testing.T) {
+	w := newSimulation(t, 18, 3)
 	w.manifest = declared(3, "v2")
 	for w.serving("v2") < 6 {
 		w.step()
@@ -76,25 +75,25 @@
 	}
 }
 
-// The holder dies in the middle of a rollout and another daemon takes the lease.
-// It must find the loads under way before it begins any.
+// The holder of the lease changes during a rollout. The new holder must observe
+// the loads in progress before it starts any.
 func TestNewHolderCountsLoadsUnderWay(t *testing.T) {
-	w := newWorld(t, 18, 3)
+	w := newSimulation(t, 18, 3)
 	w.manifest = declared(3, "v2")
 	for holder := range 5 {
 		for range 40 + 31*holder {
 			w.step()
 		}
-		w.hold(holder)
+		w.changeHolder(holder)
 	}
 	w.finish(18)
 }
 
-// Two runners of a new holder's fleet are dead. It may wait for them a while, and
-// must go on then, or a dead runner would stop every rollout.
-func TestDeadRunnersDoNotStopARollout(t *testing.T) {
-	w := newWorld(t, 9, 2)
-	w.runners[0].cut, w.runners[1].cut = true, true
+// Two runners cannot be reached when a new holder starts. It may wait for them
+// for a limited time only, or an unreachable runner would block every rollout.
+func TestUnreachableEndpointsDoNotBlockRollout(t *testing.T) {
+	w := newSimulation(t, 9, 2)
+	w.runners[0].unreachable, w.runners[1].unreachable = true, true
 	w.manifest = declared(2, "v2")
 	took := w.finish(7)
 	if took > 20*loadTime {
@@ -102,17 +101,17 @@
 	}
 }
 
-// Runners die in the middle of their loads and stay on the list. If each of them
-// kept its place among the loads for ever, the rollout would never end.
-func TestRunnersThatDieLoadingGiveTheirPlaceBack(t *testing.T) {
-	w := newWorld(t, 9, 2)
+// Runners become unreachable during their loads and remain listed. Their loads
+// must stop counting after UnreachableTimeout, or the rollout would never end.
+func TestUnreachableLoadTimesOut(t *testing.T) {
+	w := newSimulation(t, 9, 2)
 	w.manifest = declared(2, "v2")
 	cut := 0
 	for cut < 2 {
 		w.step()
 		for _, r := range w.runners {
-			if r.status.Loading != nil && !r.cut {
-				r.cut, r.ends = true, epoch.Add(1000*time.Hour)
+			if r.status.Loading != nil && !r.unreachable {
+				r.unreachable, r.ends = true, epoch.Add(1000*time.Hour)
 				cut++
 			}
 		}
@@ -120,17 +119,17 @@
 	w.finish(7)
 }
 
-// One engine's disk is full and each load fails there. The others must be
-// loaded, and the broken one must not take the loads of the fleet for itself.
-func TestFailingEngineDoesNotHoldUpTheOthers(t *testing.T) {
-	w := newWorld(t, 6, 1)
-	w.runners[2].refuses = true
+// Each load fails on one engine. The others must be loaded, and the retries of
+// the failing one must not use up the fleet's limit of loads.
+func TestFailingEngineDoesNotBlockOthers(t *testing.T) {
+	w := newSimulation(t, 6, 1)
+	w.runners[2].failsLoads = true
 	w.manifest = declared(1, "v2")
 	w.finish(5)
 }
 
 func TestAdaptersModelsAndRoles(t *testing.T) {
-	w := newWorld(t, 4, 2)
+	w := newSimulation(t, 4, 2)
 	m := declared(2, "v1", "v7")
 	m.Models[0].Adapters = []manifest.Adapter{{ID: "a", Version: "1"}, {ID: "b", Version: "1"}}
 	m.Classes[0].Role = "prefill"
@@ -150,10 +149,10 @@
 	}
 }
 
-// The weight store is at its limit and says so. Loads begun then slow down the
-// ones that callers wait for.
+// The weight store reports that it is busy. No load may start for the given time,
+// since it would slow down the loads in progress.
 func TestBusyStorePausesLoads(t *testing.T) {
-	w := newWorld(t, 4, 2)
+	w := newSimulation(t, 4, 2)
 	for range 20 {
 		w.step()
 	}
@@ -167,10 +166,10 @@
 	w.finish(4)
 }
 
-// Two daemons that both believe that they hold the lease see the same fleet.
-// They must say the same, so that the second order changes nothing.
-func TestTwoHoldersPlanTheSame(t *testing.T) {
-	w := newWorld(t, 9, 2)
+// Two daemons that both assume to hold the lease observe the same fleet. They must
+// plan the same orders, so that the second order has no effect.
+func TestHoldersPlanSameOrders(t *testing.T) {
+	w := newSimulation(t, 9, 2)
 	other := NewPlanner(Options{})
 	w.manifest = declared(2, "v2")
 	w.in.Manifest, w.in.Endpoints = w.manifest, w.members()
@@ -186,16 +185,16 @@
 	}
 }
 
-// Crashes, lost answers, cut runners, new holders and new manifests come in any
-// order. The limit of loads holds throughout, and what is declared last is
-// reached once the faults end.
+// Restarts, lost answers, unreachable runners, new holders and new manifests
+// occur in random order. The limit of loads must hold throughout, and the state
+// declared last must be reached after the faults end.
 func TestRolloutUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "runners")
-		w := newWorld(t, count, rapid.IntRange(1, 3).Draw(t, "limit"))
+		w := newSimulation(t, count, rapid.IntRange(1, 3).Draw(t, "limit"))
 		limit := w.manifest.Fleet.LoadsAtOnce
 		lossy := true
-		w.lose = func() bool { return lossy && rapid.Bool().Draw(t, "lost") }
+		w.loseAnswer = func() bool { return lossy && rapid.Bool().Draw(t, "lost") }
 		for i := range rapid.IntRange(1, 12).Draw(t, "faults") {
 			r := w.runners[rapid.IntRange(0, count-1).Draw(t, "runner")]
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
@@ -205,11 +204,11 @@
 				w.manifest = declared(limit, fmt.Sprintf("v%d", rapid.IntRange(1, 3).Draw(t, "version")))
 				w.in.Revision++
 			case 2:
-				w.hold(i)
+				w.changeHolder(i)
 			case 3:
-				r.refuses = !r.refuses
+				r.failsLoads = !r.failsLoads
 			case 4:
-				r.cut = !r.cut
+				r.unreachable = !r.unreachable
 			case 5:
 				r.member.Leaving = !r.member.Leaving
 			}
@@ -219,13 +218,13 @@
 		}
 		lossy = false
 		for _, r := range w.runners {
-			r.refuses, r.cut, r.member.Leaving = false, false, false
+			r.failsLoads, r.unreachable, r.member.Leaving = false, false, false
 		}
 		w.finish(count)
 	})
 }
 
-func TestBindMovesPrefixesOneWay(t *testing.T) {
+func TestChooseVersionMovesKeysOnce(t *testing.T) {
 	m := declared(3, "v2")
 	members := make([]fleet.Member, 18)
 	for i := range members {
@@ -237,10 +236,10 @@
 	moved := map[uint64]bool{}
 	for done := range len(members) {
 		members[done].Load.Weights = []fleet.Weights{{Model: "model-0", Version: "v2"}}
-		shares := GroupByVersion(m, "model-0", members)
+		groups := GroupByVersion(m, "model-0", members)
 		for i := range 100 {
 			key := uint64(i) * (1 << 64 / 100)
-			s, ok := ChooseVersion(shares, "v2", key)
+			s, ok := ChooseVersion(groups, "v2", key)
 			if !ok || moved[key] && s.Version != "v2" {
 				t.Fatalf("key %d bound to %q with %d done", key, s.Version, done+1)
 			}
@@ -255,10 +254,10 @@
 	}
 }
 
-// A daemon restarts when half of a rollout is done and has heard three runners.
-// If it took the others for the declared version, most requests would be
-// refused by the first runner that they meet.
-func TestSharesOfUnheardEndpoints(t *testing.T) {
+// A daemon restarts in the middle of a rollout and has statuses of three runners.
+// The others must be assumed to serve the most common version; with the declared
+// one, many of them would refuse the requests sent to them.
+func TestGroupByVersionUnreportedEndpoints(t *testing.T) {
 	m := declared(3, "v2")
 	var members []fleet.Member
 	for i, version := range []string{"v1", "v1", "v2", "", ""} {
--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -8,33 +8,33 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Options holds the planner's times and shares. Zero fields take the defaults.
+// Options configures a Planner. Zero fields take the defaults.
 type Options struct {
-	// MaxOrderTime is how long an order may be under way to an endpoint; after
-	// it, an order without an answer has either taken effect or never will.
+	// MaxOrderTime is the maximum time that an order takes to reach an endpoint.
+	// After it, an order without an answer has taken effect or never will.
 	MaxOrderTime time.Duration
 	// StatusMaxAge is the age at which an endpoint's status is read again.
 	StatusMaxAge time.Duration
-	// UnreadGrace is how long a new holder waits for endpoints that it could
-	// not read yet before it gives its first order.
+	// UnreadGrace is how long a new holder of the lease delays its first order
+	// while there are endpoints that it has not read.
 	UnreadGrace time.Duration
-	// FailedOrderDelay is how long an order that failed is not given again.
+	// FailedOrderDelay is the delay before an order that failed is sent again.
 	FailedOrderDelay time.Duration
-	// StoreBusyDelay is how long no load is begun after the weight store was busy,
-	// when the endpoint named no time.
+	// StoreBusyDelay is how long no load is started after the weight store was
+	// busy, if the endpoint reported no time.
 	StoreBusyDelay time.Duration
-	// UnreachableTimeout is how long an endpoint that cannot be read any more counts as
+	// UnreachableTimeout is how long an endpoint that cannot be read counts as
 	// loading.
 	UnreachableTimeout time.Duration
-	// LoadFailureDelay is how long no further endpoint is taken out of service for a
-	// load after loads have failed and none has succeeded since.
+	// LoadFailureDelay is how long no further endpoint is interrupted for a load
+	// after a load has failed and none has succeeded since.
 	LoadFailureDelay time.Duration
-	// MaxUnavailableFraction is the share of a model's endpoints that may serve nothing at
-	// once, of which at least one endpoint.
+	// MaxUnavailableFraction is the fraction of a model's endpoints, from 0 to 1,
+	// that may be out of service at a time. At least one endpoint may be.
 	MaxUnavailableFraction float64
 }
 
-// The defaults of Options.
+// Defaults of Options.
 const (
 	DefaultMaxOrderTime           = 5 * time.Second
 	DefaultStatusMaxAge           = 5 * time.Second
@@ -67,130 +67,131 @@
 	}
 }
 
-// Input is what Plan works from besides what was observed.
+// Input is the information that Plan needs in addition to the observed statuses.
 type Input struct {
 	Manifest *manifest.Manifest
-	Revision ports.Offset // of the manifest
-	Fence    ports.Offset // of the lease held
-	// HeldSince is when this holder began: the old holder's longest order had ended
-	// by then. Nothing read before counts.
+	Revision ports.Offset // offset of the manifest
+	Fence    ports.Offset // fencing token of the lease held
+	// HeldSince is the time from which this holder plans: orders of the previous
+	// holder cannot be in progress by then. Statuses read earlier are ignored.
 	HeldSince time.Time
 	Endpoints []fleet.Member
 }
 
-// HoldReason tells why an endpoint is not given its next order.
+// HoldReason is the reason why an endpoint gets no order now.
 type HoldReason string
 
-// The reasons, besides an order under way.
+// Reasons why an endpoint gets no order now.
 const (
-	HoldUnread       HoldReason = "not read"        // its state is not known
-	HoldLoading      HoldReason = "loading"         // carries an order out
-	HoldUnconfirmed  HoldReason = "order unsettled" // sent, and not yet read back
-	HoldLoadLimit    HoldReason = "load limit"      // as many loads as the fleet may have
-	HoldStore        HoldReason = "store busy"      // the weight store asked for a pause
-	HoldNeeded       HoldReason = "needed"          // too few others serve its models
-	HoldFailed       HoldReason = "failed"          // the order failed a moment ago
-	HoldInitialReads HoldReason = "reading others"  // a new holder reads the fleet first
+	HoldUnread       HoldReason = "not read"        // the status of the endpoint is not known
+	HoldLoading      HoldReason = "loading"         // the endpoint is executing an order
+	HoldUnconfirmed  HoldReason = "order unsettled" // an order was sent and its effect has not been read
+	HoldLoadLimit    HoldReason = "load limit"      // the fleet executes as many loads as the manifest allows
+	HoldStore        HoldReason = "store busy"      // the weight store reported that it is busy
+	HoldNeeded       HoldReason = "needed"          // too few other endpoints serve its models
+	HoldFailed       HoldReason = "failed"          // the order failed within FailedOrderDelay
+	HoldInitialReads HoldReason = "reading others"  // a new holder reads all endpoints first
 )
 
-// Held is an endpoint that is not as declared and not given an order now.
+// Held is an endpoint that differs from its declared state and gets no order now.
 type Held struct {
 	Endpoint fleet.EndpointID
 	Reason   HoldReason
 }
 
-// Plan is what to do now.
+// Plan lists the actions to take and summarises the progress of the rollout.
 type Plan struct {
-	Read    []fleet.EndpointID // read their status, the longest unread first
-	Orders  []Order            // send these; each after Planner.Sent
+	Read    []fleet.EndpointID // endpoints whose status to read, in this order
+	Orders  []Order            // orders to send; Planner.Sent must be called before each
 	Held    []Held
-	Loading int // loads under way in the fleet, without those of Orders
-	Done    int // endpoints that are as declared
-	Total   int // endpoints that have something declared and are not leaving
+	Loading int // loads in progress in the fleet, without those in Orders
+	Done    int // endpoints in their declared state
+	Total   int // endpoints with a declared state that are not leaving
 }
 
-// Planner keeps what it observed of endpoints and plans the next orders. It is
+// Planner keeps the observed state of endpoints and plans the next orders. It is
 // not safe for concurrent use.
 type Planner struct {
-	o          Options
-	rows       map[fleet.EndpointID]*row
-	storeUntil time.Time
-	loaded     time.Time // when a load last succeeded
-	failed     time.Time // when an endpoint last began to fail
-	probed     time.Time // when an endpoint was last taken away in spite of failures
+	opt             Options
+	endpoints       map[fleet.EndpointID]*endpointState
+	storeBusyUntil  time.Time
+	lastLoadSuccess time.Time // time of the last successful load
+	lastFailure     time.Time // time when an endpoint's loads last started to fail
+	lastRetry       time.Time // time when an endpoint was last interrupted despite failed loads
 }
 
-// row is what is known of one endpoint.
-type row struct {
-	status     Status
-	read       time.Time // when status was asked for; zero: never
-	tried      time.Time // last attempt to read
-	sent       *Order    // not yet read back
-	sentAt     time.Time
-	answered   bool // the endpoint answered the sent order
-	failed     string
-	failedTill time.Time
-	failing    time.Time // since when its loads fail; zero: they do not
+// endpointState is the observed state of one endpoint.
+type endpointState struct {
+	status        Status
+	statusAt      time.Time // time when status was requested; zero: never
+	readAttemptAt time.Time // time of the last attempt to read the status
+	sent          *Order    // order whose effect has not been read; nil: none
+	sentAt        time.Time
+	answered      bool // the endpoint answered the order in sent
+	failedOrder   string
+	failedUntil   time.Time
+	failingSince  time.Time // time since which its loads fail; zero: they do not
 }
 
-// NewPlanner returns a planner that has observed nothing.
+// NewPlanner returns a planner without any observed state.
 func NewPlanner(o Options) *Planner {
-	return &Planner{o: o.withDefaults(), rows: map[fleet.EndpointID]*row{}}
+	return &Planner{opt: o.withDefaults(), endpoints: map[fleet.EndpointID]*endpointState{}}
 }
 
-func (p *Planner) row(id fleet.EndpointID) *row {
-	r, known := p.rows[id]
+func (p *Planner) state(id fleet.EndpointID) *endpointState {
+	r, known := p.endpoints[id]
 	if !known {
-		r = &row{}
-		p.rows[id] = r
+		r = &endpointState{}
+		p.endpoints[id] = r
 	}
 	return r
 }
 
-// Observed takes a status that was asked for at the given time. It settles an
-// order sent before: if the endpoint answered that order, or if the order can
-// no longer be under way, the status shows whether it took effect.
+// Observed records a status that was requested at the time asked. It also
+// resolves the order sent before, if the endpoint answered that order or the
+// order can no longer be in progress; the status then shows whether the order
+// took effect.
 func (p *Planner) Observed(asked, now time.Time, id fleet.EndpointID, s Status) {
-	r := p.row(id)
-	if asked.Before(r.read) {
-		return // an answer overtaken by a newer one
+	r := p.state(id)
+	if asked.Before(r.statusAt) {
+		return // a status requested later has been recorded
 	}
-	r.read, r.tried = asked, asked
-	p.ended(now, r, &s)
+	r.statusAt, r.readAttemptAt = asked, asked
+	p.recordLoadResult(now, r, &s)
 	r.status = s
-	if r.sent != nil && p.settled(r, asked) {
-		p.settle(now, r)
+	if r.sent != nil && p.orderResolved(r, asked) {
+		p.resolveOrder(now, r)
 	}
 }
 
-// ended takes note of how a load went, which tells of the endpoint and of the
-// weight store.
-func (p *Planner) ended(now time.Time, r *row, s *Status) {
+// recordLoadResult records whether the last load succeeded. Failures may be caused
+// by the endpoint or by the weight store, see canRetryAfterFailure.
+func (p *Planner) recordLoadResult(now time.Time, r *endpointState, s *Status) {
 	if s.Loading != nil || s.Last == nil {
 		return
 	}
 	was := r.status.Loading
 	fresh := was != nil && was.ID == s.Last.Order
 	if s.Last.Done {
-		r.failing = time.Time{}
+		r.failingSince = time.Time{}
 		if fresh && was.loads() {
-			p.loaded = now
+			p.lastLoadSuccess = now
 		}
 		return
 	}
-	if r.failing.IsZero() {
-		r.failing, p.failed = now, now
+	if r.failingSince.IsZero() {
+		r.failingSince, p.lastFailure = now, now
 	}
 	if fresh {
-		r.failed, r.failedTill = was.ID, now.Add(p.o.FailedOrderDelay)
+		r.failedOrder, r.failedUntil = was.ID, now.Add(p.opt.FailedOrderDelay)
 	}
 }
 
-// settled tells whether the status shows what became of the order sent. The
-// result alone does not if the endpoint has not answered, since it may be of
-// an earlier try of the same order.
-func (p *Planner) settled(r *row, asked time.Time) bool {
-	if asked.Sub(r.sentAt) >= p.o.MaxOrderTime || r.status.Incarnation != r.sent.Incarnation {
+// orderResolved reports whether the status shows the effect of the order sent. If
+// the endpoint has not answered the order, a result in the status does not show
+// it, since it may be that of an earlier attempt of the same order.
+func (p *Planner) orderResolved(r *endpointState, asked time.Time) bool {
+	if asked.Sub(r.sentAt) >= p.opt.MaxOrderTime || r.status.Incarnation != r.sent.Incarnation {
 		return true
 	}
 	if r.status.Loading != nil && r.status.Loading.ID == r.sent.ID {
@@ -199,58 +200,59 @@
 	return r.answered && asked.After(r.sentAt)
 }
 
-func (p *Planner) settle(now time.Time, r *row) {
+func (p *Planner) resolveOrder(now time.Time, r *endpointState) {
 	last := r.status.Last
 	if last != nil && last.Order == r.sent.ID && !last.Done {
-		r.failed, r.failedTill = r.sent.ID, now.Add(p.o.FailedOrderDelay)
+		r.failedOrder, r.failedUntil = r.sent.ID, now.Add(p.opt.FailedOrderDelay)
 	}
 	r.sent = nil
 }
 
-// ReadFailed says that an endpoint could not be read.
-func (p *Planner) ReadFailed(now time.Time, id fleet.EndpointID) { p.row(id).tried = now }
+// ReadFailed records that the status of an endpoint could not be read.
+func (p *Planner) ReadFailed(now time.Time, id fleet.EndpointID) { p.state(id).readAttemptAt = now }
 
-// Sent says that an order is about to be sent. From then on it counts as under
-// way until it is settled, even if sending it seems to fail: its answer may
-// be lost after it took effect.
+// Sent records that an order is about to be sent. The order counts as in progress
+// until a status resolves it, even if sending it appears to fail: it may have
+// taken effect and only the answer was lost.
 func (p *Planner) Sent(now time.Time, o Order) {
-	r := p.row(o.Endpoint)
+	r := p.state(o.Endpoint)
 	r.sent, r.sentAt, r.answered = &o, now, false
 }
 
-// Answered says that the endpoint took the order, or refused it for good; the
-// next status will tell which.
+// Answered records that the endpoint accepted the order or refused it
+// permanently; the next status shows which.
 func (p *Planner) Answered(o Order) {
-	r := p.row(o.Endpoint)
+	r := p.state(o.Endpoint)
 	if r.sent != nil && r.sent.ID == o.ID {
 		r.answered = true
 	}
 }
 
-// NotSent says that no byte of the order left.
+// NotSent records that no byte of the order was sent.
 func (p *Planner) NotSent(o Order) {
-	r := p.row(o.Endpoint)
+	r := p.state(o.Endpoint)
 	if r.sent != nil && r.sent.ID == o.ID {
 		r.sent = nil
 	}
 }
 
-// StoreBusy says that the weight store is at its limit. No load begins for the
-// given time, or for the default when it is zero: more loads would slow down
-// those under way and serve nobody earlier.
+// StoreBusy records that the weight store is at its limit. No load is started for
+// the given time, or for StoreBusyDelay if it is zero: more loads would slow down
+// those in progress without finishing any earlier.
 func (p *Planner) StoreBusy(now time.Time, pause time.Duration) {
 	if pause <= 0 {
-		pause = p.o.StoreBusyDelay
+		pause = p.opt.StoreBusyDelay
 	}
-	if until := now.Add(pause); until.After(p.storeUntil) {
-		p.storeUntil = until
+	if until := now.Add(pause); until.After(p.storeBusyUntil) {
+		p.storeBusyUntil = until
 	}
 }
 
-// Status returns the newest status of an endpoint and when it was asked for.
+// Status returns the newest status of an endpoint and the time when it was
+// requested, and zero values if there is none.
 func (p *Planner) Status(id fleet.EndpointID) (Status, time.Time) {
-	if r, known := p.rows[id]; known {
-		return r.status, r.read
+	if r, known := p.endpoints[id]; known {
+		return r.status, r.statusAt
 	}
 	return Status{}, time.Time{}
 }
--- a/rollout/protocol.go
+++ b/rollout/protocol.go
@@ -1,9 +1,9 @@
-// Package rollout plans the orders that bring endpoints to what the accepted
-// manifest declares: models, adapters, weight versions and roles.
+// Package rollout plans the orders that bring endpoints to the state declared in
+// the accepted manifest: models, adapters, weight versions and roles.
 //
-// Orders follow from the manifest and from what endpoints say of themselves,
-// so that two holders of the lease would give the same ones. The package does
-// no I/O and reads no clock.
+// Orders depend only on the manifest and on the statuses that endpoints report,
+// so that two holders of the lease plan the same ones. The package does no I/O
+// and reads no clock.
 package rollout
 
 import (
@@ -18,59 +18,60 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Kind tells what an order asks for.
+// Kind is the type of an order.
 type Kind string
 
-// The kinds of order. A load of a model drains the endpoint first: requests
-// that run end on the version that they began with.
+// Kinds of order. The endpoint drains before it loads a model: running requests
+// complete with the version that they started with.
 const (
-	KindLoad          Kind = "load"           // a model's weights, in place of another version
-	KindUnload        Kind = "unload"         // a model that the class serves no more
-	KindLoadAdapter   Kind = "load_adapter"   // beside the model, which goes on serving
-	KindUnloadAdapter Kind = "unload_adapter" // that the manifest names no more
-	KindRole          Kind = "role"           // change of role, after a drain
+	KindLoad          Kind = "load"           // load a model's weights in place of another version
+	KindUnload        Kind = "unload"         // unload a model that the class no longer serves
+	KindLoadAdapter   Kind = "load_adapter"   // load an adapter; the model continues to serve
+	KindUnloadAdapter Kind = "unload_adapter" // unload an adapter that the manifest no longer names
+	KindRole          Kind = "role"           // drain and change the role
 )
 
-// Order is the body of a POST to engine.PathOrder. The fencing number goes in
-// engine.HeaderFence. An order is idempotent: an endpoint that already is as
-// asked answers as if it had just become so.
+// Order is the body of a POST to engine.PathOrder. The fencing token is sent in
+// engine.HeaderFence. Orders are idempotent: an endpoint that is already in the
+// requested state answers as if it had just reached it.
 type Order struct {
-	ID          string            `json:"id"` // the same for the same order of two holders
+	ID          string            `json:"id"` // two holders give the same order the same id
 	Endpoint    fleet.EndpointID  `json:"endpoint"`
-	Incarnation fleet.Incarnation `json:"incarnation"` // the life that is meant; another one refuses
-	Revision    ports.Offset      `json:"revision"`    // of the manifest that asks for it
+	Incarnation fleet.Incarnation `json:"incarnation"` // target incarnation; any other one refuses the order
+	Revision    ports.Offset      `json:"revision"`    // offset of the manifest that requires the order
 	Kind        Kind              `json:"kind"`
 	Model       string            `json:"model,omitempty"`
 	Version     string            `json:"version,omitempty"`
 	Adapter     string            `json:"adapter,omitempty"`
 	Role        string            `json:"role,omitempty"`
 
-	Fence ports.Offset `json:"-"` // of the lease under which it was planned
+	Fence ports.Offset `json:"-"` // fencing token of the lease under which it was planned
 }
 
-// identify sets the id from the rest.
+// identify sets the id to a hash of the other fields, except Fence.
 func (o *Order) identify() {
 	text := fmt.Sprint(o.Endpoint, "\x00", o.Incarnation, "\x00", o.Revision, "\x00", o.Kind,
 		"\x00", o.Model, "\x00", o.Version, "\x00", o.Adapter, "\x00", o.Role)
 	o.ID = strconv.FormatUint(xxhash.Sum64String(text), 16)
 }
 
-// loads tells whether the order reads from the weight store.
+// loads reports whether the endpoint reads from the weight store to execute the
+// order.
 func (o *Order) loads() bool { return o.Kind == KindLoad || o.Kind == KindLoadAdapter }
 
-// interrupts tells whether the endpoint serves nothing while it carries the
-// order out.
+// interrupts reports whether the endpoint serves nothing while it executes the
+// order.
 func (o *Order) interrupts() bool { return o.Kind == KindLoad || o.Kind == KindRole }
 
-// Status is the answer to a GET of engine.PathOrder: what an endpoint has
-// loaded and what it is doing.
+// Status is the answer to a GET of engine.PathOrder: the models and adapters that
+// an endpoint has loaded, and the order that it is executing.
 type Status struct {
 	Incarnation fleet.Incarnation `json:"incarnation"`
-	Fence       ports.Offset      `json:"fence"` // highest one seen; 0 by an endpoint that ignores them
+	Fence       ports.Offset      `json:"fence"` // highest fencing token seen; 0 if the endpoint ignores them
 	Role        string            `json:"role,omitempty"`
 	Models      []Model           `json:"models,omitempty"`
-	Loading     *Order            `json:"loading,omitempty"` // order being carried out
-	Last        *Result           `json:"last,omitempty"`    // order that ended last
+	Loading     *Order            `json:"loading,omitempty"` // order being executed
+	Last        *Result           `json:"last,omitempty"`    // result of the order that ended last
 }
 
 // Model is a model that an endpoint has loaded and serves.
@@ -86,24 +87,25 @@
 	Version string `json:"version"`
 }
 
-// Result is how an order ended.
+// Result is the outcome of an order.
 type Result struct {
-	Order  string `json:"order"` // its id
+	Order  string `json:"order"` // id of the order
 	Done   bool   `json:"done"`
-	Detail string `json:"detail,omitempty"` // why it was not done
+	Detail string `json:"detail,omitempty"` // why the order failed
 }
 
-// Bounds of a status.
+// Limits of a status.
 const (
 	MaxStatusBytes = 64 << 10
-	MaxModels      = 64  // on one endpoint
-	MaxAdapters    = 512 // on one model
+	MaxModels      = 64  // models on one endpoint
+	MaxAdapters    = 512 // adapters of one model
 )
 
-// ErrStatus says that a status is not within its bounds.
+// ErrStatus is the error for a status that cannot be decoded or exceeds its
+// limits.
 var ErrStatus = errors.New("rollout: status of endpoint is malformed or too large")
 
-// DecodeStatus reads a status and checks its bounds.
+// DecodeStatus decodes a status and checks its limits. The error wraps ErrStatus.
 func DecodeStatus(text []byte) (Status, error) {
 	if len(text) > MaxStatusBytes {
 		return Status{}, ErrStatus
@@ -123,7 +125,7 @@
 	return s, nil
 }
 
-// model returns the loaded model of the given id.
+// model returns the loaded model with the given id, or nil.
 func (s *Status) model(id string) *Model {
 	for i := range s.Models {
 		if s.Models[i].ID == id {
@@ -133,7 +135,7 @@
 	return nil
 }
 
-// adapter returns the loaded adapter of the given id.
+// adapter returns the loaded adapter with the given id, or nil.
 func (m *Model) adapter(id string) *Adapter {
 	for i := range m.Adapters {
 		if m.Adapters[i].ID == id {
--- a/rollout/target.go
+++ b/rollout/target.go
@@ -7,14 +7,14 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// target is what the endpoints of one class are to be.
+// target is the declared state of the endpoints of one class.
 type target struct {
 	role   string
 	models []manifest.Model
 }
 
-// targets reads the manifest for the classes of model endpoints.
-func targets(m *manifest.Manifest) map[string]target {
+// classTargets returns the target of each class of model endpoints, by class id.
+func classTargets(m *manifest.Manifest) map[string]target {
 	out := map[string]target{}
 	for _, c := range m.Classes {
 		if c.Kind != fleet.KindModel {
@@ -31,10 +31,10 @@
 	return out
 }
 
-// next returns the next order that brings an endpoint nearer to its target, or
-// nil when it is there. Models that are not served any more go first, since
-// their memory may be needed.
-func (t *target) next(s *Status) *Order {
+// nextOrder returns the next order that brings an endpoint closer to its target, or
+// nil if it is in the declared state. Models that are no longer served are
+// unloaded first, since their memory may be needed.
+func (t *target) nextOrder(s *Status) *Order {
 	for _, loaded := range s.Models {
 		if t.model(loaded.ID) == nil {
 			return &Order{Kind: KindUnload, Model: loaded.ID, Version: loaded.Version}
@@ -44,7 +44,7 @@
 		return &Order{Kind: KindRole, Role: t.role}
 	}
 	for i := range t.models {
-		if o := nextOfModel(&t.models[i], s.model(t.models[i].ID)); o != nil {
+		if o := nextModelOrder(&t.models[i], s.model(t.models[i].ID)); o != nil {
 			return o
 		}
 	}
@@ -60,8 +60,9 @@
 	return nil
 }
 
-// nextOfModel is next for one model; loaded is nil when it is not loaded.
-func nextOfModel(want *manifest.Model, loaded *Model) *Order {
+// nextModelOrder is nextOrder for one model; loaded is nil if the endpoint has not
+// loaded it.
+func nextModelOrder(want *manifest.Model, loaded *Model) *Order {
 	if loaded == nil || loaded.Version != want.Version {
 		return &Order{Kind: KindLoad, Model: want.ID, Version: want.Version}
 	}
--- a/rollout/world_test.go
+++ b/rollout/world_test.go
@@ -16,27 +16,27 @@
 	loadTime = 90 * time.Second
 )
 
-// runner is an endpoint that carries orders out in the time of a load.
+// runner is a simulated endpoint; a load takes it loadTime.
 type runner struct {
-	member  fleet.Member
-	status  Status
-	ends    time.Time
-	refuses bool // fails every load
-	cut     bool // cannot be reached
-	hidden  bool // was cut during its load, which nobody need count then
+	member      fleet.Member
+	status      Status
+	ends        time.Time
+	failsLoads  bool // every load fails
+	unreachable bool // status reads and orders fail
+	uncounted   bool // was unreachable during its load, so that the planner need not count the load
 }
 
-// world is a fleet under one planner, in virtual time.
-type world struct {
-	t        interface{ Fatalf(string, ...any) }
-	now      time.Time
-	planner  *Planner
-	manifest *manifest.Manifest
-	in       Input
-	runners  []*runner
-	lose     func() bool // whether the next answer to an order is lost
-	mostLoad int
-	leastUp  int
+// simulation is a fleet with one planner, in simulated time.
+type simulation struct {
+	t          interface{ Fatalf(string, ...any) }
+	now        time.Time
+	planner    *Planner
+	manifest   *manifest.Manifest
+	in         Input
+	runners    []*runner
+	loseAnswer func() bool // reports whether the next answer to an order is lost
+	maxLoads   int
+	minServing int
 }
 
 func declared(limit int, versions ...string) *manifest.Manifest {
@@ -51,8 +51,8 @@
 	return m
 }
 
-func newWorld(t interface{ Fatalf(string, ...any) }, count, limit int) *world {
-	w := &world{t: t, now: epoch, planner: NewPlanner(Options{}), leastUp: count}
+func newSimulation(t interface{ Fatalf(string, ...any) }, count, limit int) *simulation {
+	w := &simulation{t: t, now: epoch, planner: NewPlanner(Options{}), minServing: count}
 	w.manifest = declared(limit, "v1")
 	for i := range count {
 		r := &runner{}
@@ -61,20 +61,20 @@
 		r.status = Status{Incarnation: 1, Models: []Model{{ID: "model-0", Version: "v1"}}}
 		w.runners = append(w.runners, r)
 	}
-	w.lose = func() bool { return false }
-	w.hold(1)
+	w.loseAnswer = func() bool { return false }
+	w.changeHolder(1)
 	return w
 }
 
-// hold makes a new holder begin, which knows nothing.
-func (w *world) hold(fence int) {
+// changeHolder replaces the planner by that of a new holder without any state.
+func (w *simulation) changeHolder(fence int) {
 	w.planner = NewPlanner(Options{})
 	w.in.Fence++
 	w.in.HeldSince = w.now
 	_ = fence
 }
 
-func (w *world) members() []fleet.Member {
+func (w *simulation) members() []fleet.Member {
 	var out []fleet.Member
 	for _, r := range w.runners {
 		out = append(out, r.member)
@@ -82,7 +82,7 @@
 	return out
 }
 
-func (w *world) runner(id fleet.EndpointID) *runner {
+func (w *simulation) runner(id fleet.EndpointID) *runner {
 	for _, r := range w.runners {
 		if r.member.ID == id {
 			return r
@@ -91,8 +91,8 @@
 	return nil
 }
 
-// take is what an engine does with an order.
-func (r *runner) take(now time.Time, o Order) {
+// execute starts an order as an engine does.
+func (r *runner) execute(now time.Time, o Order) {
 	if o.Incarnation != r.status.Incarnation || r.status.Loading != nil {
 		return
 	}
@@ -119,15 +119,15 @@
 	r.status.Models = slices.DeleteFunc(slices.Clone(r.status.Models), func(m Model) bool { return m.ID == model })
 }
 
-// advance ends a load that is over.
+// advance completes a load whose time has passed.
 func (r *runner) advance(now time.Time) {
 	o := r.status.Loading
 	if o == nil || now.Before(r.ends) {
 		return
 	}
 	r.status.Loading = nil
-	r.status.Last = &Result{Order: o.ID, Done: !r.refuses}
-	if r.refuses {
+	r.status.Last = &Result{Order: o.ID, Done: !r.failsLoads}
+	if r.failsLoads {
 		return
 	}
 	if o.Kind == KindLoad {
@@ -138,13 +138,13 @@
 	m.Adapters = append(slices.Clone(m.Adapters), Adapter{ID: o.Adapter, Version: o.Version})
 }
 
-// restart brings the runner back empty.
+// restart starts a new incarnation of the runner without models.
 func (r *runner) restart() {
 	r.status = Status{Incarnation: r.status.Incarnation + 1}
 }
 
-// step lets a tick pass and carries the plan out.
-func (w *world) step() Plan {
+// step advances the time by a tick and executes the plan.
+func (w *simulation) step() Plan {
 	w.now = w.now.Add(tick)
 	for _, r := range w.runners {
 		r.advance(w.now)
@@ -152,7 +152,7 @@
 	w.in.Manifest, w.in.Endpoints = w.manifest, w.members()
 	plan := w.planner.Plan(w.now, w.in)
 	for _, id := range plan.Read {
-		if r := w.runner(id); r.cut {
+		if r := w.runner(id); r.unreachable {
 			w.planner.ReadFailed(w.now, id)
 		} else {
 			w.planner.Observed(w.now, w.now, id, r.status)
@@ -161,39 +161,39 @@
 	for _, o := range plan.Orders {
 		w.planner.Sent(w.now, o)
 		r := w.runner(o.Endpoint)
-		if r.cut {
+		if r.unreachable {
 			continue
 		}
-		r.take(w.now, o)
-		if !w.lose() {
+		r.execute(w.now, o)
+		if !w.loseAnswer() {
 			w.planner.Answered(o)
 		}
 	}
-	w.check()
+	w.checkLimits()
 	return plan
 }
 
-// check holds the limits of the fleet against what the runners really do.
-func (w *world) check() {
+// checkLimits fails the test if the runners exceed the limit of loads.
+func (w *simulation) checkLimits() {
 	loads, up := 0, 0
 	for _, r := range w.runners {
-		r.hidden = r.status.Loading != nil && (r.hidden || r.cut)
-		if r.status.Loading != nil && !r.hidden {
+		r.uncounted = r.status.Loading != nil && (r.uncounted || r.unreachable)
+		if r.status.Loading != nil && !r.uncounted {
 			loads++
 		}
 		if len(r.status.Models) > 0 {
 			up++
 		}
 	}
-	w.mostLoad, w.leastUp = max(w.mostLoad, loads), min(w.leastUp, up)
+	w.maxLoads, w.minServing = max(w.maxLoads, loads), min(w.minServing, up)
 	if loads > w.manifest.Fleet.LoadsAtOnce {
 		w.t.Fatalf("%d loads at once after %v", loads, w.now.Sub(epoch))
 	}
 }
 
-// finish steps until all that can be is as declared, and returns how long it
-// took.
-func (w *world) finish(want int) time.Duration {
+// finish steps until the given number of runners is in the declared state, and
+// returns the simulated time that it took.
+func (w *simulation) finish(want int) time.Duration {
 	began := w.now
 	for w.now.Sub(began) < 12*time.Hour {
 		if p := w.step(); p.Done >= want {
@@ -204,7 +204,7 @@
 	return 0
 }
 
-func (w *world) serving(version string) int {
+func (w *simulation) serving(version string) int {
 	n := 0
 	for _, r := range w.runners {
 		if m := r.status.model("model-0"); m != nil && m.Version == version {
