--- a/manifest/check.go
+++ b/manifest/check.go
@@ -10,7 +10,7 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Limits of what a manifest declares.
+// Limits of the contents of a manifest.
 const (
 	MaxOrganisations       = 20_000
 	MaxKeysPerOrganisation = 64 // API keys of one organisation
@@ -25,16 +25,16 @@
 	MaxLoadsAtOnce         = 10_000
 	MaxClaimWindow         = 24 * time.Hour
 	MinClaimWindow         = time.Minute
-	MinRetentionWindows    = 2 // records must be kept this many claim windows
+	MinRetentionWindows    = 2 // minimum log retention, in claim windows
 	keyHashBytes           = 32
 	modelProtocolPrefix    = "/v1/"
-	administrationsPrefix  = "/merlin/"
+	adminPrefix            = "/merlin/"
 )
 
-// Check returns nil, or an *Error with every fault of m that can be seen
-// without the log: limits, doubled names, names that refer to nothing, and
-// figures out of range. It belongs to the rules of the manifest's version: a
-// later release may not judge a manifest of the same rules differently.
+// Check validates m and returns an *Error that lists all faults which can be found
+// without the log: exceeded limits, duplicate names, references to undeclared
+// names, and values out of range. It is part of the rules of a manifest's version:
+// a later release must give the same result for a manifest of the same rules.
 func Check(m Manifest) error {
 	c := checker{faults: &faultList{}, m: m}
 	c.rules()
@@ -56,19 +56,19 @@
 	kinds    map[string]fleet.Kind
 }
 
-func at(name string) *path { return (*path)(nil).field(name) }
+func fieldPath(name string) *path { return (*path)(nil).field(name) }
 
 func (c *checker) rules() {
 	if c.m.Rules != RulesVersion {
-		c.faults.add(at("rules"), "is %d, expected %d", c.m.Rules, RulesVersion)
+		c.faults.add(fieldPath("rules"), "is %d, expected %d", c.m.Rules, RulesVersion)
 	}
-	c.id(at("name"), c.m.Name)
+	c.id(fieldPath("name"), c.m.Name)
 }
 
 func (c *checker) fleet() {
-	f, p := c.m.Fleet, at("fleet")
-	c.between(p.field("piece_tokens"), f.PieceTokens, 1, MaxPieceTokens)
-	c.between(p.field("loads_at_once"), f.LoadsAtOnce, 1, MaxLoadsAtOnce)
+	f, p := c.m.Fleet, fieldPath("fleet")
+	c.inRange(p.field("piece_tokens"), f.PieceTokens, 1, MaxPieceTokens)
+	c.inRange(p.field("loads_at_once"), f.LoadsAtOnce, 1, MaxLoadsAtOnce)
 	if !(f.BytesPerToken > 0) || math.IsInf(f.BytesPerToken, 0) {
 		c.faults.add(p.field("bytes_per_token"), "is %v, expected more than 0", f.BytesPerToken)
 	}
@@ -78,19 +78,19 @@
 }
 
 func (c *checker) models() {
-	p := at("models")
+	p := fieldPath("models")
 	c.modelIDs = make(map[string]bool, len(c.m.Models))
-	c.between(p, len(c.m.Models), 1, MaxModels)
+	c.inRange(p, len(c.m.Models), 1, MaxModels)
 	for i, model := range c.m.Models {
 		c.id(p.item(i).field("id"), model.ID)
-		c.once(p.item(i).field("id"), c.modelIDs, model.ID)
+		c.unique(p.item(i).field("id"), c.modelIDs, model.ID)
 		c.id(p.item(i).field("version"), model.Version)
 	}
 }
 
 func (c *checker) organisations() {
-	p := at("organisations")
-	c.between(p, len(c.m.Organisations), 1, MaxOrganisations)
+	p := fieldPath("organisations")
+	c.inRange(p, len(c.m.Organisations), 1, MaxOrganisations)
 	c.orgs = make(map[contract.OrganisationID]bool, len(c.m.Organisations))
 	keys := make(map[string]bool, len(c.m.Organisations))
 	for i := range c.m.Organisations {
@@ -104,39 +104,39 @@
 		c.faults.add(p.field("id"), "%q is declared twice", o.ID)
 	}
 	c.orgs[o.ID] = true
-	c.between(p.field("key_hashes"), len(o.KeyHashes), 1, MaxKeysPerOrganisation)
+	c.inRange(p.field("key_hashes"), len(o.KeyHashes), 1, MaxKeysPerOrganisation)
 	for i, h := range o.KeyHashes {
 		c.keyHash(p.field("key_hashes").item(i), h)
-		c.once(p.field("key_hashes").item(i), keys, h)
+		c.unique(p.field("key_hashes").item(i), keys, h)
 	}
 	if !(o.Share > 0) || o.Share > MaxShare {
 		c.faults.add(p.field("share"), "is %v, expected more than 0 and at most %v", o.Share, float64(MaxShare))
 	}
 	c.priorities(p.field("priorities"), o.Priorities)
 	for i, id := range o.Models {
-		c.known(p.field("models").item(i), c.modelIDs, id, "model")
+		c.declared(p.field("models").item(i), c.modelIDs, id, "model")
 	}
 }
 
 func (c *checker) priorities(p *path, names []string) {
-	c.between(p, len(names), 1, int(contract.PriorityCount))
+	c.inRange(p, len(names), 1, int(contract.PriorityCount))
 	seen := make(map[string]bool, len(names))
 	for i, name := range names {
 		if _, err := contract.ParsePriority(name); err != nil {
 			c.faults.add(p.item(i), "is %q, expected interactive, standard or batch", name)
 		}
-		c.once(p.item(i), seen, name)
+		c.unique(p.item(i), seen, name)
 	}
 }
 
 func (c *checker) adapters() {
 	for i, model := range c.m.Models {
-		p := at("models").item(i).field("adapters")
-		c.between(p, len(model.Adapters), 0, MaxAdaptersPerModel)
+		p := fieldPath("models").item(i).field("adapters")
+		c.inRange(p, len(model.Adapters), 0, MaxAdaptersPerModel)
 		seen := make(map[string]bool, len(model.Adapters))
 		for j, a := range model.Adapters {
 			c.id(p.item(j).field("id"), a.ID)
-			c.once(p.item(j).field("id"), seen, a.ID)
+			c.unique(p.item(j).field("id"), seen, a.ID)
 			c.id(p.item(j).field("version"), a.Version)
 			for k, o := range a.Organisations {
 				if !c.orgs[o] {
@@ -148,8 +148,8 @@
 }
 
 func (c *checker) classes() {
-	p := at("classes")
-	c.between(p, len(c.m.Classes), 1, MaxClasses)
+	p := fieldPath("classes")
+	c.inRange(p, len(c.m.Classes), 1, MaxClasses)
 	c.kinds = make(map[string]fleet.Kind, len(c.m.Classes))
 	served := make(map[string]bool, len(c.modelIDs))
 	for i, class := range c.m.Classes {
@@ -160,7 +160,7 @@
 	}
 	for i, model := range c.m.Models {
 		if !served[model.ID] {
-			c.faults.add(at("models").item(i), "%q is served by no class", model.ID)
+			c.faults.add(fieldPath("models").item(i), "%q is served by no class", model.ID)
 		}
 	}
 }
@@ -180,49 +180,49 @@
 		c.faults.add(p.field("models"), "is given for a class of kind %q", class.Kind)
 	}
 	for i, id := range class.Models {
-		c.known(p.field("models").item(i), c.modelIDs, id, "model")
+		c.declared(p.field("models").item(i), c.modelIDs, id, "model")
 	}
 }
 
 func (c *checker) services() {
-	p := at("services")
-	c.between(p, len(c.m.Services), 0, MaxServices)
+	p := fieldPath("services")
+	c.inRange(p, len(c.m.Services), 0, MaxServices)
 	seen := make(map[string]bool, len(c.m.Services))
 	for i, s := range c.m.Services {
 		c.id(p.item(i).field("id"), s.ID)
-		c.once(p.item(i).field("id"), seen, s.ID)
-		c.prefix(p.item(i).field("path_prefix"), i)
+		c.unique(p.item(i).field("id"), seen, s.ID)
+		c.pathPrefix(p.item(i).field("path_prefix"), i)
 		if c.kinds[s.Class] != fleet.KindService {
 			c.faults.add(p.item(i).field("class"), "%q is not a class of kind service", s.Class)
 		}
-		c.between(p.item(i).field("calls"), len(s.Calls), 0, MaxCallsPerService)
+		c.inRange(p.item(i).field("calls"), len(s.Calls), 0, MaxCallsPerService)
 		for j, call := range s.Calls {
 			c.call(p.item(i).field("calls").item(j), call)
 		}
 	}
 }
 
-// prefix refuses a prefix that takes paths from the model protocol or from
-// another service, since a call would then reach the wrong one.
-func (c *checker) prefix(p *path, i int) {
+// pathPrefix adds a fault for a path prefix that overlaps with merlindock's own
+// paths or with another service, since calls would reach the wrong service.
+func (c *checker) pathPrefix(p *path, i int) {
 	prefix := c.m.Services[i].PathPrefix
 	if len(prefix) < 3 || prefix[0] != '/' || !strings.HasSuffix(prefix, "/") || len(prefix) > MaxIDBytes {
 		c.faults.add(p, "is %q, expected /name/ of at most %d bytes", prefix, MaxIDBytes)
 		return
 	}
-	for _, taken := range []string{modelProtocolPrefix, administrationsPrefix} {
-		if overlap(prefix, taken) {
+	for _, taken := range []string{modelProtocolPrefix, adminPrefix} {
+		if prefixesOverlap(prefix, taken) {
 			c.faults.add(p, "%q overlaps with %s, which is merlindock's own", prefix, taken)
 		}
 	}
 	for _, other := range c.m.Services[:i] {
-		if overlap(prefix, other.PathPrefix) {
+		if prefixesOverlap(prefix, other.PathPrefix) {
 			c.faults.add(p, "%q overlaps with service %q", prefix, other.ID)
 		}
 	}
 }
 
-func overlap(a, b string) bool { return strings.HasPrefix(a, b) || strings.HasPrefix(b, a) }
+func prefixesOverlap(a, b string) bool { return strings.HasPrefix(a, b) || strings.HasPrefix(b, a) }
 
 func (c *checker) call(p *path, call Call) {
 	switch call.Method {
@@ -239,7 +239,7 @@
 }
 
 func (c *checker) retention() {
-	p := at("retention")
+	p := fieldPath("retention")
 	window, kept := time.Duration(c.m.Retention.ClaimWindow), time.Duration(c.m.Retention.LogRecords)
 	if window < MinClaimWindow || window > MaxClaimWindow {
 		c.faults.add(p.field("claim_window"), "is %v, expected %v to %v", window, MinClaimWindow, MaxClaimWindow)
@@ -249,20 +249,20 @@
 	}
 }
 
-func (c *checker) between(p *path, n, low, high int) {
+func (c *checker) inRange(p *path, n, low, high int) {
 	if n < low || n > high {
 		c.faults.add(p, "has %d, expected %d to %d", n, low, high)
 	}
 }
 
-func (c *checker) once(p *path, seen map[string]bool, name string) {
+func (c *checker) unique(p *path, seen map[string]bool, name string) {
 	if seen[name] {
 		c.faults.add(p, "%q is declared twice", name)
 	}
 	seen[name] = true
 }
 
-func (c *checker) known(p *path, names map[string]bool, name, what string) {
+func (c *checker) declared(p *path, names map[string]bool, name, what string) {
 	if !names[name] {
 		c.faults.add(p, "%q is not a %s of this manifest", name, what)
 	}
@@ -275,21 +275,22 @@
 	}
 }
 
-// id accepts what may stand in a header, a path and a log line as it is.
+// id adds a fault for an id that would need escaping in a header, a path or a log
+// line.
 func (c *checker) id(p *path, id string) {
 	if id == "" || len(id) > MaxIDBytes {
 		c.faults.add(p, "is %q, expected 1 to %d bytes", id, MaxIDBytes)
 		return
 	}
 	for _, r := range id {
-		if !idRune(r) {
+		if !validIDRune(r) {
 			c.faults.add(p, "is %q, expected letters, digits and . _ : / @ + - only", id)
 			return
 		}
 	}
 }
 
-func idRune(r rune) bool {
+func validIDRune(r rune) bool {
 	switch {
 	case r >= 'a' && r <= 'z', r >= 'A' && r <= 'Z', r >= '0' && r <= '9':
 		return true
--- a/manifest/decode.go
+++ b/manifest/decode.go
@@ -12,17 +12,17 @@
 	"unicode/utf8"
 )
 
-// Limits of a manifest's text. They bound what one record can cost every
-// daemon that reads it.
+// Limits of a manifest's text. They bound the cost of one record for each daemon
+// that reads it.
 const (
-	MaxBytes  = 8 << 20 // whole text; 11,000 organisations take less than half
-	MaxDepth  = 12      // nesting of objects and arrays
-	MaxFaults = 100     // faults that one error lists
+	MaxBytes  = 8 << 20 // complete text; 11,000 organisations take less than half
+	MaxDepth  = 12      // nesting depth of objects and arrays
+	MaxFaults = 100     // faults listed in one error
 )
 
-// Decode reads a manifest strictly: an unknown or doubled field, a value of
-// the wrong type and anything after the manifest are faults. It also runs
-// Check. The error is an *Error that lists each fault with its path.
+// Decode decodes and checks a manifest. Unknown and duplicate fields, values of
+// the wrong type and data after the manifest are faults. The error is an *Error
+// that lists the faults with their paths.
 func Decode(data []byte) (Manifest, error) {
 	var m Manifest
 	d := decoder{faults: &faultList{}}
@@ -41,13 +41,12 @@
 	return m, nil
 }
 
-// decoder walks the tokens of encoding/json beside the type that is wanted,
-// since that package's own strict mode gives no path and stops at the first
-// fault.
+// decoder decodes the tokens of encoding/json into a value by reflection. The
+// strict mode of that package reports no paths and stops at the first fault.
 type decoder struct {
-	dec    *json.Decoder
-	faults *faultList
-	broken bool // the token stream ended early
+	dec       *json.Decoder
+	faults    *faultList
+	truncated bool // the token stream ended early
 }
 
 func (d *decoder) wellFormed(data []byte) bool {
@@ -81,8 +80,8 @@
 	return line, column
 }
 
-// path is a place in the manifest, linked towards the root so that a place
-// without a fault costs no text.
+// path is the position of a value in the manifest. It is a list linked towards
+// the root, so that the text is built only for values with faults.
 type path struct {
 	parent *path
 	name   string
@@ -108,17 +107,17 @@
 func (d *decoder) token(p *path) json.Token {
 	t, err := d.dec.Token()
 	if err != nil {
-		d.broken = true
+		d.truncated = true
 		d.faults.add(p, "is not JSON: %v", err)
 		return nil
 	}
 	return t
 }
 
-// value decodes the next value into v, or records a fault and skips it.
+// value decodes the next value into v, or adds a fault and skips the value.
 func (d *decoder) value(p *path, v reflect.Value, depth int) {
 	t := d.token(p)
-	if d.broken {
+	if d.truncated {
 		return
 	}
 	if depth > MaxDepth {
@@ -136,7 +135,7 @@
 	case reflect.Slice:
 		d.array(p, v, t, depth)
 	case reflect.String:
-		d.str(p, v, t)
+		d.stringValue(p, v, t)
 	case reflect.Int:
 		d.integer(p, v, t)
 	case reflect.Float64:
@@ -144,17 +143,17 @@
 	case reflect.Bool:
 		d.boolean(p, v, t)
 	default:
-		d.wrong(p, t, "nothing")
+		d.wrongType(p, t, "nothing")
 	}
 }
 
 func (d *decoder) object(p *path, v reflect.Value, t json.Token, depth int) {
 	if t != json.Delim('{') {
-		d.wrong(p, t, "an object")
+		d.wrongType(p, t, "an object")
 		return
 	}
 	seen := make(map[string]bool, v.NumField())
-	for !d.broken && d.dec.More() {
+	for !d.truncated && d.dec.More() {
 		name, _ := d.token(p).(string)
 		at := p.field(name)
 		if seen[name] {
@@ -185,11 +184,11 @@
 
 func (d *decoder) array(p *path, v reflect.Value, t json.Token, depth int) {
 	if t != json.Delim('[') {
-		d.wrong(p, t, "an array")
+		d.wrongType(p, t, "an array")
 		return
 	}
 	v.Set(reflect.MakeSlice(v.Type(), 0, 0))
-	for i := 0; !d.broken && d.dec.More(); i++ {
+	for i := 0; !d.truncated && d.dec.More(); i++ {
 		item := reflect.New(v.Type().Elem()).Elem()
 		d.value(p.item(i), item, depth+1)
 		v.Set(reflect.Append(v, item))
@@ -200,7 +199,7 @@
 func (d *decoder) text(p *path, u encoding.TextUnmarshaler, t json.Token) {
 	s, ok := t.(string)
 	if !ok {
-		d.wrong(p, t, "a string")
+		d.wrongType(p, t, "a string")
 		return
 	}
 	if err := u.UnmarshalText([]byte(s)); err != nil {
@@ -208,10 +207,10 @@
 	}
 }
 
-func (d *decoder) str(p *path, v reflect.Value, t json.Token) {
+func (d *decoder) stringValue(p *path, v reflect.Value, t json.Token) {
 	s, ok := t.(string)
 	if !ok {
-		d.wrong(p, t, "a string")
+		d.wrongType(p, t, "a string")
 		return
 	}
 	v.SetString(s)
@@ -220,7 +219,7 @@
 func (d *decoder) integer(p *path, v reflect.Value, t json.Token) {
 	n, ok := t.(json.Number)
 	if !ok {
-		d.wrong(p, t, "a whole number")
+		d.wrongType(p, t, "a whole number")
 		return
 	}
 	i, err := strconv.ParseInt(n.String(), 10, 64)
@@ -234,7 +233,7 @@
 func (d *decoder) float(p *path, v reflect.Value, t json.Token) {
 	n, ok := t.(json.Number)
 	if !ok {
-		d.wrong(p, t, "a number")
+		d.wrongType(p, t, "a number")
 		return
 	}
 	f, err := n.Float64()
@@ -248,18 +247,18 @@
 func (d *decoder) boolean(p *path, v reflect.Value, t json.Token) {
 	b, ok := t.(bool)
 	if !ok {
-		d.wrong(p, t, "true or false")
+		d.wrongType(p, t, "true or false")
 		return
 	}
 	v.SetBool(b)
 }
 
-func (d *decoder) wrong(p *path, t json.Token, want string) {
-	d.faults.add(p, "is %s, expected %s", describe(t), want)
+func (d *decoder) wrongType(p *path, t json.Token, want string) {
+	d.faults.add(p, "is %s, expected %s", tokenType(t), want)
 	d.skip(t)
 }
 
-func describe(t json.Token) string {
+func tokenType(t json.Token) string {
 	switch t := t.(type) {
 	case json.Delim:
 		if t == '{' {
@@ -277,10 +276,10 @@
 	}
 }
 
-// skip passes over the value that begins with t.
+// skip reads to the end of the value that starts with token t.
 func (d *decoder) skip(t json.Token) {
 	depth := 0
-	for !d.broken {
+	for !d.truncated {
 		switch t {
 		case json.Delim('{'), json.Delim('['):
 			depth++
--- a/manifest/decode_test.go
+++ b/manifest/decode_test.go
@@ -53,7 +53,7 @@
 	return string(b)
 }
 
-func TestDecodeReturnsWhatWasEncoded(t *testing.T) {
+func TestDecodeRoundTrip(t *testing.T) {
 	want := sample(8)
 	got, err := Decode([]byte(text(t, want)))
 	if err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestFaultsAreGivenWithPathAndReason(t *testing.T) {
+func TestDecodeReportsFaults(t *testing.T) {
 	good := text(t, sample(2))
 	tests := []struct{ name, old, new, want string }{
 		{"unknown field", `"share":1`, `"shaer":1`, "organisations[0].shaer is not a field"},
@@ -100,7 +100,7 @@
 	}
 }
 
-func TestDigestDoesNotDependOnHowItWasWritten(t *testing.T) {
+func TestDigestIgnoresFormatting(t *testing.T) {
 	var loose map[string]any
 	if err := json.Unmarshal([]byte(text(t, sample(3))), &loose); err != nil {
 		t.Fatal(err)
@@ -123,17 +123,17 @@
 	}
 	plain.Organisations[1].Share = 2
 	if c, _ := DigestOf(plain); c == a {
-		t.Fatal("another content has the same digest")
+		t.Fatal("different content has the same digest")
 	}
 }
 
 func TestLimits(t *testing.T) {
 	if _, err := Decode([]byte(strings.Repeat(" ", MaxBytes+1))); err == nil {
-		t.Fatal("too long a text was read")
+		t.Fatal("a text over MaxBytes was decoded")
 	}
 	deep := strings.Replace(text(t, sample(1)), `"name":"quebec-est"`, `"name":`+strings.Repeat("[", 5000)+strings.Repeat("]", 5000), 1)
 	if _, err := Decode([]byte(deep)); err == nil {
-		t.Fatal("a deeply nested text was read")
+		t.Fatal("a text nested deeper than MaxDepth was decoded")
 	}
 	var e *Error
 	_, err := Decode([]byte(`{` + strings.Repeat(`"x":1,`, 500) + `"x":1}`))
@@ -153,7 +153,7 @@
 		}
 		again, err := Decode([]byte(text(t, m)))
 		if err != nil {
-			t.Fatalf("the canonical text of a good manifest is refused: %v", err)
+			t.Fatalf("the canonical text of a valid manifest is refused: %v", err)
 		}
 		a, _ := DigestOf(m)
 		if b, _ := DigestOf(again); a != b {
@@ -162,7 +162,7 @@
 	})
 }
 
-func TestDiffNamesWhatChanged(t *testing.T) {
+func TestDiff(t *testing.T) {
 	a, b := sample(3), sample(4)
 	b.Organisations = b.Organisations[1:]
 	b.Organisations[0].Share = 5
--- a/manifest/diff.go
+++ b/manifest/diff.go
@@ -6,9 +6,9 @@
 	"sort"
 )
 
-// Change is one line of the difference between two manifests.
+// Change is one difference between two manifests.
 type Change struct {
-	Kind   string `json:"what"` // such as organisation or service
+	Kind   string `json:"what"` // for example organisation or service
 	ID     string `json:"id"`
 	Action string `json:"how"` // added, removed or changed
 }
@@ -20,46 +20,46 @@
 	return fmt.Sprintf("%s %s %s", c.Kind, c.ID, c.Action)
 }
 
-// Diff lists what b changes of a, by kind and id. A changed order alone is
-// not a change.
+// Diff returns the changes from a to b, grouped by kind and sorted by id. The
+// order of items in a list is ignored.
 func Diff(a, b Manifest) []Change {
 	a, b = canonical(a), canonical(b)
 	var list []Change
-	list = appendWhole(list, "name", a.Name, b.Name)
-	list = appendWhole(list, "fleet", a.Fleet, b.Fleet)
-	list = appendWhole(list, "retention", a.Retention, b.Retention)
-	list = appendParts(list, "organisation", a.Organisations, b.Organisations, func(o Organisation) string { return string(o.ID) })
-	list = appendParts(list, "model", a.Models, b.Models, func(m Model) string { return m.ID })
-	list = appendParts(list, "class", a.Classes, b.Classes, func(c Class) string { return c.ID })
-	list = appendParts(list, "service", a.Services, b.Services, func(s Service) string { return s.ID })
+	list = appendField(list, "name", a.Name, b.Name)
+	list = appendField(list, "fleet", a.Fleet, b.Fleet)
+	list = appendField(list, "retention", a.Retention, b.Retention)
+	list = appendItems(list, "organisation", a.Organisations, b.Organisations, func(o Organisation) string { return string(o.ID) })
+	list = appendItems(list, "model", a.Models, b.Models, func(m Model) string { return m.ID })
+	list = appendItems(list, "class", a.Classes, b.Classes, func(c Class) string { return c.ID })
+	list = appendItems(list, "service", a.Services, b.Services, func(s Service) string { return s.ID })
 	return list
 }
 
-func appendWhole(list []Change, what string, a, b any) []Change {
+func appendField(list []Change, what string, a, b any) []Change {
 	if reflect.DeepEqual(a, b) {
 		return list
 	}
 	return append(list, Change{Kind: what, Action: "changed"})
 }
 
-func appendParts[T any](list []Change, what string, a, b []T, id func(T) string) []Change {
+func appendItems[T any](list []Change, what string, a, b []T, id func(T) string) []Change {
 	old := make(map[string]T, len(a))
-	for _, part := range a {
-		old[id(part)] = part
+	for _, item := range a {
+		old[id(item)] = item
 	}
 	start := len(list)
-	for _, part := range b {
-		before, known := old[id(part)]
-		delete(old, id(part))
+	for _, item := range b {
+		before, known := old[id(item)]
+		delete(old, id(item))
 		switch {
 		case !known:
-			list = append(list, Change{Kind: what, ID: id(part), Action: "added"})
-		case !reflect.DeepEqual(before, part):
-			list = append(list, Change{Kind: what, ID: id(part), Action: "changed"})
+			list = append(list, Change{Kind: what, ID: id(item), Action: "added"})
+		case !reflect.DeepEqual(before, item):
+			list = append(list, Change{Kind: what, ID: id(item), Action: "changed"})
 		}
 	}
-	for gone := range old {
-		list = append(list, Change{Kind: what, ID: gone, Action: "removed"})
+	for removed := range old {
+		list = append(list, Change{Kind: what, ID: removed, Action: "removed"})
 	}
 	added := list[start:]
 	sort.Slice(added, func(i, j int) bool { return added[i].ID < added[j].ID })
--- a/manifest/digest.go
+++ b/manifest/digest.go
@@ -10,14 +10,15 @@
 // canonical text.
 type Digest string
 
-// Encode writes the canonical text: the fields in the order of the types, no
-// white space, empty lists as [] or left out. Two manifests that say the same
-// have the same text, however they were written.
+// Encode returns the canonical text of a manifest: JSON with the fields in the
+// order of the Go types, without white space, and with empty lists as [] or
+// omitted. Manifests with the same content have the same canonical text,
+// regardless of the formatting of their source.
 func Encode(m Manifest) ([]byte, error) {
 	return json.Marshal(canonical(m))
 }
 
-// DigestOf returns the digest of m.
+// DigestOf returns the digest of m's canonical text.
 func DigestOf(m Manifest) (Digest, error) {
 	text, err := Encode(m)
 	if err != nil {
@@ -32,34 +33,34 @@
 	return Digest(hex.EncodeToString(sum[:]))
 }
 
-// canonical replaces missing lists by empty ones, since JSON tells them apart
-// and the meaning does not.
+// canonical returns m with missing lists replaced by empty ones, which mean the
+// same but are encoded differently in JSON.
 func canonical(m Manifest) Manifest {
-	m.Organisations = copied(m.Organisations)
+	m.Organisations = cloneNonNil(m.Organisations)
 	for i := range m.Organisations {
 		o := &m.Organisations[i]
-		o.KeyHashes = present(o.KeyHashes)
-		o.Priorities = present(o.Priorities)
+		o.KeyHashes = nonNil(o.KeyHashes)
+		o.Priorities = nonNil(o.Priorities)
 	}
-	m.Models = copied(m.Models)
+	m.Models = cloneNonNil(m.Models)
 	for i := range m.Models {
-		m.Models[i].Adapters = copied(m.Models[i].Adapters)
+		m.Models[i].Adapters = cloneNonNil(m.Models[i].Adapters)
 		for j := range m.Models[i].Adapters {
 			a := &m.Models[i].Adapters[j]
-			a.Organisations = present(a.Organisations)
+			a.Organisations = nonNil(a.Organisations)
 		}
 	}
-	m.Classes = present(m.Classes)
-	m.Services = copied(m.Services)
+	m.Classes = nonNil(m.Classes)
+	m.Services = cloneNonNil(m.Services)
 	for i := range m.Services {
-		m.Services[i].Calls = present(m.Services[i].Calls)
+		m.Services[i].Calls = nonNil(m.Services[i].Calls)
 	}
 	return m
 }
 
-func copied[T any](list []T) []T { return append(make([]T, 0, len(list)), list...) }
+func cloneNonNil[T any](list []T) []T { return append(make([]T, 0, len(list)), list...) }
 
-func present[T any](list []T) []T {
+func nonNil[T any](list []T) []T {
 	if list == nil {
 		return []T{}
 	}
--- a/manifest/faults.go
+++ b/manifest/faults.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a manifest.
+// Fault is one error in a manifest.
 type Fault struct {
-	Path   string `json:"path"` // such as organisations[3].share
+	Path   string `json:"path"` // for example organisations[3].share
 	Reason string `json:"reason"`
 }
 
@@ -16,7 +16,7 @@
 // Error lists the faults of a manifest.
 type Error struct {
 	Faults  []Fault `json:"faults"`
-	Omitted int     `json:"more"` // further faults that are not listed
+	Omitted int     `json:"more"` // number of further faults that are not listed
 }
 
 func (e *Error) Error() string {
@@ -31,13 +31,13 @@
 }
 
 type faultList struct {
-	faults []Fault
-	more   int
+	faults  []Fault
+	omitted int
 }
 
 func (l *faultList) add(p *path, format string, args ...any) {
 	if len(l.faults) >= MaxFaults {
-		l.more++
+		l.omitted++
 		return
 	}
 	l.faults = append(l.faults, Fault{Path: p.String(), Reason: fmt.Sprintf(format, args...)})
@@ -47,5 +47,5 @@
 	if len(l.faults) == 0 {
 		return nil
 	}
-	return &Error{Faults: l.faults, Omitted: l.more}
+	return &Error{Faults: l.faults, Omitted: l.omitted}
 }
--- a/manifest/manifest.go
+++ b/manifest/manifest.go
@@ -1,9 +1,9 @@
-// Package manifest holds the operators' declaration of what the system is to
-// serve: organisations and their shares, models, adapters, weight versions,
-// classes of endpoints and plain services.
+// Package manifest defines the manifest, in which operators declare what the
+// system serves: organisations and their shares, models, adapters, weight
+// versions, classes of endpoints and plain services.
 //
-// A manifest is plain data. Decoding it is strict, checking it gives every
-// fault with its path, and its digest identifies it.
+// A manifest is plain data. Decoding is strict, validation reports all faults
+// with their paths, and a digest of the content identifies a manifest.
 package manifest
 
 import (
@@ -13,15 +13,15 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// RulesVersion is the newest set of rules for accepting and folding manifests
-// that this release knows. A manifest that asks for a newer one is refused, by
-// every release, so that daemons of two releases decide alike.
+// RulesVersion is the newest version of the rules for accepting and applying
+// manifests that this release supports. Every release refuses a manifest with a
+// newer version, so that daemons of different releases make the same decisions.
 const RulesVersion = 1
 
-// Manifest is one whole declaration.
+// Manifest is a complete declaration of what the system serves.
 type Manifest struct {
 	Rules         int            `json:"rules"`
-	Name          string         `json:"name"` // of the deployment
+	Name          string         `json:"name"` // name of the deployment
 	Fleet         Fleet          `json:"fleet"`
 	Organisations []Organisation `json:"organisations"`
 	Models        []Model        `json:"models"`
@@ -30,77 +30,77 @@
 	Retention     Retention      `json:"retention"`
 }
 
-// Fleet holds the figures that hold for all endpoints.
+// Fleet holds the settings that apply to all endpoints.
 type Fleet struct {
 	PieceTokens     int      `json:"piece_tokens"`      // tokens in one piece of KV cache
-	BytesPerToken   float64  `json:"bytes_per_token"`   // estimate for prompts
-	LoadsAtOnce     int      `json:"loads_at_once"`     // weight loads over the whole fleet
-	FirstTokenLimit Duration `json:"first_token_limit"` // promise for interactive requests
+	BytesPerToken   float64  `json:"bytes_per_token"`   // estimate used for prompts
+	LoadsAtOnce     int      `json:"loads_at_once"`     // maximum number of concurrent weight loads in the fleet
+	FirstTokenLimit Duration `json:"first_token_limit"` // target for interactive requests
 }
 
-// Organisation is one customer and its contract.
+// Organisation is a customer with its API keys, share and permissions.
 type Organisation struct {
 	ID         contract.OrganisationID `json:"id"`
 	KeyHashes  []string                `json:"key_hashes"`       // hex SHA-256 of each API key
-	Share      float64                 `json:"share"`            // weight among all shares
-	Priorities []string                `json:"priorities"`       // priorities it may ask for
-	Models     []string                `json:"models,omitempty"` // empty: all
+	Share      float64                 `json:"share"`            // weight relative to the shares of other organisations
+	Priorities []string                `json:"priorities"`       // priorities that its requests may have
+	Models     []string                `json:"models,omitempty"` // models that it may use; empty: all
 }
 
-// Model is a model with the weights to serve.
+// Model is a model with the weight version to serve and its adapters.
 type Model struct {
 	ID       string    `json:"id"`
 	Version  string    `json:"version"` // weight version in force
 	Adapters []Adapter `json:"adapters,omitempty"`
 }
 
-// Adapter is a small set of weights on top of a model's.
+// Adapter is a small set of weights applied in addition to a model's.
 type Adapter struct {
 	ID            string                    `json:"id"`
 	Version       string                    `json:"version"`
-	Organisations []contract.OrganisationID `json:"organisations"` // who may use it
+	Organisations []contract.OrganisationID `json:"organisations"` // organisations that may use it
 }
 
-// Class describes endpoints that are alike. The platform's list gives each
-// endpoint's class.
+// Class describes a group of equivalent endpoints. The platform's endpoint list
+// states the class of each endpoint.
 type Class struct {
 	ID          string     `json:"id"`
 	Kind        fleet.Kind `json:"kind"`
-	Models      []string   `json:"models,omitempty"` // served by this class
-	ChecksFence bool       `json:"fences"`           // refuses orders with an old fencing number
-	Role        string     `json:"role,omitempty"`   // that its endpoints are ordered to take; empty: any
+	Models      []string   `json:"models,omitempty"` // models served by this class
+	ChecksFence bool       `json:"fences"`           // its endpoints refuse orders with an old fencing token
+	Role        string     `json:"role,omitempty"`   // role that its endpoints are ordered to take; empty: any
 }
 
-// Service is a plain service that is routed to by path.
+// Service is a plain service to which calls are routed by path.
 type Service struct {
 	ID         string `json:"id"`
-	PathPrefix string `json:"path_prefix"` // below which all paths belong to it
+	PathPrefix string `json:"path_prefix"` // all paths below it belong to the service
 	Class      string `json:"class"`
-	Calls      []Call `json:"calls"` // first match counts; no match: may not be repeated
+	Calls      []Call `json:"calls"` // the first match applies; a call without a match may not be repeated
 }
 
-// Call tells whether calls of a service may be repeated.
+// Call states whether matching calls of a service may be repeated.
 type Call struct {
 	Method     string `json:"method"`
-	Path       string `json:"path"` // below the service's prefix; "*" at the end matches any rest
+	Path       string `json:"path"` // below PathPrefix; "*" at the end matches any remainder
 	Idempotent bool   `json:"idempotent"`
 }
 
-// Retention holds how long the system keeps what it remembers.
+// Retention holds the times for which keys and log records are kept.
 type Retention struct {
-	ClaimWindow Duration `json:"claim_window"` // how old an idempotency key may be
-	LogRecords  Duration `json:"log_records"`  // how long the platform keeps records
+	ClaimWindow Duration `json:"claim_window"` // maximum age of an idempotency key
+	LogRecords  Duration `json:"log_records"`  // time for which the platform keeps log records
 }
 
-// Duration is a time.Duration written as "1h30m" in JSON.
+// Duration is a time.Duration that is encoded as text such as "1h30m" in JSON.
 type Duration time.Duration
 
-// MarshalText writes the duration as time.Duration does.
+// MarshalText encodes the duration in the format of time.Duration.String.
 func (d Duration) MarshalText() ([]byte, error) {
 	return []byte(time.Duration(d).String()), nil
 }
 
-// UnmarshalText reads what time.ParseDuration reads.
+// UnmarshalText decodes a duration in the format of time.ParseDuration.
 func (d *Duration) UnmarshalText(text []byte) error {
 	v, err := time.ParseDuration(string(text))
 	if err != nil {
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -8,10 +8,11 @@
 	"slices"
 )
 
-// SectionKind names a part of the manifest that can change by itself.
+// SectionKind is the type of a section, a part of the manifest that can be changed
+// separately.
 type SectionKind string
 
-// The kinds of section.
+// Kinds of section.
 const (
 	SectionOrganisation SectionKind = "organisation"
 	SectionModel        SectionKind = "model"
@@ -19,8 +20,9 @@
 	SectionService      SectionKind = "service"
 )
 
-// SectionDigest returns the digest of one section's canonical text, and the
-// empty digest when the manifest has no such section.
+// SectionDigest returns the digest of one section's canonical text, and the empty
+// digest if the manifest has no such section. It returns an error for an unknown
+// kind.
 func SectionDigest(m Manifest, kind SectionKind, id string) (Digest, error) {
 	text, err := SectionText(m, kind, id)
 	if err != nil || text == nil {
@@ -29,31 +31,33 @@
 	return DigestOfText(text), nil
 }
 
-// SectionText returns the canonical text of one section, and nil when the
-// manifest has no such section.
+// SectionText returns the canonical text of one section, and nil if the manifest
+// has no such section. It returns an error for an unknown kind.
 func SectionText(m Manifest, kind SectionKind, id string) ([]byte, error) {
-	var part any
+	var section any
 	var ok bool
 	switch kind {
 	case SectionOrganisation:
-		part, ok = find(m.Organisations, id, organisationID)
+		section, ok = find(m.Organisations, id, organisationID)
 	case SectionModel:
-		part, ok = find(m.Models, id, modelID)
+		section, ok = find(m.Models, id, modelID)
 	case SectionClass:
-		part, ok = find(m.Classes, id, classID)
+		section, ok = find(m.Classes, id, classID)
 	case SectionService:
-		part, ok = find(m.Services, id, serviceID)
+		section, ok = find(m.Services, id, serviceID)
 	default:
 		return nil, unknownSection(kind)
 	}
 	if !ok {
 		return nil, nil
 	}
-	return json.Marshal(part)
+	return json.Marshal(section)
 }
 
-// ReplaceSection returns m with one section set to the given text, or without it when
-// the text is empty. It shares the other sections with m, and checks the whole.
+// ReplaceSection returns a manifest with the contents of m but with one section set
+// to the given text, or removed if the text is empty. The result shares the other
+// sections with m. It returns an error if the section cannot be decoded or the
+// resulting manifest is not valid.
 func ReplaceSection(m Manifest, kind SectionKind, id string, text []byte) (Manifest, error) {
 	var err error
 	switch kind {
@@ -102,28 +106,28 @@
 		}
 		return slices.Delete(list, i, i+1), nil
 	}
-	part, err := decodePart[T](text)
+	section, err := decodeSection[T](text)
 	if err != nil {
 		return nil, err
 	}
-	if idOf(part) != id {
-		return nil, &Error{Faults: []Fault{{Path: id, Reason: fmt.Sprintf("holds a section of id %q", idOf(part))}}}
+	if idOf(section) != id {
+		return nil, &Error{Faults: []Fault{{Path: id, Reason: fmt.Sprintf("holds a section of id %q", idOf(section))}}}
 	}
 	if i < 0 {
-		return append(list, part), nil
+		return append(list, section), nil
 	}
-	list[i] = part
+	list[i] = section
 	return list, nil
 }
 
-// decodePart reads one section as strictly as Decode reads the whole.
-func decodePart[T any](text []byte) (T, error) {
-	var part T
+// decodeSection decodes one section as strictly as Decode does a manifest.
+func decodeSection[T any](text []byte) (T, error) {
+	var section T
 	d := decoder{faults: &faultList{}}
 	if d.wellFormed(text) {
 		d.dec = json.NewDecoder(bytes.NewReader(text))
 		d.dec.UseNumber()
-		d.value(nil, reflect.ValueOf(&part).Elem(), 0)
+		d.value(nil, reflect.ValueOf(&section).Elem(), 0)
 	}
-	return part, d.faults.err()
+	return section, d.faults.err()
 }
