--- a/claims/partition.go
+++ b/claims/partition.go
@@ -16,8 +16,8 @@
 // opBytes is the approximate encoded size of an operation without a result.
 const opBytes = 220
 
-// maxMarkerRetryDelay is the maximum delay before a marker that the log did not accept is
-// appended again.
+// maxMarkerRetryDelay is the maximum delay before a marker that the log did not
+// accept is appended again.
 const maxMarkerRetryDelay = 2 * time.Second
 
 // partition reads and writes one claim stream.
--- a/ledger/checkpoints.go
+++ b/ledger/checkpoints.go
@@ -30,8 +30,8 @@
 	return d
 }
 
-// revisionAt returns the revision in force after the record at the given offset. It
-// reports false if the acceptances that would show it are no longer kept.
+// revisionAt returns the revision in force after the record at the given offset.
+// It reports false if the acceptances that would show it are no longer kept.
 func (s *State) revisionAt(through ports.Offset) (Revision, bool) {
 	for i := len(s.recent) - 1; i >= 0; i-- {
 		if s.recent[i].Offset <= through {
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -202,8 +202,8 @@
 }
 
 // recordUndecided records an operation that cannot be decided because of a gap
-// or a layout conflict. Claims are not granted, but a result is accepted, since
-// only a granted attempt writes one.
+// or a layout conflict. A claim is not granted, but a result is recorded as the
+// key's result, since only a granted attempt writes one.
 func (c *Claims) recordUndecided(o *ClaimOp, at OpRef) (Outcome, Reason) {
 	e := c.entry(o)
 	switch {
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -108,9 +108,9 @@
 	Value   json.RawMessage      `json:"value,omitempty"`
 }
 
-// RulesUpgrade puts a newer version of the rules in force from the next record on. A
-// release that does not support it keeps the accepted manifest and leaves all
-// further records undecided.
+// RulesUpgrade puts a newer version of the rules in force from the next record
+// on. A release that does not support it keeps the accepted manifest and leaves
+// all further records undecided.
 type RulesUpgrade struct {
 	To int `json:"to"`
 }
--- a/manifest/diff.go
+++ b/manifest/diff.go
@@ -35,14 +35,14 @@
 	return list
 }
 
-func appendField(list []Change, what string, a, b any) []Change {
+func appendField(list []Change, kind string, a, b any) []Change {
 	if reflect.DeepEqual(a, b) {
 		return list
 	}
-	return append(list, Change{Kind: what, Action: "changed"})
+	return append(list, Change{Kind: kind, Action: "changed"})
 }
 
-func appendItems[T any](list []Change, what string, a, b []T, id func(T) string) []Change {
+func appendItems[T any](list []Change, kind string, a, b []T, id func(T) string) []Change {
 	old := make(map[string]T, len(a))
 	for _, item := range a {
 		old[id(item)] = item
@@ -53,15 +53,15 @@
 		delete(old, id(item))
 		switch {
 		case !known:
-			list = append(list, Change{Kind: what, ID: id(item), Action: "added"})
+			list = append(list, Change{Kind: kind, ID: id(item), Action: "added"})
 		case !reflect.DeepEqual(before, item):
-			list = append(list, Change{Kind: what, ID: id(item), Action: "changed"})
+			list = append(list, Change{Kind: kind, ID: id(item), Action: "changed"})
 		}
 	}
 	for removed := range old {
-		list = append(list, Change{Kind: what, ID: removed, Action: "removed"})
+		list = append(list, Change{Kind: kind, ID: removed, Action: "removed"})
 	}
-	added := list[start:]
-	sort.Slice(added, func(i, j int) bool { return added[i].ID < added[j].ID })
+	changes := list[start:]
+	sort.Slice(changes, func(i, j int) bool { return changes[i].ID < changes[j].ID })
 	return list
 }
