--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -29,7 +29,7 @@
 	if err != nil {
 		return ports.Record{}, err
 	}
-	data, err := ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.SumText(text), Manifest: text})
+	data, err := ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.DigestOfText(text), Manifest: text})
 	return ports.Record{Offset: 1, Time: foldStart, Data: data}, err
 }
 
@@ -71,14 +71,14 @@
 
 // ClaimRecords are batches of claims as daemons append them.
 func ClaimRecords(records, claimsEach int) ([]ports.Record, error) {
-	request := ledger.IDOf("request")
+	request := ledger.HashID("request")
 	var list []ports.Record
 	for i := range records {
 		at := foldStart.Add(time.Duration(i) * 3 * time.Millisecond)
 		b := &ledger.ClaimBatch{Writer: "entry-0001", Layout: ClaimLayout()}
 		for j := range claimsEach {
 			b.Ops = append(b.Ops, ledger.ClaimOp{
-				Verb: ledger.VerbClaim, Scope: ledger.IDOf(fmt.Sprint(i), fmt.Sprint(j)), Attempt: ledger.IDOf("attempt", fmt.Sprint(i), fmt.Sprint(j)),
+				Verb: ledger.VerbClaim, Scope: ledger.HashID(fmt.Sprint(i), fmt.Sprint(j)), Attempt: ledger.HashID("attempt", fmt.Sprint(i), fmt.Sprint(j)),
 				KeyTime: at.UnixMilli(), Request: &request,
 			})
 		}
