--- a/router/caches.go
+++ b/router/caches.go
@@ -16,109 +16,114 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// Times of following caches.
+// Intervals and limits for following cache events.
 const (
-	// eventWait is how long a question for cache events waits for one.
-	eventWait = time.Second
-	// eventPause lies between two questions to one holder. Under load each answer
-	// comes at once, and the pause bounds their number; the word of a cache comes some
-	// 100 ms late anyway.
-	eventPause = 60 * time.Millisecond
-	// eventTrusted is how long the last word of a holder counts. Past it the holder
-	// may be gone, and a fetch from there would hang for some hundred milliseconds.
-	eventTrusted = eventWait + 800*time.Millisecond
-	// watchTick is how often the set of holders is looked at.
-	watchTick = 200 * time.Millisecond
-	// watchAfter is how long after its start a daemon begins to follow: the list of
-	// daemons, which divides the holders among them, is not whole before.
-	watchAfter = 2 * time.Second
-	// refusedFor is how long a holder that has followers enough is left alone, and
-	// as long again at random.
-	refusedFor = 8 * time.Second
-	// followerRoom is the part of the questions that a holder takes at once which
-	// daemons use: lists of daemons differ for a while when some come or go.
-	followerRoom = 0.85
-	// mostHolders is the number of engines and stores above which none is followed.
-	// Each tells 2 to 4 KB/s under load; in a large fleet that is more than a daemon
-	// may spend on all control, and what it could follow would be a small part.
-	mostHolders = 40
+	// eventPollWait is how long a request for cache events waits for the next event.
+	eventPollWait = time.Second
+	// eventPollPause is the pause between two requests to one holder. Under load each
+	// request is answered at once, and the pause bounds their number. Cache events
+	// arrive some 100 ms late in any case.
+	eventPollPause = 60 * time.Millisecond
+	// maxEventAge is how long the last answer of a holder is relied on. After that the
+	// holder may be gone, and a fetch from it would hang for some hundred milliseconds.
+	maxEventAge = eventPollWait + 800*time.Millisecond
+	// sourceRefreshInterval is how often the set of followed holders is recomputed.
+	sourceRefreshInterval = 200 * time.Millisecond
+	// followDelay is how long after its start a daemon begins to follow holders. The
+	// holders are divided by the list of daemons, which is incomplete before that.
+	followDelay = 2 * time.Second
+	// rejectedBackoff is how long a holder that has enough followers is not asked
+	// again, plus a random time of up to the same length.
+	rejectedBackoff = 8 * time.Second
+	// followerFraction is the fraction of a holder's concurrent event requests that
+	// daemons use. The rest covers the time during which daemons have different lists
+	// because some join or leave.
+	followerFraction = 0.85
+	// maxHolders is the number of engines and stores above which none is followed. Each
+	// holder sends 2 to 4 KB/s of events under load. In a large fleet that exceeds what
+	// a daemon may spend on control traffic, and the holders it could follow would be a
+	// small fraction of all.
+	maxHolders = 40
 )
 
-// ErrFollowed says that a holder has as many followers as it takes.
-var ErrFollowed = errors.New("router: holder has followers enough")
+// ErrFollowed is returned by CacheFeed when a holder already has its maximum number of
+// followers.
+var ErrFollowed = errors.New("router: holder has its maximum number of followers")
 
-// CacheFeed asks engines and stores what changed in their caches.
+// CacheFeed requests cache events from engines and stores.
 type CacheFeed interface {
-	// CacheEvents returns the events from the number on, waiting for one for a
-	// while. It returns ErrFollowed if the holder takes no more questions.
+	// CacheEvents returns the events with numbers from since on and waits up to wait if
+	// there is none yet. It returns ErrFollowed if the holder accepts no more
+	// followers.
 	CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (caches.Batch, error)
 }
 
-// source is a holder that can be followed.
-type source struct {
+// cacheSource is an engine or store whose cache events can be followed.
+type cacheSource struct {
 	name      string // key of an engine, address of a store
 	address   string
 	zone      fleet.ZoneID
-	capacity  int     // tokens
-	rate      float64 // tokens/s that its link carries
+	capacity  int     // in tokens
+	rate      float64 // link rate in tokens/s; 0: unknown
 	followers int
 }
 
-// watched is a holder that is followed.
-type watched struct {
-	source
-	cancel context.CancelFunc
-	heard  time.Duration // when it answered last; 0: never
+// followedHolder is a holder whose events this daemon follows.
+type followedHolder struct {
+	cacheSource
+	cancel     context.CancelFunc
+	lastAnswer time.Duration // boot clock; 0: no current answer
 }
 
-// cacheWatch keeps what the holders say that this daemon follows.
-type cacheWatch struct {
+// cacheTracker maintains the cache contents of the holders that this daemon follows.
+type cacheTracker struct {
 	feed  CacheFeed
 	clock func() time.Duration
 	log   *logging.Logger
 
-	mu      sync.Mutex
-	table   *caches.Table
-	watched map[string]*watched
+	mu       sync.Mutex
+	table    *caches.Table
+	followed map[string]*followedHolder
 }
 
-func newCacheWatch(feed CacheFeed, clock func() time.Duration, log *logging.Logger) *cacheWatch {
-	return &cacheWatch{feed: feed, clock: clock, log: log, table: caches.New(), watched: map[string]*watched{}}
+func newCacheTracker(feed CacheFeed, clock func() time.Duration, log *logging.Logger) *cacheTracker {
+	return &cacheTracker{feed: feed, clock: clock, log: log, table: caches.New(), followed: map[string]*followedHolder{}}
 }
 
-// followCaches keeps following the holders that fall to this daemon.
+// followCaches follows the cache events of the holders assigned to this daemon until
+// the context ends.
 func (r *Router) followCaches(ctx context.Context) {
-	if pause.For(ctx, watchAfter) != nil {
+	if pause.For(ctx, followDelay) != nil {
 		return
 	}
-	for pause.Tick(ctx, watchTick) == nil {
-		r.watch.set(ctx, r.cacheSources())
+	for pause.Tick(ctx, sourceRefreshInterval) == nil {
+		r.cacheTracker.set(ctx, r.cacheSources())
 	}
 }
 
-// cacheSources lists the engines and stores that this daemon should follow.
-func (r *Router) cacheSources() []source {
-	t := r.s.table.Load()
-	if _, listed := r.s.endpoints.Age(r.clock()); t == nil || !listed {
-		return nil // how many engines there are is not known yet
+// cacheSources returns the engines and stores that this daemon should follow.
+func (r *Router) cacheSources() []cacheSource {
+	t := r.state.table.Load()
+	if _, listed := r.state.endpoints.Age(r.clock()); t == nil || !listed {
+		return nil // the number of engines is not known yet
 	}
-	engines := r.s.engineSources(t, mostHolders+1)
-	if len(engines)+len(t.Stores) > mostHolders {
+	engines := r.state.engineSources(t, maxHolders+1)
+	if len(engines)+len(t.Stores) > maxHolders {
 		return nil
 	}
-	var out []source
-	add := func(s source) {
-		if r.neighbours.chosen(s.name, int(followerRoom*float64(s.followers))) {
+	var out []cacheSource
+	add := func(s cacheSource) {
+		if r.neighbours.isChosen(s.name, int(followerFraction*float64(s.followers))) {
 			out = append(out, s)
 		}
 	}
 	perToken := 0
 	for _, e := range engines {
-		add(e.source)
+		add(e.cacheSource)
 		perToken = e.perToken
 	}
 	for _, s := range t.Stores {
-		add(source{
+		add(cacheSource{
 			name: s.Address, address: s.Address, zone: fleet.ZoneID(s.Zone), capacity: s.CapacityTokens,
 			rate: tokenRate(s.LinkMbps, perToken), followers: s.Followers,
 		})
@@ -126,13 +131,13 @@
 	return out
 }
 
-// engineSource is an engine with the size of a token in its cache.
+// engineSource is an engine with the size of one token in its cache.
 type engineSource struct {
-	source
-	perToken int // bytes
+	cacheSource
+	perToken int // in bytes
 }
 
-// engineSources lists the engines that tell of their caches, most of them at most.
+// engineSources returns up to most engines that publish cache events.
 func (s *state) engineSources(t *routes.Table, most int) []engineSource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -145,7 +150,7 @@
 		if service == nil || service.Engine == nil || service.Engine.Followers <= 0 {
 			continue
 		}
-		out = append(out, engineSource{perToken: service.Engine.BytesPerToken, source: source{
+		out = append(out, engineSource{perToken: service.Engine.BytesPerToken, cacheSource: cacheSource{
 			name: string(key), address: e.Address, zone: e.Zone, capacity: service.Engine.CapacityTokens,
 			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.Followers,
 		}})
@@ -153,7 +158,8 @@
 	return out
 }
 
-// tokenRate is how many tokens a second a link carries; 0: not known.
+// tokenRate converts a link rate to tokens/s. It returns 0 if the size of a token is
+// unknown.
 func tokenRate(mbps float64, perToken int) float64 {
 	if perToken <= 0 {
 		return 0
@@ -162,101 +168,103 @@
 	return mbps * bitsPerMegabit / bitsPerByte / float64(perToken)
 }
 
-// set starts and stops following as the holders change.
-func (c *cacheWatch) set(ctx context.Context, sources []source) {
+// set starts following new sources and stops following those that are no longer listed.
+func (c *cacheTracker) set(ctx context.Context, sources []cacheSource) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	wanted := map[string]bool{}
 	for _, s := range sources {
 		wanted[s.name] = true
-		if c.watched[s.name] != nil {
+		if c.followed[s.name] != nil {
 			continue
 		}
 		own, cancel := context.WithCancel(ctx)
-		w := &watched{source: s, cancel: cancel}
-		c.watched[s.name] = w
+		w := &followedHolder{cacheSource: s, cancel: cancel}
+		c.followed[s.name] = w
 		go c.follow(own, w)
 	}
-	for name, w := range c.watched {
+	for name, w := range c.followed {
 		if !wanted[name] {
 			w.cancel()
-			delete(c.watched, name)
+			delete(c.followed, name)
 			c.table.Forget(name)
 		}
 	}
 }
 
-// follow asks one holder for its events until the context ends.
-func (c *cacheWatch) follow(ctx context.Context, w *watched) {
+// follow requests the events of one holder until the context ends.
+func (c *cacheTracker) follow(ctx context.Context, w *followedHolder) {
 	since, failed := int64(0), 0
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, eventWait+answerTime)
-		b, err := c.feed.CacheEvents(call, w.address, since, eventWait)
+		call, cancel := context.WithTimeout(ctx, eventPollWait+answerTimeout)
+		b, err := c.feed.CacheEvents(call, w.address, since, eventPollWait)
 		cancel()
 		if err != nil {
-			c.noteLost(w, err, failed)
+			c.markLost(w, err, failed)
 			failed++
-			_ = pause.For(ctx, retryFollow(err))
+			_ = pause.For(ctx, retryDelay(err))
 			since = 0
 			continue
 		}
 		if failed > 0 {
-			c.log.Info("Cache is followed again.", "holder", w.name, "failed", failed)
+			c.log.Info("Following a cache again.", "holder", w.name, "failed", failed)
 		}
 		failed, since = 0, b.Next
-		c.take(ctx, w, b)
-		_ = pause.For(ctx, eventPause)
+		c.applyEvents(ctx, w, b)
+		_ = pause.For(ctx, eventPollPause)
 	}
 }
 
-// take folds an answer, unless the holder is not followed any more.
-func (c *cacheWatch) take(ctx context.Context, w *watched, b caches.Batch) {
+// applyEvents applies a batch of events unless the holder is no longer followed.
+func (c *cacheTracker) applyEvents(ctx context.Context, w *followedHolder, b caches.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
-	w.heard = c.clock()
+	w.lastAnswer = c.clock()
 	c.table.Apply(w.name, w.capacity, b)
 }
 
-// noteLost forgets what a holder held that does not answer.
-func (c *cacheWatch) noteLost(w *watched, err error, failed int) {
+// markLost discards the cache contents of a holder that does not answer.
+func (c *cacheTracker) markLost(w *followedHolder, err error, failed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.heard = 0
+	w.lastAnswer = 0
 	c.table.Forget(w.name)
 	if failed == 0 {
-		c.log.Warn("Cache can't be followed.", "holder", w.name, "error", err.Error())
+		c.log.Warn("Cache cannot be followed.", "holder", w.name, "error", err.Error())
 	}
 }
 
-// retryFollow is when to ask again a holder that gave no events.
-func retryFollow(err error) time.Duration {
+// retryDelay returns the time until the next request to a holder after a failed one.
+func retryDelay(err error) time.Duration {
 	if errors.Is(err, ErrFollowed) {
-		return refusedFor + time.Duration(rand.Float64()*float64(refusedFor))
+		return rejectedBackoff + time.Duration(rand.Float64()*float64(rejectedBackoff))
 	}
-	return minPause + time.Duration(rand.Float64()*float64(maxPause))
+	return minRetryPause + time.Duration(rand.Float64()*float64(maxRetryPause))
 }
 
-// whereabouts returns the lookup for the ways of prompts; nil if nothing is known.
-func (p *placer) whereabouts() whereabouts {
-	if p.watch == nil {
+// prefixLocations returns the lookup of cached prefixes for candidates, or nil if
+// caches are not followed.
+func (p *placer) prefixLocations() prefixLocations {
+	if p.cacheTracker == nil {
 		return nil
 	}
-	return p.watch.held
+	return p.cacheTracker.locate
 }
 
-// held implements whereabouts.
-func (c *cacheWatch) held(w *forward.Work, salt string) *placement.Held {
+// locate implements prefixLocations. It returns nil if no followed holder has recent
+// events.
+func (c *cacheTracker) locate(w *forward.Work, salt string) *placement.Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
 	var out *placement.Held
 	now := c.clock()
-	for name, h := range c.watched {
+	for name, h := range c.followed {
 		tokens, known := c.table.Held(name, prompt)
-		if !known || now-h.heard > eventTrusted {
+		if !known || now-h.lastAnswer > maxEventAge {
 			continue
 		}
 		if out == nil {
@@ -270,21 +278,21 @@
 	return out
 }
 
-// best returns the address of the holder from which most of a prompt's beginning
-// can be fetched, and how many tokens it has. Of equal ones the nearest to the zone
-// is taken, and of those the one with the widest link.
-func (c *cacheWatch) best(w *forward.Work, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
+// bestSource returns the address of the usable holder that caches the longest prefix of
+// a prompt, and the length of that prefix in tokens. Among holders with equally long
+// prefixes it prefers those in the given zone, and then the one with the fastest link.
+func (c *cacheTracker) bestSource(w *forward.Work, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
 	now := c.clock()
-	var from *watched
-	for name, h := range c.watched {
+	var from *followedHolder
+	for name, h := range c.followed {
 		have, known := c.table.Held(name, prompt)
-		if !known || have == 0 || now-h.heard > eventTrusted || !usable(name) {
+		if !known || have == 0 || now-h.lastAnswer > maxEventAge || !usable(name) {
 			continue
 		}
-		if from == nil || have > tokens || have == tokens && h.nearer(from, zone) {
+		if from == nil || have > tokens || have == tokens && h.betterThan(from, zone) {
 			from, tokens = h, have
 		}
 	}
@@ -294,8 +302,9 @@
 	return from.address, tokens
 }
 
-// nearer tells whether the holder is a better source than another that has as much.
-func (w *watched) nearer(other *watched, zone fleet.ZoneID) bool {
+// betterThan reports whether the holder is preferred to another one that caches an
+// equally long prefix.
+func (w *followedHolder) betterThan(other *followedHolder, zone fleet.ZoneID) bool {
 	if near := w.zone == zone; near != (other.zone == zone) {
 		return near
 	}
--- a/router/daemons.go
+++ b/router/daemons.go
@@ -9,51 +9,53 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Times of following the list of daemons.
+// Intervals and limits for following the list of daemons.
 const (
-	// daemonsWait is how long a read of the list waits for a record. The list changes
-	// only when a daemon starts on a new machine.
-	daemonsWait = 10 * time.Second
-	// daemonsEvery is the least time between two reads of the list. When hundreds of
-	// daemons start together, each of them adds a record.
-	daemonsEvery = time.Second
-	// startTogether is how long a daemon that was not on the list waits before it reads
-	// it again and then follows the store: the others of a new deployment start within
-	// as long. A daemon that knows of a few others only turns to the store.
-	startTogether = 400 * time.Millisecond
-	// listTries is how often in a row a page of the list may fail before a daemon goes on
-	// with the part that it has.
-	listTries = 3
-	// announceAgain is how long a daemon waits to see itself on the list. Neighbours
-	// may tell of it a few seconds late.
-	announceAgain = 10 * time.Second
+	// maxDaemonsWait is how long a read of the list waits for a record. The list
+	// changes only when a daemon starts on a new machine.
+	maxDaemonsWait = 10 * time.Second
+	// daemonsReadInterval is the minimum time between two reads of the list. When
+	// hundreds of daemons start together, each of them adds a record.
+	daemonsReadInterval = time.Second
+	// startupDelay is how long a newly listed daemon waits before it reads the list
+	// again and starts to follow the store. The other daemons of a new deployment start
+	// within this time, and a daemon that knows only a few of them would read from the
+	// store instead of through neighbours.
+	startupDelay = 400 * time.Millisecond
+	// maxPageFailures is how many consecutive reads of a page of the list may fail
+	// before a daemon continues with the incomplete list.
+	maxPageFailures = 3
+	// announceInterval is how long a daemon waits to see itself on the list before it
+	// announces itself again. Neighbours may relay the record a few seconds late.
+	announceInterval = 10 * time.Second
 )
 
-// followDaemons keeps the list of the daemons and sees that this one is on it.
+// followDaemons maintains the list of daemons and announces this daemon if it is
+// missing from it.
 func (r *Router) followDaemons(ctx context.Context) {
 	f := r.newFollower(TopicDaemons)
 	known := map[string]Neighbour{}
 	changed := false
 	f.apply = func(record Record) (Record, bool) {
-		if r.recallHold(record) {
+		if r.loadHold(record) {
 			return record, true
 		}
-		news := r.daemonRecord(known, record)
-		changed = changed || news
-		return record, news
+		differs := r.daemonRecord(known, record)
+		changed = changed || differs
+		return record, differs
 	}
-	f.snapshot = func(present map[string]bool) {
+	f.onSnapshot = func(present map[string]bool) {
 		maps.DeleteFunc(known, func(name string, _ Neighbour) bool { return !present[name] })
 		changed = true
 	}
-	var announced time.Duration // when this daemon last put itself on the list
+	var announced time.Duration // time of this daemon's last announcement
 	for ctx.Err() == nil {
 		_, err := f.read(ctx, r.daemonsWait(f, known))
-		f.note(err)
-		if f.load != nil && f.failed < listTries {
-			// A part of the list says nothing of who is missing.
+		f.logStoreState(err)
+		if f.fullRead != nil && f.failedReads < maxPageFailures {
+			// An incomplete list does not show which daemons are missing.
 			if err != nil {
-				f.pauseAfter(ctx)
+				f.pauseAfterFailure(ctx)
 			}
 			continue
 		}
@@ -62,59 +64,59 @@
 			r.neighbours.set(all)
 			r.limits.setDaemons(all)
 			r.quarantine.SetDaemons(peersOf(all))
-			r.room.SetDaemons(peersOf(all))
+			r.endpointLimits.SetDaemons(peersOf(all))
 			r.dispatch.setDaemons(all)
 			changed = false
 		}
 		if err != nil {
-			r.neighbours.proceed() // without a list the daemon reads the store itself
-			f.pauseAfter(ctx)
+			r.neighbours.allowReads() // without a list the daemon reads the store itself
+			f.pauseAfterFailure(ctx)
 			continue
 		}
-		missing := known[r.neighbours.me.Name] != r.neighbours.me
-		if now := r.clock(); missing && (announced == 0 || now > announced+announceAgain) && r.announce(ctx) {
+		missing := known[r.neighbours.self.Name] != r.neighbours.self
+		if now := r.clock(); missing && (announced == 0 || now > announced+announceInterval) && r.announce(ctx) {
 			announced = now
-			if f.reads == 1 {
-				_ = pause.For(ctx, startTogether)
+			if f.answeredReads == 1 {
+				_ = pause.For(ctx, startupDelay)
 				continue
 			}
 		}
-		r.neighbours.proceed()
-		_ = pause.For(ctx, daemonsEvery)
+		r.neighbours.allowReads()
+		_ = pause.For(ctx, daemonsReadInterval)
 	}
 }
 
-// daemonsWait is how long a read of the list waits for a record: not at all as long as
-// this daemon is not on it.
+// daemonsWait returns how long a read of the list waits for a record: zero while this
+// daemon is not on the list, after a failed read, and when the list is out of date.
 func (r *Router) daemonsWait(f *follower, known map[string]Neighbour) time.Duration {
-	if known[r.neighbours.me.Name] != r.neighbours.me || f.failed > 0 || f.sub.stale() {
+	if known[r.neighbours.self.Name] != r.neighbours.self || f.failedReads > 0 || f.subscription.stale() {
 		return 0
 	}
-	return daemonsWait
+	return maxDaemonsWait
 }
 
-// announce puts this daemon on the list. A daemon that starts again on its machine is
-// on it already.
+// announce adds this daemon to the list and reports whether that succeeded. A daemon
+// that restarts on the same machine is already on the list.
 func (r *Router) announce(ctx context.Context) bool {
-	call, cancel := context.WithTimeout(ctx, answerTime)
+	call, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	err := r.o.Announcements.Announce(call, r.neighbours.me)
+	err := r.options.Announcements.Announce(call, r.neighbours.self)
 	if err != nil {
-		r.log.Warn("Daemon can't announce itself.", "error", err.Error())
+		r.log.Warn("Daemon could not announce itself.", "error", err.Error())
 	}
 	return err == nil
 }
 
-// daemonRecord folds one record of the list. It returns whether it changes anything.
+// daemonRecord applies one record to the list and reports whether the list changed.
 func (r *Router) daemonRecord(known map[string]Neighbour, record Record) bool {
 	before, some := known[record.Key]
 	if len(record.Value) == 0 {
 		delete(known, record.Key)
 		return some
 	}
-	d, err := r.o.Codec.Daemon(record.Key, record.Value)
+	d, err := r.options.Codec.Daemon(record.Key, record.Value)
 	if err != nil {
-		r.log.Info("Record is no daemon's.", "key", record.Key, "offset", record.Offset, "error", err.Error())
+		r.log.Info("Record is not a daemon announcement.", "key", record.Key, "offset", record.Offset, "error", err.Error())
 		return false
 	}
 	known[record.Key] = d
--- a/router/datagrams.go
+++ b/router/datagrams.go
@@ -12,25 +12,26 @@
 	"github.com/merlindock/merlindock/logging"
 )
 
-// datagramBytes bounds one message between daemons, so that it fits into a packet
-// on links of any usual size.
+// datagramBytes bounds one message between daemons so that it fits into a single packet
+// on common links.
 const datagramBytes = 1400
 
-// datagrams carries small messages between daemons. They may be lost, late or
-// doubled: whoever uses them does not depend on any single one.
+// datagrams sends and receives small UDP messages between daemons. Messages may be
+// lost, delayed or duplicated, so users must not depend on any single one.
 type datagrams struct {
 	log    *logging.Logger
 	unsent tally.Counter
 	conn   *net.UDPConn
 	write  func(to netip.AddrPort, data []byte) error // nil: there are no other daemons
-	take   func(from string, data []byte)
+	handle func(from string, data []byte)
 }
 
 func newDatagrams(scope tally.Scope, log *logging.Logger) *datagrams {
 	return &datagrams{log: log, unsent: scope.Counter("datagrams_unsent")}
 }
 
-// listen opens the address for messages of other daemons. Call it before run.
+// listen opens the UDP address for messages of other daemons. It must be called before
+// run.
 func (d *datagrams) listen(address string) error {
 	at, err := net.ResolveUDPAddr("udp4", address)
 	if err != nil {
@@ -57,11 +58,11 @@
 			}
 			return
 		}
-		d.take(from.String(), buffer[:n])
+		d.handle(from.String(), buffer[:n])
 	}
 }
 
-// send hands a message to the kernel and never waits for its way.
+// send passes a message to the kernel without waiting for its delivery.
 func (d *datagrams) send(to string, data []byte) {
 	if d.write == nil {
 		return
@@ -71,11 +72,11 @@
 		err = d.write(at, data)
 	}
 	if err != nil {
-		d.unsent.Inc(1) // its sender takes it for lost
+		d.unsent.Inc(1) // treated like a message lost on the network
 	}
 }
 
-// peersOf lists daemons as package gossip names them.
+// peersOf converts daemons to the peer type of package gossip.
 func peersOf(all []Neighbour) []gossip.Peer {
 	out := make([]gossip.Peer, 0, len(all))
 	for _, d := range all {
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -14,54 +14,57 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Times and bounds of dispatching.
+// Timeouts and limits for dispatching.
 const (
-	// dispatchTime is how long the dispatcher's answer is waited for. After it the
-	// daemon places the prompt itself.
-	dispatchTime = 30 * time.Millisecond
-	// dispatchAway is how long a dispatcher that did not answer is passed over.
-	dispatchAway = 2 * time.Second
-	// dispatchedEngines is the number of engines for which one dispatcher is enough.
-	dispatchedEngines = 256
-	// openSlack is how much longer than expected the beginning of an answer may take
-	// before a placement is taken to be over. The message of its end was lost then.
-	openSlack = time.Second
-	// toldDaemons bounds the daemons that are told of loads, those that may dispatch
-	// first. The others hear of them with the lease.
-	toldDaemons = 128
-	// toldNews bounds the engines in one such message.
-	toldNews = 8
-	// dispatchTries is how many daemons may be passed over before a daemon takes
-	// itself to be cut off.
-	dispatchTries = 3
+	// dispatchTimeout is how long a daemon waits for the dispatcher's answer before it
+	// places the prompt itself.
+	dispatchTimeout = 30 * time.Millisecond
+	// dispatcherAvoidance is how long a dispatcher that did not answer is avoided.
+	dispatcherAvoidance = 2 * time.Second
+	// enginesPerDispatcher is the maximum number of engines that one dispatcher
+	// handles.
+	enginesPerDispatcher = 256
+	// beginTimeoutSlack is how much longer than expected the beginning of an answer may
+	// take before a placement is considered ended. In that case the message about its
+	// end was lost.
+	beginTimeoutSlack = time.Second
+	// maxLoadRecipients bounds the daemons that receive load messages: those that are
+	// first in line as dispatchers. The others receive the same updates with the lease.
+	maxLoadRecipients = 128
+	// maxLoadsPerMessage bounds the engines in one load message.
+	maxLoadsPerMessage = 8
+	// maxAvoidedDispatchers is the number of avoided dispatchers from which a daemon
+	// assumes that it is cut off itself and places prompts on its own.
+	maxAvoidedDispatchers = 3
 )
 
-// dispatch implements forward.Placer. It has the long prompts of a model placed by
-// one daemon, the dispatcher, which therefore knows of all of them.
+// dispatchPlacer implements forward.Placer. It lets one daemon, the dispatcher, place
+// all long prompts of a model.
 //
-// The pattern: dozens of daemons each place a few long prompts a second. None knows
-// of the others' until an engine tells its load, and an engine reads one prompt at a
-// time for a tenth of a second and more. Two prompts that meet are late while other
-// engines idle. The dispatcher is only a better place to decide: any daemon may be
-// asked, and one that gets no answer decides by itself.
-type dispatch struct {
+// Without a dispatcher, dozens of daemons each place a few long prompts a second, and
+// none knows of the others' prompts until an engine reports its load. An engine reads
+// one prompt at a time, for a tenth of a second or more. When two daemons choose the
+// same engine, both answers are late while other engines are idle. The dispatcher is an
+// optimisation only: any daemon can act as one, and a daemon that gets no answer places
+// the prompt itself.
+type dispatchPlacer struct {
 	*placer
-	me    Neighbour
-	s     *state
+	self  Neighbour
+	state *state
 	clock func() time.Duration
 	log   *logging.Logger
 	send  func(to string, data []byte)
 
-	mu      sync.Mutex
-	daemons []Neighbour
-	away    map[string]time.Duration // address → passed over until
-	waiting map[uint64]chan placedMessage
-	open    map[dispatched]*openPlacement // placed for other daemons
-	heard   map[fleet.EndpointID]heardLoad
+	mu             sync.Mutex
+	daemons        []Neighbour
+	avoidedUntil   map[string]time.Duration // by address, boot clock
+	pendingAnswers map[uint64]chan placedMessage
+	open           map[placementKey]*openPlacement // placed for other daemons
+	observedLoads  map[fleet.EndpointID]observedLoad
 }
 
-// dispatched names a placement for another daemon.
-type dispatched struct {
+// placementKey identifies a placement made for another daemon.
+type placementKey struct {
 	from string
 	id   uint64
 }
@@ -71,31 +74,31 @@
 	until time.Time
 }
 
-func newDispatch(me Neighbour, s *state, p *placer, clock func() time.Duration, log *logging.Logger, send func(string, []byte)) *dispatch {
-	return &dispatch{
-		placer: p, me: me, s: s, clock: clock, log: log, send: send,
-		away: map[string]time.Duration{}, waiting: map[uint64]chan placedMessage{}, open: map[dispatched]*openPlacement{}, heard: map[fleet.EndpointID]heardLoad{},
+func newDispatchPlacer(me Neighbour, s *state, p *placer, clock func() time.Duration, log *logging.Logger, send func(string, []byte)) *dispatchPlacer {
+	return &dispatchPlacer{
+		placer: p, self: me, state: s, clock: clock, log: log, send: send,
+		avoidedUntil: map[string]time.Duration{}, pendingAnswers: map[uint64]chan placedMessage{}, open: map[placementKey]*openPlacement{}, observedLoads: map[fleet.EndpointID]observedLoad{},
 	}
 }
 
-// tellLoads tells other daemons of engines that are about to take new weights, or have
-// them. The lease tells it as well, up to a second later, and a prompt that meets an
-// engine which loads is turned away.
-func (d *dispatch) tellLoads(news []weights.News) {
+// sendLoads sends other daemons the engines that are about to load new weights or have
+// finished. The lease carries the same updates up to a second later, and until then
+// prompts sent to a loading engine would be rejected.
+func (d *dispatchPlacer) sendLoads(updates []weights.News) {
 	d.mu.Lock()
-	all := d.daemons[:min(len(d.daemons), toldDaemons)]
+	all := d.daemons[:min(len(d.daemons), maxLoadRecipients)]
 	d.mu.Unlock()
-	for part := range slices.Chunk(news, toldNews) {
+	for chunk := range slices.Chunk(updates, maxLoadsPerMessage) {
 		for _, n := range all {
-			if n.Name != d.me.Name {
-				d.post(n.Address, kindLoads, part)
+			if n.Name != d.self.Name {
+				d.sendMessage(n.Address, kindLoads, chunk)
 			}
 		}
 	}
 }
 
-// setDaemons takes the list of all daemons.
-func (d *dispatch) setDaemons(all []Neighbour) {
+// setDaemons replaces the list of daemons.
+func (d *dispatchPlacer) setDaemons(all []Neighbour) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.daemons = slices.DeleteFunc(slices.Clone(all), func(n Neighbour) bool { return n.Address == "" })
@@ -104,8 +107,9 @@
 	})
 }
 
-// dispatcher is the daemon that places the prompts of a group; false: this one does.
-func (d *dispatch) dispatcher(group string) (Neighbour, bool) {
+// dispatcher returns the daemon that places the prompts of a group. It returns false if
+// this daemon should place them on its own.
+func (d *dispatchPlacer) dispatcher(group string) (Neighbour, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.daemons) < 2 {
@@ -115,7 +119,7 @@
 	var best Neighbour
 	passed := 0
 	for _, n := range d.daemons {
-		if until, ok := d.away[n.Address]; ok && now < until {
+		if until, ok := d.avoidedUntil[n.Address]; ok && now < until {
 			passed++
 			continue
 		}
@@ -123,11 +127,11 @@
 			best = n
 		}
 	}
-	return best, passed < dispatchTries && best.Name != ""
+	return best, passed < maxAvoidedDispatchers && best.Name != ""
 }
 
-// dispatchesBefore orders the daemons: those with more processor first, and then by a
-// hash, so that groups are spread and all daemons come to the same order.
+// dispatchesBefore orders daemons by processor capacity and then by a hash, which
+// spreads groups over daemons and gives the same order on every daemon.
 func dispatchesBefore(group string, a, b Neighbour) bool {
 	if a.Cores != b.Cores {
 		return a.Cores > b.Cores
@@ -136,11 +140,11 @@
 	return cmp.Or(cmp.Compare(rank(a), rank(b)), cmp.Compare(a.Name, b.Name)) < 0
 }
 
-// groupOf names the prompts that one dispatcher places.
-func (d *dispatch) groupOf(w *forward.Work) string {
-	d.s.mu.Lock()
-	engines := d.s.roster.Engines(w.Service.Name, w.In.Model)
-	d.s.mu.Unlock()
+// groupOf returns the name of the group of prompts that one dispatcher places together.
+func (d *dispatchPlacer) groupOf(w *forward.Work) string {
+	d.state.mu.Lock()
+	engines := d.state.roster.Engines(w.Service.Name, w.In.Model)
+	d.state.mu.Unlock()
 	group := w.Service.Name + "/" + w.In.Model
 	if groups := dispatchGroups(engines); groups > 1 && len(w.In.Parts) > 0 {
 		group += "/" + string(rune('a'+hash.Text(w.In.Parts[0].ID)%uint64(groups)))
@@ -148,76 +152,77 @@
 	return group
 }
 
-// dispatchGroups is how many groups the prompts of a model with so many engines form.
+// dispatchGroups returns the number of groups into which the prompts of a model with
+// the given number of engines are divided.
 func dispatchGroups(engines int) int {
-	return max(1, (engines+dispatchedEngines-1)/dispatchedEngines)
+	return max(1, (engines+enginesPerDispatcher-1)/enginesPerDispatcher)
 }
 
 // Place implements forward.Placer.
-func (d *dispatch) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (d *dispatchPlacer) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
 	if w.Service.Engine == nil || w.In.Model == "" {
 		return d.placer.Place(ctx, w)
 	}
-	d.arrived(time.Now(), w)
-	if laneOf(w.In.PromptTokens) != laneLong {
+	d.recordArrival(time.Now(), w)
+	if subpoolOf(w.In.PromptTokens) != subpoolLong {
 		return d.placer.Place(ctx, w)
 	}
 	to, some := d.dispatcher(d.groupOf(w))
 	switch {
 	case !some:
 		return d.placer.Place(ctx, w)
-	case to == d.me:
-		return d.placeKnown(time.Now(), w)
+	case to == d.self:
+		return d.placeAsDispatcher(time.Now(), w)
 	}
-	p, ok, err := d.askFor(ctx, to, w)
+	p, ok, err := d.askDispatcher(ctx, to, w)
 	if !ok {
 		return d.placer.Place(ctx, w)
 	}
 	return p, err
 }
 
-// askFor asks a dispatcher for a place. ok is false if it gave no answer that can be
-// used.
-func (d *dispatch) askFor(ctx context.Context, to Neighbour, w *forward.Work) (p forward.Placement, ok bool, err error) {
+// askDispatcher asks a dispatcher to place the request. ok is false if the dispatcher gave no
+// usable answer.
+func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, w *forward.Work) (p forward.Placement, ok bool, err error) {
 	m := placeMessage{
 		ID: d.lastID.Add(1), Route: w.Route.Name, Service: w.Service.Name, In: *w.In,
 		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Avoid, Resuming: w.Resuming,
 	}
 	m.In.APIKey = ""
-	m.Loads = d.takeHeard(time.Now())
+	m.Loads = d.takeObservedLoads(time.Now())
 	if w.Organisation != nil {
 		m.Org, m.Isolated = w.Organisation.Name, w.Organisation.Isolated
 	}
 	answer := make(chan placedMessage, 1)
 	d.mu.Lock()
-	d.waiting[m.ID] = answer
+	d.pendingAnswers[m.ID] = answer
 	d.mu.Unlock()
 	defer func() {
 		d.mu.Lock()
-		delete(d.waiting, m.ID)
+		delete(d.pendingAnswers, m.ID)
 		d.mu.Unlock()
 	}()
-	if !d.post(to.Address, kindPlace, m) {
+	if !d.sendMessage(to.Address, kindPlace, m) {
 		return p, false, nil
 	}
-	timer := time.NewTimer(dispatchTime)
+	timer := time.NewTimer(dispatchTimeout)
 	defer timer.Stop()
 	select {
 	case got := <-answer:
-		return d.usable(to, w, &got)
+		return d.acceptAnswer(to, w, &got)
 	case <-timer.C:
-		d.passOver(to)
+		d.avoidDispatcher(to)
 	case <-ctx.Done():
 	}
 	return p, false, nil
 }
 
-// usable takes a dispatcher's answer, if this daemon knows the place as well.
-func (d *dispatch) usable(from Neighbour, w *forward.Work, got *placedMessage) (forward.Placement, bool, error) {
+// acceptAnswer validates a dispatcher's answer against this daemon's own state.
+func (d *dispatchPlacer) acceptAnswer(from Neighbour, w *forward.Work, got *placedMessage) (forward.Placement, bool, error) {
 	switch {
 	case got.Refused != nil && (got.Refused.Code == codeNoEndpoint || got.Refused.Code == codeAtLimits):
-		// The dispatcher may be cut off from the endpoints, or from the daemon that parts
-		// a limit; this daemon may not be.
+		// The dispatcher may be cut off from the endpoints or from the daemon that
+		// distributes a limit, while this daemon is not.
 		return forward.Placement{}, false, nil
 	case got.Refused != nil:
 		return forward.Placement{}, true, got.Refused
@@ -225,65 +230,66 @@
 		return forward.Placement{}, false, nil
 	}
 	p := *got.Place
-	left := d.leftAt(w, &p)
+	left := d.timeToBegin(w, &p)
 	if got.LeftMs > 0 {
 		left = min(left, time.Duration(got.LeftMs)*time.Millisecond)
 	}
-	if left <= beginLeast || slices.Contains(w.Avoid, p.Target.Key) {
-		d.post(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.End{Left: true}})
+	if left <= minBeginTime || slices.Contains(w.Avoid, p.Target.Key) {
+		d.sendMessage(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.End{Left: true}})
 		return forward.Placement{}, false, nil
 	}
 	p.BeginBy = time.Time{}
-	if left != noBound {
+	if left != noTimeLimit {
 		p.BeginBy = time.Now().Add(left)
 	}
 	p.ID, p.Notes.Dispatcher = got.ID, from.Address
 	return p, true, nil
 }
 
-// leftAt is how long a prompt may wait at a place before it begins, by what this daemon
-// knows; 0: it may not go there.
+// timeToBegin returns how long a prompt may wait at the placement's endpoint before it
+// must begin, according to this daemon's state; 0: it must not be sent there.
 //
-// A dispatcher that has lost the store knows neither new weights nor that an endpoint
-// leaves. By its word alone prompts would begin on weights that are out of use.
-func (d *dispatch) leftAt(w *forward.Work, p *forward.Placement) time.Duration {
-	d.s.mu.Lock()
-	defer d.s.mu.Unlock()
-	e := d.s.roster.Find(p.Target.Key)
-	if e == nil || e.ID != p.Target.ID || e.Service != w.Service.Name || d.s.roster.Unusable(time.Now(), p.Target.Key) {
+// A dispatcher that has lost the store sees neither newly named weights nor endpoints
+// that are draining. If its answer were accepted unchecked, prompts would begin on
+// weights that are out of use.
+func (d *dispatchPlacer) timeToBegin(w *forward.Work, p *forward.Placement) time.Duration {
+	d.state.mu.Lock()
+	defer d.state.mu.Unlock()
+	e := d.state.roster.Find(p.Target.Key)
+	if e == nil || e.ID != p.Target.ID || e.Service != w.Service.Name || d.state.roster.Unusable(time.Now(), p.Target.Key) {
 		return 0
 	}
-	return d.s.named[w.In.Model].left(p.Out.Version, d.placer.clock(), d.old)
+	return d.state.named[w.In.Model].timeToBegin(p.Out.Version, d.placer.clock(), d.versionBound)
 }
 
-func (d *dispatch) passOver(n Neighbour) {
+func (d *dispatchPlacer) avoidDispatcher(n Neighbour) {
 	d.mu.Lock()
-	d.away[n.Address] = d.clock() + dispatchAway
+	d.avoidedUntil[n.Address] = d.clock() + dispatcherAvoidance
 	d.mu.Unlock()
-	d.log.Info("Dispatcher gave no answer.", "dispatcher", n.Name, "waited_ms", dispatchTime.Milliseconds())
+	d.log.Info("Dispatcher did not answer.", "dispatcher", n.Name, "waited_ms", dispatchTimeout.Milliseconds())
 }
 
 // Answered implements forward.Placer.
-func (d *dispatch) Answered(p *forward.Placement, info *forward.AnswerInfo) {
+func (d *dispatchPlacer) Answered(p *forward.Placement, info *forward.AnswerInfo) {
 	if info.Load != nil && p.Out.Version != 0 {
-		d.hear(p.Target.Key, info.Load)
+		d.observeLoad(p.Target.Key, info.Load)
 	}
 	if p.Notes.Dispatcher != "" {
-		d.post(p.Notes.Dispatcher, kindAnswered, answeredMessage{ID: p.ID, Info: *info})
+		d.sendMessage(p.Notes.Dispatcher, kindAnswered, answeredMessage{ID: p.ID, Info: *info})
 	}
 	d.placer.Answered(p, info)
 }
 
 // Ended implements forward.Placer.
-func (d *dispatch) Ended(p *forward.Placement, end forward.End) {
+func (d *dispatchPlacer) Ended(p *forward.Placement, end forward.End) {
 	if p.Notes.Dispatcher != "" {
-		d.post(p.Notes.Dispatcher, kindEnded, endedMessage{ID: p.ID, End: end})
+		d.sendMessage(p.Notes.Dispatcher, kindEnded, endedMessage{ID: p.ID, End: end})
 	}
 	d.placer.Ended(p, end)
 }
 
-// expire forgets placements whose end was never told.
-func (d *dispatch) expire(now time.Time) {
+// expire ends placements for other daemons whose end was not reported in time.
+func (d *dispatchPlacer) expire(now time.Time) {
 	d.mu.Lock()
 	var over []*openPlacement
 	for key, o := range d.open {
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -13,7 +13,7 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Kinds of message between daemons.
+// Message types between daemons, sent as the first byte.
 const (
 	kindPlace    = 0x21
 	kindPlaced   = 0x22
@@ -22,7 +22,7 @@
 	kindLoads    = 0x25
 )
 
-// placeMessage asks for a place.
+// placeMessage asks the dispatcher to place a prompt.
 type placeMessage struct {
 	ID       uint64             `json:"id"`
 	Route    string             `json:"route"`
@@ -33,11 +33,11 @@
 	LeftMs   int64              `json:"left_ms"`
 	Avoid    []fleet.EndpointID `json:"avoid,omitempty"`
 	Resuming bool               `json:"resuming,omitempty"`
-	Loads    []toldLoad         `json:"loads,omitempty"`
+	Loads    []reportedLoad     `json:"loads,omitempty"`
 }
 
-// toldLoad is what an engine told the sender of its load.
-type toldLoad struct {
+// reportedLoad is the load that an engine reported to the sender.
+type reportedLoad struct {
 	Engine  fleet.EndpointID `json:"e"`
 	Running int              `json:"r"`
 	Waiting int              `json:"w"`
@@ -45,35 +45,37 @@
 	AgeMs   int64            `json:"a"`
 }
 
-// heardLoad is a load that the dispatcher was not told yet.
-type heardLoad struct {
+// observedLoad is a load reported by an engine that has not been sent to the dispatcher
+// yet.
+type observedLoad struct {
 	load fleet.Load
 	at   time.Time
 }
 
-// placedMessage is the answer: a place, or a refusal.
+// placedMessage answers a placeMessage with a placement or a refusal.
 type placedMessage struct {
 	ID      uint64                `json:"id"`
 	Place   *forward.Placement    `json:"place,omitempty"`
-	LeftMs  int64                 `json:"left_ms,omitempty"` // until the prompt must have begun; 0: any time
+	LeftMs  int64                 `json:"left_ms,omitempty"` // until the prompt must have begun; 0: no limit
 	Refused *forward.RefusedError `json:"refused,omitempty"`
-	Unknown bool                  `json:"unknown,omitempty"` // the dispatcher knows no such route
+	Unknown bool                  `json:"unknown,omitempty"` // the dispatcher's configuration lacks the route, or it failed otherwise
 }
 
-// answeredMessage tells the dispatcher of the beginning of an answer.
+// answeredMessage reports the beginning of an answer to the dispatcher.
 type answeredMessage struct {
 	ID   uint64             `json:"id"`
 	Info forward.AnswerInfo `json:"info"`
 }
 
-// endedMessage tells the dispatcher of the end of an attempt.
+// endedMessage reports the end of an attempt to the dispatcher.
 type endedMessage struct {
 	ID  uint64      `json:"id"`
 	End forward.End `json:"end"`
 }
 
-// post sends a message. It returns false for one that is too long for a datagram.
-func (d *dispatch) post(to string, kind byte, m any) bool {
+// sendMessage sends a message. It returns false if the message cannot be encoded or
+// exceeds a datagram.
+func (d *dispatchPlacer) sendMessage(to string, kind byte, m any) bool {
 	b, err := json.Marshal(m)
 	if err != nil || len(b) >= datagramBytes {
 		return false
@@ -82,38 +84,38 @@
 	return true
 }
 
-// receive takes a message of another daemon. It returns false if it is not one of
-// dispatching.
-func (d *dispatch) receive(from string, data []byte) bool {
+// receive handles a message of another daemon. It returns false if the message is not
+// one of dispatching.
+func (d *dispatchPlacer) receive(from string, data []byte) bool {
 	if len(data) == 0 || data[0] < kindPlace || data[0] > kindLoads {
 		return false
 	}
-	if err := d.take(from, data[0], data[1:]); err != nil {
-		d.log.Info("Message of dispatching is malformed.", "from", from, "error", err.Error())
+	if err := d.handle(from, data[0], data[1:]); err != nil {
+		d.log.Info("Dispatch message is malformed.", "from", from, "error", err.Error())
 	}
 	return true
 }
 
-func (d *dispatch) take(from string, kind byte, data []byte) error {
+func (d *dispatchPlacer) handle(from string, kind byte, data []byte) error {
 	switch kind {
 	case kindPlace:
 		var m placeMessage
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
-		d.post(from, kindPlaced, d.placeFor(from, &m))
+		d.sendMessage(from, kindPlaced, d.placeFor(from, &m))
 	case kindPlaced:
 		var m placedMessage
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
-		d.placed(from, &m)
+		d.deliverAnswer(from, &m)
 	case kindAnswered:
 		var m answeredMessage
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
-		if p := d.opened(dispatched{from, m.ID}, false); p != nil {
+		if p := d.openFor(placementKey{from, m.ID}, false); p != nil {
 			d.placer.Answered(p, &m.Info)
 		}
 	case kindLoads:
@@ -121,37 +123,38 @@
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
-		d.s.news(time.Now(), m)
+		d.state.applyEngineUpdates(time.Now(), m)
 	case kindEnded:
 		var m endedMessage
 		if err := json.Unmarshal(data, &m); err != nil {
 			return err
 		}
-		if p := d.opened(dispatched{from, m.ID}, true); p != nil {
+		if p := d.openFor(placementKey{from, m.ID}, true); p != nil {
 			d.placer.Ended(p, m.End)
 		}
 	}
 	return nil
 }
 
-// placed hands an answer to the request that waits for it. Nobody waits for one that
-// is late: its place is free again.
-func (d *dispatch) placed(from string, m *placedMessage) {
+// deliverAnswer passes an answer to the waiting request. If the answer is late, no
+// request waits for it and its placement is released.
+func (d *dispatchPlacer) deliverAnswer(from string, m *placedMessage) {
 	d.mu.Lock()
-	answer := d.waiting[m.ID]
-	delete(d.waiting, m.ID)
+	answer := d.pendingAnswers[m.ID]
+	delete(d.pendingAnswers, m.ID)
 	d.mu.Unlock()
 	if answer != nil {
 		answer <- *m
 		return
 	}
 	if m.Place != nil {
-		d.post(from, kindEnded, endedMessage{ID: m.ID, End: forward.End{Left: true}})
+		d.sendMessage(from, kindEnded, endedMessage{ID: m.ID, End: forward.End{Left: true}})
 	}
 }
 
-// opened returns a placement for another daemon, and forgets it if it has ended.
-func (d *dispatch) opened(key dispatched, ended bool) *forward.Placement {
+// openFor returns a placement made for another daemon, or nil, and deletes it if it has
+// ended.
+func (d *dispatchPlacer) openFor(key placementKey, ended bool) *forward.Placement {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	o := d.open[key]
@@ -167,13 +170,13 @@
 }
 
 // placeFor places a prompt for another daemon.
-func (d *dispatch) placeFor(from string, m *placeMessage) placedMessage {
+func (d *dispatchPlacer) placeFor(from string, m *placeMessage) placedMessage {
 	w, ok := d.workOf(m)
 	if !ok {
 		return placedMessage{ID: m.ID, Unknown: true}
 	}
-	d.toldOf(time.Now(), m.Loads)
-	p, err := d.placeKnown(time.Now(), w)
+	d.applyReportedLoads(time.Now(), m.Loads)
+	p, err := d.placeAsDispatcher(time.Now(), w)
 	var refused *forward.RefusedError
 	switch {
 	case errors.As(err, &refused):
@@ -182,7 +185,7 @@
 		return placedMessage{ID: m.ID, Unknown: true}
 	}
 	d.mu.Lock()
-	d.open[dispatched{from, m.ID}] = &openPlacement{Placement: p, until: time.Now().Add(p.Wait + openSlack)}
+	d.open[placementKey{from, m.ID}] = &openPlacement{Placement: p, until: time.Now().Add(p.Wait + beginTimeoutSlack)}
 	d.mu.Unlock()
 	out := placedMessage{ID: m.ID, Place: &p}
 	if !p.BeginBy.IsZero() {
@@ -192,9 +195,9 @@
 }
 
 // workOf rebuilds a request from the message. It returns false if this daemon's
-// configuration lacks its route.
-func (d *dispatch) workOf(m *placeMessage) (*forward.Work, bool) {
-	t := d.s.table.Load()
+// configuration lacks the route or the service.
+func (d *dispatchPlacer) workOf(m *placeMessage) (*forward.Work, bool) {
+	t := d.state.table.Load()
 	if t == nil || t.Services[m.Service] == nil || t.Services[m.Service].Engine == nil {
 		return nil, false
 	}
@@ -218,41 +221,41 @@
 	return w, true
 }
 
-// toldLoads bounds the loads that one question tells of.
-const toldLoads = 10
+// maxReportedLoads bounds the loads in one placeMessage.
+const maxReportedLoads = 10
 
-// heardLife is the age from which a load is not worth telling.
-const heardLife = time.Second
+// maxObservedLoadAge is the age above which a load is not sent to the dispatcher.
+const maxObservedLoadAge = time.Second
 
-// hear keeps a load for the dispatcher. Other daemons send short prompts to the same
-// engines, and the dispatcher sees none of them.
-func (d *dispatch) hear(key fleet.EndpointID, l *fleet.Load) {
+// observeLoad keeps a load for the next message to the dispatcher. Other daemons send
+// short prompts to the same engines, and the dispatcher sees none of them.
+func (d *dispatchPlacer) observeLoad(key fleet.EndpointID, l *fleet.Load) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.heard[key] = heardLoad{load: *l, at: time.Now()}
+	d.observedLoads[key] = observedLoad{load: *l, at: time.Now()}
 }
 
-// takeHeard returns the newest of the loads that were heard.
-func (d *dispatch) takeHeard(now time.Time) []toldLoad {
+// takeObservedLoads removes all observed loads and returns the most recent ones.
+func (d *dispatchPlacer) takeObservedLoads(now time.Time) []reportedLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	var out []toldLoad
-	for key, h := range d.heard {
-		if age := now.Sub(h.at); age < heardLife {
-			out = append(out, toldLoad{Engine: key, Running: h.load.Running, Waiting: h.load.Waiting, Slots: h.load.Slots, AgeMs: age.Milliseconds()})
+	var out []reportedLoad
+	for key, h := range d.observedLoads {
+		if age := now.Sub(h.at); age < maxObservedLoadAge {
+			out = append(out, reportedLoad{Engine: key, Running: h.load.Running, Waiting: h.load.Waiting, Slots: h.load.Slots, AgeMs: age.Milliseconds()})
 		}
 	}
-	clear(d.heard)
-	slices.SortFunc(out, func(a, b toldLoad) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
-	return out[:min(len(out), toldLoads)]
+	clear(d.observedLoads)
+	slices.SortFunc(out, func(a, b reportedLoad) int { return cmp.Compare(a.AgeMs, b.AgeMs) })
+	return out[:min(len(out), maxReportedLoads)]
 }
 
-// toldOf takes loads that another daemon heard.
-func (d *dispatch) toldOf(now time.Time, all []toldLoad) {
-	for _, t := range all {
-		d.s.view.LoadReported(t.Engine, fleet.Load{
+// applyReportedLoads applies loads that another daemon observed.
+func (d *dispatchPlacer) applyReportedLoads(now time.Time, loads []reportedLoad) {
+	for _, t := range loads {
+		d.state.view.LoadReported(t.Engine, fleet.Load{
 			At: now.Add(-time.Duration(t.AgeMs) * time.Millisecond), Running: t.Running, Waiting: t.Waiting, Slots: t.Slots,
-			WaitingTokens: d.waitingTokens(laneShort, max(0, t.Waiting-d.s.view.Unread(t.Engine))),
+			WaitingTokens: d.estimateWaiting(subpoolShort, max(0, t.Waiting-d.state.view.Unread(t.Engine))),
 		})
 	}
 }
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -17,7 +17,7 @@
 
 // dispatchWorld is some daemons before some engines, with messages that arrive at once.
 type dispatchWorld struct {
-	all  []*dispatch
+	all  []*dispatchPlacer
 	lost map[string]bool // addresses that get no messages
 }
 
@@ -57,7 +57,7 @@
 		s.refresh(now)
 		s.mu.Unlock()
 		from := list[i].Address
-		d := newDispatch(list[i], s, newPlacer(s, set, silentEngines{}, clock, rng), clock, quiet(), func(to string, data []byte) { w.send(from, to, data) })
+		d := newDispatchPlacer(list[i], s, newPlacer(s, set, silentEngines{}, clock, rng), clock, quiet(), func(to string, data []byte) { w.send(from, to, data) })
 		d.setDaemons(list)
 		w.all = append(w.all, d)
 	}
@@ -69,22 +69,22 @@
 		return
 	}
 	for _, d := range w.all {
-		if d.me.Address == to {
+		if d.self.Address == to {
 			d.receive(from, data)
 		}
 	}
 }
 
 // work is a long prompt with the given shared part.
-func (w *dispatchWorld) work(d *dispatch, part string) *forward.Work {
-	t := d.s.table.Load()
+func (w *dispatchWorld) work(d *dispatchPlacer, part string) *forward.Work {
+	t := d.state.table.Load()
 	return &forward.Work{
 		Route: &t.Routes[0], Service: t.Services["s"], Table: t, Arrived: time.Now(), Deadline: time.Now().Add(6 * time.Second),
 		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Part{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
 	}
 }
 
-func (w *dispatchWorld) place(t *testing.T, d *dispatch, part string) forward.Placement {
+func (w *dispatchWorld) place(t *testing.T, d *dispatchPlacer, part string) forward.Placement {
 	t.Helper()
 	p, err := d.Place(context.Background(), w.work(d, part))
 	if err != nil {
@@ -126,7 +126,7 @@
 	w := newDispatchWorld(t, 6, 12)
 	asker := w.all[0]
 	first, _ := asker.dispatcher(asker.groupOf(w.work(asker, "p")))
-	if first == asker.me {
+	if first == asker.self {
 		asker = w.all[1]
 	}
 	w.lost[first.Address] = true
@@ -134,7 +134,7 @@
 	if p := w.place(t, asker, "p"); p.Notes.Dispatcher != "" {
 		t.Errorf("placed by %s", p.Notes.Dispatcher)
 	}
-	if took := time.Since(began); took > 10*dispatchTime {
+	if took := time.Since(began); took > 10*dispatchTimeout {
 		t.Errorf("placed after %v", took)
 	}
 	next, _ := asker.dispatcher(asker.groupOf(w.work(asker, "p")))
@@ -149,15 +149,15 @@
 	w := newDispatchWorld(t, 2, 1)
 	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
 	asker, dispatcher := w.all[0], w.all[1]
-	if to == asker.me {
+	if to == asker.self {
 		asker, dispatcher = dispatcher, asker
 	}
 	p := w.place(t, asker, "p")
-	if n := dispatcher.s.view.Unread(p.Target.Key); n != 1 {
+	if n := dispatcher.state.view.Unread(p.Target.Key); n != 1 {
 		t.Fatalf("%d prompts are unread", n)
 	}
-	dispatcher.expire(time.Now().Add(p.Wait + openSlack + time.Second))
-	if n := dispatcher.s.view.Unread(p.Target.Key); n != 0 || len(dispatcher.open) != 0 {
+	dispatcher.expire(time.Now().Add(p.Wait + beginTimeoutSlack + time.Second))
+	if n := dispatcher.state.view.Unread(p.Target.Key); n != 0 || len(dispatcher.open) != 0 {
 		t.Errorf("%d prompts are unread, %d placements open", n, len(dispatcher.open))
 	}
 }
@@ -171,8 +171,8 @@
 		d.Ended(&p, forward.End{Whole: true})
 	}
 	for _, d := range w.all {
-		if n := d.s.view.Unread("A@0"); n != 0 || len(d.open) != 0 {
-			t.Errorf("%s: %d prompts are unread, %d placements open", d.me.Name, n, len(d.open))
+		if n := d.state.view.Unread("A@0"); n != 0 || len(d.open) != 0 {
+			t.Errorf("%s: %d prompts are unread, %d placements open", d.self.Name, n, len(d.open))
 		}
 	}
 }
@@ -182,11 +182,11 @@
 func TestDispatcherWithoutEndpointsDecidesNothing(t *testing.T) {
 	w := newDispatchWorld(t, 3, 4)
 	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
-	var asker *dispatch
+	var asker *dispatchPlacer
 	for _, d := range w.all {
-		if d.me == to {
-			for key := range d.s.roster.All() {
-				d.s.roster.Rest(time.Now(), key, time.Minute)
+		if d.self == to {
+			for key := range d.state.roster.All() {
+				d.state.roster.Rest(time.Now(), key, time.Minute)
 			}
 		} else {
 			asker = d
@@ -219,18 +219,18 @@
 func TestLoadsAreToldAtOnce(t *testing.T) {
 	w := newDispatchWorld(t, 3, 4)
 	loading := weights.News{Engine: "B@0", Model: "m", Version: 2, Loading: true}
-	w.all[0].tellLoads([]weights.News{loading})
+	w.all[0].sendLoads([]weights.News{loading})
 	for _, d := range w.all[1:] {
-		if !d.s.roster.Unusable(time.Now(), "B@0") || d.s.roster.Unusable(time.Now(), "A@0") {
-			t.Errorf("%s: the engine that loads is used, or another is not", d.me.Name)
+		if !d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Unusable(time.Now(), "A@0") {
+			t.Errorf("%s: the engine that loads is used, or another is not", d.self.Name)
 		}
 	}
 	done := loading
 	done.Loading = false
-	w.all[0].tellLoads([]weights.News{done})
+	w.all[0].sendLoads([]weights.News{done})
 	for _, d := range w.all[1:] {
-		if d.s.roster.Unusable(time.Now(), "B@0") || d.s.roster.Find("B@0").Versions["m"] != 2 {
-			t.Errorf("%s: the engine that has its weights is not used", d.me.Name)
+		if d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Find("B@0").Versions["m"] != 2 {
+			t.Errorf("%s: the engine that has its weights is not used", d.self.Name)
 		}
 	}
 }
@@ -241,14 +241,14 @@
 	w := newDispatchWorld(t, 3, 4)
 	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
 	for _, d := range w.all {
-		if d.me == to {
+		if d.self == to {
 			continue
 		}
-		d.s.named["m"] = named{{version: 2, since: d.clock() - time.Hour}}
+		d.state.named["m"] = versionHistory{{version: 2, since: d.clock() - time.Hour}}
 		if p, err := d.Place(context.Background(), w.work(d, "p")); err == nil {
 			t.Errorf("placed on version %d by %q", p.Out.Version, p.Notes.Dispatcher)
 		}
-		d.s.named["m"] = named{{version: 2, since: d.clock()}}
+		d.state.named["m"] = versionHistory{{version: 2, since: d.clock()}}
 		p := w.place(t, d, "p")
 		if left := time.Until(p.BeginBy); p.BeginBy.IsZero() || left > time.Minute {
 			t.Errorf("the prompt may begin until %v from now", left)
@@ -262,7 +262,7 @@
 	w := newDispatchWorld(b, 2, 72)
 	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
 	asker := w.all[0]
-	if to == asker.me {
+	if to == asker.self {
 		asker = w.all[1]
 	}
 	b.ReportAllocs()
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -70,7 +70,7 @@
 		}
 	}
 	first := v.candidates(TopicOperator, false, 0)[0]
-	s := &subscription{n: v, topic: TopicOperator, some: true}
+	s := &subscription{neighbours: v, topic: TopicOperator, known: true}
 	if _, _, ok := s.read(t.Context(), 0, ""); ok {
 		t.Fatal("a dead neighbour answered")
 	}
@@ -88,7 +88,7 @@
 // A neighbour lost its own way to the store and passes on what is old, or
 // answers nonsense. The store must be asked.
 func TestOldOrMalformedAnswersSendToTheStore(t *testing.T) {
-	oldest := time.Duration(relayAgePart * float64(bounds.ConfigWithin))
+	oldest := time.Duration(relayAgeFraction * float64(bounds.ConfigWithin))
 	for name, c := range map[string]struct {
 		answer string
 		ok     bool
@@ -103,7 +103,7 @@
 			defer server.Close()
 			v := zoneOf(10, "j")
 			v.choice.Set(append([]readers.Daemon{{Name: "n", Address: server.Listener.Addr().String()}}, nobodyElse(v, "n")...))
-			s := &subscription{n: v, topic: TopicOperator}
+			s := &subscription{neighbours: v, topic: TopicOperator}
 			got, confirmed, ok := s.read(t.Context(), 4, "")
 			if ok != c.ok || (ok && (len(got.Records) != 1 || string(got.Records[0].Value) != "v" || confirmed != time.Millisecond-oldest)) {
 				t.Errorf("%+v of %v, %v", got, confirmed, ok)
@@ -115,11 +115,11 @@
 // nobodyElse makes a zone in which the daemon reads through the given one only.
 func nobodyElse(v *neighbours, through string) []readers.Daemon {
 	var out []readers.Daemon
-	for i := 0; len(out) < relayFrom; i++ {
+	for i := 0; len(out) < relayMinDaemons; i++ {
 		out = append(out, readers.Daemon{Name: fmt.Sprint("later-", i), Address: "127.0.0.1:1"})
-		c := readers.New(readers.Daemon{Name: v.me.Name})
+		c := readers.New(readers.Daemon{Name: v.self.Name})
 		c.Set(append([]readers.Daemon{{Name: through, Address: "x"}}, out...))
-		if found := c.Candidates(0, relayTries); len(found) != 1 || found[0].Name != through {
+		if found := c.Candidates(0, maxRelayNeighbours); len(found) != 1 || found[0].Name != through {
 			out = out[:len(out)-1]
 		}
 	}
@@ -143,7 +143,7 @@
 				v := newNeighbours(me, set, net.Dialer{}, fixed(0), quiet())
 				v.set(all)
 				for _, topic := range []Topic{TopicOperator, TopicEndpoints} {
-					if worst := v.patience(topic) + 2*v.grace + v.next; worst > bound*9/10 {
+					if worst := v.maxAnswerAge(topic) + 2*v.grace + v.secondWait; worst > bound*9/10 {
 						t.Fatalf("%s: known after %v, bound %v", topic, worst, bound)
 					}
 				}
@@ -161,13 +161,13 @@
 		v := newNeighbours(Neighbour{Name: "a", Zone: "z"}, &Settings{ConfigWithin: bound, DrainWithin: bound}, net.Dialer{}, fixed(0), quiet())
 		const late = 0.1 // of the bound: for the store, the ways between and a busy reader
 		for topic, oldest := range map[Topic]float64{
-			TopicOperator:  2 * relayWaitPart,
-			TopicEndpoints: relayEndpointsPart,
+			TopicOperator:  2 * relayStoreWaitFraction,
+			TopicEndpoints: relayEndpointsReadFraction,
 			TopicLease:     2 * leaseRelayWait.Seconds() / bound.Seconds(),
-			TopicDaemons:   2 * daemonsWait.Seconds() / bound.Seconds(),
+			TopicDaemons:   2 * maxDaemonsWait.Seconds() / bound.Seconds(),
 		} {
-			if got := time.Duration((oldest + late) * float64(bound)); got > v.oldest[topic] {
-				t.Errorf("%s is %v old before the next answer, and left from %v on", topic, got, v.oldest[topic])
+			if got := time.Duration((oldest + late) * float64(bound)); got > v.maxAge[topic] {
+				t.Errorf("%s is %v old before the next answer, and left from %v on", topic, got, v.maxAge[topic])
 			}
 		}
 	}
@@ -179,12 +179,12 @@
 // old as that: the endpoint's time to leave runs since then. After failed reads
 // the store was away, its leases ran out there, and their time begins now.
 func TestRemovalMayBeAsOldAsTheReadBefore(t *testing.T) {
-	f := &follower{r: &Router{clock: fixed(900 * time.Millisecond)}, reads: 3}
-	if got := f.unseen(); got != 900*time.Millisecond {
+	f := &follower{router: &Router{clock: fixed(900 * time.Millisecond)}, answeredReads: 3}
+	if got := f.undetectedFor(); got != 900*time.Millisecond {
 		t.Errorf("%v after an answered read", got)
 	}
-	f.failed = 1
-	if got := f.unseen(); got != 0 {
+	f.failedReads = 1
+	if got := f.undetectedFor(); got != 0 {
 		t.Errorf("%v after a failed read", got)
 	}
 }
@@ -209,23 +209,23 @@
 func TestNamingCountsFromTheAnswerBefore(t *testing.T) {
 	set := Settings{Zone: "z", VersionWithin: within}
 	r := &Router{
-		o: Options{Settings: set, Store: oneRecord{}, Codec: namesWeights{}}, clock: BootClock,
-		s: newState(&set, rand.New(rand.NewPCG(1, 2))), log: quiet(),
+		options: Options{Settings: set, Store: oneRecord{}, Codec: namesWeights{}}, clock: BootClock,
+		state: newState(&set, rand.New(rand.NewPCG(1, 2))), log: quiet(),
 		neighbours: newNeighbours(Neighbour{}, bounds, net.Dialer{}, BootClock, quiet()),
 	}
 	for topic := range r.feeds {
 		r.feeds[topic] = feed.New(true)
 	}
 	f := r.newFollower(TopicOperator)
-	f.loaded, f.reads, f.next, f.known = true, 4, 7, BootClock()-1500*time.Millisecond
+	f.complete, f.answeredReads, f.next, f.knownAt = true, 4, 7, BootClock()-1500*time.Millisecond
 	f.apply = func(record Record) (Record, bool) {
-		r.operatorRecord(record, false, f.unseen())
+		r.operatorRecord(record, false, f.undetectedFor())
 		return record, true
 	}
 	if _, err := f.read(t.Context(), time.Second); err != nil {
 		t.Fatal(err)
 	}
-	if left := r.s.named["m"].left(1, BootClock(), within); left > within-1500*time.Millisecond-beginSlack {
+	if left := r.state.named["m"].timeToBegin(1, BootClock(), within); left > within-1500*time.Millisecond-beginSlack {
 		t.Errorf("%v left", left)
 	}
 }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -115,8 +115,8 @@
 	}, noMeters())
 	me := daemonAddress(i)
 	r.datagrams.write = func(to netip.AddrPort, data []byte) error { return f.carry(me, to, data) }
-	r.s.table.Store(f.table)
-	r.s.operator.Answered(f.clock(), f.clock())
+	r.state.table.Store(f.table)
+	r.state.operator.Answered(f.clock(), f.clock())
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	if f.stops[i] != nil {
@@ -136,27 +136,27 @@
 	f.mu.Unlock()
 	r.limits.setDaemons(all)
 	r.quarantine.SetDaemons(peersOf(all))
-	r.room.SetDaemons(peersOf(all))
+	r.endpointLimits.SetDaemons(peersOf(all))
 	r.dispatch.setDaemons(all)
 	for _, e := range up {
 		r.list(e)
 	}
-	go r.keepTime(ctx)
+	go r.runPeriodic(ctx)
 	go r.quarantine.Run(ctx)
-	go r.room.Run(ctx)
+	go r.endpointLimits.Run(ctx)
 }
 
 // list tells the daemon of an endpoint, as its entry in the store does.
 func (r *Router) list(e directory.Entry) {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	r.s.roster.Put(e)
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	r.state.roster.Put(e)
 }
 
 func (r *Router) unlist(id string) {
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	r.s.roster.Remove(time.Now(), time.Now(), id)
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	r.state.roster.Remove(time.Now(), time.Now(), id)
 }
 
 func noMeters() *meters {
@@ -210,7 +210,7 @@
 			answer.Code = 0
 		}
 	}()
-	r.front.Handler.ServeHTTP(answer, req)
+	r.callerServer.Handler.ServeHTTP(answer, req)
 	return answer
 }
 
--- a/router/fold.go
+++ b/router/fold.go
@@ -8,46 +8,47 @@
 	"github.com/merlindock/merlindock/forward"
 )
 
-// ordinaryPerSecond is the number of lines of ordinary requests that a daemon
-// writes in a second: three times the 62 requests/s of a daemon at the size that
-// decides the design. The lines of all other requests are written always.
+// ordinaryPerSecond bounds the log lines of ordinary requests that a daemon writes in
+// one second. It is three times the 62 requests/s that a daemon serves at the fleet
+// size the design is based on. Lines of all other requests are always written.
 const ordinaryPerSecond = 200
 
-// readyPerSecond is the number of lines of endpoints that registered or changed and are
-// ready. In a start or a release there are hundreds a second; the lines of those that
-// leave are written always.
+// readyPerSecond bounds the log lines in one second for endpoints that registered or
+// changed and are ready. During a start or a release there are hundreds a second. Lines
+// of endpoints that leave are always written.
 const readyPerSecond = 20
 
-// fold bounds the lines of one ordinary kind under load. What is written past the
-// bound costs processor time just when there is none to spare, and the queue of
-// lines drops others: the ones of failures, which somebody will look for.
-type fold struct {
-	most    int // lines a second
-	mu      sync.Mutex
-	second  int64
-	written int
-	folded  int
+// lineLimiter bounds the log lines of one ordinary kind per second. Above the bound,
+// lines would take processor time exactly when the daemon is short of it, and the log
+// queue would drop other lines, among them those of failures.
+type lineLimiter struct {
+	perSecond  int // lines
+	mu         sync.Mutex
+	second     int64
+	written    int
+	suppressed int
 }
 
-// take tells whether to write the line of something ordinary that happened now, and
-// how many were left out in the second that ended before it; 0: nothing to tell.
-func (f *fold) take(now time.Time) (write bool, leftOut int) {
+// allow reports whether to write the line of an ordinary event at the given time.
+// leftOut is the number of lines left out in the previous second if that has just
+// ended, else 0.
+func (f *lineLimiter) allow(now time.Time) (write bool, leftOut int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if s := now.Unix(); s != f.second {
-		leftOut = f.folded
-		f.second, f.written, f.folded = s, 0, 0
+		leftOut = f.suppressed
+		f.second, f.written, f.suppressed = s, 0, 0
 	}
-	if f.written >= f.most {
-		f.folded++
+	if f.written >= f.perSecond {
+		f.suppressed++
 		return false, leftOut
 	}
 	f.written++
 	return true, leftOut
 }
 
-// ordinary tells whether a request ended as nearly all do: answered at the first
-// attempt, within the objective.
+// ordinary reports whether a request ended normally: answered without error at the
+// first attempt and within the route's latency objective.
 func ordinary(rep *forward.Report) bool {
 	took := rep.Duration
 	if rep.FirstEvent > 0 {
--- a/router/fold_test.go
+++ b/router/fold_test.go
@@ -11,11 +11,11 @@
 // of lines would drop some, and the one of the failed request that the operator
 // looks for may be among them.
 func TestOrdinaryLinesAreFoldedUnderLoad(t *testing.T) {
-	f := fold{most: ordinaryPerSecond}
+	f := lineLimiter{perSecond: ordinaryPerSecond}
 	at := time.Unix(1_800_000_000, 0)
 	written := 0
 	for range 5 * ordinaryPerSecond {
-		if ok, told := f.take(at); ok {
+		if ok, told := f.allow(at); ok {
 			written++
 		} else if told != 0 {
 			t.Fatalf("told of %d too early", told)
@@ -24,7 +24,7 @@
 	if written != ordinaryPerSecond {
 		t.Errorf("%d lines", written)
 	}
-	if ok, told := f.take(at.Add(time.Second)); !ok || told != 4*ordinaryPerSecond {
+	if ok, told := f.allow(at.Add(time.Second)); !ok || told != 4*ordinaryPerSecond {
 		t.Errorf("the next second writes %v and tells of %d", ok, told)
 	}
 }
--- a/router/follow.go
+++ b/router/follow.go
@@ -11,264 +11,272 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Times of following the store.
+// Intervals and timeouts for following the store.
 const (
-	// operatorPart is how long a read of the operator's topic waits for a
-	// record, as a part of Settings.RevokeWithin. Each answer confirms the keys
-	// anew. Calls cost; but keys must still be fresh when a read was lost and
-	// the next one answered.
-	operatorPart = 0.3
-	// answerTime is what a read may take beyond its wait. Answers usually take
-	// a few milliseconds; a connection that fell silent shows only by this.
-	answerTime = 900 * time.Millisecond
-	// endpointsPart is how often the list of endpoints is read, as a part of
-	// Settings.DrainWithin. The list changes all the time, so a read that waited
-	// for a change would return at once.
-	endpointsPart = 0.45
-	// relayEndpointsPart is that part for the daemon that reads for its zone, so that
-	// what it passes on is not too old for the others before the next read.
-	relayEndpointsPart = 0.36
-	// minPause and maxPause bound the time between a failed read and the next.
-	minPause = 60 * time.Millisecond
-	maxPause = 400 * time.Millisecond
-	// restEach is how long a daemon that reads through neighbours leaves the store
-	// alone after a failed read, for each daemon of its zone, give or take a half. The
-	// daemon that reads for the zone finds the store again first, and the calls of a zone
-	// do not grow with its daemons.
-	restEach = 100 * time.Millisecond
+	// operatorReadFraction is how long a read of the operator topic waits for a record,
+	// as a fraction of Settings.RevokeWithin. Each answer confirms the keys again.
+	// Frequent reads load the store, but keys must still be fresh when one read is lost
+	// and the next one is answered.
+	operatorReadFraction = 0.3
+	// answerTimeout is how long a read may take in addition to its wait. Answers
+	// usually take a few milliseconds; a connection that went silent is detected only
+	// by this timeout.
+	answerTimeout = 900 * time.Millisecond
+	// endpointsReadFraction is the interval between reads of the list of endpoints, as
+	// a fraction of Settings.DrainWithin. The list changes constantly, so a read that
+	// waited for a change would return at once.
+	endpointsReadFraction = 0.45
+	// relayEndpointsReadFraction is the same for the daemon that reads for its zone. It
+	// is shorter, so that what that daemon relays is not too old for the others before
+	// its next read.
+	relayEndpointsReadFraction = 0.36
+	// minRetryPause and maxRetryPause bound the time between a failed read and the next
+	// one.
+	minRetryPause = 60 * time.Millisecond
+	maxRetryPause = 400 * time.Millisecond
+	// storeBackoffPerDaemon is how long a daemon that reads through neighbours does not
+	// call the store after a failed read, for each daemon of its zone, plus or minus
+	// one half. The daemon that reads for the zone therefore detects first that the
+	// store is back, and the calls of a zone do not grow with its number of daemons.
+	storeBackoffPerDaemon = 100 * time.Millisecond
 )
 
-// errResting says that the store is left alone: a read failed, or neighbours that
-// start will know soon.
-var errResting = errors.New("router: the store is left alone for now")
+// errStoreBackoff is returned while the store is not called because a read failed or
+// because neighbours that are starting will soon have the data.
+var errStoreBackoff = errors.New("router: the store is not called during a backoff")
 
-// follower reads one topic.
+// follower reads one topic of the store, directly or through neighbours.
 type follower struct {
-	r      *Router
-	sub    *subscription
-	next   int64
-	loaded bool
-	load   *load // of everything, that is under way; nil: none
-	// apply takes a record. It returns what neighbours are told of it, and whether it
-	// says more than the one before it.
-	apply  func(Record) (told Record, more bool)
-	reads  int // answered
-	failed int // reads of the store in a row
-	// known is until when, by the boot clock, the newest answer tells all there was.
-	known time.Duration
-	// snapshot, if set, takes the keys of a read of everything.
-	snapshot func(present map[string]bool)
-	// relayed says that the newest answer came from a neighbour.
+	router       *Router
+	subscription *subscription
+	next         int64
+	complete     bool
+	fullRead     *fullRead // under way; nil: none
+	// apply applies a record. It returns the record as relayed to neighbours, and
+	// whether it differs from the previous one.
+	apply         func(Record) (relayed Record, changed bool)
+	answeredReads int
+	failedReads   int // consecutive failures
+	// knownAt is the latest time on the boot clock at which this daemon had all
+	// records.
+	knownAt time.Duration
+	// onSnapshot, if set, is called with the keys present after a full read.
+	onSnapshot func(present map[string]bool)
+	// relayed reports whether the last answer came from a neighbour.
 	relayed bool
 }
 
 func (r *Router) newFollower(t Topic) *follower {
-	return &follower{r: r, sub: &subscription{n: r.neighbours, topic: t}}
+	return &follower{router: r, subscription: &subscription{neighbours: r.neighbours, topic: t}}
 }
 
-func (f *follower) feed() *feed.Feed { return f.r.feeds[f.sub.topic] }
+func (f *follower) feed() *feed.Feed { return f.router.feeds[f.subscription.topic] }
 
-// progress is what a read brought.
-type progress struct {
-	more  bool // more is there already
-	newer bool // the store confirmed that this is all at a later time than before
+// readResult is the outcome of a successful read.
+type readResult struct {
+	more  bool // more records are available already
+	newer bool // the store confirmed the complete state at a later time than before
 }
 
-// read makes one read, through a neighbour or of the store itself, and applies it.
-func (f *follower) read(ctx context.Context, wait time.Duration) (progress, error) {
+// read makes one read, through a neighbour or from the store itself, and applies the
+// result.
+func (f *follower) read(ctx context.Context, wait time.Duration) (readResult, error) {
 	from, after := f.next, ""
-	if f.loading() {
+	if f.needsFullRead() {
 		from, after = -1, f.pageAfter(true)
 	}
-	got, confirmed, ok := f.sub.read(ctx, from, after)
-	f.feed().Progress(f.sub.progress)
-	f.feed().SetDetached(f.sub.detached)
+	got, confirmed, ok := f.subscription.read(ctx, from, after)
+	f.feed().Progress(f.subscription.progress)
+	f.feed().SetDetached(f.subscription.detached)
 	f.relayed = ok
 	switch {
 	case ok && got.All:
-		return f.takePage(after, confirmed, Page{Records: got.Records, End: got.Next, More: got.More}), nil
+		return f.applyPage(after, confirmed, Page{Records: got.Records, End: got.Next, More: got.More}), nil
 	case ok:
-		return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: !got.More, Confirmed: confirmed}), nil
+		return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: !got.More, Confirmed: confirmed}), nil
 	case ctx.Err() != nil:
-		return progress{}, ctx.Err() // the question was cut off, no neighbour is at fault
-	case f.sub.rests():
-		return progress{}, errResting
+		return readResult{}, ctx.Err() // the request was cancelled, no neighbour is at fault
+	case f.subscription.storeBackedOff():
+		return readResult{}, errStoreBackoff
 	}
 	return f.readStore(ctx, wait)
 }
 
-// readStore makes one read of the store. A read of everything has a time for each page
-// and none for all: a small link would otherwise never get to the end.
-func (f *follower) readStore(ctx context.Context, wait time.Duration) (progress, error) {
-	sent := f.r.clock()
-	if f.loading() {
-		call, cancel := context.WithTimeout(ctx, answerTime)
+// readStore makes one read from the store. A full read has a timeout for each page and
+// none for the whole, as it would otherwise never finish over a slow link.
+func (f *follower) readStore(ctx context.Context, wait time.Duration) (readResult, error) {
+	sent := f.router.clock()
+	if f.needsFullRead() {
+		call, cancel := context.WithTimeout(ctx, answerTimeout)
 		defer cancel()
 		after := f.pageAfter(false)
-		page, err := f.r.o.Store.Newest(call, f.sub.topic, after)
+		page, err := f.router.options.Store.Newest(call, f.subscription.topic, after)
 		if err != nil {
-			return progress{}, err
+			return readResult{}, err
 		}
 		f.answered()
-		f.feed().Progress(f.r.clock())
-		return f.takePage(after, sent, page), nil
+		f.feed().Progress(f.router.clock())
+		return f.applyPage(after, sent, page), nil
 	}
-	call, cancel := context.WithTimeout(ctx, wait+answerTime)
+	call, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	got, err := f.r.o.Store.Read(call, f.sub.topic, f.next, wait)
+	got, err := f.router.options.Store.Read(call, f.subscription.topic, f.next, wait)
 	if errors.Is(err, ErrHistoryGone) {
-		f.loaded = false
-		f.r.log.Info("History of the store is gone, reading the newest of each key.", "topic", f.sub.topic.String(), "next", f.next)
-		return progress{more: true}, nil
+		f.complete = false
+		f.router.log.Info("History of the store is no longer kept, reading the newest record of each key.", "topic", f.subscription.topic.String(), "next", f.next)
+		return readResult{more: true}, nil
 	}
 	if err != nil {
-		return progress{}, err
+		return readResult{}, err
 	}
 	f.answered()
-	return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: got.End <= got.Next, Confirmed: sent}), nil
+	return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: got.End <= got.Next, Confirmed: sent}), nil
 }
 
-// answered takes that the store itself answered.
+// answered records that the store itself answered.
 func (f *follower) answered() {
-	f.sub.answered()
+	f.subscription.answered()
 	f.feed().SetDetached(false)
 }
 
-// take applies the records since the read before.
-func (f *follower) take(b feed.Batch) progress {
-	b.Records = f.fold(b.Records)
-	return f.finish(b)
+// applyBatch applies the records that follow the previous read.
+func (f *follower) applyBatch(b feed.Batch) readResult {
+	b.Records = f.applyRecords(b.Records)
+	return f.publish(b)
 }
 
-// fold applies records and returns those that neighbours need.
-func (f *follower) fold(records []Record) []Record {
-	var told []Record
+// applyRecords applies records and returns those that neighbours need.
+func (f *follower) applyRecords(records []Record) []Record {
+	var relayed []Record
 	for _, record := range records {
 		if record, more := f.apply(record); more {
-			told = append(told, record)
+			relayed = append(relayed, record)
 		}
 	}
-	return told
+	return relayed
 }
 
-// finish keeps what a read brought for the neighbours.
-func (f *follower) finish(b feed.Batch) progress {
-	until := f.r.clock()
+// publish adds a batch to the feed that neighbours read, and records the progress of
+// the read.
+func (f *follower) publish(b feed.Batch) readResult {
+	until := f.router.clock()
 	if f.relayed || b.All {
 		until = b.Confirmed
 	}
-	f.known = max(f.known, until)
+	f.knownAt = max(f.knownAt, until)
 	f.feed().Add(b)
-	f.next, f.loaded = b.Next, true
-	f.reads++
-	return progress{more: !b.Whole, newer: b.Whole && f.sub.confirm(b.Confirmed)}
+	f.next, f.complete = b.Next, true
+	f.answeredReads++
+	return readResult{more: !b.Whole, newer: b.Whole && f.subscription.confirm(b.Confirmed)}
 }
 
-// unseen is how long the topic may have been otherwise than this daemon knew,
-// when a read shows it. After failed reads it is zero: entries lapse while the
-// store is away, and nothing but the return of the store begins their time.
-func (f *follower) unseen() time.Duration {
-	if f.failed > 0 || f.reads == 0 {
+// undetectedFor returns how long ago a change that a read reveals may have happened. It
+// is zero after failed reads: entries lapse while the store is unavailable, and their
+// grace period begins only when the store is back.
+func (f *follower) undetectedFor() time.Duration {
+	if f.failedReads > 0 || f.answeredReads == 0 {
 		return 0
 	}
-	return max(0, f.r.clock()-f.known)
+	return max(0, f.router.clock()-f.knownAt)
 }
 
-// note logs that the store was lost or is back.
-func (f *follower) note(err error) {
+// logStoreState counts a failed read, and logs when the store becomes unavailable and
+// when it answers again.
+func (f *follower) logStoreState(err error) {
 	if err == nil {
-		if f.failed > 0 {
-			f.r.log.Info("Store answers again.", "topic", f.sub.topic.String(), "failed_reads", f.failed)
+		if f.failedReads > 0 {
+			f.router.log.Info("Store answers again.", "topic", f.subscription.topic.String(), "failed_reads", f.failedReads)
 		}
-		f.failed = 0
+		f.failedReads = 0
 		return
 	}
-	if errors.Is(err, errResting) || errors.Is(err, context.Canceled) {
-		return // nothing failed, or the failed read before it was logged
+	if errors.Is(err, errStoreBackoff) || errors.Is(err, context.Canceled) {
+		return // not a failure, or logged with the failed read before it
 	}
-	f.sub.failed()
-	if f.failed == 0 {
-		f.r.log.Warn("Store can't be read.", "topic", f.sub.topic.String(), "error", err.Error())
+	f.subscription.failed()
+	if f.failedReads == 0 {
+		f.router.log.Warn("Store cannot be read.", "topic", f.subscription.topic.String(), "error", err.Error())
 	}
-	f.failed++
-	f.r.metrics.storeFailures.Inc(1)
+	f.failedReads++
+	f.router.metrics.storeFailures.Inc(1)
 }
 
-// pauseAfter spreads the reads that follow a failed one: daemons that lost the
-// store together would otherwise come back to it together.
-func (f *follower) pauseAfter(ctx context.Context) {
-	longest := min(minPause<<min(f.failed, 4), maxPause)
-	if f.sub.rests() {
+// pauseAfterFailure waits a random time after a failed read, so that daemons that lost
+// the store together do not all call it again at the same time.
+func (f *follower) pauseAfterFailure(ctx context.Context) {
+	longest := min(minRetryPause<<min(f.failedReads, 4), maxRetryPause)
+	if f.subscription.storeBackedOff() {
 		longest = 0 // only neighbours are asked meanwhile
 	}
-	_ = pause.For(ctx, minPause+time.Duration(rand.Float64()*float64(longest)))
+	_ = pause.For(ctx, minRetryPause+time.Duration(rand.Float64()*float64(longest)))
 }
 
-// followOperator keeps the configuration and the named versions.
+// followOperator maintains the configuration and the named weight versions.
 func (r *Router) followOperator(ctx context.Context) {
 	f := r.newFollower(TopicOperator)
 	f.apply = func(record Record) (Record, bool) {
-		r.operatorRecord(record, !f.loaded && f.reads == 0, f.unseen())
+		r.operatorRecord(record, !f.complete && f.answeredReads == 0, f.undetectedFor())
 		return record, true
 	}
-	r.neighbours.await(ctx)
+	r.neighbours.awaitList(ctx)
 	for ctx.Err() == nil {
 		p, err := f.read(ctx, f.operatorWait())
-		f.note(err)
+		f.logStoreState(err)
 		if err != nil {
-			f.pauseAfter(ctx)
+			f.pauseAfterFailure(ctx)
 			continue
 		}
 		if p.newer {
-			r.s.operator.Answered(f.sub.confirmed, r.clock())
+			r.state.operator.Answered(f.subscription.confirmed, r.clock())
 		}
 	}
 }
 
-// operatorWait is how long a read of the store waits for a record. Keys that are old
-// already are confirmed first.
+// operatorWait returns how long a read from the store waits for a record. The wait is
+// zero if the keys are already out of date or the last read failed, so that they are
+// confirmed first.
 func (f *follower) operatorWait() time.Duration {
-	set := &f.r.o.Settings
+	set := &f.router.options.Settings
 	switch {
-	case f.failed > 0 || f.sub.stale():
+	case f.failedReads > 0 || f.subscription.stale():
 		return 0
-	case f.r.neighbours.relays(TopicOperator):
-		return time.Duration(relayWaitPart * float64(set.ConfigWithin))
+	case f.router.neighbours.relays(TopicOperator):
+		return time.Duration(relayStoreWaitFraction * float64(set.ConfigWithin))
 	default:
-		return time.Duration(operatorPart * float64(set.RevokeWithin))
+		return time.Duration(operatorReadFraction * float64(set.RevokeWithin))
 	}
 }
 
-// newEndpointsFollower returns the follower of the endpoints' entries.
+// newEndpointsFollower returns the follower of the entries of endpoints.
 func (r *Router) newEndpointsFollower() *follower {
 	f := r.newFollower(TopicEndpoints)
 	f.apply = func(record Record) (Record, bool) {
-		return r.endpointRecord(record, f.relayed, f.unseen(), f.load != nil)
+		return r.endpointRecord(record, f.relayed, f.undetectedFor(), f.fullRead != nil)
 	}
-	f.snapshot = func(present map[string]bool) {
+	f.onSnapshot = func(present map[string]bool) {
 		r.log.Info("Endpoints were read.", "endpoints", len(present), "through_neighbour", f.relayed)
-		r.endpointsPresent(present, f.unseen())
+		r.endpointsPresent(present, f.undetectedFor())
 	}
 	return f
 }
 
-// followEndpoints keeps the list of endpoints.
+// followEndpoints maintains the list of endpoints.
 func (r *Router) followEndpoints(ctx context.Context) {
-	r.keepReading(ctx, r.newEndpointsFollower())
+	r.pollTopic(ctx, r.newEndpointsFollower())
 }
 
-// keepReading reads a topic that changes all the time.
-func (r *Router) keepReading(ctx context.Context, f *follower) {
-	r.neighbours.await(ctx)
+// pollTopic reads a topic that changes constantly.
+func (r *Router) pollTopic(ctx context.Context, f *follower) {
+	r.neighbours.awaitList(ctx)
 	for ctx.Err() == nil {
 		p, err := f.read(ctx, 0)
-		f.note(err)
+		f.logStoreState(err)
 		if err != nil {
-			f.pauseAfter(ctx)
+			f.pauseAfterFailure(ctx)
 			continue
 		}
 		if p.newer {
-			r.s.endpoints.Answered(f.sub.confirmed, r.clock())
+			r.state.endpoints.Answered(f.subscription.confirmed, r.clock())
 		}
 		if p.more {
 			continue
@@ -277,38 +285,38 @@
 	}
 }
 
-// endpointsPause is the time from a read to the next.
+// endpointsPause returns the time between two reads of the list of endpoints.
 func (f *follower) endpointsPause() time.Duration {
-	within := float64(f.r.o.Settings.DrainWithin)
+	within := float64(f.router.options.Settings.DrainWithin)
 	switch {
 	case f.relayed:
 		return relayPause
-	case f.r.neighbours.relays(TopicEndpoints):
-		return time.Duration(relayEndpointsPart * within)
+	case f.router.neighbours.relays(TopicEndpoints):
+		return time.Duration(relayEndpointsReadFraction * within)
 	default:
-		return time.Duration(endpointsPart * within)
+		return time.Duration(endpointsReadFraction * within)
 	}
 }
 
-// operatorRecord puts a configuration or a version into force. Neither ever
-// goes back: records may be repeated or rewritten. first says that the record
-// was there when the daemon started, unseen how long before now it may have been
-// written.
+// operatorRecord applies a configuration or a named weight version. Neither is ever
+// replaced by an older one, as records may be repeated or rewritten. first reports
+// whether the record existed when the daemon started; unseen is how long before now it
+// may have been written.
 func (r *Router) operatorRecord(record Record, first bool, unseen time.Duration) {
 	if len(record.Value) == 0 {
 		return
 	}
-	change, err := r.o.Codec.Operator(record.Key, record.Value)
+	change, err := r.options.Codec.Operator(record.Key, record.Value)
 	if err != nil {
-		r.log.Error("Record of the operator can't be read, the one before stays in force.",
+		r.log.Error("Operator record cannot be decoded, the previous one stays in force.",
 			"key", record.Key, "offset", record.Offset, "error", err.Error())
 		return
 	}
 	if t := change.Table; t != nil {
-		if old := r.s.table.Load(); old != nil && old.Version >= t.Version {
+		if old := r.state.table.Load(); old != nil && old.Version >= t.Version {
 			return
 		}
-		r.s.table.Store(t)
+		r.state.table.Store(t)
 		r.limits.setLimits(t)
 		r.log.Info("Configuration is in force.", "version", t.Version, "offset", record.Offset,
 			"routes", len(t.Routes), "services", len(t.Services), "keys", len(t.Organisations))
@@ -317,75 +325,76 @@
 	if change.Model == "" {
 		return
 	}
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	if r.s.named[change.Model].newest() >= change.Weights {
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	if r.state.named[change.Model].newest() >= change.Weights {
 		return
 	}
-	// A read that waits may bring the record a second late. Counted from the reading,
-	// requests would begin on the weights before it past their bound.
-	n := naming{version: change.Weights, since: r.clock() - unseen}
+	// A waiting read may return the record a second late. If the time were counted from
+	// the read, requests would begin on the previous weights after their bound.
+	n := namedVersion{version: change.Weights, since: r.clock() - unseen}
 	if first {
-		n.since -= time.Duration(guessAge * float64(r.o.Settings.VersionWithin))
+		n.since -= time.Duration(guessedAgeFraction * float64(r.options.Settings.VersionWithin))
 		n.guessed = true
 	}
-	r.s.named[change.Model] = r.s.named[change.Model].add(n)
-	r.log.Info("Weights are named.", "model", change.Model, "version", change.Weights, "offset", record.Offset, "unseen_ms", unseen.Milliseconds())
+	r.state.named[change.Model] = r.state.named[change.Model].add(n)
+	r.log.Info("New weight version is named.", "model", change.Model, "version", change.Weights, "offset", record.Offset, "unseen_ms", unseen.Milliseconds())
 }
 
-// endpointsPresent drops the endpoints that a read of all entries does not name.
+// endpointsPresent removes the endpoints that are missing from a full read.
 func (r *Router) endpointsPresent(present map[string]bool, unseen time.Duration) {
 	now := time.Now()
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
-	for _, id := range r.s.roster.Retain(now, now.Add(-unseen), present) {
-		r.log.Info("Endpoint's entry is missing.", "endpoint", id, "unseen_ms", unseen.Milliseconds())
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
+	for _, id := range r.state.roster.Retain(now, now.Add(-unseen), present) {
+		r.log.Info("Endpoint's entry is missing from a full read.", "endpoint", id, "unseen_ms", unseen.Milliseconds())
 	}
 }
 
-// endpointRecord folds an entry of an endpoint, and returns it as neighbours are told
-// of it and whether it says more than the one before it. unseen is how long before now
-// it may have changed. One of many has no line of its own.
+// endpointRecord applies an entry of an endpoint. It returns the record as relayed to
+// neighbours, and whether it differs from the previous one. unseen is how long before
+// now the entry may have changed. Entries that are part of a full read (oneOfMany) are
+// not logged.
 func (r *Router) endpointRecord(record Record, relayed bool, unseen time.Duration, oneOfMany bool) (Record, bool) {
 	now := time.Now()
 	since := now.Add(-unseen)
-	r.s.mu.Lock()
-	defer r.s.mu.Unlock()
+	r.state.mu.Lock()
+	defer r.state.mu.Unlock()
 	if len(record.Value) == 0 {
-		if r.s.roster.Remove(now, since, record.Key) {
-			r.log.Info("Endpoint's entry is gone.", "endpoint", record.Key, "offset", record.Offset, "unseen_ms", unseen.Milliseconds())
+		if r.state.roster.Remove(now, since, record.Key) {
+			r.log.Info("Endpoint's entry was removed.", "endpoint", record.Key, "offset", record.Offset, "unseen_ms", unseen.Milliseconds())
 		}
 		return record, true
 	}
-	decode := r.o.Codec.Endpoint
+	decode := r.options.Codec.Endpoint
 	if relayed {
 		decode = directory.DecodeEntry
 	}
 	entry, err := decode(record.Key, record.Value)
 	if err != nil {
-		r.s.roster.Remove(now, since, record.Key)
-		r.log.Warn("Entry names no endpoint that can be used.", "endpoint", record.Key, "offset", record.Offset, "error", err.Error())
+		r.state.roster.Remove(now, since, record.Key)
+		r.log.Warn("Endpoint entry is not usable.", "endpoint", record.Key, "offset", record.Offset, "error", err.Error())
 		record.Value = nil
 		return record, true
 	}
-	news := r.s.roster.Put(entry)
-	if news == directory.Changed && !oneOfMany {
-		r.noteEndpoint(now, &entry, record.Offset)
+	change := r.state.roster.Put(entry)
+	if change == directory.Changed && !oneOfMany {
+		r.logEndpointChange(now, &entry, record.Offset)
 	}
-	more := news != directory.Repeat
+	more := change != directory.Repeat
 	if !relayed && (more || oneOfMany) {
 		record.Value = entry.Append(nil)
 	}
 	return record, more
 }
 
-// noteEndpoint writes the line of an endpoint that changed. When thousands register
-// within seconds, those that are ready are counted but for the first ones of a second.
-func (r *Router) noteEndpoint(now time.Time, entry *directory.Entry, offset int64) {
+// logEndpointChange logs a changed endpoint. When thousands register within seconds,
+// only the first ready endpoints of each second are logged and the others counted.
+func (r *Router) logEndpointChange(now time.Time, entry *directory.Entry, offset int64) {
 	if entry.State == directory.Ready {
-		write, leftOut := r.registered.take(now)
+		write, leftOut := r.endpointLog.allow(now)
 		if leftOut > 0 {
-			r.log.Info("Endpoints that changed and are ready were counted only.", "endpoints", leftOut)
+			r.log.Info("Lines of ready endpoints that changed were left out.", "endpoints", leftOut)
 		}
 		if !write {
 			return
--- a/router/lanes.go
+++ b/router/lanes.go
@@ -7,97 +7,100 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-// Bounds of the split between short and long prompts.
+// Parameters of the division of engines between short and long prompts.
 const (
-	// shortTokens is the longest prompt of the short lane: one that an engine
-	// reads in a single piece.
-	shortTokens = 2048
-	// shortRoom is how many more engines than their part of the work short prompts
-	// get: they have a tight objective, and are worth more for the time they take.
-	shortRoom = 1.5
-	// mostShort is the largest part of a pool that the short lane takes.
-	mostShort = 0.5
-	// workMemory is the time over which the two kinds of work are compared.
-	workMemory = 20 * time.Second
-	// splitStep is the change of the short part below which the split stays.
-	// Each change moves the homes of some prefixes.
-	splitStep = 0.02
-	// meanGain is the weight of one prompt in the mean length.
-	meanGain = 0.02
-	// firstShort is the part before anything was seen.
-	firstShort = 0.2
+	// maxShortTokens is the longest prompt of the short subpool: one that an engine
+	// reads in a single step.
+	maxShortTokens = 2048
+	// shortWorkFactor multiplies the work of short prompts when engines are divided.
+	// Short prompts have a tight objective and are worth more for the engine time they
+	// take.
+	shortWorkFactor = 1.5
+	// maxShortFraction is the largest fraction of a pool that the short subpool takes.
+	maxShortFraction = 0.5
+	// workDecayTime is the time constant with which recorded work decays.
+	workDecayTime = 20 * time.Second
+	// minSplitChange is the change of the short fraction below which the division stays
+	// as it is. Each change moves some prefixes to other preferred endpoints.
+	minSplitChange = 0.02
+	// meanWeight is the weight of a new sample in the exponential moving averages.
+	meanWeight = 0.02
+	// initialShortFraction is the short fraction before any work was recorded.
+	initialShortFraction = 0.2
 )
 
-// lane is the kind of engines that a prompt goes to.
-type lane = pools.Lane
+// subpool is the kind of engines that a prompt is sent to: for short or for long
+// prompts.
+type subpool = pools.Lane
 
 const (
-	laneLong  = pools.Long
-	laneShort = pools.Short
-	laneCount = pools.LaneCount
+	subpoolLong  = pools.Long
+	subpoolShort = pools.Short
+	subpoolCount = pools.LaneCount
 )
 
-func laneOf(promptTokens int) lane {
-	if promptTokens > 0 && promptTokens <= shortTokens {
-		return laneShort
+func subpoolOf(promptTokens int) subpool {
+	if promptTokens > 0 && promptTokens <= maxShortTokens {
+		return subpoolShort
 	}
-	return laneLong
+	return subpoolLong
 }
 
-// laneSplit keeps how the work divides into short and long prompts.
+// subpoolSplit tracks the work of short and long prompts and divides the engines of a
+// model between them.
 //
-// An engine reads a long prompt in pieces between the tokens of all others, so
-// a short prompt that meets one waits several times its own reading time, and
-// pauses in its stream grow. The pattern: many short prompts with a tight
-// objective among a few that are forty times as long. The engines are therefore
-// parted in proportion to the work of each kind; either kind spills over when
-// its own part is full.
-type laneSplit struct {
-	work   [laneCount]float64 // engine-seconds, fading
-	mean   [laneCount]float64 // tokens of a prompt, smoothed
-	stream [laneCount]float64 // seconds of an answer, smoothed
-	at     time.Time
-	part   float64 // of the engines for short prompts; 0: not set yet
+// An engine reads a long prompt in chunks between the tokens of all other requests. A
+// short prompt that shares an engine with a long one waits several times its own
+// reading time, and the pauses in its stream grow. This shows when many short prompts
+// with a tight objective meet a few that are forty times as long. Engines are therefore
+// divided in proportion to the work of each kind, and either kind uses the other's
+// engines when its own are full.
+type subpoolSplit struct {
+	work       [subpoolCount]float64 // engine-seconds, decaying
+	meanTokens [subpoolCount]float64 // tokens of a prompt, moving average
+	meanAnswer [subpoolCount]float64 // seconds of an answer, moving average
+	decayedAt  time.Time
+	fraction   float64 // of the engines for short prompts; 0: not set yet
 }
 
-// seen adds a request's work.
-func (l *laneSplit) seen(now time.Time, in lane, tokens, slots int) {
-	l.mean[in] += meanGain * (float64(tokens) - l.mean[in])
-	if fade := math.Exp(-now.Sub(l.at).Seconds() / workMemory.Seconds()); fade < 1 {
+// addRequest records the work of a request.
+func (l *subpoolSplit) addRequest(now time.Time, in subpool, tokens, slots int) {
+	l.meanTokens[in] += meanWeight * (float64(tokens) - l.meanTokens[in])
+	if fade := math.Exp(-now.Sub(l.decayedAt).Seconds() / workDecayTime.Seconds()); fade < 1 {
 		for i := range l.work {
 			l.work[i] *= fade
 		}
-		l.at = now
+		l.decayedAt = now
 	}
-	l.work[in] += l.workOf(in, tokens, slots)
+	l.work[in] += l.estimateWork(in, tokens, slots)
 }
 
-// ended takes how long an answer took from its beginning to its end.
-func (l *laneSplit) ended(in lane, stream time.Duration) {
-	l.stream[in] += meanGain * (stream.Seconds() - l.stream[in])
+// addAnswer records the time from the beginning of an answer to its end.
+func (l *subpoolSplit) addAnswer(in subpool, stream time.Duration) {
+	l.meanAnswer[in] += meanWeight * (stream.Seconds() - l.meanAnswer[in])
 }
 
-// workOf estimates the engine-seconds of a request: the time in which its prompt
-// is read, which the engine does for one at a time, or its part of the places in
-// the batch, whichever is more. What callers take at most says little of how long
-// an answer is.
-func (l *laneSplit) workOf(in lane, tokens, slots int) float64 {
+// estimateWork returns the estimated engine-seconds of a request: the time to read its
+// prompt, which an engine does for one request at a time, or its share of the batch
+// slots, whichever is larger. The maximum output length that callers set is not used,
+// as it hardly relates to the actual length of an answer.
+func (l *subpoolSplit) estimateWork(in subpool, tokens, slots int) float64 {
 	read := float64(tokens) / prefillRate
-	place := (read + l.stream[in]) / float64(max(slots, 1))
-	if in == laneShort {
-		read *= shortRoom
+	place := (read + l.meanAnswer[in]) / float64(max(slots, 1))
+	if in == subpoolShort {
+		read *= shortWorkFactor
 	}
 	return max(read, place)
 }
 
-// short returns the part of the engines for short prompts.
-func (l *laneSplit) short() float64 {
-	part := firstShort
-	if all := l.work[laneShort] + l.work[laneLong]; all > 0 {
-		part = min(mostShort, l.work[laneShort]/all)
+// shortFraction returns the fraction of the engines for short prompts.
+func (l *subpoolSplit) shortFraction() float64 {
+	fraction := initialShortFraction
+	if all := l.work[subpoolShort] + l.work[subpoolLong]; all > 0 {
+		fraction = min(maxShortFraction, l.work[subpoolShort]/all)
 	}
-	if l.part == 0 || math.Abs(part-l.part) > splitStep {
-		l.part = part
+	if l.fraction == 0 || math.Abs(fraction-l.fraction) > minSplitChange {
+		l.fraction = fraction
 	}
-	return l.part
+	return l.fraction
 }
--- a/router/lanes_test.go
+++ b/router/lanes_test.go
@@ -42,8 +42,8 @@
 // get. Counted as work, that once gave a third of the fleet to short prompts that
 // kept it a tenth busy.
 func TestShortPartFollowsWhatIsRead(t *testing.T) {
-	l := laneSplit{stream: [laneCount]float64{laneShort: 0.15, laneLong: 0.8}}
-	short, long := l.workOf(laneShort, 370, 24), l.workOf(laneLong, 17_000, 24)
+	l := subpoolSplit{meanAnswer: [subpoolCount]float64{subpoolShort: 0.15, subpoolLong: 0.8}}
+	short, long := l.estimateWork(subpoolShort, 370, 24), l.estimateWork(subpoolLong, 17_000, 24)
 	if n := pools.ShortCount(short/(short+long*47.5/189), 18); n < 2 || n > 3 {
 		t.Errorf("%d engines of 18", n)
 	}
@@ -53,18 +53,18 @@
 // of a second need five engines for their places, though two could read them. On
 // two, half of the callers would wait for a place past their objective.
 func TestShortPartFollowsThePlacesInTheBatch(t *testing.T) {
-	var l laneSplit
+	var l subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
 	for range 3000 {
 		now = now.Add(3 * time.Millisecond)
-		l.seen(now, laneShort, 370, 16)
-		l.ended(laneShort, 250*time.Millisecond)
+		l.addRequest(now, subpoolShort, 370, 16)
+		l.addAnswer(subpoolShort, 250*time.Millisecond)
 	}
 	for range 450 {
-		l.seen(now, laneLong, 17_000, 16)
-		l.ended(laneLong, 800*time.Millisecond)
+		l.addRequest(now, subpoolLong, 17_000, 16)
+		l.addAnswer(subpoolLong, 800*time.Millisecond)
 	}
-	if n := pools.ShortCount(l.short(), 14); n < 4 || n > 6 {
+	if n := pools.ShortCount(l.shortFraction(), 14); n < 4 || n > 6 {
 		t.Errorf("%d engines of 14", n)
 	}
 }
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -29,14 +29,14 @@
 	if d := place(&raw); d.ExpectedWait != 0 {
 		t.Fatalf("waits %v with places left", d.ExpectedWait)
 	}
-	if d := place(easyLoad(&raw)); d.ExpectedWait < 100*time.Millisecond {
+	if d := place(capSlots(&raw)); d.ExpectedWait < 100*time.Millisecond {
 		t.Errorf("expected wait %v in a batch of 110", d.ExpectedWait)
 	}
 	small := fleet.Load{At: now, Running: 30, Slots: 128}
-	if d := place(easyLoad(&small)); d.ExpectedWait != 0 {
+	if d := place(capSlots(&small)); d.ExpectedWait != 0 {
 		t.Errorf("expected wait %v in a batch of 30", d.ExpectedWait)
 	}
-	if easyLoad(nil) != nil {
+	if capSlots(nil) != nil {
 		t.Error("a load that was not told")
 	}
 }
@@ -48,10 +48,10 @@
 func TestQueueOfAnEngineIsCountedByItsOwnKind(t *testing.T) {
 	now := time.Now()
 	s := newState(&Settings{Zone: "z"}, rand.New(rand.NewPCG(1, 2)))
-	s.lanes.mean = [laneCount]float64{laneShort: 370, laneLong: 17_000}
+	s.subpools.meanTokens = [subpoolCount]float64{subpoolShort: 370, subpoolLong: 17_000}
 	s.view.SetPool("long", []fleet.Endpoint{{ID: "a", Zone: "z", State: fleet.VMLive}})
 	p := newPlacer(s, &Settings{}, nil, BootClock, rand.New(rand.NewPCG(3, 4)))
-	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.Notes{Prompt: int(laneShort), Engine: int(laneLong)}}
+	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.Notes{Prompt: int(subpoolShort), Engine: int(subpoolLong)}}
 	p.Answered(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
 	d, err := s.view.Weigh(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
 	if err != nil || d.ExpectedWait < 400*time.Millisecond {
--- a/router/load.go
+++ b/router/load.go
@@ -6,49 +6,49 @@
 	"github.com/merlindock/merlindock/feed"
 )
 
-// load is a read of the newest of each key, page by page. What changes meanwhile is
-// read from next on.
-type load struct {
-	relayed   bool // from neighbours, whichever gives the next page
+// fullRead is a read of the newest record of each key, page by page. Changes that
+// happen meanwhile are read afterwards from offset next on.
+type fullRead struct {
+	relayed   bool // read from neighbours, each page from any of them
 	after     string
 	next      int64
-	confirmed time.Duration // everything up to next was there then
+	confirmed time.Duration // all records up to next existed at this time
 	records   []Record
 }
 
-// loading tells whether everything has to be read.
-func (f *follower) loading() bool { return !f.loaded || f.load != nil }
+// needsFullRead reports whether the topic has to be read completely.
+func (f *follower) needsFullRead() bool { return !f.complete || f.fullRead != nil }
 
-// pageAfter is the key after which the next page begins. A load that neighbours began
-// is not continued at the store, nor the other way round: nothing says that both put
-// keys into one order.
+// pageAfter returns the key after which the next page begins. A full read that was
+// begun through neighbours is not continued at the store or the other way round, as the
+// two may order keys differently.
 func (f *follower) pageAfter(relayed bool) string {
-	if f.load == nil || f.load.relayed != relayed {
+	if f.fullRead == nil || f.fullRead.relayed != relayed {
 		return ""
 	}
-	return f.load.after
+	return f.fullRead.after
 }
 
-// takePage applies one page of a read of everything.
-func (f *follower) takePage(after string, confirmed time.Duration, p Page) progress {
-	if f.load == nil || f.load.relayed != f.relayed || f.load.after != after {
-		f.load = &load{relayed: f.relayed, next: p.End, confirmed: confirmed}
+// applyPage applies one page of a full read.
+func (f *follower) applyPage(after string, confirmed time.Duration, p Page) readResult {
+	if f.fullRead == nil || f.fullRead.relayed != f.relayed || f.fullRead.after != after {
+		f.fullRead = &fullRead{relayed: f.relayed, next: p.End, confirmed: confirmed}
 	}
-	l := f.load
+	l := f.fullRead
 	l.next, l.confirmed = min(l.next, p.End), min(l.confirmed, confirmed)
 	for _, record := range p.Records {
-		told, _ := f.apply(record)
-		l.records = append(l.records, told)
+		forNeighbours, _ := f.apply(record)
+		l.records = append(l.records, forNeighbours)
 		l.after = record.Key
 	}
 	if p.More {
-		return progress{more: true}
+		return readResult{more: true}
 	}
-	if f.snapshot != nil {
-		f.snapshot(keysOf(l.records))
+	if f.onSnapshot != nil {
+		f.onSnapshot(keysOf(l.records))
 	}
-	f.load = nil
-	return f.finish(feed.Batch{From: f.next, All: true, Records: l.records, Next: l.next, Whole: true, Confirmed: l.confirmed})
+	f.fullRead = nil
+	return f.publish(feed.Batch{From: f.next, All: true, Records: l.records, Next: l.next, Whole: true, Confirmed: l.confirmed})
 }
 
 func keysOf(records []Record) map[string]bool {
--- a/router/load_test.go
+++ b/router/load_test.go
@@ -43,10 +43,10 @@
 	rng     *rand.Rand
 	engines []*engineModel
 	views   []*placement.View
-	limit   time.Duration           // of the expected wait of a long prompt; 0: none
-	ways    func(part string) []way // that a long prompt has; nil: the pool "long"
-	hot     float64                 // part of the long prompts that share one part
-	waited  bool                    // requests that wait tell of the queue
+	limit   time.Duration                 // of the expected wait of a long prompt; 0: none
+	ways    func(part string) []candidate // that a long prompt has; nil: the pool "long"
+	hot     float64                       // part of the long prompts that share one part
+	waited  bool                          // requests that wait tell of the queue
 
 	waits   [2][]time.Duration // short, long: until the prompt was read
 	refused int
@@ -120,12 +120,12 @@
 func (r *replay) arrive(now time.Duration, tokens int, p contract.Priority) {
 	daemon := r.rng.IntN(len(r.views))
 	request := placement.Request{ID: r.rng.Uint64(), Pool: "short", Tokens: tokens, Priority: p}
-	if tokens > shortTokens {
+	if tokens > maxShortTokens {
 		request.Pool = "long"
 		request.Levels = partLevels(r.part(), tokens)
 	}
 	d := r.place(now, daemon, &request)
-	if r.limit > 0 && tokens > shortTokens && d.ExpectedWait > r.limit {
+	if r.limit > 0 && tokens > maxShortTokens && d.ExpectedWait > r.limit {
 		r.views[daemon].Finished(r.clock(now), request.ID)
 		r.refused++
 		return
@@ -162,10 +162,10 @@
 	}
 	first := *request
 	first.Pool = all[0].pool
-	for _, id := range v.Homes(first, r.clock(now-loadKnown), askedHomes) {
+	for _, id := range v.Homes(first, r.clock(now-freshLoadAge), maxQueriedEngines) {
 		v.LoadReported(id, r.engine(id).load(r.clock(now)))
 	}
-	best, err := bestWay(r.clock(now), v, *request, all, replayTarget)
+	best, err := bestCandidate(r.clock(now), v, *request, all, replayTarget)
 	if err != nil {
 		panic(err)
 	}
@@ -209,7 +209,7 @@
 
 func (r *replay) answer(now time.Duration, e *engineModel, j job) {
 	kind := 0
-	if j.tokens > shortTokens {
+	if j.tokens > maxShortTokens {
 		kind = 1
 	}
 	r.waits[kind] = append(r.waits[kind], now-j.at)
@@ -246,7 +246,7 @@
 }
 
 func options() placement.Options {
-	return placement.Options{Zone: "z", PrefillRate: readRate, QueueLife: queueLife}
+	return placement.Options{Zone: "z", PrefillRate: readRate, QueueLife: queueHalfLife}
 }
 
 // Short prompts come among a few long ones, and each that meets one waits for as
@@ -286,12 +286,12 @@
 // meet: a sixth and more are late. One that places all for them knows where each went.
 func TestOneDaemonThatPlacesAllKeepsPromptsApart(t *testing.T) {
 	o := options()
-	o.HomePrior = homePrior
+	o.HomePrior = cachedPrior
 	late := func(daemons int) float64 {
 		r := newReplayOf(daemons, 58, o, 0)
 		r.waited = true
-		r.ways = func(string) []way {
-			return []way{{pool: "long"}, {pool: "long", away: true, loss: awayLoss}}
+		r.ways = func(string) []candidate {
+			return []candidate{{pool: "long"}, {pool: "long", nonPreferred: true, penalty: nonPreferredPenalty}}
 		}
 		r.run(20, 0, 160)
 		return 1 - float64(r.within(1, replayTarget))/float64(len(r.waits[1])+r.lost)
@@ -341,17 +341,17 @@
 }
 
 func TestShortPartFollowsTheWork(t *testing.T) {
-	var l laneSplit
+	var l subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
-	if got := l.short(); got != firstShort {
+	if got := l.shortFraction(); got != initialShortFraction {
 		t.Errorf("part %v before anything was seen", got)
 	}
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		l.seen(now, laneShort, 600, 1000)
-		l.seen(now, laneLong, 2700, 1000)
+		l.addRequest(now, subpoolShort, 600, 1000)
+		l.addRequest(now, subpoolLong, 2700, 1000)
 	}
-	if got := l.short(); got < 0.2 || got > 0.3 {
+	if got := l.shortFraction(); got < 0.2 || got > 0.3 {
 		t.Errorf("part %v, want 0.25", got)
 	}
 }
--- a/router/moves.go
+++ b/router/moves.go
@@ -12,13 +12,13 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// moves says where the engine may fetch parts of the prompt, and whether it
-// sends them to the store.
+// setCacheTransfer sets the address from which the engine may fetch the KV cache of the
+// prompt's prefix, and the store to which it should save it.
 //
-// To read a long shared part again takes the engine's whole time for over 100
-// ms; to fetch it takes 5 to 25 ms. A fetch of what nobody has costs a
-// millisecond, and an engine fetches only what it lacks.
-func (p *placer) moves(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *way, out *forward.Outbound) {
+// Computing a long shared prefix again occupies an engine for over 100 ms, while
+// fetching it takes 5 to 25 ms. An attempt to fetch a prefix that the source does not
+// have costs a millisecond, and an engine fetches only what it lacks.
+func (p *placer) setCacheTransfer(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *candidate, out *forward.Outbound) {
 	levels := r.Levels
 	if levels == nil {
 		levels = prefix.Chain(seedOf(w, out.Version), w.In.Parts)
@@ -30,72 +30,75 @@
 	if address, known := p.fetchFrom(now, w, r, d, out.CacheSalt); known {
 		out.FetchFrom = address
 	}
-	if levels[at].Tokens < leastFetched {
+	if levels[at].Tokens < minFetchTokens {
 		return
 	}
 	key := levels[at].Key
 	store := storeOf(w.Table, key)
-	peer := p.s.roster.Find(d.Peer)
+	peer := p.state.roster.Find(d.Peer)
 	away := d.Reason == placement.ReasonSpill && r.Held == nil
 	switch {
 	case out.FetchFrom != "":
-	case to.from != "" && to.from != d.Endpoint && p.s.roster.Find(to.from) != nil:
-		out.FetchFrom = p.s.roster.Find(to.from).Address
-	case away && peer != nil && !p.s.roster.Unusable(now, d.Peer):
+	case to.fetchFrom != "" && to.fetchFrom != d.Endpoint && p.state.roster.Find(to.fetchFrom) != nil:
+		out.FetchFrom = p.state.roster.Find(to.fetchFrom).Address
+	case away && peer != nil && !p.state.roster.Unusable(now, d.Peer):
 		out.FetchFrom = peer.Address
 	case store != "":
 		out.FetchFrom = store
 	}
-	// What is read away from home is saved for the home, which would read it again.
-	if store != "" && now.Sub(p.s.saved[key]) > savedFor && !to.kept && (away || p.fraction() < savePart) {
-		p.s.saved[key] = now
+	// A prefix that is read away from its preferred endpoint is saved, as the preferred
+	// endpoint would otherwise compute it again.
+	if store != "" && now.Sub(p.state.savedAt[key]) > savedLifetime && !to.retained && (away || p.randomFraction() < saveFraction) {
+		p.state.savedAt[key] = now
 		out.SaveTo = store
 	}
 }
 
-// enginesKeep tells whether the engines of a model have memory enough to keep what they
-// read for a while, by what the daemon that places all prompts of its group sends them.
-func (p *placer) enginesKeep(now time.Time, w *forward.Work) bool {
-	p.s.mu.Lock()
-	engines := p.s.roster.Engines(w.Service.Name, w.In.Model)
-	p.s.mu.Unlock()
-	p.partsMu.Lock()
-	defer p.partsMu.Unlock()
-	return p.parts.keeps(now, engines/dispatchGroups(engines), w.Service.Engine.CapacityTokens)
+// enginesRetain reports whether the engines of a model have enough memory to keep what
+// they read for a while, at the rate at which this daemon, as dispatcher of a group,
+// sends them prompts.
+func (p *placer) enginesRetain(now time.Time, w *forward.Work) bool {
+	p.state.mu.Lock()
+	engines := p.state.roster.Engines(w.Service.Name, w.In.Model)
+	p.state.mu.Unlock()
+	p.segmentsMu.Lock()
+	defer p.segmentsMu.Unlock()
+	return p.segments.retains(now, engines/dispatchGroups(engines), w.Service.Engine.CapacityTokens)
 }
 
-// fetchFrom chooses the source of a prompt's beginning among the holders that tell
-// what they hold. known is false if there is none that helps.
+// fetchFrom returns the address of the holder with the longest cached prefix of the
+// prompt, among those whose cache contents are known. known is false if no holder has
+// enough more than the chosen engine.
 func (p *placer) fetchFrom(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
-	if p.watch == nil || r.Held == nil {
+	if p.cacheTracker == nil || r.Held == nil {
 		return "", false
 	}
-	engine := p.s.roster.Find(d.Endpoint)
-	address, tokens := p.watch.best(w, salt, engine.Zone, func(name string) bool {
+	engine := p.state.roster.Find(d.Endpoint)
+	address, tokens := p.cacheTracker.bestSource(w, salt, engine.Zone, func(name string) bool {
 		key := fleet.EndpointID(name)
-		return key != d.Endpoint && (p.s.roster.Find(key) == nil || !p.s.roster.Unusable(now, key))
+		return key != d.Endpoint && (p.state.roster.Find(key) == nil || !p.state.roster.Unusable(now, key))
 	})
-	if tokens-r.Held.At[d.Endpoint] < leastFetched {
+	if tokens-r.Held.At[d.Endpoint] < minFetchTokens {
 		return "", false
 	}
 	return address, true
 }
 
-// leastFetched is the number of tokens above which a fetch is worth its beginning:
-// they take about as long to read as a fetch takes to begin, some milliseconds.
-const leastFetched = 250
+// minFetchTokens is the number of tokens above which a fetch is worthwhile: reading
+// fewer takes no longer than starting a fetch, some milliseconds.
+const minFetchTokens = 250
 
-// savePart is the part of the reads that are sent to the store. All daemons
-// together would otherwise send each prompt several times, and the store's link
-// carries less than the engines read.
-const savePart = 0.5
+// saveFraction is the fraction of reads after which the prefix is saved to the store.
+// Without it, the daemons together would save each prompt several times, and the
+// store's link carries less than the engines read.
+const saveFraction = 0.5
 
-// prefixDigits name a prefix in logs.
+// prefixDigits is the number of digits of a prefix key in logs.
 const prefixDigits = 8
 
-// storeOf returns the address of the store that holds a prefix, "" if there is
-// none. Each prefix has one store, the same for all daemons: what one saves
-// another must find.
+// storeOf returns the address of the store for a prefix, or "" if there are no stores.
+// Every daemon maps a prefix to the same store, so that one finds what another has
+// saved.
 func storeOf(t *routes.Table, key prefix.Key) string {
 	if len(t.Stores) == 0 {
 		return ""
@@ -103,8 +106,8 @@
 	return t.Stores[key.Uint64()%uint64(len(t.Stores))].Address
 }
 
-// salt separates cache entries that may never be mixed: those of other weights,
-// and those of an isolated organisation.
+// salt returns the cache salt of a request. It separates cache entries that must never
+// be mixed: those of different weight versions and those of an isolated organisation.
 func salt(w *forward.Work, version int64) string {
 	text := "v" + strconv.FormatInt(version, 10)
 	if w.Organisation != nil && w.Organisation.Isolated {
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -19,132 +19,137 @@
 	"github.com/merlindock/merlindock/readers"
 )
 
-// Times and bounds of reading through neighbours.
+// Thresholds and timeouts for reading through neighbours.
 const (
-	// relayFrom is the number of daemons in a zone from which all but one read the
-	// operator's topic through a neighbour. A few daemons cost the store little, and
-	// one that waits for news at the store knows of them at once.
-	relayFrom = 8
-	// relayListFrom is the same for the topics that are read again and again, where
-	// each reader of the store makes most of the calls.
-	relayListFrom = 2
-	// relayAgePart is the age of what a daemon knows through a neighbour from which
-	// it leaves that neighbour, as a part of the bound on news of the topic. The
-	// question to the next one and to the store must fit into the rest.
-	relayAgePart = 0.48
-	// relayAgeMost is that part for daemons that are many steps from the store. Each
-	// step waits a little longer than the one before it: when the daemon that reads for
-	// the zone stands still, its eight readers find another first, and not all sixty
-	// turn to the store.
-	relayAgeMost = 0.68
-	// relayWaitPart is how long the daemon that reads for its zone lets a read of the
-	// operator's topic wait, as a part of the bound on news. The answer confirms what
-	// was known when the read was sent, so knowledge is up to two waits old. Past
-	// relayAgePart the whole zone would turn to the store at once.
-	relayWaitPart = 0.18
-	// relayTimePart is what an answer may take beyond the time that it was to wait, as
-	// a part of the bound on news: 0.3 s of 4 s. A daemon with a fifth of a core may
-	// stand still for a tenth of a second when it has used up its share.
-	relayTimePart = 0.08
-	// relayNextPart is how long the second neighbour may wait for news when the first
-	// had none, as a part of the bound on news: 0.16 s of 4 s, in which that neighbour
-	// learns too that the reader before it is lost, and asks the store.
-	relayNextPart = 0.04
-	// relayHold is the longest wait. A question is asked again after it.
-	relayHold = 2 * time.Second
-	// relayPageTime is what a page of everything of a topic may take.
-	relayPageTime = time.Second
-	// relayPause spreads reads of a topic that changes all the time.
+	// relayMinDaemons is the number of daemons in a zone from which all but one read
+	// the operator topic through a neighbour. A few daemons load the store little, and
+	// a daemon that waits at the store receives changes at once.
+	relayMinDaemons = 8
+	// relayMinDaemonsPolled is the same for the topics that are polled, where each
+	// direct reader causes many calls to the store.
+	relayMinDaemonsPolled = 2
+	// relayAgeFraction is the age of data from a neighbour above which the neighbour is
+	// replaced, as a fraction of the topic's time bound. A request to the next
+	// neighbour and one to the store must fit into the rest.
+	relayAgeFraction = 0.48
+	// maxRelayAgeFraction is the same for daemons that are many steps from the store.
+	// Each further step waits a little longer: if the daemon that reads for the zone
+	// stalls, only its eight direct readers look for another source, and not all sixty
+	// daemons call the store.
+	maxRelayAgeFraction = 0.68
+	// relayStoreWaitFraction is how long the daemon that reads for its zone lets a read
+	// of the operator topic wait, as a fraction of the topic's time bound. The answer
+	// confirms the state at the time the read was sent, so the data is up to two waits
+	// old. Beyond relayAgeFraction the whole zone would call the store at once.
+	relayStoreWaitFraction = 0.18
+	// relayTimeoutFraction is how long an answer may take in addition to its wait, as a
+	// fraction of the topic's time bound: 0.3 s of 4 s. A daemon limited to a fifth of
+	// a core may stall for a tenth of a second once it has used up its CPU quota.
+	relayTimeoutFraction = 0.08
+	// relaySecondWaitFraction is how long the second neighbour may wait for a change
+	// after the first had none, as a fraction of the topic's time bound: 0.16 s of 4 s.
+	// Within this time that neighbour also detects that its own source is lost, and
+	// calls the store.
+	relaySecondWaitFraction = 0.04
+	// maxRelayWait is the longest wait of one request, after which the request is
+	// repeated.
+	maxRelayWait = 2 * time.Second
+	// relayPageTimeout bounds the request for one page of a full read.
+	relayPageTimeout = time.Second
+	// relayPause is the pause between reads of a topic that changes constantly.
 	relayPause = 150 * time.Millisecond
-	// relayTries is how many neighbours are asked before the store is.
-	relayTries = 2
-	// leaseAge and daemonsAge are when a neighbour is left for the topics that have no
-	// bound on news. Whoever acts on old news of the lease is refused by the store, and
-	// a daemon that is not known yet is not read through.
-	leaseAge   = 25 * time.Second
-	daemonsAge = 25 * time.Second
-	// startPatience is how long a daemon that starts waits for its neighbours before it
-	// asks the store, since one of those before it last came closer to knowing the topic.
-	// When hundreds start together, all wait for the first of each zone, which waits for
-	// nobody, however long that reads.
-	startPatience = time.Second
-	relayPath     = "/v2/read"
-	// quietHeader is in the answer of a daemon that knows too little: how long ago it
-	// came closer to knowing the topic, in nanoseconds.
+	// maxRelayNeighbours is the number of neighbours that are asked before the store.
+	maxRelayNeighbours = 2
+	// maxLeaseAge and maxDaemonsAge are the ages of data above which a neighbour is
+	// replaced for the topics without a time bound. A daemon that acts on an outdated
+	// lease is rejected by the store, and a daemon that is missing from the list is
+	// merely not read through.
+	maxLeaseAge   = 25 * time.Second
+	maxDaemonsAge = 25 * time.Second
+	// startTimeout is how long a starting daemon waits for its neighbours before it
+	// calls the store, counted from the last progress that one of them reported. When
+	// hundreds of daemons start together, all wait for the first of each zone, however
+	// long its read takes; the first one waits for no other.
+	startTimeout = time.Second
+	relayPath    = "/v2/read"
+	// quietHeader is set when a daemon's data is insufficient for an answer. Its value
+	// is the time since that daemon's last progress on the topic, in nanoseconds.
 	quietHeader = "Quiet-Ns"
 )
 
-// Neighbour is another daemon as it announced itself.
+// Neighbour describes a daemon as it announced itself to the others.
 type Neighbour struct {
 	Name    string
 	Zone    fleet.ZoneID
 	Address string  // IP:port for other daemons
-	Cores   float64 // processor that it may use; 0: not told
-	// LinkMbps is its link in Mbit/s; 0: not told.
+	Cores   float64 // processor cores that it may use; 0: unknown
+	// LinkMbps is the speed of its link in Mbit/s; 0: unknown.
 	LinkMbps float64
 }
 
-// reader is the daemon as package readers takes it.
+// reader converts the daemon to the type of package readers.
 func (n *Neighbour) reader() readers.Daemon {
 	return readers.Daemon{Name: n.Name, Address: n.Address, Mbps: n.LinkMbps, Cores: n.Cores}
 }
 
-// Announcements is where daemons tell each other of themselves.
+// Announcements is the list in the store through which daemons find each other.
 type Announcements interface {
 	Announce(ctx context.Context, n Neighbour) error
-	// Record keeps a value under a key beside the announcements; no value drops the key.
+	// Record stores a value under a key beside the announcements; an empty value
+	// deletes the key.
 	Record(ctx context.Context, key string, value []byte) error
 }
 
-// neighbours reads topics through other daemons of the zone, see package readers.
-// What is passed on carries its age, so that no bound on keys is stretched; too old
-// an answer, or none, sends the reader to the next neighbour and then to the store.
+// neighbours reads topics through other daemons of the zone, chosen by package readers.
+// Relayed data carries its age, so that the time bounds on keys and configurations
+// still hold. If an answer is missing or too old, the reader asks the next neighbour
+// and then the store.
 type neighbours struct {
-	me     Neighbour
-	clock  func() time.Duration
-	log    *logging.Logger
-	oldest [topicCount]time.Duration // age of answers from which a neighbour is left
-	grace  time.Duration             // an answer's time beyond its wait
-	next   time.Duration             // how long the second neighbour may wait
-	// ask puts a question to the daemon at an address.
-	ask func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error)
-	// listed is closed once the daemon knows of others, or can't.
+	self       Neighbour
+	clock      func() time.Duration
+	log        *logging.Logger
+	maxAge     [topicCount]time.Duration // age of data above which a neighbour is replaced
+	grace      time.Duration             // answer timeout in addition to the wait
+	secondWait time.Duration             // how long the second neighbour may wait
+	// request sends a query to the daemon at an address.
+	request func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error)
+	// listed is closed once the list of daemons is known or cannot be read.
 	listed   chan struct{}
 	listOnce sync.Once
 
-	mu      sync.Mutex
-	names   []string // of all daemons that announced themselves
-	choice  *readers.Choice
-	began   time.Duration      // when proceed was called first
-	through [topicCount]string // names of the daemons read through, for the log
+	mu        sync.Mutex
+	names     []string // of all daemons that announced themselves
+	choice    *readers.Choice
+	startedAt time.Duration      // first call of allowReads, boot clock
+	sources   [topicCount]string // names of the neighbours in use, for the log
 }
 
 func newNeighbours(me Neighbour, set *Settings, dialer net.Dialer, clock func() time.Duration, log *logging.Logger) *neighbours {
-	grace := time.Duration(relayTimePart * float64(set.ConfigWithin))
+	grace := time.Duration(relayTimeoutFraction * float64(set.ConfigWithin))
 	dialer.Timeout = grace
 	client := &http.Client{Transport: &http.Transport{
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: int(topicCount), IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 	}}
 	return &neighbours{
-		me: me, clock: clock, log: log, choice: readers.New(me.reader()), listed: make(chan struct{}),
-		grace: grace, next: time.Duration(relayNextPart * float64(set.ConfigWithin)),
-		oldest: [topicCount]time.Duration{
-			TopicOperator:  time.Duration(relayAgePart * float64(set.ConfigWithin)),
-			TopicEndpoints: time.Duration(relayAgePart * float64(set.DrainWithin)),
-			TopicLease:     leaseAge,
-			TopicDaemons:   daemonsAge,
+		self: me, clock: clock, log: log, choice: readers.New(me.reader()), listed: make(chan struct{}),
+		grace: grace, secondWait: time.Duration(relaySecondWaitFraction * float64(set.ConfigWithin)),
+		maxAge: [topicCount]time.Duration{
+			TopicOperator:  time.Duration(relayAgeFraction * float64(set.ConfigWithin)),
+			TopicEndpoints: time.Duration(relayAgeFraction * float64(set.DrainWithin)),
+			TopicLease:     maxLeaseAge,
+			TopicDaemons:   maxDaemonsAge,
 		},
-		ask: func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
-			return askNeighbour(ctx, client, address, t, q)
+		request: func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
+			return requestNeighbour(ctx, client, address, t, q)
 		},
 	}
 }
 
-// set takes the list of all daemons.
+// set replaces the list of daemons.
 func (n *neighbours) set(all []Neighbour) {
 	var zone []readers.Daemon
 	for _, d := range all {
-		if d.Zone == n.me.Zone && d.Address != "" {
+		if d.Zone == n.self.Zone && d.Address != "" {
 			zone = append(zone, d.reader())
 		}
 	}
@@ -157,150 +162,155 @@
 	n.choice.Set(zone)
 }
 
-// proceed lets the daemon read: it knows of others, or finds no list of them.
-func (n *neighbours) proceed() {
+// allowReads lets readers start, once the list of daemons is known or cannot be read.
+func (n *neighbours) allowReads() {
 	n.listOnce.Do(func() {
 		n.mu.Lock()
-		n.began = n.clock()
+		n.startedAt = n.clock()
 		n.mu.Unlock()
 		close(n.listed)
 	})
 }
 
-// starting tells whether a daemon that knows nothing of the topic yet should go on
-// asking its neighbours rather than the store. progress is when it, or one that it
-// reads through, last came closer to knowing it; company says that some neighbour
-// answers. Daemons in company turn to the store one after the other, as a store that is
-// slow to answer the first would else have to answer all.
-func (n *neighbours) starting(t Topic, progress time.Duration, company bool) bool {
+// waitForNeighbours reports whether a daemon that has no data of the topic should keep
+// asking its neighbours instead of calling the store. progress is the time at which
+// this daemon, or one that it reads through, last received data of the topic. If
+// neighbourAnswers is set, some neighbour answers, and the daemons call the store one
+// after the other, as a store that is slow to answer the first would otherwise have to
+// answer all of them.
+func (n *neighbours) waitForNeighbours(t Topic, progress time.Duration, neighbourAnswers bool) bool {
 	if !n.relays(t) {
 		return false
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	until := max(n.began, progress) + startPatience
-	if company {
-		until += time.Duration(n.choice.Before()) * restEach
+	until := max(n.startedAt, progress) + startTimeout
+	if neighbourAnswers {
+		until += time.Duration(n.choice.Before()) * storeBackoffPerDaemon
 	}
 	return n.choice.Depth() > 0 && n.clock() < until
 }
 
-// await waits until the daemon knows of others, so that it does not read everything
-// from the store that they could tell it.
-func (n *neighbours) await(ctx context.Context) {
+// awaitList waits for allowReads or the end of the context, so that the daemon does not
+// read from the store what neighbours could relay.
+func (n *neighbours) awaitList(ctx context.Context) {
 	select {
 	case <-n.listed:
 	case <-ctx.Done():
 	}
 }
 
-// rest is how long this daemon leaves the store alone after a failed read, by a
-// number in [0, 1). The daemon that reads for the zone goes on.
-func (n *neighbours) rest(number float64) time.Duration {
+// storeBackoff returns how long this daemon does not call the store after a failed
+// read, given a random number in [0, 1). It returns 0 for the daemon that reads for the
+// zone.
+func (n *neighbours) storeBackoff(random float64) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.choice.Depth() == 0 {
 		return 0
 	}
-	return time.Duration((0.5 + number) * float64(n.choice.Size()) * float64(restEach))
+	return time.Duration((0.5 + random) * float64(n.choice.Size()) * float64(storeBackoffPerDaemon))
 }
 
-// relays tells whether the daemons of the zone read the topic through each other.
+// relays reports whether the daemons of the zone read the topic through each other.
 func (n *neighbours) relays(t Topic) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if t == TopicOperator {
-		return n.choice.Size() >= relayFrom
+		return n.choice.Size() >= relayMinDaemons
 	}
-	return n.choice.Size() >= relayListFrom
+	return n.choice.Size() >= relayMinDaemonsPolled
 }
 
-// position returns the number of daemons of the zone, and through how many of them
-// this daemon reads as long as all answer.
+// position returns the number of daemons in the zone and the number of relays between
+// this daemon and the store if all of them answer.
 func (n *neighbours) position() (daemons, steps int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.choice.Size(), n.choice.Depth()
 }
 
-// patience is the age of what neighbours tell from which they are left.
-func (n *neighbours) patience(t Topic) time.Duration {
+// maxAnswerAge returns the age of data above which a neighbour is replaced.
+func (n *neighbours) maxAnswerAge(t Topic) time.Duration {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	steps := max(0, n.choice.Depth()-1)
-	longest := time.Duration(relayAgeMost / relayAgePart * float64(n.oldest[t]))
-	return min(n.oldest[t]+time.Duration(steps)*(n.grace+n.next/2), longest)
+	longest := time.Duration(maxRelayAgeFraction / relayAgeFraction * float64(n.maxAge[t]))
+	return min(n.maxAge[t]+time.Duration(steps)*(n.grace+n.secondWait/2), longest)
 }
 
-// candidates lists whom to ask. A daemon that was turned away by the store asks any
-// other daemon of the zone as well: the last one, which may read through this daemon.
-func (n *neighbours) candidates(t Topic, lost bool, number float64) []readers.Daemon {
+// candidates returns the neighbours to ask, in order. A daemon whose read of the store
+// failed also asks a random daemon of the zone, as the last one; that daemon may itself
+// read through this one.
+func (n *neighbours) candidates(t Topic, storeLost bool, random float64) []readers.Daemon {
 	if !n.relays(t) {
 		return nil
 	}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	out := n.choice.Candidates(n.clock(), relayTries)
-	if other, ok := n.choice.Other(number); ok && lost {
+	out := n.choice.Candidates(n.clock(), maxRelayNeighbours)
+	if other, ok := n.choice.Other(random); ok && storeLost {
 		out = append(out[:min(1, len(out))], other)
 	}
 	return out
 }
 
-// chosen tells whether this daemon is among the given number of daemons that a
-// hash of the subject chooses. It is false as long as the daemons are not known.
-func (n *neighbours) chosen(subject string, most int) bool {
-	place, known := n.place(subject)
-	return known && place < most
+// isChosen reports whether this daemon is among the first limit daemons for the subject
+// by hash. It returns false while the list of daemons is unknown.
+func (n *neighbours) isChosen(subject string, limit int) bool {
+	place, known := n.rank(subject)
+	return known && place < limit
 }
 
-// place is the number of daemons that a hash of the subject puts before this one; known
-// is false as long as no daemons are. All come to the same order with no message.
-func (n *neighbours) place(subject string) (before int, known bool) {
+// rank returns the number of daemons that precede this one for the subject by hash. All
+// daemons compute the same order without exchanging messages. known is false while the
+// list of daemons is unknown.
+func (n *neighbours) rank(subject string) (before int, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	mine := hash.Text(subject + "/" + n.me.Name)
+	mine := hash.Text(subject + "/" + n.self.Name)
 	for _, name := range n.names {
-		if name != n.me.Name && hash.Text(subject+"/"+name) < mine {
+		if name != n.self.Name && hash.Text(subject+"/"+name) < mine {
 			before++
 		}
 	}
 	return before, len(n.names) > 0
 }
 
-// leave passes a neighbour over for a while, for all topics.
-func (n *neighbours) leave(t Topic, d readers.Daemon, why string, age time.Duration) {
+// avoid excludes a neighbour for a while, for all topics.
+func (n *neighbours) avoid(t Topic, d readers.Daemon, why string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.choice.Leave(n.clock(), d)
-	if n.through[t] == d.Name {
-		n.through[t] = ""
-		n.log.Info("Neighbour is left.", "topic", t.String(), "neighbour", d.Name, "why", why, "age_ms", age.Milliseconds())
+	if n.sources[t] == d.Name {
+		n.sources[t] = ""
+		n.log.Info("Stopped reading through a neighbour.", "topic", t.String(), "neighbour", d.Name, "why", why, "age_ms", age.Milliseconds())
 	}
 }
 
-// serves notes that a neighbour gave an answer that is used.
-func (n *neighbours) serves(t Topic, d readers.Daemon, age time.Duration) {
+// recordUse records that an answer of the neighbour is used.
+func (n *neighbours) recordUse(t Topic, d readers.Daemon, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.choice.Served(d)
-	if n.through[t] != d.Name {
-		n.through[t] = d.Name
-		n.log.Info("Reads through a neighbour.", "topic", t.String(), "neighbour", d.Name, "age_ms", age.Milliseconds(), "daemons", n.choice.Size())
+	if n.sources[t] != d.Name {
+		n.sources[t] = d.Name
+		n.log.Info("Reading through a neighbour.", "topic", t.String(), "neighbour", d.Name, "age_ms", age.Milliseconds(), "daemons", n.choice.Size())
 	}
 }
 
-// StatusError is the answer of a daemon that can't tell what was asked.
+// StatusError is returned when a neighbour answers with a status other than 200,
+// usually because its data is insufficient.
 type StatusError struct {
 	Status int
-	Quiet  time.Duration // how long ago it came closer to knowing the topic; 0: not told
+	Quiet  time.Duration // time since its last progress on the topic; 0: unknown
 }
 
 func (e *StatusError) Error() string {
-	return fmt.Sprintf("router: neighbour answered with status %d", e.Status)
+	return fmt.Sprintf("router: neighbour returned status %d", e.Status)
 }
 
-func askNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Question) (feed.Answer, error) {
+func requestNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Question) (feed.Answer, error) {
 	query := url.Values{
 		"topic": {strconv.Itoa(int(t))}, "from": {strconv.FormatInt(q.From, 10)}, "hold_ns": {strconv.FormatInt(int64(q.Hold), 10)},
 		"age_ns": {strconv.FormatInt(int64(q.Age), 10)}, "stamp": {strconv.FormatInt(q.Stamp, 10)},
@@ -313,16 +323,16 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+relayPath+"?"+query.Encode(), nil)
 	if err != nil {
-		return feed.Answer{}, fmt.Errorf("router: neighbour: %w", err)
+		return feed.Answer{}, fmt.Errorf("router: request to a neighbour: %w", err)
 	}
 	resp, err := client.Do(req)
 	if err != nil {
-		return feed.Answer{}, fmt.Errorf("router: neighbour gave no answer: %w", err)
+		return feed.Answer{}, fmt.Errorf("router: neighbour did not answer: %w", err)
 	}
 	defer resp.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(resp.Body, feed.AnswerBytes))
 	if err != nil {
-		return feed.Answer{}, fmt.Errorf("router: answer of a neighbour broke off: %w", err)
+		return feed.Answer{}, fmt.Errorf("router: reading a neighbour's answer: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
 		refused := &StatusError{Status: resp.StatusCode}
@@ -334,18 +344,18 @@
 	return feed.Decode(body)
 }
 
-// serveNeighbours answers the reads of other daemons.
+// serveNeighbours serves the reads of other daemons.
 func (r *Router) serveNeighbours(l net.Listener) {
 	mux := http.NewServeMux()
-	mux.HandleFunc(relayPath, r.relay)
+	mux.HandleFunc(relayPath, r.handleRelayedRead)
 	s := &http.Server{ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, Handler: mux}
 	if err := s.Serve(l); err != nil {
-		r.log.Error("Neighbours are no longer answered.", "error", err.Error())
+		r.log.Error("Reads of neighbours are no longer served.", "error", err.Error())
 	}
 }
 
-func (r *Router) relay(w http.ResponseWriter, req *http.Request) {
-	topic, q, err := questionOf(req.URL.Query())
+func (r *Router) handleRelayedRead(w http.ResponseWriter, req *http.Request) {
+	topic, q, err := parseRelayedRead(req.URL.Query())
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -359,18 +369,18 @@
 		w.WriteHeader(http.StatusGone)
 		return
 	}
-	// A neighbour that is gone has nobody to tell of it.
+	// An error means that the neighbour closed the connection.
 	_, _ = w.Write(got.Append(nil))
 }
 
-// questionOf reads a question. It returns an error if a part is no number or out of
-// its bounds.
-func questionOf(query url.Values) (Topic, feed.Question, error) {
+// parseRelayedRead parses the query of a relayed read. It returns an error if a value is
+// not a number or out of range.
+func parseRelayedRead(query url.Values) (Topic, feed.Question, error) {
 	var failed error
 	number := func(name string) int64 {
 		v, err := strconv.ParseInt(query.Get(name), 10, 64)
 		if err != nil && failed == nil {
-			failed = fmt.Errorf("router: %s of a question: %w", name, err)
+			failed = fmt.Errorf("router: parameter %s of a relayed read: %w", name, err)
 		}
 		return v
 	}
@@ -379,8 +389,8 @@
 		From: number("from"), After: query.Get("after"), Any: query.Get("any") == "1",
 		Hold: time.Duration(number("hold_ns")), Age: time.Duration(number("age_ns")), Stamp: number("stamp"),
 	}
-	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.Hold > relayHold) {
-		failed = fmt.Errorf("router: question for topic %d with a wait of %v is out of bounds", topic, q.Hold)
+	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.Hold > maxRelayWait) {
+		failed = fmt.Errorf("router: relayed read of topic %d with a wait of %v is out of range", topic, q.Hold)
 	}
 	return Topic(topic), q, failed
 }
--- a/router/neighbours_test.go
+++ b/router/neighbours_test.go
@@ -25,7 +25,7 @@
 	for topic := range r.feeds {
 		r.feeds[topic] = feed.New(Topic(topic) != TopicLease)
 	}
-	server := httptest.NewServer(http.HandlerFunc(r.relay))
+	server := httptest.NewServer(http.HandlerFunc(r.handleRelayedRead))
 	t.Cleanup(server.Close)
 	return r, server.Listener.Addr().String()
 }
@@ -51,7 +51,7 @@
 		"ahead of this daemon":  {feed.Question{From: 12, Age: time.Hour}, false, ""},
 		"a new stamp, no wait ": {feed.Question{From: 8, Stamp: 5}, false, ""},
 	} {
-		got, err := askNeighbour(t.Context(), client, address, TopicOperator, c.q)
+		got, err := requestNeighbour(t.Context(), client, address, TopicOperator, c.q)
 		if err != nil || got.All != c.all || got.Next != max(8, c.q.From) || got.Age != time.Second || got.Stamp != int64(9*time.Second) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
@@ -60,7 +60,7 @@
 		}
 	}
 	var refused *StatusError
-	if _, err := askNeighbour(t.Context(), client, address, TopicEndpoints, feed.Question{From: -1}); !errors.As(err, &refused) || refused.Status != http.StatusGone {
+	if _, err := requestNeighbour(t.Context(), client, address, TopicEndpoints, feed.Question{From: -1}); !errors.As(err, &refused) || refused.Status != http.StatusGone {
 		t.Errorf("a daemon that knows nothing answers with %v", err)
 	}
 }
@@ -123,7 +123,7 @@
 			t.Errorf("%v between claim %d and the next", gap, i)
 		}
 	}
-	if waits[0] != 0 || waits[daemons-1] > 2*contendMost {
+	if waits[0] != 0 || waits[daemons-1] > 2*maxContendDelay {
 		t.Errorf("claims from %v to %v", waits[0], waits[daemons-1])
 	}
 }
@@ -133,10 +133,10 @@
 // zone, it would ask those that read through itself, and wait for news of its own.
 func TestAnAnswerOfANeighbourEndsTheSearch(t *testing.T) {
 	v := zoneOf(10, "j")
-	v.ask = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
+	v.request = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
 		return feed.Answer{Next: 5}, nil
 	}
-	s := &subscription{n: v, topic: TopicOperator, some: true}
+	s := &subscription{neighbours: v, topic: TopicOperator, known: true}
 	earlier := v.candidates(TopicOperator, false, 0.99)
 	if len(earlier) == 0 {
 		t.Fatal("this daemon reads the store itself")
@@ -145,7 +145,7 @@
 	if _, _, ok := s.read(t.Context(), 5, ""); !ok {
 		t.Fatal("the neighbour's answer was not taken")
 	}
-	if got := v.candidates(TopicOperator, s.lost, 0.99); !slices.Equal(got, earlier) {
+	if got := v.candidates(TopicOperator, s.storeLost, 0.99); !slices.Equal(got, earlier) {
 		t.Errorf("asks %v, and before it %v", got, earlier)
 	}
 }
@@ -155,10 +155,10 @@
 // reads through it.
 func TestDetachedNeighbourIsTheLastResort(t *testing.T) {
 	v := zoneOf(10, "j")
-	v.ask = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
+	v.request = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
 		return feed.Answer{Next: 5, Detached: true}, nil
 	}
-	s := &subscription{n: v, topic: TopicOperator, some: true}
+	s := &subscription{neighbours: v, topic: TopicOperator, known: true}
 	if _, _, ok := s.read(t.Context(), 5, ""); ok {
 		t.Error("taken for news while the store may answer")
 	}
--- a/router/orders.go
+++ b/router/orders.go
@@ -12,53 +12,53 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Times of giving orders.
+// Intervals and timeouts of the rollout leader.
 const (
-	// leaseWait is how long a read of the lease waits for a record while there
-	// is nothing to order.
-	leaseWait = 20 * time.Second
-	// leaseRelayWait is how long it waits for the daemon that reads for its zone. What
-	// it knows is up to two waits old, and its neighbours leave it past leaseAge.
+	// leaseStoreWait is how long a read of the lease waits for a record while no orders
+	// are due.
+	leaseStoreWait = 20 * time.Second
+	// leaseRelayWait is the same for the daemon that reads for its zone. Its data is up
+	// to two waits old, and neighbours replace it as their source above maxLeaseAge.
 	leaseRelayWait = 10 * time.Second
-	// leaseEvery is the least time between two reads of the lease, which every
-	// daemon makes during a rollout. Requests that meet an engine which loads
-	// meanwhile are turned away by it.
-	leaseEvery = 1000 * time.Millisecond
-	// orderTick is how often a holder looks for engines to order.
-	orderTick = 100 * time.Millisecond
-	// reportEvery is how often the holder asks an engine that loads whether it
-	// is done. An engine's own entry tells it over a second later.
-	reportEvery = 350 * time.Millisecond
-	// contendStep lies between the claims of two daemons that could both give orders.
-	// A claim is known everywhere within a tenth of a second after a calm time, and
-	// within leaseEvery in a rollout. Of daemons that claim within that time all but one
-	// call the store in vain.
+	// leaseReadInterval is the minimum time between two reads of the lease, which every
+	// daemon makes during a rollout. Requests sent in between to an engine that has
+	// begun to load are rejected by that engine.
+	leaseReadInterval = 1000 * time.Millisecond
+	// leaderInterval is how often the leader looks for engines that need an order.
+	leaderInterval = 100 * time.Millisecond
+	// loadPollInterval is how often the leader asks a loading engine whether it has
+	// finished. The engine's own entry shows this more than a second later.
+	loadPollInterval = 350 * time.Millisecond
+	// contendStep is the time between the claims of two daemons that could both become
+	// leader. A claim reaches all daemons within a tenth of a second when there was no
+	// rollout before, and within leaseReadInterval during one. Of the daemons that
+	// claim within that time, all but one call the store in vain.
 	contendStep = 150 * time.Millisecond
-	// contendMost bounds the time in which every daemon has claimed, and as long again
-	// at random: the first ones may all be gone.
-	contendMost = 3 * time.Second
-	// claimPause, and as long again at random, lies between a claim that failed
-	// and the next.
-	claimPause = 400 * time.Millisecond
-	reportTime = 500 * time.Millisecond
+	// maxContendDelay bounds the delay of ordered claims. Later daemons claim after it
+	// at a random time of up to the same length, as all the first ones may be down.
+	maxContendDelay = 3 * time.Second
+	// claimRetryPause is the pause after a failed claim, plus a random time of up to
+	// the same length.
+	claimRetryPause = 400 * time.Millisecond
+	reportTimeout   = 500 * time.Millisecond
 )
 
-// leader gives orders while it holds the lease.
+// leader gives weight-loading orders to engines while it holds the lease.
 type leader struct {
-	r     *Router
-	lease *weights.Lease
-	plans map[string]*weights.Plan
+	router *Router
+	lease  *weights.Lease
+	plans  map[string]*weights.Plan
 
-	mu      sync.Mutex // guards lease, plans, loading and untold
-	loading map[fleet.EndpointID]loadingEngine
-	untold  []weights.News // for the other daemons, with the next claim
-	asked   time.Duration
-	claimAt time.Duration // no claim before, after one that failed
-	failed  int           // claims in a row
-	since   time.Duration // when work was first seen; 0: none
-	wait    time.Duration
+	mu           sync.Mutex // guards lease, plans, loading and unpublished
+	loading      map[fleet.EndpointID]loadingEngine
+	unpublished  []weights.News // updates for the other daemons, published with the next claim
+	lastPoll     time.Duration
+	nextClaim    time.Duration // earliest time of the next claim, after a failed one
+	failedClaims int           // consecutive failed claims
+	behindSince  time.Duration // when engines were first found behind; 0: none are
+	contendDelay time.Duration
 
-	sub *subscription // of the lease; for follow alone
+	subscription *subscription // of the lease; used only by follow
 }
 
 type loadingEngine struct {
@@ -68,206 +68,206 @@
 	until   time.Duration
 }
 
-// leadOrders follows the lease and, while some engine is behind, claims it and
-// gives orders.
-func (r *Router) leadOrders(ctx context.Context) {
-	me := r.o.Settings.Name + "@" + r.o.Settings.CallerAddress
+// runLeader follows the lease and, while some engine has outdated weights, claims it
+// and gives orders.
+func (r *Router) runLeader(ctx context.Context) {
+	me := r.options.Settings.Name + "@" + r.options.Settings.CallerAddress
 	l := &leader{
-		r: r, lease: weights.NewLease(me, r.o.Settings.OrderLease),
+		router: r, lease: weights.NewLease(me, r.options.Settings.OrderLease),
 		plans: map[string]*weights.Plan{}, loading: map[fleet.EndpointID]loadingEngine{},
-		sub: &subscription{n: r.neighbours, topic: TopicLease},
+		subscription: &subscription{neighbours: r.neighbours, topic: TopicLease},
 	}
 	go l.follow(ctx)
-	for pause.Tick(ctx, orderTick) == nil {
+	for pause.Tick(ctx, leaderInterval) == nil {
 		l.step(ctx)
 	}
 }
 
-// follow reads the lease as it changes.
+// follow reads the lease until the context ends.
 func (l *leader) follow(ctx context.Context) {
-	l.r.neighbours.await(ctx)
+	l.router.neighbours.awaitList(ctx)
 	for ctx.Err() == nil {
 		_ = pause.For(ctx, l.followOnce(ctx))
 	}
 }
 
-// followOnce makes one read, through a neighbour or of the store, and returns the
-// time until the next.
+// followOnce makes one read, through a neighbour or from the store, and returns the
+// time until the next one.
 func (l *leader) followOnce(ctx context.Context) time.Duration {
 	l.mu.Lock()
 	from := l.lease.Next()
 	l.mu.Unlock()
-	got, confirmed, ok := l.sub.read(ctx, from, "")
-	l.r.feeds[TopicLease].Progress(l.sub.progress)
-	l.r.feeds[TopicLease].SetDetached(l.sub.detached)
+	got, confirmed, ok := l.subscription.read(ctx, from, "")
+	l.router.feeds[TopicLease].Progress(l.subscription.progress)
+	l.router.feeds[TopicLease].SetDetached(l.subscription.detached)
 	if ok {
 		var records [][]byte
 		for _, r := range got.Records {
 			records = append(records, r.Value)
 		}
-		l.sub.confirm(confirmed)
-		l.take(from, records, got.Next, confirmed)
+		l.subscription.confirm(confirmed)
+		l.applyRecords(from, records, got.Next, confirmed)
 		return relayPause
 	}
 	if ctx.Err() != nil {
 		return 0
 	}
-	if l.sub.rests() {
-		return minPause
+	if l.subscription.storeBackedOff() {
+		return minRetryPause
 	}
-	sent := l.r.clock()
+	sent := l.router.clock()
 	if err := l.readLease(ctx, from, l.storeWait()); err != nil {
-		l.sub.failed()
-		return leaseEvery + maxPause
+		l.subscription.failed()
+		return leaseReadInterval + maxRetryPause
 	}
-	l.sub.confirm(sent)
-	l.sub.answered()
-	l.r.feeds[TopicLease].SetDetached(false)
-	return leaseEvery
+	l.subscription.confirm(sent)
+	l.subscription.answered()
+	l.router.feeds[TopicLease].SetDetached(false)
+	return leaseReadInterval
 }
 
-// storeWait is how long a read of the lease waits for a record at the store.
+// storeWait returns how long a read of the lease waits for a record at the store.
 func (l *leader) storeWait() time.Duration {
 	switch {
-	case !l.sub.some || l.sub.stale():
-		return 0 // whoever reads through this daemon waits for it
-	case l.r.neighbours.relays(TopicLease):
+	case !l.subscription.known || l.subscription.stale():
+		return 0 // daemons that read through this one need the answer now
+	case l.router.neighbours.relays(TopicLease):
 		return leaseRelayWait
 	default:
-		return leaseWait
+		return leaseStoreWait
 	}
 }
 
-// readLease reads the lease at the store.
+// readLease reads the lease from the store.
 func (l *leader) readLease(ctx context.Context, from int64, wait time.Duration) error {
-	call, cancel := context.WithTimeout(ctx, wait+answerTime)
+	call, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	sent := l.r.clock()
-	records, end, err := l.r.o.Lease.LeaseRecords(call, from, wait)
+	sent := l.router.clock()
+	records, end, err := l.router.options.Lease.LeaseRecords(call, from, wait)
 	var gone *HistoryGoneError
 	if errors.As(err, &gone) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.lease.Gap(l.r.clock(), gone.First)
+		l.lease.Gap(l.router.clock(), gone.First)
 		return nil
 	}
 	if err != nil {
 		return err
 	}
-	l.take(from, records, end, sent)
+	l.applyRecords(from, records, end, sent)
 	return nil
 }
 
-// take folds records of the lease that begin at the offset, and keeps them for the
-// neighbours. The log had no more than up to end when it was confirmed.
-func (l *leader) take(from int64, records [][]byte, end int64, confirmed time.Duration) {
+// applyRecords applies lease records that begin at the offset and publishes them to
+// neighbours. end is the end of the log at the time it was confirmed.
+func (l *leader) applyRecords(from int64, records [][]byte, end int64, confirmed time.Duration) {
 	b := feed.Batch{From: from, Next: from + int64(len(records)), Confirmed: confirmed}
 	for i, r := range records {
 		b.Records = append(b.Records, Record{Value: r, Offset: from + int64(i)})
 	}
 	b.Whole = b.Next >= end
-	l.r.feeds[TopicLease].Add(b)
+	l.router.feeds[TopicLease].Add(b)
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if len(records) == 0 && end > from {
-		l.lease.Gap(l.r.clock(), end)
+		l.lease.Gap(l.router.clock(), end)
 	}
 	before := l.lease.Holder()
-	claims := l.lease.Observe(l.r.clock(), from, records)
+	claims := l.lease.Observe(l.router.clock(), from, records)
 	if after := l.lease.Holder(); after != before {
-		l.r.log.Info("Lease of orders changed hands.", "holder", after, "offset", l.lease.Next()-1)
+		l.router.log.Info("Rollout lease changed its holder.", "holder", after, "offset", l.lease.Next()-1)
 	}
 	for _, c := range claims {
-		l.r.s.news(time.Now(), c.News)
-		l.r.s.namedAt(l.r.clock(), time.Now(), c.Named)
+		l.router.state.applyEngineUpdates(time.Now(), c.News)
+		l.router.state.applyNamedTimes(l.router.clock(), time.Now(), c.Named)
 	}
 }
 
 // step gives the orders that are due.
 func (l *leader) step(ctx context.Context) {
-	behind := l.behind()
-	now := l.r.clock()
+	behind := l.outdatedModels()
+	now := l.router.clock()
 	if len(behind) == 0 {
-		l.since = 0
+		l.behindSince = 0
 		l.finishLoads(ctx, now)
-		if len(l.told()) > 0 {
+		if len(l.unpublishedUpdates()) > 0 {
 			l.claim(ctx, nil)
 		}
 		return
 	}
-	if l.since == 0 {
-		l.since, l.wait = now, l.r.contendAfter(l.holds())
+	if l.behindSince == 0 {
+		l.behindSince, l.contendDelay = now, l.router.contendAfter(l.holdsLease())
 	}
 	l.mu.Lock()
-	due := max(l.since, l.lease.FreeFrom()) + l.wait
+	due := max(l.behindSince, l.lease.FreeFrom()) + l.contendDelay
 	l.mu.Unlock()
-	if now < due || l.r.leaving.Load() {
+	if now < due || l.router.shuttingDown.Load() {
 		return
 	}
 	l.finishLoads(ctx, now)
 	for _, model := range behind {
-		l.order(ctx, model, l.r.s.engines(time.Now(), l.r.clock(), l.r.o.Settings.VersionWithin, model))
+		l.orderModel(ctx, model, l.router.state.engines(time.Now(), l.router.clock(), l.router.options.Settings.VersionWithin, model))
 	}
 }
 
-// holds tells whether the newest claim is this daemon's.
-func (l *leader) holds() bool {
+// holdsLease reports whether the newest claim was made by this daemon.
+func (l *leader) holdsLease() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.lease.Holder() == l.lease.Me()
 }
 
-// contendAfter is how long after the others could this daemon claims the lease of
-// orders. The one that gave orders last goes on at once; the others follow in an order
-// that all of them know.
+// contendAfter returns the delay of this daemon's claim of the lease after the lease
+// becomes free. The previous leader continues at once; the others follow in an order
+// that all of them compute.
 func (r *Router) contendAfter(holds bool) time.Duration {
 	if holds {
 		return 0
 	}
-	before, _ := r.neighbours.place("orders") // nobody known: nobody to wait for
-	if wait := time.Duration(before) * contendStep; wait < contendMost {
+	before, _ := r.neighbours.rank("orders") // with no list there is nobody to wait for
+	if wait := time.Duration(before) * contendStep; wait < maxContendDelay {
 		return wait
 	}
-	return contendMost + time.Duration(r.placer.fraction()*float64(contendMost))
+	return maxContendDelay + time.Duration(r.placer.randomFraction()*float64(maxContendDelay))
 }
 
-// behind lists the models of which some engines have older weights than named.
-func (l *leader) behind() []string {
+// outdatedModels returns the models for which some engines have older weights than named.
+func (l *leader) outdatedModels() []string {
 	var out []string
-	for model, n := range l.r.s.namedVersions() {
-		if l.r.s.behind(model, n.newest()) {
+	for model, n := range l.router.state.namedVersions() {
+		if l.router.state.hasOutdatedEngine(model, n.newest()) {
 			out = append(out, model)
 		}
 	}
 	return out
 }
 
-// order gives the orders of one model.
-func (l *leader) order(ctx context.Context, model string, engines []weights.Engine) {
-	version := l.r.s.namedVersions()[model].newest()
+// orderModel gives the orders for one model.
+func (l *leader) orderModel(ctx context.Context, model string, engines []weights.Engine) {
+	version := l.router.state.namedVersions()[model].newest()
 	l.mu.Lock()
 	plan := l.plans[model]
 	if plan == nil {
 		plan = weights.NewPlan()
 		l.plans[model] = plan
 	}
-	next := plan.Next(l.r.clock(), engines, version)
-	renew := l.lease.RenewDue(l.r.clock())
+	next := plan.Next(l.router.clock(), engines, version)
+	renew := l.lease.RenewDue(l.router.clock())
 	l.mu.Unlock()
-	if len(next) == 0 && !renew && len(l.told()) == 0 {
+	if len(next) == 0 && !renew && len(l.unpublishedUpdates()) == 0 {
 		return
 	}
-	// The claim goes first: it proves the lease and tells the other daemons to
-	// send nothing to the engines that are about to load.
-	var news []weights.News
+	// The claim is appended first: it proves that the lease is held, and other daemons
+	// stop sending prompts to the engines that are about to load.
+	var updates []weights.News
 	for _, e := range next {
-		news = append(news, weights.News{Engine: string(e.Key), Model: model, Version: version, Loading: true})
+		updates = append(updates, weights.News{Engine: string(e.Key), Model: model, Version: version, Loading: true})
 	}
-	if !l.claim(ctx, news) {
+	if !l.claim(ctx, updates) {
 		return
 	}
-	l.r.s.news(time.Now(), news)
-	l.r.dispatch.tellLoads(news)
+	l.router.state.applyEngineUpdates(time.Now(), updates)
+	l.router.dispatch.sendLoads(updates)
 	var all sync.WaitGroup
 	for _, e := range next {
 		all.Add(1)
@@ -279,86 +279,88 @@
 	all.Wait()
 }
 
-// claim appends a claim of the lease with news for the other daemons.
-func (l *leader) claim(ctx context.Context, news []weights.News) bool {
-	if l.r.clock() < l.claimAt {
+// claim appends a claim of the lease with updates for the other daemons, and reports
+// whether the lease is held.
+func (l *leader) claim(ctx context.Context, updates []weights.News) bool {
+	if l.router.clock() < l.nextClaim {
 		return false
 	}
 	l.mu.Lock()
 	at := l.lease.Next()
-	told := l.untold
-	c, ok := l.lease.Claim(l.r.clock(), weights.Claim{
-		Nonce: l.r.placer.number(),
-		News:  append(told[:len(told):len(told)], news...),
-		Named: l.r.s.namedSince(l.r.clock(), time.Now()),
+	published := l.unpublished
+	c, ok := l.lease.Claim(l.router.clock(), weights.Claim{
+		Nonce: l.router.placer.randomNumber(),
+		News:  append(published[:len(published):len(published)], updates...),
+		Named: l.router.state.namedTimes(l.router.clock(), time.Now()),
 	})
 	l.mu.Unlock()
 	if !ok {
 		return false
 	}
-	call, cancel := context.WithTimeout(ctx, answerTime)
+	call, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	sent, record := l.r.clock(), c.Encode()
-	err := l.r.o.Lease.AppendLease(call, at, record)
-	var lost *LostRaceError
+	sent, record := l.router.clock(), c.Encode()
+	err := l.router.options.Lease.AppendLease(call, at, record)
+	var conflict *LostRaceError
 	switch {
 	case err == nil:
-		l.failed = 0
+		l.failedClaims = 0
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.untold = l.untold[len(told):]
+		l.unpublished = l.unpublished[len(published):]
 		if l.lease.Next() == at {
-			l.lease.Granted(l.r.clock())
-			// Neighbours that read through this daemon would find a gap otherwise, and
-			// all turn to the store.
-			l.r.feeds[TopicLease].Add(feed.Batch{
+			l.lease.Granted(l.router.clock())
+			// Otherwise neighbours that read through this daemon would find a gap and
+			// all call the store.
+			l.router.feeds[TopicLease].Add(feed.Batch{
 				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Whole: true, Confirmed: sent,
 			})
 		}
-		return l.lease.Held(l.r.clock())
-	case errors.As(err, &lost):
-		// Somebody was first. Read who.
+		return l.lease.Held(l.router.clock())
+	case errors.As(err, &conflict):
+		// Another daemon claimed first; read its claim.
 		_ = l.readLease(ctx, at, 0)
 		return false
 	default:
 		l.claimFailed(err)
 	}
-	// It may have been appended all the same: the read shows it. A store that
-	// loses many answers would otherwise keep every daemon from giving orders.
+	// The claim may have been appended although the call failed, which a read shows.
+	// Without it, a store that loses many answers would keep every daemon from giving
+	// orders.
 	if err := l.readLease(ctx, at, 0); err != nil {
 		return false
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if !l.lease.Held(l.r.clock()) || !l.lease.Answered() {
+	if !l.lease.Held(l.router.clock()) || !l.lease.Answered() {
 		return false
 	}
-	l.untold = l.untold[len(told):]
+	l.unpublished = l.unpublished[len(published):]
 	return true
 }
 
-// claimFailed keeps the daemon from claiming again at once. The store turns away
-// what passes its rates, and a daemon that asks ten times a second takes them
-// from the others.
+// claimFailed delays the next claim. The store rejects calls above its rate limits, and
+// a daemon that retries ten times a second uses up the limit for the others.
 func (l *leader) claimFailed(err error) {
-	if l.failed == 0 {
-		l.r.log.Warn("Lease of orders can't be claimed.", "error", err.Error())
+	if l.failedClaims == 0 {
+		l.router.log.Warn("Rollout lease cannot be claimed.", "error", err.Error())
 	}
-	l.failed++
-	l.claimAt = l.r.clock() + claimPause + time.Duration(l.r.placer.fraction()*float64(claimPause))
+	l.failedClaims++
+	l.nextClaim = l.router.clock() + claimRetryPause + time.Duration(l.router.placer.randomFraction()*float64(claimRetryPause))
 }
 
-// orderOne asks an engine for its count of orders and orders it.
+// orderOne asks an engine for its report, which holds its order count, and sends it an
+// order if it needs one.
 func (l *leader) orderOne(ctx context.Context, plan *weights.Plan, e weights.Engine, model string, version int64) {
-	call, cancel := context.WithTimeout(ctx, reportTime)
-	report, err := l.r.o.Engines.Report(call, e.Target, model)
+	call, cancel := context.WithTimeout(ctx, reportTimeout)
+	report, err := l.router.options.Engines.Report(call, e.Target, model)
 	cancel()
 	reply := weights.Refused
 	switch {
 	case err != nil:
-		l.r.log.Warn("Engine can't be asked.", "endpoint", e.ID, "error", err.Error())
+		l.router.log.Warn("Engine did not return a report.", "endpoint", e.ID, "error", err.Error())
 	case report.Version >= version:
-		l.done(e, model, report.Version)
+		l.recordLoaded(e, model, report.Version)
 		return
 	case report.Busy:
 		reply = weights.Accepted
@@ -367,59 +369,61 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	now := l.r.clock()
+	now := l.router.clock()
 	plan.Replied(now, e.Key, version, reply)
 	if reply == weights.Accepted || reply == weights.Unanswered {
-		l.loading[e.Key] = loadingEngine{engine: e, model: model, version: version, until: now + loadingNews}
+		l.loading[e.Key] = loadingEngine{engine: e, model: model, version: version, until: now + loadingUpdateLifetime}
 	}
 }
 
-// send gives the order if the lease outlives its longest way.
+// send sends the order if the lease is valid for longer than the order may take to
+// arrive.
 func (l *leader) send(ctx context.Context, e weights.Engine, model string, version, expected int64) weights.Reply {
 	l.mu.Lock()
-	held, token, me := l.lease.Held(l.r.clock()), l.lease.Token(), l.lease.Me()
+	held, token, me := l.lease.Held(l.router.clock()), l.lease.Token(), l.lease.Me()
 	l.mu.Unlock()
 	if !held {
 		return weights.Refused
 	}
 	call, cancel := context.WithTimeout(ctx, weights.OrderTime)
 	defer cancel()
-	reply, err := l.r.o.Engines.Order(call, e.Target, weights.Order{
+	reply, err := l.router.options.Engines.Order(call, e.Target, weights.Order{
 		Model: model, Version: version, Running: weights.FinishFirst, Holder: me, Token: token, Expected: expected,
 	})
 	fields := []any{"endpoint", e.ID, "model", model, "version", version, "token", token, "expected", expected, "reply", reply.String()}
 	if err != nil {
 		fields = append(fields, "error", err.Error())
 	}
-	l.r.log.Info("Order was given.", fields...)
-	l.r.metrics.orders.Inc(1)
+	l.router.log.Info("Order was sent.", fields...)
+	l.router.metrics.orders.Inc(1)
 	return reply
 }
 
-// finishLoads asks the engines that load whether they are done.
+// finishLoads asks loading engines whether they have finished.
 func (l *leader) finishLoads(ctx context.Context, now time.Duration) {
-	if now-l.asked < reportEvery {
+	if now-l.lastPoll < loadPollInterval {
 		return
 	}
-	l.asked = now
+	l.lastPoll = now
 	var all sync.WaitGroup
-	for _, e := range l.loads(now) {
+	for _, e := range l.pendingLoads(now) {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			call, cancel := context.WithTimeout(ctx, reportTime)
+			call, cancel := context.WithTimeout(ctx, reportTimeout)
 			defer cancel()
-			report, err := l.r.o.Engines.Report(call, e.engine.Target, e.model)
+			report, err := l.router.options.Engines.Report(call, e.engine.Target, e.model)
 			if err == nil && !report.Busy && report.Version >= e.version {
-				l.done(e.engine, e.model, report.Version)
+				l.recordLoaded(e.engine, e.model, report.Version)
 			}
 		}()
 	}
 	all.Wait()
 }
 
-// loads lists the engines that were ordered and are not known to be done.
-func (l *leader) loads(now time.Duration) []loadingEngine {
+// pendingLoads returns the engines that were ordered to load and are not known to have
+// finished.
+func (l *leader) pendingLoads(now time.Duration) []loadingEngine {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []loadingEngine
@@ -433,22 +437,22 @@
 	return out
 }
 
-// told is what the other daemons have not heard yet.
-func (l *leader) told() []weights.News {
+// unpublishedUpdates returns the updates not yet published to the other daemons.
+func (l *leader) unpublishedUpdates() []weights.News {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.untold
+	return l.unpublished
 }
 
-// done takes that an engine has its new weights. The other daemons hear of it
-// with the next claim.
-func (l *leader) done(e weights.Engine, model string, version int64) {
-	news := weights.News{Engine: string(e.Key), Model: model, Version: version}
+// recordLoaded records that an engine has loaded its weights. The other daemons receive
+// this with the next claim.
+func (l *leader) recordLoaded(e weights.Engine, model string, version int64) {
+	update := weights.News{Engine: string(e.Key), Model: model, Version: version}
 	l.mu.Lock()
 	delete(l.loading, e.Key)
-	l.untold = append(l.untold, news)
+	l.unpublished = append(l.unpublished, update)
 	l.mu.Unlock()
-	l.r.log.Info("Engine has its weights.", "endpoint", e.ID, "model", model, "version", version)
-	l.r.dispatch.tellLoads([]weights.News{news})
-	l.r.s.news(time.Now(), []weights.News{news})
+	l.router.log.Info("Engine has loaded its weights.", "endpoint", e.ID, "model", model, "version", version)
+	l.router.dispatch.sendLoads([]weights.News{update})
+	l.router.state.applyEngineUpdates(time.Now(), []weights.News{update})
 }
--- a/router/parts.go
+++ b/router/parts.go
@@ -9,79 +9,80 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// Bounds of the index of shared parts.
+// Limits of the segment index.
 const (
-	// keptPart is the part of an engine's memory that counts for parts that may be
-	// used again. The rest holds the requests that run.
-	keptPart = 0.6
-	// partHolders bounds the engines remembered for one part.
-	partHolders = 4
-	// partLife is how long a part is remembered that is not used again.
-	partLife = 30 * time.Second
-	// readMemory is the time over which the rate of reading is averaged.
-	readMemory = 10 * time.Second
+	// reusableMemoryFraction is the fraction of an engine's memory that counts for
+	// reusable segments. The rest holds running requests.
+	reusableMemoryFraction = 0.6
+	// maxSegmentHolders bounds the engines recorded for one segment.
+	maxSegmentHolders = 4
+	// segmentLifetime is how long an unused segment is kept in the index.
+	segmentLifetime = 30 * time.Second
+	// readRateWindow is the time constant of the average read rate.
+	readRateWindow = 10 * time.Second
 )
 
-// partIndex remembers which engines were sent which shared parts of prompts. It
-// belongs to a daemon that places all prompts of a kind, which therefore knows what
-// each engine has read since, and so what it has evicted.
-type partIndex struct {
-	parts   map[prefix.Key]*sharedPart
-	engines map[fleet.EndpointID]float64 // tokens sent there so far
-	rate    float64                      // tokens/s sent to all engines, averaged
-	rated   time.Time
+// segmentIndex records which engines were sent which shared segments of prompts. It is
+// used by a daemon that places all prompts of a group, which therefore knows what each
+// engine has read since and, from that, what it has evicted.
+type segmentIndex struct {
+	segments    map[prefix.Key]*sharedSegment
+	tokensSent  map[fleet.EndpointID]float64 // tokens sent so far
+	rate        float64                      // average tokens/s sent to all engines
+	rateUpdated time.Time
 }
 
-type sharedPart struct {
-	tokens  int
-	used    time.Time
-	holders []partHolder
+type sharedSegment struct {
+	tokens   int
+	lastUsed time.Time
+	holders  []segmentHolder
 }
 
-// partHolder is an engine that was sent the part.
-type partHolder struct {
-	engine fleet.EndpointID
-	sent   float64   // partIndex.engines of the engine when the part was last used there
-	ready  time.Time // when it was read, expected until it is known
+// segmentHolder is an engine that was sent the segment.
+type segmentHolder struct {
+	engine          fleet.EndpointID
+	tokensSentAtUse float64   // segmentIndex.tokensSent at the last use of the segment there
+	ready           time.Time // when the segment was read; an estimate until the answer begins
 }
 
-func newPartIndex() *partIndex {
-	return &partIndex{parts: map[prefix.Key]*sharedPart{}, engines: map[fleet.EndpointID]float64{}}
+func newSegmentIndex() *segmentIndex {
+	return &segmentIndex{segments: map[prefix.Key]*sharedSegment{}, tokensSent: map[fleet.EndpointID]float64{}}
 }
 
-// placed takes that a prompt with the shared part goes to the engine, which keeps
-// capacity tokens and has read the prompt by the given time.
-func (x *partIndex) placed(now time.Time, key prefix.Key, shared, prompt, capacity int, engine fleet.EndpointID, ready time.Time) {
-	p := x.parts[key]
+// recordPlacement records that a prompt with a shared segment is sent to the engine.
+// shared and prompt are lengths in tokens, capacity is the engine's memory in tokens,
+// and ready is when the engine is expected to have read the prompt.
+func (x *segmentIndex) recordPlacement(now time.Time, key prefix.Key, shared, prompt, capacity int, engine fleet.EndpointID, ready time.Time) {
+	p := x.segments[key]
 	if p == nil {
-		p = &sharedPart{}
-		x.parts[key] = p
+		p = &sharedSegment{}
+		x.segments[key] = p
 	}
-	p.tokens, p.used = shared, now
+	p.tokens, p.lastUsed = shared, now
 	read := prompt - shared
 	h := p.holder(engine)
-	if h == nil || x.gone(h, capacity) {
-		read, h = prompt, p.add(engine)
+	if h == nil || x.evicted(h, capacity) {
+		read, h = prompt, p.addHolder(engine)
 		h.ready = ready
 	}
-	x.engines[engine] += float64(read)
-	h.sent = x.engines[engine]
-	x.rate = x.readRate(now) + float64(read)/readMemory.Seconds()
-	x.rated = now
+	x.tokensSent[engine] += float64(read)
+	h.tokensSentAtUse = x.tokensSent[engine]
+	x.rate = x.readRate(now) + float64(read)/readRateWindow.Seconds()
+	x.rateUpdated = now
 }
 
-func (x *partIndex) readRate(now time.Time) float64 {
-	return x.rate * math.Exp(-now.Sub(x.rated).Seconds()/readMemory.Seconds())
+func (x *segmentIndex) readRate(now time.Time) float64 {
+	return x.rate * math.Exp(-now.Sub(x.rateUpdated).Seconds()/readRateWindow.Seconds())
 }
 
-// keeps tells whether engines keep a part for as long as it is remembered here, at the
-// present rate of reading. A copy of it elsewhere is of no use then.
-func (x *partIndex) keeps(now time.Time, engines, capacity int) bool {
-	return x.readRate(now)*partLife.Seconds() < keptPart*float64(engines)*float64(capacity)
+// retains reports whether engines keep a segment for as long as the index does, at the
+// present read rate. In that case no further copy of it is needed elsewhere.
+func (x *segmentIndex) retains(now time.Time, engines, capacity int) bool {
+	return x.readRate(now)*segmentLifetime.Seconds() < reusableMemoryFraction*float64(engines)*float64(capacity)
 }
 
-// holder returns the engine's entry, nil if it has none.
-func (p *sharedPart) holder(engine fleet.EndpointID) *partHolder {
+// holder returns the engine's entry, or nil.
+func (p *sharedSegment) holder(engine fleet.EndpointID) *segmentHolder {
 	for i := range p.holders {
 		if p.holders[i].engine == engine {
 			return &p.holders[i]
@@ -90,14 +91,14 @@
 	return nil
 }
 
-// add returns an entry for the engine, in the place of the oldest if there are too
-// many.
-func (p *sharedPart) add(engine fleet.EndpointID) *partHolder {
+// addHolder returns an entry for the engine and replaces the oldest one if there are
+// too many.
+func (p *sharedSegment) addHolder(engine fleet.EndpointID) *segmentHolder {
 	if h := p.holder(engine); h != nil {
 		return h
 	}
-	if len(p.holders) < partHolders {
-		p.holders = append(p.holders, partHolder{engine: engine})
+	if len(p.holders) < maxSegmentHolders {
+		p.holders = append(p.holders, segmentHolder{engine: engine})
 		return &p.holders[len(p.holders)-1]
 	}
 	oldest := &p.holders[0]
@@ -106,27 +107,29 @@
 			oldest = h
 		}
 	}
-	*oldest = partHolder{engine: engine}
+	*oldest = segmentHolder{engine: engine}
 	return oldest
 }
 
-// gone tells whether the engine has been sent more since than its memory keeps.
-func (x *partIndex) gone(h *partHolder, capacity int) bool {
-	return x.engines[h.engine]-h.sent > keptPart*float64(capacity)
+// evicted reports whether the engine has since been sent more tokens than its memory
+// keeps.
+func (x *segmentIndex) evicted(h *segmentHolder, capacity int) bool {
+	return x.tokensSent[h.engine]-h.tokensSentAtUse > reusableMemoryFraction*float64(capacity)
 }
 
-// held tells where a shared part is. Whoever comes to an engine that reads it meets
-// it there; others can fetch it once it is read. from is where.
-func (x *partIndex) held(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (h *placement.Held, from fleet.EndpointID) {
+// locate returns the usable engines that hold a shared segment. A prompt sent to an
+// engine that is still reading the segment finds it there; other engines can fetch it
+// once it is read. from is the engine from which to fetch it, or empty.
+func (x *segmentIndex) locate(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (h *placement.Held, from fleet.EndpointID) {
 	h = &placement.Held{At: map[fleet.EndpointID]int{}}
-	p := x.parts[key]
+	p := x.segments[key]
 	if p == nil {
 		return h, ""
 	}
 	var since time.Time
 	for i := range p.holders {
 		at := &p.holders[i]
-		if x.gone(at, capacity) || !usable(at.engine) {
+		if x.evicted(at, capacity) || !usable(at.engine) {
 			continue
 		}
 		h.At[at.engine] = p.tokens
@@ -137,11 +140,11 @@
 	return h, from
 }
 
-// expire forgets parts that were not used for long.
-func (x *partIndex) expire(now time.Time) {
-	for key, p := range x.parts {
-		if now.Sub(p.used) > partLife {
-			delete(x.parts, key)
+// expire removes segments that were not used for segmentLifetime.
+func (x *segmentIndex) expire(now time.Time) {
+	for key, p := range x.segments {
+		if now.Sub(p.lastUsed) > segmentLifetime {
+			delete(x.segments, key)
 		}
 	}
 }
--- a/router/parts_test.go
+++ b/router/parts_test.go
@@ -14,15 +14,15 @@
 // and may fetch it from there only once it is read: a fetch before finds nothing, and the
 // part is read twice.
 func TestPartIsFetchedOnceItIsRead(t *testing.T) {
-	x, now := newPartIndex(), time.Unix(1_800_000_000, 0)
-	x.placed(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now.Add(200*time.Millisecond))
-	if h, from := x.held(now, prefix.Key{1}, 200_000, anyEngine); h.At["a"] != 13_000 || h.Best != 0 || from != "" {
+	x, now := newSegmentIndex(), time.Unix(1_800_000_000, 0)
+	x.recordPlacement(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now.Add(200*time.Millisecond))
+	if h, from := x.locate(now, prefix.Key{1}, 200_000, anyEngine); h.At["a"] != 13_000 || h.Best != 0 || from != "" {
 		t.Errorf("%+v from %q while it is read", h, from)
 	}
-	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, anyEngine); h.Best != 13_000 || from != "a" {
+	if h, from := x.locate(now.Add(time.Second), prefix.Key{1}, 200_000, anyEngine); h.Best != 13_000 || from != "a" {
 		t.Errorf("%+v from %q after it was read", h, from)
 	}
-	if h, from := x.held(now.Add(time.Second), prefix.Key{1}, 200_000, func(fleet.EndpointID) bool { return false }); len(h.At) > 0 || from != "" {
+	if h, from := x.locate(now.Add(time.Second), prefix.Key{1}, 200_000, func(fleet.EndpointID) bool { return false }); len(h.At) > 0 || from != "" {
 		t.Errorf("%+v from %q, which may not be used", h, from)
 	}
 }
@@ -30,33 +30,33 @@
 // An engine is sent more than its memory keeps, and evicts the part. To count on it would
 // send prompts to an engine that reads it again, past others that wait less.
 func TestPartIsGoneAfterWhatTheMemoryKeeps(t *testing.T) {
-	x, now := newPartIndex(), time.Unix(1_800_000_000, 0)
-	x.placed(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now)
+	x, now := newSegmentIndex(), time.Unix(1_800_000_000, 0)
+	x.recordPlacement(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now)
 	for i := range 9 {
-		x.placed(now, prefix.Key{2, byte(i)}, 13_000, 17_000, 200_000, "a", now)
+		x.recordPlacement(now, prefix.Key{2, byte(i)}, 13_000, 17_000, 200_000, "a", now)
 	}
 	later := now.Add(time.Second)
-	if h, from := x.held(later, prefix.Key{1}, 200_000, anyEngine); len(h.At) > 0 || from != "" {
+	if h, from := x.locate(later, prefix.Key{1}, 200_000, anyEngine); len(h.At) > 0 || from != "" {
 		t.Errorf("%+v from %q", h, from)
 	}
-	if _, from := x.held(later, prefix.Key{2, 8}, 200_000, anyEngine); from != "a" {
+	if _, from := x.locate(later, prefix.Key{2, 8}, 200_000, anyEngine); from != "a" {
 		t.Error("the newest part is gone as well")
 	}
 }
 
 // Parts come and go for ever. What is remembered of them must not grow.
 func TestUnusedPartsAreForgotten(t *testing.T) {
-	x, now := newPartIndex(), time.Unix(1_800_000_000, 0)
+	x, now := newSegmentIndex(), time.Unix(1_800_000_000, 0)
 	for i := range 200 {
-		x.placed(now, prefix.Key{byte(i)}, 1, 2, 100, fleet.EndpointID(rune('a'+i%6)), now)
-		x.placed(now, prefix.Key{0}, 1, 2, 100, fleet.EndpointID(rune('a'+i%6)), now.Add(time.Duration(i)))
+		x.recordPlacement(now, prefix.Key{byte(i)}, 1, 2, 100, fleet.EndpointID(rune('a'+i%6)), now)
+		x.recordPlacement(now, prefix.Key{0}, 1, 2, 100, fleet.EndpointID(rune('a'+i%6)), now.Add(time.Duration(i)))
 	}
-	if n := len(x.parts[prefix.Key{0}].holders); n > partHolders {
+	if n := len(x.segments[prefix.Key{0}].holders); n > maxSegmentHolders {
 		t.Errorf("%d holders of one part", n)
 	}
-	x.expire(now.Add(partLife + time.Second))
-	if len(x.parts) > 0 {
-		t.Errorf("%d parts left", len(x.parts))
+	x.expire(now.Add(segmentLifetime + time.Second))
+	if len(x.segments) > 0 {
+		t.Errorf("%d parts left", len(x.segments))
 	}
 }
 
@@ -64,21 +64,21 @@
 // for minutes, and half of all reads were sent to a store besides.
 func TestEnginesWithMemoryToSpareKeepTheirParts(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
-	read := func(prompts int) *partIndex {
-		x := newPartIndex()
+	read := func(prompts int) *segmentIndex {
+		x := newSegmentIndex()
 		for i := range prompts * 20 {
-			x.placed(now.Add(time.Duration(i)*time.Second/time.Duration(prompts)), prefix.Key{byte(i), byte(i >> 8)}, 13_000, 17_000, 186_200, "a", now)
+			x.recordPlacement(now.Add(time.Duration(i)*time.Second/time.Duration(prompts)), prefix.Key{byte(i), byte(i >> 8)}, 13_000, 17_000, 186_200, "a", now)
 		}
 		return x
 	}
 	later := now.Add(20 * time.Second)
-	if !read(7).keeps(later, 256, 186_200) {
+	if !read(7).retains(later, 256, 186_200) {
 		t.Error("256 engines that are sent seven prompts a second evict them")
 	}
-	if read(150).keeps(later, 72, 186_200) {
+	if read(150).retains(later, 72, 186_200) {
 		t.Error("72 engines that are sent 150 prompts a second keep them")
 	}
-	if x := read(150); !x.keeps(later.Add(time.Minute), 72, 186_200) {
+	if x := read(150); !x.retains(later.Add(time.Minute), 72, 186_200) {
 		t.Error("the rate of a minute ago counts")
 	}
 }
