--- a/router/placer.go
+++ b/router/placer.go
@@ -22,29 +22,30 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Weights and times of placing.
+// Parameters of placement.
 const (
-	// placeTries bounds how often a request is placed anew because the endpoint
-	// that was chosen is on trial with another request.
-	placeTries = 3
-	// waitPart is the part of the time left that a request may be expected to
-	// wait for its first token. Past it the answer would come too late to be
-	// of use, and the work would only delay others.
-	waitPart = 0.8
-	// noEndpointAfter is when to come back if no endpoint may take a request:
-	// a load of weights or a restart takes about that long.
-	noEndpointAfter = 400 * time.Millisecond
-	// minOverloadAfter and maxOverloadAfter bound when to come back to a fleet
-	// that is full. The time is spread between them, so that those turned away
-	// together do not come back together.
-	minOverloadAfter = 50 * time.Millisecond
-	maxOverloadAfter = 400 * time.Millisecond
-	// retryPart is the part of the shared allowance for retries that daemons
-	// use; the rest covers windows that cut bursts differently.
-	retryPart = 0.75
-	// retryBurst is how many retries one daemon may save up. All daemons
-	// together stay within the allowance that does not depend on traffic.
-	retryBurst = 3
+	// maxPlaceAttempts bounds how often a request is placed again because the chosen
+	// endpoint is being probed with another request after an ejection.
+	maxPlaceAttempts = 3
+	// maxWaitFraction is the fraction of the remaining time that a request may be
+	// expected to wait for its first token. Above it the answer would come too late to
+	// be of use, and the work would only delay others.
+	maxWaitFraction = 0.8
+	// noEndpointRetryAfter is the retry delay returned when no endpoint can take a
+	// request. Loading weights or a restart takes about that long.
+	noEndpointRetryAfter = 400 * time.Millisecond
+	// minOverloadRetryAfter and maxOverloadRetryAfter bound the retry delay returned
+	// when the fleet is full. The delay is random, so that requests refused together
+	// are not retried together.
+	minOverloadRetryAfter = 50 * time.Millisecond
+	maxOverloadRetryAfter = 400 * time.Millisecond
+	// retryBudgetFraction is the fraction of the shared retry budget that daemons use.
+	// The rest covers measuring windows that divide bursts differently.
+	retryBudgetFraction = 0.75
+	// maxRetryBurst is the number of retries that one daemon may accumulate. With it, all
+	// daemons together stay within the part of the allowance that does not depend on
+	// traffic.
+	maxRetryBurst = 3
 )
 
 // Refusal codes.
@@ -54,21 +55,21 @@
 	codeAtLimits   = "endpoints_at_limits"
 )
 
-// placer implements forward.Placer.
+// placer implements forward.Placer by placing requests on its own.
 type placer struct {
-	s       *state
-	watch   *cacheWatch  // nil: nothing is known of caches
-	room    *room.Keeper // nil: limits of endpoints are not kept
-	engines weights.Engines
-	clock   func() time.Duration // boot clock
-	old     time.Duration        // Settings.VersionWithin
-	lastID  atomic.Uint64        // of placements; begins at random, as the ID draws among equal endpoints
+	state          *state
+	cacheTracker   *cacheTracker // nil: cache contents are unknown
+	endpointLimits *room.Keeper  // nil: limits of endpoints are not enforced
+	engines        weights.Engines
+	clock          func() time.Duration // boot clock
+	versionBound   time.Duration        // Settings.VersionWithin
+	lastID         atomic.Uint64        // placement ID; starts at random, as the ID breaks ties between equal endpoints
 
-	partsMu sync.Mutex
-	parts   *partIndex // of the prompts placed for all daemons
+	segmentsMu sync.Mutex
+	segments   *segmentIndex // of the prompts placed as dispatcher
 
 	unansweredMu sync.Mutex
-	unanswered   map[uint64]unanswered // by placement
+	unanswered   map[uint64]unanswered // by placement ID
 
 	budgetMu sync.Mutex
 	budget   *retry.Budget
@@ -76,8 +77,8 @@
 }
 
 func newPlacer(s *state, set *Settings, engines weights.Engines, clock func() time.Duration, rng *rand.Rand) *placer {
-	p := &placer{parts: newPartIndex(), unanswered: map[uint64]unanswered{}, s: s, engines: engines, clock: clock, old: set.VersionWithin, rng: rng, budget: retry.NewBudget(retry.BudgetOptions{
-		Fraction: set.RetryRatio * retryPart, Floor: 0.05, Burst: retryBurst, Debt: 1,
+	p := &placer{segments: newSegmentIndex(), unanswered: map[uint64]unanswered{}, state: s, engines: engines, clock: clock, versionBound: set.VersionWithin, rng: rng, budget: retry.NewBudget(retry.BudgetOptions{
+		Fraction: set.RetryRatio * retryBudgetFraction, Floor: 0.05, Burst: maxRetryBurst, Debt: 1,
 	})}
 	p.lastID.Store(rng.Uint64())
 	return p
@@ -97,13 +98,13 @@
 	return retry.Decide(time.Now(), r, a, p.budget, p.rng)
 }
 
-// Place implements forward.Placer. While all endpoints are at their limits it waits for
-// other daemons' words for a moment.
+// Place implements forward.Placer. While all endpoints are at their limits, it waits
+// briefly for another daemon's answer on a limit.
 func (p *placer) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
 	for waited := 0; ; waited++ {
 		out, err := p.place(ctx, w)
 		var refused *forward.RefusedError
-		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.Waits || !p.room.Waiting() {
+		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.Waits || !p.endpointLimits.Waiting() {
 			return out, err
 		}
 		if err := pause.For(ctx, room.Wait); err != nil {
@@ -114,7 +115,7 @@
 
 func (p *placer) place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
 	now := time.Now()
-	p.s.settle(now)
+	p.state.refreshIfChanged(now)
 	r := placement.Request{
 		Pool: pools.Plain(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
 		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
@@ -122,22 +123,22 @@
 	if w.Service.Engine != nil && w.In.Model != "" {
 		return p.placeModel(ctx, now, w, &r)
 	}
-	d, err := p.choose(now, &r, w.Route.Repeatable())
+	d, err := p.chooseEndpoint(now, &r, w.Route.Repeatable())
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	if left := time.Until(w.Deadline); d.ExpectedFirst > time.Duration(waitPart*float64(left)) {
-		p.s.view.Finished(now, r.ID)
-		p.giveBack(d.Endpoint)
-		return forward.Placement{}, &forward.RefusedError{Code: codeOverloaded, RetryAfter: p.spread()}
+	if left := time.Until(w.Deadline); d.ExpectedFirst > time.Duration(maxWaitFraction*float64(left)) {
+		p.state.view.Finished(now, r.ID)
+		p.releaseLimit(d.Endpoint)
+		return forward.Placement{}, &forward.RefusedError{Code: codeOverloaded, RetryAfter: p.overloadRetryAfter()}
 	}
-	return p.placed(now, w, &r, &d, &way{}), nil
+	return p.newPlacement(now, w, &r, &d, &candidate{}), nil
 }
 
-// placeKnown places a long prompt by what is known, without asking engines for their
-// load: this daemon places all of them.
-func (p *placer) placeKnown(now time.Time, w *forward.Work) (forward.Placement, error) {
-	p.s.settle(now)
+// placeAsDispatcher places a long prompt from local state without querying engines for
+// their load, as this daemon places all long prompts of the group.
+func (p *placer) placeAsDispatcher(now time.Time, w *forward.Work) (forward.Placement, error) {
+	p.state.refreshIfChanged(now)
 	r := placement.Request{
 		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 		Sole: true,
@@ -145,233 +146,239 @@
 	return p.placeModel(context.Background(), now, w, &r)
 }
 
-// shared tells where the shared part of a prompt is, for the daemon that places all.
-func (p *placer) shared(now time.Time, w *forward.Work, version int64) (*placement.Held, fleet.EndpointID) {
+// segmentLocations returns where the shared segment of a prompt is held and from which
+// engine it can be fetched. It is used by the dispatcher.
+func (p *placer) segmentLocations(now time.Time, w *forward.Work, version int64) (*placement.Held, fleet.EndpointID) {
 	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
 	at := prefix.Affinity(levels)
 	if at < 0 || len(levels) < 2 {
 		return &placement.Held{At: map[fleet.EndpointID]int{}}, ""
 	}
-	p.partsMu.Lock()
-	defer p.partsMu.Unlock()
+	p.segmentsMu.Lock()
+	defer p.segmentsMu.Unlock()
 	engine := w.Service.Engine
-	held, from := p.parts.held(now, levels[at].Key, engine.CapacityTokens, p.mayFetch)
+	held, from := p.segments.locate(now, levels[at].Key, engine.CapacityTokens, p.fetchable)
 	if engine.BytesPerToken > 0 {
 		held.Rate = engine.LinkMbps * 1e6 / 8 / float64(engine.BytesPerToken) / 2
 	}
 	return held, from
 }
 
-// expireParts forgets shared parts that were not used for long.
-func (p *placer) expireParts(now time.Time) {
-	p.partsMu.Lock()
-	defer p.partsMu.Unlock()
-	p.parts.expire(now)
+// expireSegments removes shared segments that were not used for a while.
+func (p *placer) expireSegments(now time.Time) {
+	p.segmentsMu.Lock()
+	defer p.segmentsMu.Unlock()
+	p.segments.expire(now)
 }
 
-// addTold adds what engines and stores tell themselves. What they do not hold yet may
-// be on its way to them.
-func addTold(h, told *placement.Held) {
-	for key, tokens := range told.At {
+// mergeReported adds the locations that engines and stores report to h. An engine that
+// does not report a segment yet may still be about to read it, so the locations in h
+// remain.
+func mergeReported(h, reported *placement.Held) {
+	for key, tokens := range reported.At {
 		h.At[key] = max(h.At[key], tokens)
 	}
-	if told.Best > h.Best {
-		h.Best, h.Rate = told.Best, told.Rate
+	if reported.Best > h.Best {
+		h.Best, h.Rate = reported.Best, reported.Rate
 	}
 }
 
-func (p *placer) mayFetch(key fleet.EndpointID) bool {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	return p.s.roster.Find(key) != nil && !p.s.roster.Unusable(time.Now(), key)
+func (p *placer) fetchable(key fleet.EndpointID) bool {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	return p.state.roster.Find(key) != nil && !p.state.roster.Unusable(time.Now(), key)
 }
 
-// sent notes where the shared part of a prompt goes.
-func (p *placer) sent(now time.Time, w *forward.Work, version int64, d *placement.Decision) {
+// recordSegment records to which engine the shared segment of a prompt is sent.
+func (p *placer) recordSegment(now time.Time, w *forward.Work, version int64, d *placement.Decision) {
 	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
 	at := prefix.Affinity(levels)
 	if at < 0 || len(levels) < 2 {
 		return
 	}
-	p.partsMu.Lock()
-	defer p.partsMu.Unlock()
-	p.parts.placed(now, levels[at].Key, levels[at].Tokens, w.In.PromptTokens, w.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirst))
+	p.segmentsMu.Lock()
+	defer p.segmentsMu.Unlock()
+	p.segments.recordPlacement(now, levels[at].Key, levels[at].Tokens, w.In.PromptTokens, w.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirst))
 }
 
-// placeModel places a prompt at an engine of its model.
+// placeModel places a prompt on an engine that serves its model.
 func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.Work, r *placement.Request) (forward.Placement, error) {
-	v, err := p.versions(w)
+	v, err := p.eligibleVersions(w)
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	in := laneOf(w.In.PromptTokens)
-	all := ways(w, v, in, p.whereabouts())
+	in := subpoolOf(w.In.PromptTokens)
+	all := listCandidates(w, v, in, p.prefixLocations())
 	switch {
 	case r.Sole:
-		p.anywhere(now, w, all)
-	case in == laneLong:
+		p.useSegmentLocations(now, w, all)
+	case in == subpoolLong:
 		first := *r
 		first.Pool, first.Levels = all[0].pool, all[0].levels()
-		p.ask(ctx, now, &first, w.In.Model)
+		p.queryLoads(ctx, now, &first, w.In.Model)
 	}
-	best, err := p.chooseWay(now, w, r, all)
+	best, err := p.chooseCandidate(now, w, r, all)
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	// A stream that goes on elsewhere is not refused: its caller has a part.
-	if !w.Resuming && best.decision.ExpectedWait > time.Duration(refuseParts[in]*float64(w.Route.Target)) {
-		p.giveBack(best.decision.Endpoint)
+	// A stream that resumes on another engine is not refused, as its caller has
+	// received a part of it.
+	if !w.Resuming && best.decision.ExpectedWait > time.Duration(modelWaitFractions[in]*float64(w.Route.Target)) {
+		p.releaseLimit(best.decision.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{
-			Code: codeOverloaded, RetryAfter: p.spread(),
+			Code: codeOverloaded, RetryAfter: p.overloadRetryAfter(),
 			Endpoint: string(best.decision.Endpoint), Wait: best.decision.ExpectedWait, Age: best.decision.LoadAge,
 		}
 	}
-	p.s.view.Reserve(now, best.request, &best.decision)
+	p.state.view.Reserve(now, best.request, &best.decision)
 	if r.Sole {
-		p.sent(now, w, best.version, &best.decision)
-		best.kept = p.enginesKeep(now, w)
+		p.recordSegment(now, w, best.version, &best.decision)
+		best.retained = p.enginesRetain(now, w)
 	}
-	return p.placed(now, w, &best.request, &best.decision, &best.way), nil
+	return p.newPlacement(now, w, &best.request, &best.decision, &best.candidate), nil
 }
 
-// giveBack returns what a request took of an endpoint's limit that is not sent there.
-func (p *placer) giveBack(e fleet.EndpointID) {
-	if p.room != nil {
-		p.room.GiveBack(e)
+// releaseLimit returns the capacity that a request took of an endpoint's limit without
+// being sent there.
+func (p *placer) releaseLimit(e fleet.EndpointID) {
+	if p.endpointLimits != nil {
+		p.endpointLimits.GiveBack(e)
 	}
 }
 
-// anywhere has the ways lead to any engine, by where the shared part is rather than
-// where its home is.
-func (p *placer) anywhere(now time.Time, w *forward.Work, all []way) {
+// useSegmentLocations makes the candidates consider any engine by where the shared
+// segment is held instead of by its preferred endpoint.
+func (p *placer) useSegmentLocations(now time.Time, w *forward.Work, all []candidate) {
 	for i := range all {
 		at := &all[i]
 		at.levels = func() []prefix.Level { return nil }
-		held, from := p.shared(now, w, at.version)
-		if told := at.held(); told != nil {
-			addTold(held, told)
+		held, from := p.segmentLocations(now, w, at.version)
+		if reported := at.held(); reported != nil {
+			mergeReported(held, reported)
 		}
 		at.held = func() *placement.Held { return held }
-		at.from = from
+		at.fetchFrom = from
 	}
 }
 
-// chooseWay takes the best way to an endpoint that may be tried.
-func (p *placer) chooseWay(now time.Time, w *forward.Work, r *placement.Request, all []way) (weighed, error) {
+// chooseCandidate returns the best candidate whose endpoint can take the request.
+func (p *placer) chooseCandidate(now time.Time, w *forward.Work, r *placement.Request, all []candidate) (evaluatedCandidate, error) {
 	try := *r
-	t := p.tries(r.Avoid, laneOf(w.In.PromptTokens) == laneShort)
+	t := p.newAttempts(r.Avoid, subpoolOf(w.In.PromptTokens) == subpoolShort)
 	for t.next() {
-		try.ID, try.Avoid = p.lastID.Add(1), t.avoid()
-		best, err := bestWay(now, p.s.view, try, all, w.Route.Target)
-		if err != nil && t.widen() {
+		try.ID, try.Avoid = p.lastID.Add(1), t.excludedEndpoints()
+		best, err := bestCandidate(now, p.state.view, try, all, w.Route.Target)
+		if err != nil && t.includeReserved() {
 			continue
 		}
 		if err != nil {
 			break
 		}
-		if t.take(now, best.decision.Endpoint, w.Route.Repeatable()) {
+		if t.acquire(now, best.decision.Endpoint, w.Route.Repeatable()) {
 			return best, nil
 		}
 	}
-	return weighed{}, t.refusal()
+	return evaluatedCandidate{}, t.refusal()
 }
 
-// refuseParts is the part of the objective that a prompt may be expected to wait
-// before it is read. A long one past it would be late, take as much of the engine
-// as one in time, and make the next one late. The time of reading the prompt
-// itself does not count: the longest prompts would never be served. Short ones
-// are worth many times as much for the time that an engine spends on them, also
-// when they are late, and are turned away only when the wait is hopeless.
-var refuseParts = [laneCount]float64{laneLong: 0.6, laneShort: 3}
-
-// spread draws a time to come back.
-func (p *placer) spread() time.Duration {
-	return minOverloadAfter + time.Duration(p.fraction()*float64(maxOverloadAfter-minOverloadAfter))
+// modelWaitFractions is the expected wait before a prompt is read above which it is
+// refused, as a fraction of the latency objective. A long prompt above it would be
+// late, take as much engine time as one in time, and delay the next one. The time to
+// read the prompt itself is not included, as the longest prompts would otherwise always
+// be refused. Short prompts are worth many times as much for the engine time they take,
+// even when late, and are refused only when the wait is far beyond the objective.
+var modelWaitFractions = [subpoolCount]float64{subpoolLong: 0.6, subpoolShort: 3}
+
+// overloadRetryAfter returns a random retry delay.
+func (p *placer) overloadRetryAfter() time.Duration {
+	return minOverloadRetryAfter + time.Duration(p.randomFraction()*float64(maxOverloadRetryAfter-minOverloadRetryAfter))
 }
 
-// fraction draws a number from 0 to 1.
-func (p *placer) fraction() float64 {
+// randomFraction returns a random number in [0, 1).
+func (p *placer) randomFraction() float64 {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return p.rng.Float64()
 }
 
-// number draws a number that is not drawn again.
-func (p *placer) number() uint64 {
+// randomNumber returns a random 64-bit number for use as a nonce.
+func (p *placer) randomNumber() uint64 {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return p.rng.Uint64()
 }
 
-// arrived counts a prompt of this daemon's callers into the split of the engines.
-func (p *placer) arrived(now time.Time, w *forward.Work) {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	p.s.lanes.seen(now, laneOf(w.In.PromptTokens), w.In.PromptTokens, w.Service.Engine.Slots)
+// recordArrival adds a prompt of this daemon's callers to the work that divides the
+// engines.
+func (p *placer) recordArrival(now time.Time, w *forward.Work) {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	p.state.subpools.addRequest(now, subpoolOf(w.In.PromptTokens), w.In.PromptTokens, w.Service.Engine.Slots)
 }
 
-// versions chooses the weight versions that the request may be bound to.
-func (p *placer) versions(w *forward.Work) (versions, error) {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	n := p.s.named[w.In.Model]
+// eligibleVersions chooses the weight versions that the request may be bound to.
+func (p *placer) eligibleVersions(w *forward.Work) (versionChoice, error) {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	n := p.state.named[w.In.Model]
 	at := uint64(0)
 	if len(w.In.Parts) > 0 {
 		at = hash.Text(w.In.Parts[0].ID)
 	}
-	in := laneOf(w.In.PromptTokens)
-	engines := p.s.roster.Counts(w.Service.Name, w.In.Model)
+	pool := subpoolOf(w.In.PromptTokens)
+	engines := p.state.roster.Counts(w.Service.Name, w.In.Model)
 	clock := p.clock()
-	lead := newerLead
-	if in == laneShort {
-		lead = math.Inf(1) // nothing of theirs is worth meeting in a cache
+	lead := newestVersionFactor
+	if pool == subpoolShort {
+		lead = math.Inf(1) // short prompts share too little for a cache to matter
 	}
-	left := func(v int64) time.Duration { return n.left(v, clock, p.old) }
-	allowed := func(v int64) bool { return left(v) > beginLeast }
-	v := chooseVersions(engines.Lane[in], allowed, at, lead)
-	v = v.orElse(chooseVersions(engines.All, allowed, at, lead))
+	left := func(v int64) time.Duration { return n.timeToBegin(v, clock, p.versionBound) }
+	allowed := func(v int64) bool { return left(v) > minBeginTime }
+	v := chooseVersions(engines.Lane[pool], allowed, at, lead)
+	v = v.fillFrom(chooseVersions(engines.All, allowed, at, lead))
 	if v.first == 0 {
-		return v, &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointAfter}
+		return v, &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointRetryAfter}
 	}
-	v.firstLeft = left(v.first)
+	v.firstBeginWithin = left(v.first)
 	for i := range v.others {
-		v.others[i].left = left(v.others[i].version)
+		v.others[i].beginWithin = left(v.others[i].version)
 	}
 	return v, nil
 }
 
-// choose places the request at an endpoint that may be tried.
-func (p *placer) choose(now time.Time, r *placement.Request, repeatable bool) (placement.Decision, error) {
-	t := p.tries(r.Avoid, false)
+// chooseEndpoint places the request on an endpoint that can take it.
+func (p *placer) chooseEndpoint(now time.Time, r *placement.Request, repeatable bool) (placement.Decision, error) {
+	t := p.newAttempts(r.Avoid, false)
 	for t.next() {
-		r.ID, r.Avoid = p.lastID.Add(1), t.avoid()
-		d, err := p.s.view.Place(now, *r)
+		r.ID, r.Avoid = p.lastID.Add(1), t.excludedEndpoints()
+		d, err := p.state.view.Place(now, *r)
 		switch {
 		case errors.Is(err, placement.ErrNoEndpoint), errors.Is(err, placement.ErrUnknownPool):
 			return d, t.refusal()
 		case err != nil:
 			return d, err
 		}
-		if t.take(now, d.Endpoint, repeatable) {
+		if t.acquire(now, d.Endpoint, repeatable) {
 			return d, nil
 		}
-		p.s.view.Finished(now, r.ID)
+		p.state.view.Finished(now, r.ID)
 	}
 	return placement.Decision{}, t.refusal()
 }
 
-// mayTry tells whether the endpoint may have this request.
+// mayTry reports whether the endpoint may be sent this request.
 func (p *placer) mayTry(now time.Time, key fleet.EndpointID, repeatable bool) bool {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	return p.s.roster.MayTry(now, key, repeatable)
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	return p.state.roster.MayTry(now, key, repeatable)
 }
 
-// placed fills in what the endpoint is told.
-func (p *placer) placed(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *way) forward.Placement {
-	p.s.mu.Lock()
-	defer p.s.mu.Unlock()
-	e := p.s.roster.Find(d.Endpoint)
+// newPlacement builds the placement with the headers for the endpoint, and records the
+// request as unanswered.
+func (p *placer) newPlacement(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *candidate) forward.Placement {
+	p.state.mu.Lock()
+	defer p.state.mu.Unlock()
+	e := p.state.roster.Find(d.Endpoint)
 	out := forward.Placement{
 		ID: r.ID, Reason: d.Reason.String(), Wait: d.ExpectedFirst, Cached: d.ExpectedCached, Age: d.LoadAge,
 		Target: forward.Target{Key: e.Key, ID: e.ID, Address: e.Address},
@@ -383,26 +390,26 @@
 	if to.version == 0 {
 		return out
 	}
-	if to.left != noBound {
-		out.BeginBy = now.Add(to.left)
+	if to.beginWithin != noTimeLimit {
+		out.BeginBy = now.Add(to.beginWithin)
 	}
 	p.unansweredMu.Lock()
 	p.unanswered[r.ID] = unanswered{
 		endpoint: e.Key, priority: r.Priority, placed: now,
-		reading: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
+		expectedRead: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
 	}
 	p.unansweredMu.Unlock()
-	out.Notes = forward.Notes{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Sole}
+	out.Notes = forward.Notes{Prompt: int(subpoolOf(w.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Sole}
 	out.Out.CacheSalt = salt(w, to.version)
 	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
 	if at := prefix.Affinity(r.Levels); at >= 0 {
 		out.Prefix = r.Levels[at].Key.String()[:prefixDigits]
 	}
-	p.moves(now, w, r, d, to, &out.Out)
+	p.setCacheTransfer(now, w, r, d, to, &out.Out)
 	return out
 }
 
-// priorityOf maps the operator's ranks to the product's three.
+// priorityOf maps an urgency of the configuration to one of the three priorities.
 func priorityOf(urgency int) contract.Priority {
 	return contract.Priority(min(max(urgency, 0), int(contract.PriorityCount)-1))
 }
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -14,111 +14,112 @@
 )
 
 const (
-	// holdKey begins the keys of holds among the daemons' announcements. No VM has a
-	// name with a slash.
-	holdKey = "quarantine/"
-	// keepEvery is the least time between two tries to write holds.
-	keepEvery = time.Second
+	// holdKeyPrefix is the key prefix of holds among the announcements of daemons.
+	// Names of VMs contain no slash.
+	holdKeyPrefix = "quarantine/"
+	// holdWriteInterval is the pause between two attempts to write holds.
+	holdWriteInterval = time.Second
 )
 
-// keptHold is a hold in the store. Its times are Unix milliseconds: they outlive the
-// processes, and a clock that is seconds off does not matter to a hold of minutes.
-type keptHold struct {
-	Daemon string `json:"daemon"` // that began the hold
+// storedHold is a hold as stored. Its times are Unix milliseconds, as they outlive the
+// processes. Clocks that differ by seconds do not matter for a hold of minutes.
+type storedHold struct {
+	Daemon string `json:"daemon"` // that created the hold
 	Round  uint64 `json:"round"`
 	Began  int64  `json:"began"`
 	Until  int64  `json:"until"`
 }
 
-// holdKeeper writes holds to the store, where daemons that start anew find them. Only
-// the daemon that began a hold writes it, and drops it when it ends.
-type holdKeeper struct {
-	me    string // name of this daemon
+// holdStore writes holds to the store, from which restarting daemons load them. Only
+// the daemon that created a hold writes it, and deletes it when it ends.
+type holdStore struct {
+	self  string // name of this daemon
 	store Announcements
 	log   *logging.Logger
-	woken chan struct{}
+	wake  chan struct{}
 
 	mu      sync.Mutex
-	mine    map[quarantine.Fingerprint]bool
-	unsaved map[quarantine.Fingerprint][]byte // no value: the hold has ended
+	owned   map[quarantine.Fingerprint]bool
+	pending map[quarantine.Fingerprint][]byte // empty value: the hold has ended
 }
 
-func newHoldKeeper(me string, store Announcements, log *logging.Logger) *holdKeeper {
-	return &holdKeeper{
-		me: me, store: store, log: log, woken: make(chan struct{}, 1),
-		mine: map[quarantine.Fingerprint]bool{}, unsaved: map[quarantine.Fingerprint][]byte{},
+func newHoldStore(me string, store Announcements, log *logging.Logger) *holdStore {
+	return &holdStore{
+		self: me, store: store, log: log, wake: make(chan struct{}, 1),
+		owned: map[quarantine.Fingerprint]bool{}, pending: map[quarantine.Fingerprint][]byte{},
 	}
 }
 
-// put has a hold written, or dropped if value is empty.
-func (k *holdKeeper) put(f quarantine.Fingerprint, value []byte) {
+// put schedules a hold to be written, or to be deleted if value is empty.
+func (k *holdStore) put(f quarantine.Fingerprint, value []byte) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if len(value) == 0 && !k.mine[f] {
+	if len(value) == 0 && !k.owned[f] {
 		return
 	}
-	k.mine[f] = len(value) > 0
-	if !k.mine[f] {
-		delete(k.mine, f)
+	k.owned[f] = len(value) > 0
+	if !k.owned[f] {
+		delete(k.owned, f)
 	}
-	k.unsaved[f] = value
+	k.pending[f] = value
 	select {
-	case k.woken <- struct{}{}:
+	case k.wake <- struct{}{}:
 	default:
 	}
 }
 
-// adopt takes a hold that this daemon wrote before it started anew, and has it dropped
-// if it is over.
-func (k *holdKeeper) adopt(f quarantine.Fingerprint, lasts bool) {
+// adopt takes over a hold that this daemon wrote before it restarted, and schedules its
+// deletion if it has ended.
+func (k *holdStore) adopt(f quarantine.Fingerprint, lasts bool) {
 	k.mu.Lock()
-	k.mine[f] = true
+	k.owned[f] = true
 	k.mu.Unlock()
 	if !lasts {
 		k.put(f, nil)
 	}
 }
 
-// run writes what is to be written until the context ends.
-func (k *holdKeeper) run(ctx context.Context) {
+// run writes pending holds until the context ends.
+func (k *holdStore) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.woken:
+		case <-k.wake:
 		}
-		for k.writeAll(ctx) > 0 && pause.For(ctx, keepEvery) == nil {
+		for k.writeAll(ctx) > 0 && pause.For(ctx, holdWriteInterval) == nil {
 		}
 	}
 }
 
-// writeAll returns how many holds could not be written.
-func (k *holdKeeper) writeAll(ctx context.Context) int {
+// writeAll writes the pending holds and returns how many failed.
+func (k *holdStore) writeAll(ctx context.Context) int {
 	k.mu.Lock()
-	all := k.unsaved
-	k.unsaved = map[quarantine.Fingerprint][]byte{}
+	all := k.pending
+	k.pending = map[quarantine.Fingerprint][]byte{}
 	k.mu.Unlock()
 	failed := 0
 	for f, value := range all {
-		call, cancel := context.WithTimeout(ctx, answerTime)
-		err := k.store.Record(call, holdKey+f.String(), value)
+		call, cancel := context.WithTimeout(ctx, answerTimeout)
+		err := k.store.Record(call, holdKeyPrefix+f.String(), value)
 		cancel()
 		if err == nil {
 			continue
 		}
 		failed++
-		k.log.Warn("Hold can't be written.", "fingerprint", f.String(), "error", err.Error())
+		k.log.Warn("Hold cannot be written.", "fingerprint", f.String(), "error", err.Error())
 		k.mu.Lock()
-		if _, newer := k.unsaved[f]; !newer {
-			k.unsaved[f] = value
+		if _, newer := k.pending[f]; !newer {
+			k.pending[f] = value
 		}
 		k.mu.Unlock()
 	}
 	return failed
 }
 
-// changed has a hold written that began here, or dropped if it has ended.
-func (k *holdKeeper) changed(c *quarantine.Change, kept *quarantine.Kept) {
+// changed schedules a hold created here to be written, or to be deleted if it has
+// ended.
+func (k *holdStore) changed(c *quarantine.Change, kept *quarantine.Kept) {
 	switch {
 	case !c.Held:
 		k.put(c.Fingerprint, nil)
@@ -127,40 +128,40 @@
 		return
 	}
 	now := time.Now()
-	value, err := json.Marshal(keptHold{Daemon: k.me, Round: kept.Round, Began: now.Add(-kept.Age).UnixMilli(), Until: now.Add(kept.Left).UnixMilli()})
+	value, err := json.Marshal(storedHold{Daemon: k.self, Round: kept.Round, Began: now.Add(-kept.Age).UnixMilli(), Until: now.Add(kept.Left).UnixMilli()})
 	if err != nil {
-		k.log.Error("Hold can't be encoded.", "fingerprint", c.Fingerprint.String(), "error", err.Error())
+		k.log.Error("Hold cannot be encoded.", "fingerprint", c.Fingerprint.String(), "error", err.Error())
 		return
 	}
 	k.put(c.Fingerprint, value)
 }
 
-// recallHold takes a hold from the store. It returns false for other records.
-func (r *Router) recallHold(record Record) bool {
-	digits, ok := strings.CutPrefix(record.Key, holdKey)
+// loadHold applies a hold from the store. It returns false for other records.
+func (r *Router) loadHold(record Record) bool {
+	digits, ok := strings.CutPrefix(record.Key, holdKeyPrefix)
 	if !ok {
 		return false
 	}
 	if len(record.Value) == 0 {
-		return true // daemons tell each other of clearances
+		return true // daemons send each other the ends of holds
 	}
 	var f quarantine.Fingerprint
 	raw, err := hex.DecodeString(digits)
-	var kept keptHold
+	var stored storedHold
 	if err == nil {
-		err = json.Unmarshal(record.Value, &kept)
+		err = json.Unmarshal(record.Value, &stored)
 	}
 	if err != nil || len(raw) != len(f) {
-		r.log.Info("Record is no hold.", "key", record.Key, "offset", record.Offset)
+		r.log.Info("Record is not a valid hold.", "key", record.Key, "offset", record.Offset)
 		return true
 	}
 	copy(f[:], raw)
-	left := time.Until(time.UnixMilli(kept.Until))
-	if kept.Daemon == r.o.Settings.Name && r.keeper != nil {
-		r.keeper.adopt(f, left > 0)
+	left := time.Until(time.UnixMilli(stored.Until))
+	if stored.Daemon == r.options.Settings.Name && r.holdStore != nil {
+		r.holdStore.adopt(f, left > 0)
 	}
 	r.quarantine.Recall(quarantine.Kept{
-		Fingerprint: f, Round: kept.Round, Age: max(0, time.Since(time.UnixMilli(kept.Began))), Left: left,
+		Fingerprint: f, Round: stored.Round, Age: max(0, time.Since(time.UnixMilli(stored.Began))), Left: left,
 	})
 	return true
 }
--- a/router/quota.go
+++ b/router/quota.go
@@ -14,18 +14,19 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// Times of holding rate limits.
+// Intervals and limits of rate limiting.
 const (
-	// quotaTick is how often limits are looked at while no request waits.
-	quotaTick = 100 * time.Millisecond
-	// quotaPatience is how often they are while one does.
-	quotaPatience = 20 * time.Millisecond
-	// metricOrganisations bounds the organisations with metrics of their own. The
-	// others share one label.
-	metricOrganisations = 64
+	// quotaInterval is how often the quota node runs while no request waits.
+	quotaInterval = 100 * time.Millisecond
+	// quotaWaitInterval is how often it runs while a request waits.
+	quotaWaitInterval = 20 * time.Millisecond
+	// maxMetricOrganisations bounds the organisations with their own metrics. The others
+	// share one label.
+	maxMetricOrganisations = 64
 )
 
-// limiter implements forward.Limiter: it carries the messages of a quota.Node.
+// limiter implements forward.Limiter on top of a quota.Node, whose messages it sends
+// and receives.
 type limiter struct {
 	clock func() time.Duration
 	log   *logging.Logger
@@ -53,9 +54,9 @@
 	}
 }
 
-// run does what is due with time alone until the context ends.
+// run runs the node periodically until the context ends.
 func (l *limiter) run(ctx context.Context) {
-	for pause.Tick(ctx, quotaTick) == nil {
+	for pause.Tick(ctx, quotaInterval) == nil {
 		l.tick()
 	}
 }
@@ -64,28 +65,28 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.Tick(l.clock())
-	l.post()
+	l.sendPending()
 }
 
-// receive takes a message of another daemon.
+// receive passes a message of another daemon to the node.
 func (l *limiter) receive(from string, data []byte) {
 	l.mu.Lock()
 	err := l.node.Receive(l.clock(), from, data)
-	l.post()
+	l.sendPending()
 	l.mu.Unlock()
 	if err != nil {
-		l.log.Info("Message is no daemon's.", "from", from, "error", err.Error())
+		l.log.Info("Message of another daemon is malformed.", "from", from, "error", err.Error())
 	}
 }
 
-// post sends what the node has to send. Call it with mu held.
-func (l *limiter) post() {
+// sendPending sends the messages in the node's outbox. The caller must hold mu.
+func (l *limiter) sendPending() {
 	for _, d := range l.node.Outbox() {
 		l.send(d.To, d.Data)
 	}
 }
 
-// setDaemons takes the list of all daemons.
+// setDaemons replaces the list of daemons.
 func (l *limiter) setDaemons(all []Neighbour) {
 	var list []quota.Daemon
 	for _, d := range all {
@@ -98,16 +99,17 @@
 	l.node.SetDaemons(list)
 }
 
-// setLimits takes the limits of a configuration.
+// setLimits applies the rate limits of a configuration.
 func (l *limiter) setLimits(t *routes.Table) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.SetLimits(l.clock(), t.RateLimits())
-	l.post()
+	l.sendPending()
 }
 
-// leave has other daemons turn elsewhere at once.
-func (l *limiter) leave() {
+// announceLeave tells other daemons that this one shuts down, so that they stop relying
+// on it at once.
+func (l *limiter) announceLeave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.Leave()
@@ -118,12 +120,12 @@
 	later := make(chan quota.Verdict, 1)
 	l.mu.Lock()
 	v, decided := l.node.Admit(l.clock(), org.QuotaKey, tokens, func(v quota.Verdict) { later <- v })
-	l.post()
+	l.sendPending()
 	l.mu.Unlock()
 	if decided {
 		return l.count(org, tokens, v), nil
 	}
-	again := time.NewTicker(quotaPatience)
+	again := time.NewTicker(quotaWaitInterval)
 	defer again.Stop()
 	for {
 		select {
@@ -132,14 +134,14 @@
 		case <-again.C:
 			l.tick()
 		case <-ctx.Done():
-			go l.giveBackLate(org, tokens, later)
+			go l.returnLate(org, tokens, later)
 			return quota.Verdict{}, ctx.Err()
 		}
 	}
 }
 
-// giveBackLate returns what a request took whose caller left before the verdict.
-func (l *limiter) giveBackLate(org *routes.Organisation, tokens int, later <-chan quota.Verdict) {
+// returnLate returns what a request took if its caller left before the verdict.
+func (l *limiter) returnLate(org *routes.Organisation, tokens int, later <-chan quota.Verdict) {
 	if v := <-later; v.Admitted {
 		l.GiveBack(org, tokens)
 	}
@@ -174,14 +176,14 @@
 	return v
 }
 
-// metric returns the metrics of an organisation. Call it with mu held.
+// metric returns the metrics of an organisation. The caller must hold mu.
 func (l *limiter) metric(name string) *quotaMeters {
 	m := l.meters[name]
 	if m != nil {
 		return m
 	}
 	label := name
-	if len(l.meters) >= metricOrganisations {
+	if len(l.meters) >= maxMetricOrganisations {
 		label = "other"
 	}
 	s := l.scope.Tagged(map[string]string{"organisation": label})
--- a/router/report.go
+++ b/router/report.go
@@ -13,8 +13,8 @@
 	"github.com/merlindock/merlindock/telemetry"
 )
 
-// meters are the daemon's metrics. Labels are bounded: kinds, codes and status
-// classes, never ids.
+// meters holds the daemon's metrics. Label values are limited to kinds, codes and
+// status classes and never contain IDs, to bound their number.
 type meters struct {
 	all           *telemetry.Metrics
 	scope         tally.Scope
@@ -53,13 +53,13 @@
 	}
 }
 
-// report takes what became of one request.
+// report records the metrics and writes the log line of a finished request.
 func (r *Router) report(rep *forward.Report) {
 	r.metrics.request(rep)
 	if ordinary(rep) {
-		write, leftOut := r.fold.take(time.Now())
+		write, leftOut := r.requestLog.allow(time.Now())
 		if leftOut > 0 {
-			r.log.Info("Ordinary requests were counted only.", "requests", leftOut)
+			r.log.Info("Lines of ordinary requests were left out.", "requests", leftOut)
 		}
 		if !write {
 			return
@@ -94,7 +94,7 @@
 	r.log.Info("Request ended.", fields...)
 }
 
-// attemptText is one attempt in a line of a request.
+// attemptText formats one attempt for the log line of a request.
 func attemptText(a *forward.AttemptReport) string {
 	b := make([]byte, 0, 96)
 	b = append(b, a.Endpoint...)
@@ -140,10 +140,10 @@
 	return string(b)
 }
 
-// measureReading tells how old what the daemon knows is, and how far from the store it
-// reads.
-func (r *Router) measureReading() {
-	for topic, known := range map[Topic]*freshness.Confirmed{TopicOperator: &r.s.operator, TopicEndpoints: &r.s.endpoints} {
+// updateGauges updates the metrics for the age of the daemon's data and its distance
+// from the store.
+func (r *Router) updateGauges() {
+	for topic, known := range map[Topic]*freshness.Confirmed{TopicOperator: &r.state.operator, TopicEndpoints: &r.state.endpoints} {
 		if age, some := known.Age(r.clock()); some {
 			r.metrics.scope.Tagged(map[string]string{"topic": topic.String()}).Gauge("knowledge_age_seconds").Update(age.Seconds())
 		}
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -77,7 +77,7 @@
 	const daemons = 8
 	var views []*placement.View
 	for range daemons {
-		v := placement.NewView(placement.Options{Zone: "z", PrefillRate: f.readRate, QueueLife: queueLife, HomePrior: homePrior})
+		v := placement.NewView(placement.Options{Zone: "z", PrefillRate: f.readRate, QueueLife: queueHalfLife, HomePrior: cachedPrior})
 		v.SetPool("all", members)
 		views = append(views, v)
 	}
@@ -185,25 +185,25 @@
 }
 
 // watchOf returns a watch of two engines and a store.
-func watchOf(t *testing.T, now *time.Duration) *cacheWatch {
+func watchOf(t *testing.T, now *time.Duration) *cacheTracker {
 	t.Helper()
-	c := newCacheWatch(nil, func() time.Duration { return *now }, nil)
-	for _, s := range []source{
+	c := newCacheTracker(nil, func() time.Duration { return *now }, nil)
+	for _, s := range []cacheSource{
 		{name: "near", address: "1:1", zone: "a", rate: 100},
 		{name: "far", address: "2:1", zone: "b", rate: 100},
 		{name: "store", address: "3:1", zone: "a", rate: 50},
 	} {
-		c.watched[s.name] = &watched{source: s}
+		c.followed[s.name] = &followedHolder{cacheSource: s}
 	}
 	return c
 }
 
-func tell(c *cacheWatch, name string, ids ...string) {
+func tell(c *cacheTracker, name string, ids ...string) {
 	var b caches.Batch
 	for i, id := range ids {
 		b.Events = append(b.Events, caches.Event{Number: int64(i), Part: caches.PartOf("v1", id), Tokens: 500})
 	}
-	c.take(context.Background(), c.watched[name], b)
+	c.applyEvents(context.Background(), c.followed[name], b)
 }
 
 // Several holders have the beginning of a prompt. It comes from the one that has
@@ -214,34 +214,34 @@
 	c := watchOf(t, &now)
 	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Part{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
-	if h := c.held(w, "v1"); h != nil {
+	if h := c.locate(w, "v1"); h != nil {
 		t.Errorf("%+v though nobody told anything", h)
 	}
 	tell(c, "far", "x")
 	tell(c, "store", "x")
 	tell(c, "near", "x")
-	if got, n := c.best(w, "v1", "a", all); got != "1:1" || n != 500 {
+	if got, n := c.bestSource(w, "v1", "a", all); got != "1:1" || n != 500 {
 		t.Errorf("%q has %d", got, n)
 	}
-	if got, _ := c.best(w, "v1", "b", all); got != "2:1" {
+	if got, _ := c.bestSource(w, "v1", "b", all); got != "2:1" {
 		t.Errorf("%q is nearest to zone b", got)
 	}
-	if got, _ := c.best(w, "v1", "a", func(name string) bool { return name != "near" }); got != "3:1" {
+	if got, _ := c.bestSource(w, "v1", "a", func(name string) bool { return name != "near" }); got != "3:1" {
 		t.Errorf("%q without the nearest", got)
 	}
-	if got, n := c.best(w, "v2", "a", all); got != "" || n != 0 {
+	if got, n := c.bestSource(w, "v2", "a", all); got != "" || n != 0 {
 		t.Errorf("%q has %d tokens of other weights", got, n)
 	}
 	now += time.Second
 	tell(c, "far", "x", "y")
-	if got, n := c.best(w, "v1", "a", all); got != "2:1" || n != 1000 {
+	if got, n := c.bestSource(w, "v1", "a", all); got != "2:1" || n != 1000 {
 		t.Errorf("%q has %d", got, n)
 	}
-	if h := c.held(w, "v1"); h == nil || h.Best != 1000 || h.At["near"] != 500 || h.At["far"] != 1000 {
+	if h := c.locate(w, "v1"); h == nil || h.Best != 1000 || h.At["near"] != 500 || h.At["far"] != 1000 {
 		t.Errorf("held %+v", h)
 	}
-	now += eventTrusted - 500*time.Millisecond
-	if h := c.held(w, "v1"); h == nil || len(h.At) != 1 {
+	now += maxEventAge - 500*time.Millisecond
+	if h := c.locate(w, "v1"); h == nil || len(h.At) != 1 {
 		t.Errorf("held %+v when two of three are silent", h)
 	}
 }
@@ -257,11 +257,11 @@
 		followers := 0
 		for _, d := range all {
 			n := newNeighbours(d, &Settings{}, forward.Dialer(), fixed(0), quiet())
-			if n.chosen(holder, 6) {
+			if n.isChosen(holder, 6) {
 				t.Errorf("%s follows before it knows the others", d.Name)
 			}
 			n.set(all)
-			if n.chosen(holder, 6) {
+			if n.isChosen(holder, 6) {
 				followers++
 			}
 		}
@@ -276,17 +276,17 @@
 func TestLargeFleetsAreNotFollowed(t *testing.T) {
 	sources := func(engines int) int {
 		set := Settings{Zone: "z"}
-		r := &Router{clock: fixed(time.Second), s: newState(&set, rand.New(rand.NewPCG(1, 2))), neighbours: newNeighbours(Neighbour{Name: "d"}, &set, forward.Dialer(), fixed(0), quiet())}
+		r := &Router{clock: fixed(time.Second), state: newState(&set, rand.New(rand.NewPCG(1, 2))), neighbours: newNeighbours(Neighbour{Name: "d"}, &set, forward.Dialer(), fixed(0), quiet())}
 		r.neighbours.set([]Neighbour{{Name: "d", Zone: "z"}})
-		r.s.table.Store(&routes.Table{Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{Followers: 8}}}})
+		r.state.table.Store(&routes.Table{Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{Followers: 8}}}})
 		for i := range engines {
-			r.s.roster.Put(directory.Entry{ID: fmt.Sprint("e", i), Service: "s"})
+			r.state.roster.Put(directory.Entry{ID: fmt.Sprint("e", i), Service: "s"})
 		}
-		r.s.refresh(time.Now())
+		r.state.refresh(time.Now())
 		if len(r.cacheSources()) > 0 {
 			t.Error("followed before the list is known")
 		}
-		r.s.endpoints.Answered(r.clock(), r.clock())
+		r.state.endpoints.Answered(r.clock(), r.clock())
 		return len(r.cacheSources())
 	}
 	if small, large := sources(18), sources(60); small != 18 || large != 0 {
--- a/router/router.go
+++ b/router/router.go
@@ -25,94 +25,97 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Times of the daemon.
+// Intervals and timeouts of the daemon.
 const (
-	// freshPart is the part of Settings.RevokeWithin for which keys are
-	// believed after the read that confirmed them was sent. The rest is for
-	// clocks that run at different rates.
-	freshPart = 0.96
-	// readySlack is how much longer than a read may take the store may be silent
-	// before the daemon is not ready any more, so that callers go elsewhere
-	// before their keys can't be confirmed here.
-	readySlack = 300 * time.Millisecond
-	// tick is how often beliefs that change with time are looked at.
-	tick = 100 * time.Millisecond
-	// balancerLag is how long the balancer may send new connections after the
-	// daemon is not ready: two questions, a second apart, and one on its way.
+	// keyFreshnessFraction is the fraction of Settings.RevokeWithin for which keys are
+	// accepted after the read that confirmed them was sent. The rest covers clocks that
+	// run at different rates.
+	keyFreshnessFraction = 0.96
+	// readinessSlack is how long, beyond the longest read, the store may be silent
+	// before the daemon reports that it is not ready. Callers then use other daemons
+	// before this one can no longer confirm their keys.
+	readinessSlack = 300 * time.Millisecond
+	// refreshInterval is how often state that changes with time is updated.
+	refreshInterval = 100 * time.Millisecond
+	// balancerLag is how long the balancer may send new connections after the daemon
+	// reports that it is not ready: two health checks, a second apart, and one that is
+	// under way.
 	balancerLag = 2300 * time.Millisecond
-	// idleTick is how often a daemon that stops closes what has fallen idle.
-	idleTick = 20 * time.Millisecond
-	// stopReserve is kept of Settings.StopWithin to end the process.
-	stopReserve = 300 * time.Millisecond
-	// defaultIdle and defaultHeader hold until a configuration names bounds.
-	headerTimeout = 10 * time.Second
-	idleTimeout   = 120 * time.Second
-	maxHeader     = 64 << 10
+	// idleCloseInterval is how often a daemon that shuts down closes idle connections.
+	idleCloseInterval = 20 * time.Millisecond
+	// exitReserve is the part of Settings.StopWithin reserved for ending the process.
+	exitReserve = 300 * time.Millisecond
+	// Limits of the HTTP servers until a configuration sets its own.
+	headerTimeout  = 10 * time.Second
+	idleTimeout    = 120 * time.Second
+	maxHeaderBytes = 64 << 10
 )
 
-// Options are what a Router needs.
+// Options configures a Router.
 type Options struct {
 	Settings Settings
 	Store    Store
 	Lease    LeaseLog
 	Codec    Codec
-	// Announcements tells daemons of each other; nil: each reads the store
-	// itself.
+	// Announcements is the list of daemons; nil: each daemon reads the store itself.
 	Announcements Announcements
-	// Clock runs on while the machine is suspended; nil: BootClock.
+	// Clock continues while the machine is suspended; nil: BootClock.
 	Clock     func() time.Duration
-	CacheFeed CacheFeed // nil: nobody tells of caches
+	CacheFeed CacheFeed // nil: cache events are not followed
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial    forward.Dial
 	Wire    forward.Wire
 	Engines weights.Engines
 	Logs    *logging.Factory
 	Rand    *rand.Rand // seeded
-	// MetricsPort is where metrics are served at Settings.MetricsHost; 0: nowhere.
+	// MetricsPort is the port for metrics at Settings.MetricsHost; empty: none.
 	MetricsPort string
 }
 
-// Router is one daemon.
+// Router is a routing daemon. It serves callers from the state it follows in the store.
 type Router struct {
-	o       Options
-	clock   func() time.Duration // BootClock but in tests
-	s       *state
-	placer  *placer
-	client  *forward.Client
-	front   *http.Server
-	callers *forward.Callers
+	options      Options
+	clock        func() time.Duration // BootClock except in tests
+	state        *state
+	placer       *placer
+	client       *forward.Client
+	callerServer *http.Server
+	callers      *forward.Callers
 
-	neighbours *neighbours
-	watch      *cacheWatch
-	datagrams  *datagrams
-	limits     *limiter
-	quarantine *guard.Guard
-	keeper     *holdKeeper  // of holds; nil: there is no list of daemons
-	room       *room.Keeper // at endpoints that name limits
-	dispatch   *dispatch
-	feeds      [topicCount]*feed.Feed
-	log        *logging.Logger
-	fold       fold // of the lines of ordinary requests
-	registered fold // of the lines of endpoints that are ready
-	metrics    *meters
+	neighbours     *neighbours
+	cacheTracker   *cacheTracker
+	datagrams      *datagrams
+	limits         *limiter
+	quarantine     *guard.Guard
+	holdStore      *holdStore   // nil: there is no list of daemons
+	endpointLimits *room.Keeper // limits that endpoints name themselves
+	dispatch       *dispatchPlacer
+	feeds          [topicCount]*feed.Feed
+	log            *logging.Logger
+	requestLog     lineLimiter // limits the lines of ordinary requests
+	endpointLog    lineLimiter // limits the lines of endpoints that are ready
+	metrics        *meters
 
-	leaving atomic.Bool
-	// stops is when the process ends, once callers should know of it.
-	stops atomic.Pointer[time.Time]
+	shuttingDown atomic.Bool
+	// stopDeadline is when the process ends. It is nil until callers need to be
+	// informed.
+	stopDeadline atomic.Pointer[time.Time]
 }
 
-// BootClock reads the clock that runs on while the machine is suspended. The
-// steady clock of the runtime stands still then, and the time of day jumps.
+// BootClock returns the time since boot, including time during which the machine was
+// suspended. The runtime's monotonic clock stops during suspension, and the wall clock
+// may jump.
 func BootClock() time.Duration {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
-		// Linux has had this clock since 2.6.39; without it no key is ever fresh.
+		// Linux has provided this clock since 2.6.39; without it no key is ever
+		// considered fresh.
 		return 0
 	}
 	return time.Duration(ts.Nano())
 }
 
-// New returns a daemon that has not started.
+// New returns a daemon that is not started yet; call Run to start it.
 func New(o Options) *Router {
 	return newRouter(o, newMeters(telemetry.New(o.Settings.Name, string(o.Settings.Zone))))
 }
@@ -121,40 +124,41 @@
 	if o.Clock == nil {
 		o.Clock = BootClock
 	}
-	// The health of endpoints is judged under another lock than retries are.
+	// Endpoint health uses a random source of its own, as it is guarded by another lock
+	// than retries.
 	s := newState(&o.Settings, rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())))
 	r := &Router{
-		o: o, clock: o.Clock, s: s,
-		placer:  newPlacer(s, &o.Settings, o.Engines, o.Clock, o.Rand),
-		client:  forward.NewClient(o.Wire, o.Dial),
-		callers: forward.NewCallers(),
-		log:     o.Logs.For(logging.PartRouter),
-		metrics: metrics,
-		fold:    fold{most: ordinaryPerSecond}, registered: fold{most: readyPerSecond},
+		options: o, clock: o.Clock, state: s,
+		placer:     newPlacer(s, &o.Settings, o.Engines, o.Clock, o.Rand),
+		client:     forward.NewClient(o.Wire, o.Dial),
+		callers:    forward.NewCallers(),
+		log:        o.Logs.For(logging.PartRouter),
+		metrics:    metrics,
+		requestLog: lineLimiter{perSecond: ordinaryPerSecond}, endpointLog: lineLimiter{perSecond: readyPerSecond},
 	}
 	r.countStoreCalls()
-	r.watch = newCacheWatch(o.CacheFeed, o.Clock, r.log)
-	r.placer.watch = r.watch
+	r.cacheTracker = newCacheTracker(o.CacheFeed, o.Clock, r.log)
+	r.placer.cacheTracker = r.cacheTracker
 	me := Neighbour{Name: o.Settings.Name, Zone: o.Settings.Zone, Address: o.Settings.PeerAddress, Cores: o.Settings.Cores, LinkMbps: o.Settings.LinkMbps}
 	r.neighbours = newNeighbours(me, &o.Settings, forward.Dialer(), o.Clock, r.log)
 	r.datagrams = newDatagrams(r.metrics.scope, r.log)
-	r.datagrams.take = r.receive
+	r.datagrams.handle = r.receive
 	r.limits = newLimiter(me, &o.Settings, o.Clock, o.Rand, r.metrics.scope, r.log, r.datagrams.send)
-	r.quarantine = r.newGuard(me)
-	r.room = r.newRoom(me)
-	r.placer.room = r.room
-	r.dispatch = newDispatch(me, s, r.placer, o.Clock, r.log, r.datagrams.send)
+	r.quarantine = r.newQuarantineGuard(me)
+	r.endpointLimits = r.newEndpointLimits(me)
+	r.placer.endpointLimits = r.endpointLimits
+	r.dispatch = newDispatchPlacer(me, s, r.placer, o.Clock, r.log, r.datagrams.send)
 	for t := range r.feeds {
 		r.feeds[t] = feed.New(Topic(t) != TopicLease)
 	}
-	r.front = &http.Server{
+	r.callerServer = &http.Server{
 		Handler: forward.NewHandler(forward.Options{
 			Wire: o.Wire, Client: r.client, Placer: r.dispatch,
 			Table:      func() *routes.Table { return s.table.Load() },
 			KeysFresh:  r.keysFresh,
 			KeysAge:    r.keysAge,
-			Leaving:    r.leaving.Load,
-			StopsAt:    r.stopsAt,
+			Leaving:    r.shuttingDown.Load,
+			StopsAt:    r.stopTime,
 			Callers:    r.callers,
 			Limiter:    r.limits,
 			Quarantine: r.quarantine,
@@ -162,118 +166,120 @@
 		}),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHeader,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ConnContext:       r.callers.Context,
 		ConnState:         r.callers.State,
 	}
 	return r
 }
 
-// newGuard sets the keeping of holds up, where there is a list of daemons to keep them
-// beside.
-func (r *Router) newGuard(me Neighbour) *guard.Guard {
+// newQuarantineGuard creates the quarantine guard. If there is a list of daemons, holds
+// are also stored beside it.
+func (r *Router) newQuarantineGuard(me Neighbour) *guard.Guard {
 	o := guard.Options{
-		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.o.Clock, Dial: r.o.Dial, Rand: r.o.Rand,
+		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Dial: r.options.Dial, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 	}
 	if o.Dial == nil {
 		d := forward.Dialer()
 		o.Dial = d.DialContext
 	}
-	if r.o.Announcements != nil {
-		r.keeper = newHoldKeeper(me.Name, r.o.Announcements, r.log)
-		o.Changed = r.keeper.changed
+	if r.options.Announcements != nil {
+		r.holdStore = newHoldStore(me.Name, r.options.Announcements, r.log)
+		o.Changed = r.holdStore.changed
 	}
 	return guard.New(o)
 }
 
-func (r *Router) newRoom(me Neighbour) *room.Keeper {
+func (r *Router) newEndpointLimits(me Neighbour) *room.Keeper {
 	return room.New(room.Options{
-		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.o.Clock, Rand: r.o.Rand,
+		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
-		Changed: func(limited map[fleet.EndpointID]bool) { r.s.limited.Store(&limited) },
+		Changed: func(limited map[fleet.EndpointID]bool) { r.state.limited.Store(&limited) },
 	})
 }
 
 func (r *Router) keysFresh() bool {
-	return r.s.operator.Within(r.clock(), time.Duration(freshPart*float64(r.o.Settings.RevokeWithin)))
+	return r.state.operator.Within(r.clock(), time.Duration(keyFreshnessFraction*float64(r.options.Settings.RevokeWithin)))
 }
 
 func (r *Router) keysAge() time.Duration {
-	age, _ := r.s.operator.Age(r.clock())
+	age, _ := r.state.operator.Age(r.clock())
 	return age
 }
 
-// ready tells whether the balancer should send new connections.
+// ready reports whether the balancer should send new connections to this daemon.
 func (r *Router) ready() bool {
-	if r.leaving.Load() || r.s.table.Load() == nil || !r.keysFresh() {
+	if r.shuttingDown.Load() || r.state.table.Load() == nil || !r.keysFresh() {
 		return false
 	}
-	_, listed := r.s.endpoints.Age(r.clock())
-	silence, _ := r.s.operator.Silence(r.clock())
-	longest := time.Duration(operatorPart*float64(r.o.Settings.RevokeWithin)) + answerTime + readySlack
+	_, listed := r.state.endpoints.Age(r.clock())
+	silence, _ := r.state.operator.Silence(r.clock())
+	longest := time.Duration(operatorReadFraction*float64(r.options.Settings.RevokeWithin)) + answerTimeout + readinessSlack
 	return listed && silence < longest
 }
 
-// Run serves until the context ends and then shuts down without cutting a
-// request. It returns an error if the addresses can't be listened on.
+// Run serves callers until the context ends and then shuts down without interrupting a
+// request. It returns an error if an address cannot be listened on or callers can no
+// longer be served.
 func (r *Router) Run(ctx context.Context) error {
-	front, err := net.Listen("tcp", r.o.Settings.CallerAddress)
+	callerListener, err := net.Listen("tcp", r.options.Settings.CallerAddress)
 	if err != nil {
 		return eris.Wrap(err, "the callers' address cannot be listened on")
 	}
-	questions, err := net.Listen("tcp", r.o.Settings.ReadyAddress)
+	healthListener, err := net.Listen("tcp", r.options.Settings.ReadyAddress)
 	if err != nil {
 		return eris.Wrap(err, "the balancer's address cannot be listened on")
 	}
-	r.log.Info("Started.", "node", r.o.Settings.Name, "zone", string(r.o.Settings.Zone))
+	r.log.Info("Started.", "node", r.options.Settings.Name, "zone", string(r.options.Settings.Zone))
 	work, stop := context.WithCancel(context.Background())
 	defer stop()
 	go r.followOperator(work)
 	go r.followEndpoints(work)
-	go r.keepTime(work)
-	go r.leadOrders(work)
-	if o := r.o.CacheFeed; o != nil {
+	go r.runPeriodic(work)
+	go r.runLeader(work)
+	if o := r.options.CacheFeed; o != nil {
 		go r.followCaches(work)
 	}
-	go r.serveReady(questions)
-	if r.o.Announcements != nil && r.o.Settings.PeerAddress != "" {
-		peers, err := net.Listen("tcp", r.o.Settings.PeerAddress)
+	go r.serveReady(healthListener)
+	if r.options.Announcements != nil && r.options.Settings.PeerAddress != "" {
+		peers, err := net.Listen("tcp", r.options.Settings.PeerAddress)
 		if err != nil {
 			return eris.Wrap(err, "the other daemons' address cannot be listened on")
 		}
-		if err := r.datagrams.listen(r.o.Settings.PeerAddress); err != nil {
+		if err := r.datagrams.listen(r.options.Settings.PeerAddress); err != nil {
 			return err
 		}
 		go r.datagrams.run(work)
 		go r.serveNeighbours(peers)
 		go r.followDaemons(work)
-		go r.keeper.run(work)
+		go r.holdStore.run(work)
 	} else {
-		r.limits.setDaemons([]Neighbour{r.neighbours.me})
-		r.neighbours.proceed()
+		r.limits.setDaemons([]Neighbour{r.neighbours.self})
+		r.neighbours.allowReads()
 	}
 	go r.limits.run(work)
 	go r.quarantine.Run(work)
-	go r.room.Run(work)
-	if r.o.MetricsPort != "" {
+	go r.endpointLimits.Run(work)
+	if r.options.MetricsPort != "" {
 		go r.serveMetrics()
 	}
 	served := make(chan error, 1)
-	go func() { served <- r.front.Serve(r.callers.Listen(front)) }()
+	go func() { served <- r.callerServer.Serve(r.callers.Listen(callerListener)) }()
 	select {
 	case err := <-served:
 		return eris.Wrap(err, "callers can no longer be served")
 	case <-ctx.Done():
 	}
-	return r.shutDown(front)
+	return r.shutDown(callerListener)
 }
 
-// receive takes a message of another daemon by the first byte, which names its kind.
+// receive dispatches a message of another daemon by its first byte, which is the
+// message type.
 func (r *Router) receive(from string, data []byte) {
 	switch {
 	case r.dispatch.receive(from, data):
-	case r.room.Receive(from, data):
+	case r.endpointLimits.Receive(from, data):
 	case quarantine.Owns(data):
 		r.quarantine.Receive(from, data)
 	default:
@@ -281,42 +287,44 @@
 	}
 }
 
-// Reload takes settings that have changed. What was accepted stays in force if
-// they can't be used.
+// Reload logs settings that were read again. If err is not nil, the previous settings
+// stay in force.
 func (r *Router) Reload(set Settings, err error) {
 	if err != nil {
-		r.log.Error("New settings can't be used, the old ones stay in force.", "error", err.Error())
+		r.log.Error("New settings are not valid, the previous ones stay in force.", "error", err.Error())
 		return
 	}
-	r.log.Info("Settings were read again.", "node", set.Name, "store", set.StoreAddress)
+	r.log.Info("Settings were reloaded.", "node", set.Name, "store", set.StoreAddress)
 }
 
-// shutDown says not ready, serves on until the balancer has noticed, and then
-// closes connections as they fall idle until none is left.
+// shutDown reports that the daemon is not ready, serves until the balancer has noticed,
+// and then closes connections as they become idle, until none is left or the time is
+// up.
 func (r *Router) shutDown(front net.Listener) error {
 	began := time.Now()
-	r.leaving.Store(true)
-	r.limits.leave()
-	r.room.Leave()
+	r.shuttingDown.Store(true)
+	r.limits.announceLeave()
+	r.endpointLimits.Leave()
 	r.log.Info("Stopping.")
-	end := began.Add(r.o.Settings.StopWithin - stopReserve)
+	end := began.Add(r.options.Settings.StopWithin - exitReserve)
 	_ = pause.For(context.Background(), balancerLag)
-	r.stops.Store(&end)
-	// Callers that connect from now on are refused by the kernel and connect
-	// elsewhere.
+	r.stopDeadline.Store(&end)
+	// From now on the kernel refuses new connections, and callers connect to other
+	// daemons.
 	_ = front.Close()
 	left := r.callers.CloseIdle()
 	for left > 0 && time.Now().Before(end) {
-		_ = pause.For(context.Background(), idleTick)
+		_ = pause.For(context.Background(), idleCloseInterval)
 		left = r.callers.CloseIdle()
 	}
 	r.log.Info("Stopped.", "after_ms", time.Since(began).Milliseconds(), "requests_cut", left)
 	return nil
 }
 
-// stopsAt is when the process ends, zero as long as callers need not know.
-func (r *Router) stopsAt() time.Time {
-	if end := r.stops.Load(); end != nil {
+// stopTime returns when the process ends, or the zero time while callers need not be
+// informed.
+func (r *Router) stopTime() time.Time {
+	if end := r.stopDeadline.Load(); end != nil {
 		return *end
 	}
 	return time.Time{}
@@ -329,43 +337,43 @@
 		}
 	})}
 	if err := s.Serve(l); err != nil {
-		r.log.Error("The balancer's question can no longer be answered.", "error", err.Error())
+		r.log.Error("Health checks of the balancer are no longer served.", "error", err.Error())
 	}
 }
 
 func (r *Router) serveMetrics() {
-	address := net.JoinHostPort(r.o.Settings.MetricsHost, r.o.MetricsPort)
-	s := &http.Server{Addr: address, ReadHeaderTimeout: headerTimeout, Handler: r.operations()}
+	address := net.JoinHostPort(r.options.Settings.MetricsHost, r.options.MetricsPort)
+	s := &http.Server{Addr: address, ReadHeaderTimeout: headerTimeout, Handler: r.operationsHandler()}
 	if err := s.ListenAndServe(); err != nil {
 		r.log.Error("Metrics are not served.", "address", address, "error", err.Error())
 	}
 }
 
-// operations serves metrics, and holds of requests to operators.
-func (r *Router) operations() http.Handler {
+// operationsHandler serves metrics, and the quarantine interface for operators.
+func (r *Router) operationsHandler() http.Handler {
 	mux := http.NewServeMux()
 	r.quarantine.Handle(mux)
 	mux.Handle("/", r.metrics.handler())
 	return mux
 }
 
-// keepTime looks at what changes with time alone.
-func (r *Router) keepTime(ctx context.Context) {
+// runPeriodic updates the state that changes with time.
+func (r *Router) runPeriodic(ctx context.Context) {
 	wasReady, wasFresh := false, false
-	for n := 0; pause.Tick(ctx, tick) == nil; n++ {
+	for n := 0; pause.Tick(ctx, refreshInterval) == nil; n++ {
 		now := time.Now()
-		r.s.mu.Lock()
-		r.s.refresh(now)
-		r.s.mu.Unlock()
-		r.placer.overdue(now)
+		r.state.mu.Lock()
+		r.state.refresh(now)
+		r.state.mu.Unlock()
+		r.placer.reportWaiting(now)
 		r.dispatch.expire(now)
 		if ready := r.ready(); ready != wasReady {
 			wasReady = ready
-			r.log.Info("Readiness changed.", "ready", ready, "keys_age_ms", r.keysAge().Milliseconds(), "leaving", r.leaving.Load())
+			r.log.Info("Readiness changed.", "ready", ready, "keys_age_ms", r.keysAge().Milliseconds(), "leaving", r.shuttingDown.Load())
 		}
 		if fresh := r.keysFresh(); fresh != wasFresh {
 			wasFresh = fresh
-			r.log.Info("Belief in keys changed.", "fresh", fresh, "keys_age_ms", r.keysAge().Milliseconds())
+			r.log.Info("Key freshness changed.", "fresh", fresh, "keys_age_ms", r.keysAge().Milliseconds())
 		}
 		if n%10 == 0 {
 			r.everySecond(now)
@@ -374,16 +382,16 @@
 }
 
 func (r *Router) everySecond(now time.Time) {
-	r.s.view.Expire(now)
-	r.placer.expireParts(now)
-	r.measureReading()
-	r.s.mu.Lock()
-	r.s.roster.Expire(now)
-	for key, at := range r.s.saved {
-		if now.Sub(at) > savedFor {
-			delete(r.s.saved, key)
+	r.state.view.Expire(now)
+	r.placer.expireSegments(now)
+	r.updateGauges()
+	r.state.mu.Lock()
+	r.state.roster.Expire(now)
+	for key, at := range r.state.savedAt {
+		if now.Sub(at) > savedLifetime {
+			delete(r.state.savedAt, key)
 		}
 	}
-	r.s.mu.Unlock()
-	r.client.CloseIdle(r.s.usable)
+	r.state.mu.Unlock()
+	r.client.CloseIdle(r.state.usable)
 }
--- a/router/settings.go
+++ b/router/settings.go
@@ -1,15 +1,13 @@
-// Package router is a daemon whose routes, organisations and endpoints come
+// Package router implements a daemon whose routes, organisations and endpoints come
 // from a metadata store that operators and endpoints write.
 //
-// It holds what the daemon believes (the configuration in force, the
-// endpoints, weight versions, how fresh all that is), feeds it to the
-// decisions of the product's packages, and serves callers through package
-// forward. What the store's and the wire's names are is known to package
-// platform alone.
+// It maintains the daemon's local state (the configuration in force, endpoints, weight
+// versions and their freshness), passes it to the decision packages, and serves callers
+// through package forward. Only package platform depends on the names that the store
+// and the wire protocol use.
 //
-// Locks, in their order: state.mu (table of endpoints, versions, gates), then
-// the locks inside placement.Shared; budgetMu last. None is held while a
-// message is sent.
+// Lock order: state.mu (table of endpoints, versions, gates), then the locks inside
+// placement.Shared; budgetMu last. No lock is held while a message is sent.
 package router
 
 import (
@@ -19,27 +17,27 @@
 	"github.com/merlindock/merlindock/quota"
 )
 
-// Settings are what a daemon is told at its start.
+// Settings are the start settings of a daemon.
 type Settings struct {
 	Name          string // of the VM
 	Zone          fleet.ZoneID
 	CallerAddress string // IP:port for callers
-	ReadyAddress  string // IP:port for the balancer's question
+	ReadyAddress  string // IP:port for the balancer's health checks
 	StoreAddress  string // IP:port of the metadata store
 	PeerAddress   string // IP:port for other daemons; empty: none
 	MetricsHost   string
 	MemoryBytes   int64
-	Cores         float64 // processor that the daemon may use; 0: not told
-	LinkMbps      float64 // of the VM's link; 0: not told
+	Cores         float64 // processor cores that the daemon may use; 0: unknown
+	LinkMbps      float64 // speed of the VM's link; 0: unknown
 
-	DrainWithin   time.Duration // an endpoint that leaves gets no new work after it
+	DrainWithin   time.Duration // a draining endpoint gets no new work after it
 	ConfigWithin  time.Duration // a configuration is in force everywhere after it
 	StopWithin    time.Duration // from SIGTERM to SIGKILL
-	RevokeWithin  time.Duration // a key that was taken away is refused after it
+	RevokeWithin  time.Duration // a revoked key is refused after it
 	VersionWithin time.Duration // no request begins on older weights after it
 	OrderLease    time.Duration // between the last order of one daemon and the first of another
-	RetryRatio    float64       // retries for each request, over all daemons
-	// QuotaTolerance is how far the requests of an organisation may pass its rate
+	RetryRatio    float64       // retries per request, over all daemons
+	// QuotaTolerance is by how much the requests of an organisation may exceed its rate
 	// limit.
 	QuotaTolerance quota.Tolerance
 }
--- a/router/split_test.go
+++ b/router/split_test.go
@@ -39,7 +39,7 @@
 		for _, e := range members {
 			plain[e.ID] = e
 		}
-		for l, into := range map[lane]map[int64][]fleet.Endpoint{laneShort: short, laneLong: long} {
+		for l, into := range map[subpool]map[int64][]fleet.Endpoint{subpoolShort: short, subpoolLong: long} {
 			for _, e := range sets[pools.OfModel("s", "m", v, l)] {
 				into[v] = append(into[v], plain[e.ID])
 			}
--- a/router/state.go
+++ b/router/state.go
@@ -17,50 +17,53 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Times of the state.
+// Timeouts of the state.
 const (
-	// restAfterRefusal is how long an engine that turned a request away with
-	// room to spare is left alone: it is taking new weights.
-	restAfterRefusal = 400 * time.Millisecond
-	// restUnreachable is how long an endpoint that takes no connection is left
-	// alone. A crash lasts a second or more.
-	restUnreachable = 800 * time.Millisecond
-	// loadingNews is how long another daemon's word that an engine loads holds.
-	loadingNews = 6 * time.Second
-	// lapsePart is how long an endpoint counts whose entry lapsed together with
-	// others, as a part of Settings.DrainWithin. The rest is for the tick on which
-	// it is noticed, and for requests on their way.
-	lapsePart = 0.75
-	// savedFor is how long a part that was sent to the store is taken to be
-	// there without being sent again.
-	savedFor = 12 * time.Second
+	// refusalSuspension is how long an engine that rejected a request although it had free
+	// slots is excluded, as it is loading new weights.
+	refusalSuspension = 400 * time.Millisecond
+	// unreachableSuspension is how long an endpoint that accepts no connection is
+	// excluded. A crash lasts a second or more.
+	unreachableSuspension = 800 * time.Millisecond
+	// loadingUpdateLifetime is how long another daemon's report that an engine is
+	// loading remains valid.
+	loadingUpdateLifetime = 6 * time.Second
+	// lapseGraceFraction is how long an endpoint stays usable after its entry lapsed
+	// together with others, as a fraction of Settings.DrainWithin. The rest covers the
+	// interval after which the lapse is noticed, and requests on their way.
+	lapseGraceFraction = 0.75
+	// savedLifetime is how long a segment that was saved to the store is assumed to be
+	// there and not saved again.
+	savedLifetime = 12 * time.Second
 )
 
-// state is what a daemon believes.
+// state is the daemon's local view of the configuration, endpoints and weight versions.
 type state struct {
 	table     atomic.Pointer[routes.Table]
-	operator  freshness.Confirmed // reads of the operator's topic
+	operator  freshness.Confirmed // reads of the operator topic
 	endpoints freshness.Confirmed
-	// limited are the endpoints that name a limit. It is replaced as a whole.
+	// limited is the set of endpoints that name a limit. It is replaced, never
+	// modified.
 	limited atomic.Pointer[map[fleet.EndpointID]bool]
 
-	mu     sync.Mutex
-	roster *roster.Roster
-	named  map[string]named
-	saved  map[prefix.Key]time.Time // when a part was sent to the store
-	lanes  laneSplit
-	split  *map[fleet.EndpointID]bool // the limited endpoints, as the roster has them
+	mu             sync.Mutex
+	roster         *roster.Roster
+	named          map[string]versionHistory
+	savedAt        map[prefix.Key]time.Time // when a segment was last saved to the store
+	subpools       subpoolSplit
+	appliedLimited *map[fleet.EndpointID]bool // the value of limited last passed to the roster
 
 	view    *placement.Shared
-	changes *viewChanges // of the roster
+	changes *viewChanges // forwards the roster's changes to view
 }
 
-// viewChanges carries the roster's changes to placement. Those of one refresh are made
-// together: an engine that moves from one pool to another would else be in neither for a
-// moment, and a request that is placed just then refused. The state's lock guards it.
+// viewChanges forwards the roster's changes to placement. The changes of one refresh
+// are applied as a batch: otherwise an engine that moves from one pool to another would
+// be in neither for a moment, and a request placed just then would be refused. It is
+// guarded by state.mu.
 type viewChanges struct {
 	shared *placement.Shared
-	batch  *placement.View // while a batch is under way
+	batch  *placement.View // nil: no batch is under way
 }
 
 // Join implements roster.View.
@@ -93,67 +96,69 @@
 func newState(set *Settings, rng *rand.Rand) *state {
 	view := placement.NewShared(placement.Options{
 		Zone: set.Zone, PrefillRate: prefillRate, ImportLatency: importLatency, ReservationTTL: reservationTTL,
-		QueueLife: queueLife, HomePrior: homePrior,
+		QueueLife: queueHalfLife, HomePrior: cachedPrior,
 	})
 	changes := &viewChanges{shared: view}
 	return &state{
 		roster: roster.New(roster.Options{
-			Grace:  time.Duration(lapsePart * float64(set.DrainWithin)),
-			Health: health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: ejectAtMost},
-			Part:   firstShort, View: changes,
+			Grace:  time.Duration(lapseGraceFraction * float64(set.DrainWithin)),
+			Health: health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: maxEjection},
+			Part:   initialShortFraction, View: changes,
 		}),
-		named: map[string]named{},
-		saved: map[prefix.Key]time.Time{},
-		view:  view, changes: changes,
+		named:   map[string]versionHistory{},
+		savedAt: map[prefix.Key]time.Time{},
+		view:    view, changes: changes,
 	}
 }
 
-// What engines do, which they tell nowhere.
+// Assumptions about engines that they do not report.
 const (
-	// prefillRate is how fast an engine that generates for others as well is taken to
-	// read, in tokens/s: about what one present accelerator does for a model of some ten
-	// billion parameters. Of an engine that is slower the requests that wait longer than
-	// was foretold tell within a second (placement.View.Waited); of one that is faster
-	// nothing does, and callers are turned away whom it could serve.
+	// prefillRate is the assumed rate, in tokens/s, at which an engine that also
+	// generates for other requests reads prompts. It is about what a present
+	// accelerator achieves for a model of some ten billion parameters. If an engine is
+	// slower, requests that wait longer than expected show this within a second
+	// (placement.View.Waited). If it is faster, nothing shows it, and callers are
+	// refused that it could serve.
 	prefillRate   = 80_000
 	importLatency = 5 * time.Millisecond // until a fetch from another engine or a store begins
-	// homePrior is how likely a home has a shared part that this daemon knows
-	// nothing of. It is well below one half, as each new version of the weights and each
-	// isolated organisation reads all parts anew, and an engine's memory holds no more
-	// prompts than it runs.
-	homePrior = 0.35
-	// queueLife is the half-life of what an engine said of its queue. Some of it
-	// is worked off before the next answer comes, and others add to it.
-	queueLife = 1500 * time.Millisecond
-	// reservationTTL is above the longest time limit of a route.
+	// cachedPrior is the assumed probability that a preferred endpoint caches a shared
+	// segment of which this daemon has no record. It is well below one half, as each
+	// new weight version and each isolated organisation reads all segments anew, and an
+	// engine's memory holds no more prompts than it runs.
+	cachedPrior = 0.35
+	// queueHalfLife is the half-life of an engine's reported queue. Some of it is
+	// processed before the next report arrives, and other requests join it.
+	queueHalfLife = 1500 * time.Millisecond
+	// reservationTTL exceeds the longest time limit of a route.
 	reservationTTL = 15 * time.Second
 )
 
-// Ejection of endpoints that fail: few failures are enough, as there are others
-// and a wrong ejection costs little.
+// Ejection of failing endpoints. Few failures suffice, as there are other endpoints and
+// a wrong ejection costs little.
 const (
 	ejectAfter  = 3
 	ejectFor    = 700 * time.Millisecond
-	ejectAtMost = 4 * time.Second
+	maxEjection = 4 * time.Second
 )
 
-// refresh puts into force what changed since it was called last, with time as well.
-// Call it with mu held after changes, and on a tick.
+// refresh applies all changes since the previous call, including those due to time. The
+// caller must hold mu. It is called after changes and periodically.
 func (s *state) refresh(now time.Time) {
 	s.view.Batch(func(v *placement.View) {
 		s.changes.batch = v
 		defer func() { s.changes.batch = nil }()
-		if limited := s.limited.Load(); limited != s.split {
-			s.split = limited
+		if limited := s.limited.Load(); limited != s.appliedLimited {
+			s.appliedLimited = limited
 			s.roster.SetLimited(*limited)
 		}
-		s.roster.SetPart(s.lanes.short())
+		s.roster.SetPart(s.subpools.shortFraction())
 		s.roster.Refresh(now)
 	})
 }
 
-// settle puts changes of the list into force before a request is placed.
-func (s *state) settle(now time.Time) {
+// refreshIfChanged applies pending changes of the list of endpoints before a request is
+// placed.
+func (s *state) refreshIfChanged(now time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.roster.Changed() {
@@ -161,18 +166,18 @@
 	}
 }
 
-// usable tells whether an endpoint may be given work.
+// usable reports whether an endpoint is on the list.
 func (s *state) usable(key fleet.EndpointID) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roster.Find(key) != nil
 }
 
-// news takes what the holder of the order lease tells of engines.
-func (s *state) news(now time.Time, all []weights.News) {
+// applyEngineUpdates applies the engine updates of the rollout leader.
+func (s *state) applyEngineUpdates(now time.Time, updates []weights.News) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range all {
+	for _, n := range updates {
 		key := fleet.EndpointID(n.Engine)
 		e := s.roster.Find(key)
 		if e == nil {
@@ -180,7 +185,7 @@
 		}
 		switch {
 		case n.Loading && e.Versions[n.Model] < n.Version:
-			s.roster.Rest(now, key, loadingNews)
+			s.roster.Rest(now, key, loadingUpdateLifetime)
 		case !n.Loading:
 			s.roster.Wake(key)
 			s.roster.Learn(key, n.Model, n.Version)
@@ -189,14 +194,14 @@
 	s.refresh(now)
 }
 
-// behind tells whether an engine has older weights of the model than the version.
-func (s *state) behind(model string, version int64) bool {
+// hasOutdatedEngine reports whether some engine has older weights of the model than the version.
+func (s *state) hasOutdatedEngine(model string, version int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.roster.Behind(model, version)
 }
 
-// engines lists the engines that serve the model, for the plan of orders.
+// engines returns the engines that serve the model, for the rollout plan.
 func (s *state) engines(now time.Time, clock, bound time.Duration, model string) []weights.Engine {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -205,30 +210,31 @@
 		v := e.Versions[model]
 		out = append(out, weights.Engine{
 			Target: weights.Target{Key: e.Key, ID: e.ID, Address: e.Address}, Zone: e.Zone, Version: v,
-			Backlog: s.view.Backlog(now, e.Key), Left: s.named[model].left(v, clock, bound),
+			Backlog: s.view.Backlog(now, e.Key), Left: s.named[model].timeToBegin(v, clock, bound),
 		})
 	}
 	return out
 }
 
-// namedVersions copies what the operator named.
-func (s *state) namedVersions() map[string]named {
+// namedVersions returns a copy of the versions named by the operator, by model.
+func (s *state) namedVersions() map[string]versionHistory {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.named)
 }
 
-// namedAt takes since when versions are named, by another daemon.
-func (s *state) namedAt(now time.Duration, wall time.Time, all []weights.NamedAt) {
+// applyNamedTimes applies the times at which versions were named, as reported by
+// another daemon.
+func (s *state) applyNamedTimes(now time.Duration, wall time.Time, all []weights.NamedAt) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, at := range all {
-		s.named[at.Model] = s.named[at.Model].told(now, wall, at)
+		s.named[at.Model] = s.named[at.Model].withReported(now, wall, at)
 	}
 }
 
-// namedSince tells other daemons since when versions are named.
-func (s *state) namedSince(now time.Duration, wall time.Time) []weights.NamedAt {
+// namedTimes returns the times at which versions were named, for other daemons.
+func (s *state) namedTimes(now time.Duration, wall time.Time) []weights.NamedAt {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []weights.NamedAt
--- a/router/state_test.go
+++ b/router/state_test.go
@@ -47,7 +47,7 @@
 			s, now := stateOf(n), time.Unix(1_800_000_000, 0)
 			b.ReportAllocs()
 			for b.Loop() {
-				now = now.Add(tick)
+				now = now.Add(refreshInterval)
 				s.refresh(now)
 			}
 		})
@@ -75,7 +75,7 @@
 	for _, n := range fleetSizes {
 		s, now := stateOf(n), time.Unix(1_800_000_000, 0)
 		if got := testing.AllocsPerRun(100, func() {
-			now = now.Add(tick)
+			now = now.Add(refreshInterval)
 			s.refresh(now)
 		}); got > 0 {
 			t.Errorf("%d endpoints: %v allocations on a tick with nothing due", n, got)
@@ -126,7 +126,7 @@
 		}
 	}()
 	for n := uint64(1); ; n++ {
-		for l := range laneCount {
+		for l := range subpoolCount {
 			r := placement.Request{ID: n, Pool: pools.OfModel(e.Service, "m0", 1, l), Tokens: 100}
 			if _, err := s.view.Weigh(now, r); err != nil {
 				t.Fatalf("request %d for lane %d: %v", n, l, err)
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -10,170 +10,174 @@
 	"github.com/merlindock/merlindock/readers"
 )
 
-// subscription is what a daemon knows of one topic through its neighbours. It is not
-// safe for concurrent use.
+// subscription tracks what a daemon has read of one topic through its neighbours. It is
+// not safe for concurrent use.
 type subscription struct {
-	n     *neighbours
-	topic Topic
+	neighbours *neighbours
+	topic      Topic
 
-	some      bool
-	confirmed time.Duration // the store had no more than is known here then, by the boot clock
-	lost      bool          // the store did not answer the newest read of it, and no neighbour since
-	until     time.Duration // when a store that is lost may be asked again
-	company   bool          // some neighbour answered the newest question, with whatever it knows
-	// of and stamp are the neighbour of the newest answer and what that bore.
-	of    string
-	stamp int64
-	// detached says that the newest answer came from a daemon that may read through this
-	// one: this daemon has lost the store.
+	known             bool
+	confirmed         time.Duration // boot clock; the store had no more records at this time
+	storeLost         bool          // the last read from the store failed, and no neighbour has answered since
+	storeRetryAt      time.Duration // earliest next read from the store while storeLost is set
+	neighbourAnswered bool          // some neighbour answered the last request, with or without data
+	// lastSource and lastStamp are the neighbour of the last answer and the stamp of
+	// that answer.
+	lastSource string
+	lastStamp  int64
+	// detached reports that the last answer came from a daemon that may read through
+	// this one: this daemon has lost the store.
 	detached bool
-	// progress is when this daemon, or one that it reads through, last came closer to
-	// knowing the topic.
+	// progress is when this daemon, or one that it reads through, last received data of
+	// the topic.
 	progress time.Duration
-	// outdated are the neighbours that knew too little at the newest read. They are
-	// left only if somebody knows more: when the store is lost, nobody does.
+	// outdated holds the neighbours whose data was too old at the last read. They are
+	// replaced only if another source has newer data: when the store is lost, none has.
 	outdated []readers.Daemon
 }
 
-// age is how old the daemon's knowledge is; false if it knows nothing yet.
+// age returns the age of the daemon's data; false if it has none yet.
 func (s *subscription) age() (time.Duration, bool) {
-	return s.n.clock() - s.confirmed, s.some
+	return s.neighbours.clock() - s.confirmed, s.known
 }
 
-// failed takes that the store did not answer a read.
+// failed records that a read from the store failed.
 func (s *subscription) failed() {
-	s.lost = true
-	s.until = s.n.clock() + s.n.rest(rand.Float64())
+	s.storeLost = true
+	s.storeRetryAt = s.neighbours.clock() + s.neighbours.storeBackoff(rand.Float64())
 }
 
-// rests tells whether the store is left alone for now: neighbours that start as well
-// will know soon, or a read failed a moment ago. A daemon that no neighbour answers asks
-// it all the same, as nobody else would tell when it is back.
-func (s *subscription) rests() bool {
-	if !s.some && s.n.starting(s.topic, s.progress, s.company) {
+// storeBackedOff reports whether the store must not be called now, because neighbours
+// that are starting will soon have the data or because a read failed a moment ago. A
+// daemon with no answering neighbour calls the store regardless, as nothing else would
+// show that it is back.
+func (s *subscription) storeBackedOff() bool {
+	if !s.known && s.neighbours.waitForNeighbours(s.topic, s.progress, s.neighbourAnswered) {
 		return true
 	}
-	return s.lost && s.company && s.n.clock() < s.until
+	return s.storeLost && s.neighbourAnswered && s.neighbours.clock() < s.storeRetryAt
 }
 
-// stale tells whether neighbours would be left for what the daemon knows.
+// stale reports whether the daemon's data is older than what it accepts from
+// neighbours.
 func (s *subscription) stale() bool {
 	age, some := s.age()
-	return some && age >= s.n.patience(s.topic)
+	return some && age >= s.neighbours.maxAnswerAge(s.topic)
 }
 
-// confirm takes that the store had no more at a time. It returns whether that is news.
+// confirm records that the store had no further records at a time. It returns whether
+// that time is newer.
 func (s *subscription) confirm(at time.Duration) bool {
-	if s.some && at <= s.confirmed {
+	if s.known && at <= s.confirmed {
 		return false
 	}
-	s.some, s.confirmed = true, at
+	s.known, s.confirmed = true, at
 	return true
 }
 
-// answered takes that the store itself answered a read.
+// answered records that the store itself answered a read.
 func (s *subscription) answered() {
-	s.lost, s.detached = false, false
-	s.leaveOutdated()
+	s.storeLost, s.detached = false, false
+	s.avoidOutdated()
 }
 
-func (s *subscription) leaveOutdated() {
+func (s *subscription) avoidOutdated() {
 	for _, d := range s.outdated {
 		age, _ := s.age()
-		s.n.leave(s.topic, d, "knows too little", age)
+		s.neighbours.avoid(s.topic, d, "data too old", age)
 	}
 	s.outdated = nil
 }
 
-// told is an answer of a neighbour that can be used.
-type told struct {
+// usableAnswer is a usable answer of a neighbour.
+type usableAnswer struct {
 	by        readers.Daemon
 	answer    feed.Answer
 	confirmed time.Duration
-	detached  bool // see subscription
+	detached  bool // see subscription.detached
 }
 
-// read asks the neighbours for what comes from the offset on, or for the newest of the
-// keys after one, waiting for news. ok is false if the store must be asked.
+// read asks the neighbours for the records from the offset on, or for a page of a full
+// read after a key, and waits for changes. ok is false if the store must be called.
 //
-// A neighbour that is detached itself is taken only by a daemon that the store has just
-// turned away: everybody else finds a way to the store, and would else wait for news
-// that come from itself.
+// An answer of a neighbour that is detached itself is used only if this daemon's read
+// from the store has just failed. All other daemons reach the store by another path,
+// and would otherwise wait for changes that they themselves relay.
 func (s *subscription) read(ctx context.Context, from int64, after string) (got feed.Answer, confirmed time.Duration, ok bool) {
-	s.outdated, s.company = nil, false
-	lost := s.lost
-	var spare *told
-	candidates := s.n.candidates(s.topic, lost, rand.Float64())
+	s.outdated, s.neighbourAnswered = nil, false
+	lost := s.storeLost
+	var spare *usableAnswer
+	candidates := s.neighbours.candidates(s.topic, lost, rand.Float64())
 	for i, d := range candidates {
-		got, confirmed, err := s.ask(ctx, d, from, after, i == 0)
+		got, confirmed, err := s.request(ctx, d, from, after, i == 0)
 		var refused *StatusError
 		switch {
 		case errors.As(err, &refused):
-			s.company = true
+			s.neighbourAnswered = true
 			if refused.Quiet > 0 {
-				s.progress = max(s.progress, s.n.clock()-refused.Quiet)
+				s.progress = max(s.progress, s.neighbours.clock()-refused.Quiet)
 			}
-			continue // it knows nothing yet
+			continue // it has no data yet
 		case err != nil:
 			if age, some := s.age(); some {
-				s.n.leave(s.topic, d, "no answer", age)
+				s.neighbours.avoid(s.topic, d, "no answer", age)
 			}
 			continue
 		}
-		s.company = true
-		if s.some {
+		s.neighbourAnswered = true
+		if s.known {
 			confirmed = max(confirmed, s.confirmed)
 		}
-		if s.n.clock()-confirmed > s.n.patience(s.topic) {
+		if s.neighbours.clock()-confirmed > s.neighbours.maxAnswerAge(s.topic) {
 			s.outdated = append(s.outdated, d)
 			continue
 		}
-		t := told{by: d, answer: got, confirmed: confirmed, detached: lost && i == len(candidates)-1}
+		t := usableAnswer{by: d, answer: got, confirmed: confirmed, detached: lost && i == len(candidates)-1}
 		if got.Detached {
 			s.outdated = append(s.outdated, d)
 			t.detached = true
 			spare = &t
 			continue
 		}
-		s.use(&t)
+		s.accept(&t)
 		return got, confirmed, true
 	}
-	if lost && spare != nil && s.n.clock() < s.until {
+	if lost && spare != nil && s.neighbours.clock() < s.storeRetryAt {
 		s.outdated = nil
-		s.use(spare)
-		s.lost = true // the store is asked again at this daemon's turn
+		s.accept(spare)
+		s.storeLost = true // the store is called again after the backoff
 		return spare.answer, spare.confirmed, true
 	}
 	return feed.Answer{}, 0, false
 }
 
-// use takes an answer.
-func (s *subscription) use(t *told) {
-	s.of, s.stamp = t.by.Name, t.answer.Stamp
-	s.lost, s.detached, s.progress = false, t.detached, s.n.clock()
-	s.leaveOutdated()
-	s.n.serves(s.topic, t.by, t.answer.Age)
+// accept records an answer as the current one.
+func (s *subscription) accept(t *usableAnswer) {
+	s.lastSource, s.lastStamp = t.by.Name, t.answer.Stamp
+	s.storeLost, s.detached, s.progress = false, t.detached, s.neighbours.clock()
+	s.avoidOutdated()
+	s.neighbours.recordUse(s.topic, t.by, t.answer.Age)
 }
 
-// ask puts the question to one neighbour, and returns when the store confirmed what
-// it tells: the answer left Held after the question or later.
-func (s *subscription) ask(ctx context.Context, d readers.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
-	q, grace := feed.Question{From: from, After: after, Hold: s.n.next, Any: s.lost}, s.n.grace
+// request sends the query to one neighbour and returns the time at which the store
+// confirmed the answer: the answer was sent at least Held after the request.
+func (s *subscription) request(ctx context.Context, d readers.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
+	q, grace := feed.Question{From: from, After: after, Hold: s.neighbours.secondWait, Any: s.storeLost}, s.neighbours.grace
 	age, some := s.age()
 	if some {
 		q.Age = age
-		if s.of == d.Name {
-			q.Stamp = s.stamp
+		if s.lastSource == d.Name {
+			q.Stamp = s.lastStamp
 		}
 	} else {
-		q.Age, grace = s.n.patience(s.topic), max(grace, relayPageTime)
+		q.Age, grace = s.neighbours.maxAnswerAge(s.topic), max(grace, relayPageTimeout)
 	}
 	if first && some {
-		q.Hold = max(s.n.next, min(relayHold, s.n.patience(s.topic)-age))
+		q.Hold = max(s.neighbours.secondWait, min(maxRelayWait, s.neighbours.maxAnswerAge(s.topic)-age))
 	}
 	call, cancel := context.WithTimeout(ctx, q.Hold+grace)
 	defer cancel()
-	sent := s.n.clock()
-	got, err := s.n.ask(call, d.Address, s.topic, q)
+	sent := s.neighbours.clock()
+	got, err := s.neighbours.request(call, d.Address, s.topic, q)
 	return got, sent + got.Held - got.Age, err
 }
--- a/router/tries.go
+++ b/router/tries.go
@@ -8,69 +8,73 @@
 	"github.com/merlindock/merlindock/forward"
 )
 
-// tries are the endpoints that one placement tries, one after another.
-type tries struct {
-	p       *placer
-	barred  []fleet.EndpointID // tried before, or without room
-	spared  []fleet.EndpointID // left to other requests, as long as there are others
-	left    int
-	limited bool // some endpoint was at its limit
+// attempts selects the endpoints that one placement tries, one after another.
+type attempts struct {
+	p            *placer
+	excluded     []fleet.EndpointID // tried before, or at their limit
+	reserved     []fleet.EndpointID // used only if no other endpoint is left
+	remaining    int
+	limitReached bool // some endpoint was at its limit
 }
 
-// tries begins with the endpoints that are not at their limits. spare leaves those that
-// have a limit to other requests, as long as there are others.
-func (p *placer) tries(avoid []fleet.EndpointID, spare bool) *tries {
-	t := &tries{p: p, barred: slices.Clone(avoid), left: placeTries}
-	if p.room == nil {
+// newAttempts excludes the endpoints to avoid and those at their limits. If spare is
+// set, endpoints that have a limit are left to other requests as long as there are
+// others.
+func (p *placer) newAttempts(avoid []fleet.EndpointID, spare bool) *attempts {
+	t := &attempts{p: p, excluded: slices.Clone(avoid), remaining: maxPlaceAttempts}
+	if p.endpointLimits == nil {
 		return t
 	}
-	full := p.room.Full()
-	t.limited = len(full) > 0
-	t.barred = append(t.barred, full...)
+	full := p.endpointLimits.Full()
+	t.limitReached = len(full) > 0
+	t.excluded = append(t.excluded, full...)
 	if spare {
-		t.spared = p.room.Limited()
+		t.reserved = p.endpointLimits.Limited()
 	}
 	return t
 }
 
-// avoid lists the endpoints that the next try may not take.
-func (t *tries) avoid() []fleet.EndpointID { return slices.Concat(t.barred, t.spared) }
+// excludedEndpoints returns the endpoints that the next attempt must not use.
+func (t *attempts) excludedEndpoints() []fleet.EndpointID {
+	return slices.Concat(t.excluded, t.reserved)
+}
 
-// widen takes in the endpoints that were spared. It returns false if there are none.
-func (t *tries) widen() bool {
-	if len(t.spared) == 0 {
+// includeReserved allows the reserved endpoints. It returns false if there are none.
+func (t *attempts) includeReserved() bool {
+	if len(t.reserved) == 0 {
 		return false
 	}
-	t.spared = nil
-	t.left++
+	t.reserved = nil
+	t.remaining++
 	return true
 }
 
-// next tells whether another endpoint may be tried.
-func (t *tries) next() bool {
-	t.left--
-	return t.left >= 0
+// next reports whether another endpoint may be tried.
+func (t *attempts) next() bool {
+	t.remaining--
+	return t.remaining >= 0
 }
 
-// take tells whether the endpoint may have the request. If not, the next try avoids it.
-func (t *tries) take(now time.Time, e fleet.EndpointID, repeatable bool) bool {
+// acquire reports whether the endpoint can take the request, and takes capacity of its
+// limit. If it cannot, the next attempt excludes it.
+func (t *attempts) acquire(now time.Time, e fleet.EndpointID, repeatable bool) bool {
 	if t.p.mayTry(now, e, repeatable) {
-		if t.p.room == nil || t.p.room.Take(e) {
+		if t.p.endpointLimits == nil || t.p.endpointLimits.Take(e) {
 			return true
 		}
-		// This does not count as a try: each such endpoint is met once, as it is barred
+		// Not counted as an attempt: each such endpoint is met once, as it is excluded
 		// from now on.
-		t.limited = true
-		t.left++
+		t.limitReached = true
+		t.remaining++
 	}
-	t.barred = append(t.barred, e)
+	t.excluded = append(t.excluded, e)
 	return false
 }
 
-// refusal is why there is no place.
-func (t *tries) refusal() *forward.RefusedError {
-	if t.limited {
-		return &forward.RefusedError{Code: codeAtLimits, RetryAfter: t.p.spread()}
+// refusal returns the error for a request that no endpoint can take.
+func (t *attempts) refusal() *forward.RefusedError {
+	if t.limitReached {
+		return &forward.RefusedError{Code: codeAtLimits, RetryAfter: t.p.overloadRetryAfter()}
 	}
-	return &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointAfter}
+	return &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointRetryAfter}
 }
--- a/router/tries_test.go
+++ b/router/tries_test.go
@@ -23,17 +23,17 @@
 	for _, e := range []fleet.EndpointID{"tried", "spared"} {
 		k.Answered(e, &limit)
 	}
-	try := (&placer{room: k}).tries([]fleet.EndpointID{"tried"}, true)
-	if avoid := try.avoid(); !slices.Contains(avoid, "tried") || !slices.Contains(avoid, "spared") {
+	try := (&placer{endpointLimits: k}).newAttempts([]fleet.EndpointID{"tried"}, true)
+	if avoid := try.excludedEndpoints(); !slices.Contains(avoid, "tried") || !slices.Contains(avoid, "spared") {
 		t.Errorf("at first %v is avoided", avoid)
 	}
-	if !try.widen() {
+	if !try.includeReserved() {
 		t.Fatal("nothing was spared")
 	}
-	if avoid := try.avoid(); !slices.Contains(avoid, "tried") || slices.Contains(avoid, "spared") {
+	if avoid := try.excludedEndpoints(); !slices.Contains(avoid, "tried") || slices.Contains(avoid, "spared") {
 		t.Errorf("then %v is avoided", avoid)
 	}
-	if try.widen() {
+	if try.includeReserved() {
 		t.Error("it widens again")
 	}
 }
--- a/router/versions.go
+++ b/router/versions.go
@@ -9,127 +9,129 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// Weights of the choice between versions, and times.
+// Parameters for the choice between weight versions.
 const (
-	// newerLead is how much more work an engine with the newest weights takes
-	// than its part of the engines, while a rollout is under way. Work on older
-	// weights loses worth by the second; too strong a lead sends everything to
-	// the few engines that are done, and less is served in all.
-	newerLead = 1.3
-	// beginSlack is how long before the bound on older weights a request must have
-	// begun on them: the naming may have been read late, and the withdrawal of a
-	// request takes a moment to reach its engine.
+	// newestVersionFactor is how much more work an engine with the newest weights gets
+	// than its share while a rollout is under way. Work on older weights loses value
+	// every second, but a larger factor would send everything to the few engines that
+	// are done, and less would be served in total.
+	newestVersionFactor = 1.3
+	// beginSlack is how long before the time bound on older weights a request must have
+	// begun on them. The record that names new weights may have been read late, and
+	// withdrawing a request takes a moment to reach its engine.
 	beginSlack = 500 * time.Millisecond
-	// beginLeast is the least time a request is given to begin in.
-	beginLeast = 300 * time.Millisecond
-	// beginDoubt and beginDoubtOnce are how many times the expected time until the
-	// first event must be left for a request that may be placed anew and for one
-	// that may not: the latter is lost when it is withdrawn. Waits are foretold
-	// within a factor of two for nine prompts of ten.
-	beginDoubt     = 1.5
-	beginDoubtOnce = 3
+	// minBeginTime is the minimum time that a request is given to begin.
+	minBeginTime = 300 * time.Millisecond
+	// waitSafetyFactor and waitSafetyFactorOnce are the multiples of the expected time
+	// until the first event that must remain, for requests that can be placed again and
+	// for those that cannot. The latter are lost when they are withdrawn. Nine of ten
+	// waits are predicted within a factor of two.
+	waitSafetyFactor     = 1.5
+	waitSafetyFactorOnce = 3
 )
 
-// clockSlack is how far the times of day of two machines may be apart.
+// clockSlack is the maximum assumed difference between the wall clocks of two machines.
 const clockSlack = 3 * time.Second
 
-// guessAge is the age, as a part of the bound, of a version that was there when
-// the daemon started, until the lease tells more.
-const guessAge = 0.5
+// guessedAgeFraction is the assumed age of a version that existed when the daemon
+// started, as a fraction of the time bound, until the lease provides the actual time.
+const guessedAgeFraction = 0.5
 
-// keptNames bounds the versions of a model whose naming is remembered.
-const keptNames = 16
+// maxNamedVersions bounds the history of named versions of a model.
+const maxNamedVersions = 16
 
-// naming is one version that the operator named.
-type naming struct {
+// namedVersion is a version that the operator named.
+type namedVersion struct {
 	version int64
-	since   time.Duration // when this daemon read it first, by the boot clock
-	// guessed says that it was there when the daemon started, so that since
-	// says nothing of when it was named.
+	since   time.Duration // first read by this daemon, boot clock
+	// guessed reports that the version existed when the daemon started, so that since
+	// does not show when it was named.
 	guessed bool
 }
 
-// named holds the versions that the operator named for a model, oldest first.
-// Each bounds the use of all versions before it, also once it was overtaken
+// versionHistory holds the versions that the operator named for a model, oldest first.
+// Each version bounds the use of all versions before it, even after it was replaced
 // itself.
-type named []naming
+type versionHistory []namedVersion
 
-// newest is the version to bring engines to; 0: none was named.
-func (n named) newest() int64 {
+// newest returns the version that engines should load; 0: none was named.
+func (n versionHistory) newest() int64 {
 	if len(n) == 0 {
 		return 0
 	}
 	return n[len(n)-1].version
 }
 
-// add takes a further version.
-func (n named) add(next naming) named {
+// add returns the history with a further version, limited to maxNamedVersions.
+func (n versionHistory) add(next namedVersion) versionHistory {
 	out := append(slices.Clone(n), next)
-	return out[max(0, len(out)-keptNames):]
+	return out[max(0, len(out)-maxNamedVersions):]
 }
 
-// noBound is the time left for weights that were not replaced.
-const noBound = time.Duration(math.MaxInt64)
+// noTimeLimit is the time left for weights that were not replaced.
+const noTimeLimit = time.Duration(math.MaxInt64)
 
-// left is how long a request may still wait before it begins on the version: until
-// beginSlack before the first one that was named after it is as old as the bound.
+// timeToBegin returns how long a request may still wait before it begins on the
+// version: until beginSlack before the next named version reaches the age of the time
+// bound.
 //
-// A prompt may wait in its engine for seconds. If it began past the bound, its
-// caller would get the answer of weights that were to be out of use by then. So
-// the time goes with the request, which is withdrawn when it is over.
-func (n named) left(version int64, now, bound time.Duration) time.Duration {
+// A prompt may wait in its engine for seconds. If it began after the bound, its caller
+// would get an answer from weights that should be out of use. The request therefore
+// carries this time and is withdrawn when it is over.
+func (n versionHistory) timeToBegin(version int64, now, bound time.Duration) time.Duration {
 	for _, after := range n {
 		if after.version > version {
 			return after.since + bound - beginSlack - now
 		}
 	}
-	return noBound
+	return noTimeLimit
 }
 
-// told takes another daemon's word on when a version was named.
-func (n named) told(now time.Duration, wall time.Time, at weights.NamedAt) named {
+// withReported returns the history with the time at which another daemon reports that a
+// version was named.
+func (n versionHistory) withReported(now time.Duration, wall time.Time, at weights.NamedAt) versionHistory {
 	age := max(0, wall.Sub(time.UnixMilli(at.UnixMs))) + clockSlack
-	said := naming{version: at.Version, since: now - age}
-	i, found := slices.BinarySearchFunc(n, at.Version, func(m naming, v int64) int { return cmp.Compare(m.version, v) })
+	reported := namedVersion{version: at.Version, since: now - age}
+	i, found := slices.BinarySearchFunc(n, at.Version, func(m namedVersion, v int64) int { return cmp.Compare(m.version, v) })
 	out := slices.Clone(n)
 	switch {
 	case found && out[i].guessed:
-		out[i] = said
+		out[i] = reported
 	case !found && i < len(out):
-		// It was overtaken before this daemon started.
-		out = slices.Insert(out, i, said)
+		// The version was replaced before this daemon started.
+		out = slices.Insert(out, i, reported)
 	}
 	return out
 }
 
-// versions are the weight versions that a request may be bound to.
-type versions struct {
-	first     int64         // 0: no engine may serve
-	firstLeft time.Duration // how long a request may wait before it begins on it
-	others    []otherVersion
+// versionChoice holds the weight versions that a request may be bound to.
+type versionChoice struct {
+	first            int64         // 0: no engine can serve the request
+	firstBeginWithin time.Duration // how long the request may wait before it begins
+	others           []otherVersion
 }
 
-// otherVersion is a version that a request takes if it loses less there.
+// otherVersion is an alternative that a request takes if it costs less there.
 type otherVersion struct {
-	version int64
-	loss    float64 // that its work brings, as a part of the objective
-	left    time.Duration
+	version     int64
+	penalty     float64 // as a fraction of the latency objective
+	beginWithin time.Duration
 }
 
-// otherVersions bounds the versions beside the first that are weighed.
-const otherVersions = 3
+// maxOtherVersions bounds the alternatives to the first version.
+const maxOtherVersions = 3
 
-// chooseVersions picks the weight versions for a request from the number of
-// engines that have each; allowed tells whether a version may still be used.
-// at is the hash of the shared part of the prompt, so that requests that share it
-// move to the newer weights together and meet their cache there. lead is how
-// much more than their part the engines with the newest weights get.
+// chooseVersions chooses the weight versions for a request from the number of engines
+// that have each version. allowed reports whether a version may still be used. at is
+// the hash of the shared segment of the prompt, so that requests with the same segment
+// move to the newer weights together and find it in the cache there. lead is the factor
+// by which engines with the newest weights get more than their share.
 //
-// The pattern: versions are named faster than the engines take them, or nobody
-// gives orders for a while. Most engines then have weights that were replaced
-// twice. If only the newest two versions counted, they would idle while the few
-// engines that have those are overrun.
-func chooseVersions(engines map[int64]int, allowed func(int64) bool, at uint64, lead float64) versions {
+// Older versions are included because versions may be named faster than engines load
+// them, or no daemon may be giving orders for a while. Most engines then have weights
+// that were replaced twice. If only the newest two versions were considered, those
+// engines would idle while the few with newer weights are overloaded.
+func chooseVersions(engines map[int64]int, allowed func(int64) bool, at uint64, lead float64) versionChoice {
 	var all []int64
 	count := 0
 	for v, n := range engines {
@@ -139,21 +141,21 @@
 		}
 	}
 	if len(all) == 0 {
-		return versions{}
+		return versionChoice{}
 	}
 	slices.SortFunc(all, func(a, b int64) int { return cmp.Compare(b, a) })
 	newest, older := all[0], all[1:]
 	drawn := float64(at) / math.MaxUint64
-	part := min(1, lead*float64(engines[newest])/float64(count))
-	if len(older) == 0 || drawn <= part {
-		return versions{first: newest, others: others(older, oldLoss)}
+	share := min(1, lead*float64(engines[newest])/float64(count))
+	if len(older) == 0 || drawn <= share {
+		return versionChoice{first: newest, others: makeOtherVersions(older, oldVersionPenalty)}
 	}
-	first := drawOlder(engines, older, (drawn-part)/(1-part))
+	first := drawOlder(engines, older, (drawn-share)/(1-share))
 	rest := slices.DeleteFunc(slices.Clone(all), func(v int64) bool { return v == first })
-	return versions{first: first, others: others(rest, earlyLoss)}
+	return versionChoice{first: first, others: makeOtherVersions(rest, newVersionPenalty)}
 }
 
-// drawOlder chooses one of the older versions by its part of their engines.
+// drawOlder chooses one of the older versions in proportion to their engines.
 func drawOlder(engines map[int64]int, older []int64, drawn float64) int64 {
 	count := 0
 	for _, v := range older {
@@ -169,21 +171,21 @@
 	return older[len(older)-1]
 }
 
-func others(all []int64, loss float64) []otherVersion {
+func makeOtherVersions(all []int64, loss float64) []otherVersion {
 	var out []otherVersion
-	for _, v := range all[:min(len(all), otherVersions)] {
-		out = append(out, otherVersion{version: v, loss: loss})
+	for _, v := range all[:min(len(all), maxOtherVersions)] {
+		out = append(out, otherVersion{version: v, penalty: loss})
 	}
 	return out
 }
 
-// orElse fills in what the lane's own engines do not offer from all engines of the
-// model, as chooseVersions chose from them.
+// fillFrom adds versions that the subpool's own engines lack from all, which was chosen
+// among all engines of the model.
 //
-// When the first engines have new weights, they may be the only ones for short
-// prompts. Without the older ones as another way, all short prompts of the fleet
-// would queue there, or be turned away if they fail.
-func (v versions) orElse(all versions) versions {
+// If the first engines to load new weights are the only ones for short prompts, and the
+// older versions were not an alternative, all short prompts of the fleet would queue
+// there, or be refused if those engines fail.
+func (v versionChoice) fillFrom(all versionChoice) versionChoice {
 	if v.first == 0 {
 		return all
 	}
@@ -191,8 +193,8 @@
 	for _, o := range add {
 		known := o.version == 0 || o.version == v.first ||
 			slices.ContainsFunc(v.others, func(x otherVersion) bool { return x.version == o.version })
-		if !known && len(v.others) < otherVersions {
-			v.others = append(v.others, otherVersion{version: o.version, loss: oldLoss})
+		if !known && len(v.others) < maxOtherVersions {
+			v.others = append(v.others, otherVersion{version: o.version, penalty: oldVersionPenalty})
 		}
 	}
 	return v
--- a/router/versions_test.go
+++ b/router/versions_test.go
@@ -16,8 +16,8 @@
 const within = 15 * time.Second
 
 // allowed tells whether a request may still be bound to the version.
-func (n named) allowed(version int64, now time.Duration) bool {
-	return n.left(version, now, within) > beginLeast
+func (n versionHistory) allowed(version int64, now time.Duration) bool {
+	return n.timeToBegin(version, now, within) > minBeginTime
 }
 
 // Version 3 is named, and 13 seconds later version 4. An engine that still has
@@ -25,7 +25,7 @@
 // 4 is new: callers would get answers of weights that were replaced 16 seconds
 // before.
 func TestOvertakenVersionStillBoundsThoseBeforeIt(t *testing.T) {
-	n := named{{version: 3, since: 10 * time.Second}, {version: 4, since: 23 * time.Second}}
+	n := versionHistory{{version: 3, since: 10 * time.Second}, {version: 4, since: 23 * time.Second}}
 	at := 26 * time.Second
 	if n.allowed(2, at) {
 		t.Error("version 2 is allowed")
@@ -40,16 +40,16 @@
 // take the version for new and use the weights before it for another 12 seconds.
 func TestAgeOfAVersionSurvivesARestart(t *testing.T) {
 	boot, wall := time.Hour, time.UnixMilli(1_800_000_000_000)
-	n := named{{version: 2, since: boot - time.Duration(guessAge*float64(within)), guessed: true}}
+	n := versionHistory{{version: 2, since: boot - time.Duration(guessedAgeFraction*float64(within)), guessed: true}}
 	if !n.allowed(1, boot) {
 		t.Fatal("a guess refuses at once")
 	}
-	n = n.told(boot, wall, weights.NamedAt{Version: 2, UnixMs: wall.Add(-14 * time.Second).UnixMilli()})
+	n = n.withReported(boot, wall, weights.NamedAt{Version: 2, UnixMs: wall.Add(-14 * time.Second).UnixMilli()})
 	if n.allowed(1, boot) {
 		t.Error("still allowed")
 	}
-	fresh := named{{version: 2, since: boot}}
-	if got := fresh.told(boot, wall, weights.NamedAt{Version: 2, UnixMs: 0}); !got.allowed(1, boot) {
+	fresh := versionHistory{{version: 2, since: boot}}
+	if got := fresh.withReported(boot, wall, weights.NamedAt{Version: 2, UnixMs: 0}); !got.allowed(1, boot) {
 		t.Error("what was read as it was named gave way to another daemon's clock")
 	}
 }
@@ -58,8 +58,8 @@
 // of it.
 func TestOvertakenVersionIsLearntFromTheLease(t *testing.T) {
 	boot, wall := time.Hour, time.UnixMilli(1_800_000_000_000)
-	n := named{{version: 5, since: boot}}
-	n = n.told(boot, wall, weights.NamedAt{Version: 4, UnixMs: wall.Add(-13 * time.Second).UnixMilli()})
+	n := versionHistory{{version: 5, since: boot}}
+	n = n.withReported(boot, wall, weights.NamedAt{Version: 4, UnixMs: wall.Add(-13 * time.Second).UnixMilli()})
 	if n.allowed(3, boot) || !n.allowed(4, boot) || n.newest() != 5 {
 		t.Errorf("named %v", n)
 	}
@@ -83,7 +83,7 @@
 		{"no engine at all", nil, all, 0, 0},
 		{"engines that are out do not count", map[int64]int{1: 3, 2: 0}, all, 0, 1},
 	} {
-		if got := chooseVersions(c.engines, c.allowed, c.hash, newerLead); got.first != c.want {
+		if got := chooseVersions(c.engines, c.allowed, c.hash, newestVersionFactor); got.first != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got.first, c.want)
 		}
 	}
@@ -96,7 +96,7 @@
 	engines := map[int64]int{3: 50, 4: 3, 5: 7}
 	first := map[int64]int{}
 	for i := range uint64(1000) {
-		v := chooseVersions(engines, func(int64) bool { return true }, i*(math.MaxUint64/1000), newerLead)
+		v := chooseVersions(engines, func(int64) bool { return true }, i*(math.MaxUint64/1000), newestVersionFactor)
 		first[v.first]++
 		if len(v.others) != 2 {
 			t.Fatalf("%d other versions are weighed", len(v.others))
@@ -112,15 +112,15 @@
 // the older weights.
 func TestOlderWeightsAreAWayForShortPrompts(t *testing.T) {
 	all := func(int64) bool { return true }
-	lane := chooseVersions(map[int64]int{2: 1}, all, 0, newerLead)
-	model := chooseVersions(map[int64]int{1: 12, 2: 1}, all, 0, newerLead)
-	if v := lane.orElse(model); v.first != 2 || !slices.Equal(v.others, []otherVersion{{version: 1, loss: oldLoss}}) {
+	lane := chooseVersions(map[int64]int{2: 1}, all, 0, newestVersionFactor)
+	model := chooseVersions(map[int64]int{1: 12, 2: 1}, all, 0, newestVersionFactor)
+	if v := lane.fillFrom(model); v.first != 2 || !slices.Equal(v.others, []otherVersion{{version: 1, penalty: oldVersionPenalty}}) {
 		t.Errorf("versions %+v", v)
 	}
-	if v := (versions{}).orElse(model); v.first == 0 {
+	if v := (versionChoice{}).fillFrom(model); v.first == 0 {
 		t.Error("no way for a lane without engines")
 	}
-	if v := lane.orElse(versions{first: 2}); len(v.others) != 0 {
+	if v := lane.fillFrom(versionChoice{first: 2}); len(v.others) != 0 {
 		t.Errorf("another version out of nothing: %+v", v)
 	}
 }
@@ -151,13 +151,13 @@
 		want string
 	}{
 		{"long before the bound", 2 * time.Second, true, "old"},
-		{"no bound", noBound, true, "old"},
+		{"no bound", noTimeLimit, true, "old"},
 		{"may be placed anew", 400 * time.Millisecond, false, "old"},
 		{"runs once", 400 * time.Millisecond, true, "new"},
 		{"too late for both", 250 * time.Millisecond, false, "new"},
 	} {
-		all := []way{{pool: "new", levels: none, left: noBound}, {pool: "old", levels: none, left: c.left, once: c.once}}
-		got, err := bestWay(time.Time{}, pools, placement.Request{}, all, 500*time.Millisecond)
+		all := []candidate{{pool: "new", levels: none, beginWithin: noTimeLimit}, {pool: "old", levels: none, beginWithin: c.left, notRepeatable: c.once}}
+		got, err := bestCandidate(time.Time{}, pools, placement.Request{}, all, 500*time.Millisecond)
 		if err != nil || got.pool != c.want {
 			t.Errorf("%s: %q, %v", c.name, got.pool, err)
 		}
--- a/router/ways.go
+++ b/router/ways.go
@@ -12,85 +12,90 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// What a way costs beside its wait, as a part of the objective: so much longer
-// may the wait of a better way be.
+// Penalties of candidates in addition to their wait, as fractions of the latency
+// objective. A candidate with a lower penalty is preferred until its wait is longer by
+// the difference.
 const (
-	// oldLoss is for weights that were replaced: such work earns a fifth less,
-	// and a late answer seven tenths less.
-	oldLoss = 0.3
-	// earlyLoss is for newer weights where the prompt's shared part is still
+	// oldVersionPenalty is for weights that were replaced: such work earns a fifth less
+	// credit, and seven tenths less if the answer is late.
+	oldVersionPenalty = 0.3
+	// newVersionPenalty is for newer weights while the prompt's shared segment is still
 	// read from caches of the older ones.
-	earlyLoss = 0.2
-	// awayLoss is for an engine that is not the home of the shared part. It
-	// fetches what the home has, and both then keep it in their memory.
-	awayLoss = 0.5
-	// laneLoss is for engines of the other lane: a short prompt waits there for
-	// the pieces of a long one that is being read, and the next.
-	laneLoss = 0.4
-	// lastLoss is for a way that is taken only if no other leads anywhere.
-	lastLoss = 100
-	// easyPart is the part of the objective up to which the expected wait of the
-	// first way is good enough.
-	easyPart = 0.2
+	newVersionPenalty = 0.2
+	// nonPreferredPenalty is for an engine other than the preferred endpoint of the
+	// shared segment. It fetches the segment from there, and both then keep it in
+	// memory.
+	nonPreferredPenalty = 0.5
+	// otherSubpoolPenalty is for engines of the other subpool: a short prompt waits
+	// there for the chunks of a long one that is being read, and for the next one.
+	otherSubpoolPenalty = 0.4
+	// lastResortPenalty is for a candidate that is taken only if no other has an
+	// engine.
+	lastResortPenalty = 100
+	// lowWaitFraction is the expected wait, as a fraction of the latency objective, up
+	// to which the first candidate is taken without evaluating the others.
+	lowWaitFraction = 0.2
 )
 
-// way is one possibility to place a prompt.
-type way struct {
-	pool    string
-	levels  func() []prefix.Level
-	held    func() *placement.Held // where the prompt's beginning is; nil: not known
-	lane    lane                   // of the engines
-	version int64
-	away    bool             // not at the home of the shared part
-	loss    float64          // beside the wait, as a part of the objective
-	left    time.Duration    // until it must have begun there; 0 or noBound: any time
-	once    bool             // it may not be placed anew once it was sent
-	from    fleet.EndpointID // holds the beginning and can pass it on; empty: not known
-	kept    bool             // engines keep what they read for a while
+// candidate is a possible placement of a prompt: a pool of engines with one weight
+// version.
+type candidate struct {
+	pool          string
+	levels        func() []prefix.Level
+	held          func() *placement.Held // where the prompt's prefix is cached; nil: unknown
+	subpool       subpool                // of the engines
+	version       int64
+	nonPreferred  bool             // excludes the preferred endpoint of the shared segment
+	penalty       float64          // in addition to the wait, as a fraction of the objective
+	beginWithin   time.Duration    // time until it must have begun; 0 or noTimeLimit: unlimited
+	notRepeatable bool             // it cannot be placed again once it was sent
+	fetchFrom     fleet.EndpointID // holds the prefix and can transfer it; empty: unknown
+	retained      bool             // engines keep what they read for a while
 }
 
-// inTime tells whether the prompt will probably have begun before the bound on
+// beginsInTime reports whether the prompt will probably begin before the time bound on
 // its weights.
-func (w *way) inTime(first time.Duration) bool {
-	if w.left == 0 || w.left == noBound {
+func (w *candidate) beginsInTime(first time.Duration) bool {
+	if w.beginWithin == 0 || w.beginWithin == noTimeLimit {
 		return true
 	}
-	doubt := beginDoubt
-	if w.once {
-		doubt = beginDoubtOnce
+	factor := waitSafetyFactor
+	if w.notRepeatable {
+		factor = waitSafetyFactorOnce
 	}
-	return time.Duration(doubt*float64(first)) <= w.left
+	return time.Duration(factor*float64(first)) <= w.beginWithin
 }
 
-// ways lists the possibilities, the one that is taken if it is easy first.
+// listCandidates returns the candidates for a prompt. The first one is taken if its
+// wait is low.
 //
-// The pattern: during a rollout the few engines that have the new weights are
-// cold and get more work than their part, while those with the older weights
-// have room; and the prompts of one hot shared part fill its home while others
-// idle. Each prompt then goes where it loses least, instead of being late or
-// turned away. An overloaded fleet has no engine that idles, so that shared
-// parts stay at their homes there.
-func ways(w *forward.Work, v versions, in lane, where whereabouts) []way {
+// During a rollout, the few engines with the new weights have cold caches and get more
+// than their share of work, while those with older weights have free capacity. Also,
+// the prompts of one hot segment may fill its preferred endpoint while others are idle.
+// Each prompt is therefore placed where it costs least instead of being late or
+// refused. An overloaded fleet has no idle engines, so there segments stay at their
+// preferred endpoints.
+func listCandidates(w *forward.Work, v versionChoice, in subpool, where prefixLocations) []candidate {
 	once := w.Route != nil && !w.Route.Repeatable()
-	to := func(o otherVersion) func(l lane, loss float64) way {
-		levels, held := levelsOf(w, o.version), heldOf(w, o.version, where)
-		return func(l lane, loss float64) way {
-			return way{
+	to := func(o otherVersion) func(l subpool, loss float64) candidate {
+		levels, held := levelsOf(w, o.version), locationsOf(w, o.version, where)
+		return func(l subpool, loss float64) candidate {
+			return candidate{
 				pool: pools.OfModel(w.Service.Name, w.In.Model, o.version, l), levels: levels, held: held,
-				lane: l, version: o.version, loss: o.loss + loss, left: o.left, once: once,
+				subpool: l, version: o.version, penalty: o.penalty + loss, beginWithin: o.beginWithin, notRepeatable: once,
 			}
 		}
 	}
-	first := to(otherVersion{version: v.first, left: v.firstLeft})
-	// A long prompt among short ones holds up dozens of them.
-	otherLane, crossing := laneShort, float64(lastLoss)
-	out := []way{first(in, 0)}
-	if in == laneLong {
+	first := to(otherVersion{version: v.first, beginWithin: v.firstBeginWithin})
+	// A long prompt among short ones delays dozens of them.
+	otherLane, crossing := subpoolShort, float64(lastResortPenalty)
+	out := []candidate{first(in, 0)}
+	if in == subpoolLong {
 		away := out[0]
-		away.away, away.loss = true, awayLoss
+		away.nonPreferred, away.penalty = true, nonPreferredPenalty
 		out = append(out, away)
 	} else {
-		otherLane, crossing = laneLong, laneLoss
+		otherLane, crossing = subpoolLong, otherSubpoolPenalty
 	}
 	out = append(out, first(otherLane, crossing))
 	for _, o := range v.others {
@@ -100,12 +105,13 @@
 	return out
 }
 
-// whereabouts tells where the beginning of a prompt is held under a salt; nil: not
-// known.
-type whereabouts func(w *forward.Work, salt string) *placement.Held
+// prefixLocations returns where the prefix of a prompt is cached under a salt; nil:
+// unknown.
+type prefixLocations func(w *forward.Work, salt string) *placement.Held
 
-// heldOf asks where a prompt's beginning is, once it is needed.
-func heldOf(w *forward.Work, version int64, where whereabouts) func() *placement.Held {
+// locationsOf returns a function that looks up the cached prefix of a prompt on first
+// use.
+func locationsOf(w *forward.Work, version int64, where prefixLocations) func() *placement.Held {
 	return sync.OnceValue(func() *placement.Held {
 		if where == nil || len(w.In.Parts) == 0 {
 			return nil
@@ -114,72 +120,74 @@
 	})
 }
 
-// levelsOf names the shared beginnings of a prompt under a version. They are worked
-// out when they are first asked for: most prompts need those of one version.
+// levelsOf returns a function that computes the shared prefixes of a prompt under a
+// version on first use, as most prompts need those of one version only.
 func levelsOf(w *forward.Work, version int64) func() []prefix.Level {
 	return sync.OnceValue(func() []prefix.Level {
 		return prefix.Chain(seedOf(w, version), w.In.Parts)
 	})
 }
 
-// weighed is a way and where it leads.
-type weighed struct {
-	way
+// evaluatedCandidate is a candidate with the placement decision for it.
+type evaluatedCandidate struct {
+	candidate
 	request  placement.Request
 	decision placement.Decision
 }
 
-// cost is what the way loses, as a part of the objective.
-func (w *weighed) cost(target time.Duration) float64 {
-	return w.decision.ExpectedFirst.Seconds()/max(target, time.Millisecond).Seconds() + w.loss
+// cost returns the cost of the candidate as a fraction of the latency objective:
+// expected time to the first token plus penalty.
+func (w *evaluatedCandidate) cost(target time.Duration) float64 {
+	return w.decision.ExpectedFirst.Seconds()/max(target, time.Millisecond).Seconds() + w.penalty
 }
 
-// easy tells whether the prompt need not wait there.
-func (w *weighed) easy(target time.Duration) bool {
-	return w.decision.ExpectedWait <= time.Duration(easyPart*float64(target))
+// lowWait reports whether the expected wait is low enough to skip the other candidates.
+func (w *evaluatedCandidate) lowWait(target time.Duration) bool {
+	return w.decision.ExpectedWait <= time.Duration(lowWaitFraction*float64(target))
 }
 
-// weigher is the part of placement that weighs one pool.
-type weigher interface {
+// evaluator is the part of placement that evaluates one pool.
+type evaluator interface {
 	Weigh(now time.Time, r placement.Request) (placement.Decision, error)
 }
 
-// bestWay weighs the ways and returns the one that loses least. It reserves
-// nothing. The error is placement.ErrNoEndpoint if no way leads anywhere.
-func bestWay(now time.Time, v weigher, r placement.Request, all []way, target time.Duration) (weighed, error) {
-	var best weighed
-	var home fleet.EndpointID
+// bestCandidate evaluates the candidates and returns the one with the lowest cost,
+// without reserving anything. It returns placement.ErrNoEndpoint if no candidate has an
+// engine that can begin in time.
+func bestCandidate(now time.Time, v evaluator, r placement.Request, all []candidate, target time.Duration) (evaluatedCandidate, error) {
+	var best evaluatedCandidate
+	var preferred fleet.EndpointID
 	err := placement.ErrNoEndpoint
 	for i, at := range all {
-		if at.away && home == "" {
+		if at.nonPreferred && preferred == "" {
 			continue
 		}
-		next := weighed{way: at, request: r}
+		next := evaluatedCandidate{candidate: at, request: r}
 		next.request.Pool, next.request.Levels = at.pool, at.levels()
 		if at.held != nil {
 			next.request.Held = at.held()
 		}
-		if at.away {
-			next.request.Avoid = append(slices.Clone(r.Avoid), home)
+		if at.nonPreferred {
+			next.request.Avoid = append(slices.Clone(r.Avoid), preferred)
 		}
 		d, failed := v.Weigh(now, next.request)
 		if failed != nil {
-			continue // another way may lead somewhere
+			continue // another candidate may have an engine
 		}
 		if i == 0 {
-			home = d.Endpoint
+			preferred = d.Endpoint
 		}
-		if !at.inTime(d.ExpectedFirst) {
+		if !at.beginsInTime(d.ExpectedFirst) {
 			continue
 		}
 		next.decision = d
-		if at.away {
-			next.decision.Reason, next.decision.Peer = placement.ReasonSpill, home
+		if at.nonPreferred {
+			next.decision.Reason, next.decision.Peer = placement.ReasonSpill, preferred
 		}
 		if err != nil || next.cost(target) < best.cost(target) {
 			best, err = next, nil
 		}
-		if i == 0 && next.easy(target) {
+		if i == 0 && next.lowWait(target) {
 			break
 		}
 	}
--- a/router/ways_test.go
+++ b/router/ways_test.go
@@ -14,7 +14,7 @@
 
 func waysOptions() placement.Options {
 	o := options()
-	o.HomePrior = homePrior
+	o.HomePrior = cachedPrior
 	return o
 }
 
@@ -31,10 +31,10 @@
 			v.SetPool("old", members[3:])
 		}
 		r.waited = true
-		r.ways = func(part string) []way {
-			v := chooseVersions(map[int64]int{1: 9, 2: 3}, func(int64) bool { return true }, hash.Text(part), newerLead)
+		r.ways = func(part string) []candidate {
+			v := chooseVersions(map[int64]int{1: 9, 2: 3}, func(int64) bool { return true }, hash.Text(part), newestVersionFactor)
 			pools := map[int64]string{1: "old", 2: "new"}
-			return []way{{pool: pools[v.first]}, {pool: pools[v.others[0].version], loss: v.others[0].loss}}[:count]
+			return []candidate{{pool: pools[v.first]}, {pool: pools[v.others[0].version], penalty: v.others[0].penalty}}[:count]
 		}
 		r.run(20, 0, 34)
 		return r
@@ -54,8 +54,8 @@
 	run := func(count int) *replay {
 		r := newReplay(8, waysOptions(), 0)
 		r.waited, r.hot = true, 0.4
-		r.ways = func(string) []way {
-			return []way{{pool: "long"}, {pool: "long", away: true, loss: awayLoss}}[:count]
+		r.ways = func(string) []candidate {
+			return []candidate{{pool: "long"}, {pool: "long", nonPreferred: true, penalty: nonPreferredPenalty}}[:count]
 		}
 		r.run(20, 0, 16)
 		return r
@@ -83,7 +83,7 @@
 func TestBestWay(t *testing.T) {
 	const target = 500 * time.Millisecond
 	none := func() []prefix.Level { return nil }
-	all := []way{{pool: "new", levels: none}, {pool: "old", levels: none, loss: oldLoss}}
+	all := []candidate{{pool: "new", levels: none}, {pool: "old", levels: none, penalty: oldVersionPenalty}}
 	for _, c := range []struct {
 		name     string
 		new, old time.Duration
@@ -95,15 +95,15 @@
 		{"too long", 200 * time.Millisecond, 0, "old"},
 		{"both full", time.Second, time.Second, "new"},
 	} {
-		got, err := bestWay(time.Time{}, fakePools{"new": c.new, "old": c.old}, placement.Request{}, all, target)
+		got, err := bestCandidate(time.Time{}, fakePools{"new": c.new, "old": c.old}, placement.Request{}, all, target)
 		if err != nil || got.pool != c.want {
 			t.Errorf("%s: %q, %v", c.name, got.pool, err)
 		}
 	}
-	if got, err := bestWay(time.Time{}, fakePools{"old": time.Minute}, placement.Request{}, all, target); err != nil || got.pool != "old" {
+	if got, err := bestCandidate(time.Time{}, fakePools{"old": time.Minute}, placement.Request{}, all, target); err != nil || got.pool != "old" {
 		t.Errorf("no engine of the first way: %q, %v", got.pool, err)
 	}
-	if _, err := bestWay(time.Time{}, fakePools{}, placement.Request{}, all, target); err == nil {
+	if _, err := bestCandidate(time.Time{}, fakePools{}, placement.Request{}, all, target); err == nil {
 		t.Error("a place without engines")
 	}
 }
@@ -114,13 +114,13 @@
 func TestLastEngineServesBothLanes(t *testing.T) {
 	short := fakePools{}
 	w := &forward.Work{In: &forward.Inbound{Model: "m"}, Service: &routes.Service{Name: "s"}}
-	short[pools.OfModel("s", "m", 3, laneShort)] = time.Second
-	got, err := bestWay(time.Time{}, short, placement.Request{}, ways(w, versions{first: 3}, laneLong, nil), replayTarget)
-	if err != nil || got.pool != pools.OfModel("s", "m", 3, laneShort) {
+	short[pools.OfModel("s", "m", 3, subpoolShort)] = time.Second
+	got, err := bestCandidate(time.Time{}, short, placement.Request{}, listCandidates(w, versionChoice{first: 3}, subpoolLong, nil), replayTarget)
+	if err != nil || got.pool != pools.OfModel("s", "m", 3, subpoolShort) {
 		t.Errorf("long prompt: %q, %v", got.pool, err)
 	}
-	long := fakePools{pools.OfModel("s", "m", 2, laneLong): time.Second}
-	got, err = bestWay(time.Time{}, long, placement.Request{}, ways(w, versions{first: 3, others: []otherVersion{{version: 2}}}, laneShort, nil), replayTarget)
+	long := fakePools{pools.OfModel("s", "m", 2, subpoolLong): time.Second}
+	got, err = bestCandidate(time.Time{}, long, placement.Request{}, listCandidates(w, versionChoice{first: 3, others: []otherVersion{{version: 2}}}, subpoolShort, nil), replayTarget)
 	if err != nil || got.version != 2 {
 		t.Errorf("short prompt: %q, %v", got.pool, err)
 	}
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -111,16 +111,16 @@
 	w.mu.Unlock()
 	rng := rand.New(rand.NewPCG(uint64(daemons), 7))
 	for i, r := range all {
-		w.set(w.down, true, r.o.Settings.Name)
+		w.set(w.down, true, r.options.Settings.Name)
 		go func(after time.Duration) {
 			time.Sleep(after)
-			w.set(w.down, false, r.o.Settings.Name)
+			w.set(w.down, false, r.options.Settings.Name)
 			go r.followDaemons(ctx)
 			go r.followOperator(ctx)
 			go w.follow(ctx, r)
 			go r.quarantine.Run(ctx)
-			go r.keeper.run(ctx)
-			l := &leader{r: r, lease: weights.NewLease(all[i].o.Settings.Name, time.Second), sub: &subscription{n: r.neighbours, topic: TopicLease}}
+			go r.holdStore.run(ctx)
+			l := &leader{router: r, lease: weights.NewLease(all[i].options.Settings.Name, time.Second), subscription: &subscription{neighbours: r.neighbours, topic: TopicLease}}
 			go l.follow(ctx)
 		}(time.Duration(rng.Int64N(int64(300 * time.Millisecond))))
 	}
@@ -130,26 +130,26 @@
 	set := zoneSettings
 	set.Name, set.PeerAddress = fmt.Sprintf("front-%d", i), strconv.Itoa(i)
 	r := &Router{
-		o: Options{Settings: set, Codec: zoneCodec{}}, clock: w.clock,
-		s: newState(&set, rand.New(rand.NewPCG(1, uint64(i)))), log: quiet(),
+		options: Options{Settings: set, Codec: zoneCodec{}}, clock: w.clock,
+		state: newState(&set, rand.New(rand.NewPCG(1, uint64(i)))), log: quiet(),
 		metrics: &meters{scope: tally.NoopScope, storeFailures: tally.NoopScope.Counter("")},
 	}
 	store := &zoneStore{w: w, me: set.Name}
-	r.o.Store, r.o.Lease, r.o.Announcements = store, store, store
+	r.options.Store, r.options.Lease, r.options.Announcements = store, store, store
 	me := Neighbour{Name: set.Name, Zone: set.Zone, Address: set.PeerAddress}
 	if w.mbps != nil {
 		me.LinkMbps = w.mbps(set.Name)
 	}
 	r.neighbours = newNeighbours(me, &set, net.Dialer{}, w.clock, quiet())
 	unsent := func(string, []byte) {}
-	r.limits = newLimiter(r.neighbours.me, &set, w.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, quiet(), unsent)
-	r.o.Rand, r.o.Clock = rand.New(rand.NewPCG(3, uint64(i))), w.clock
+	r.limits = newLimiter(r.neighbours.self, &set, w.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, quiet(), unsent)
+	r.options.Rand, r.options.Clock = rand.New(rand.NewPCG(3, uint64(i))), w.clock
 	r.datagrams = newDatagrams(tally.NoopScope, quiet())
-	r.o.Dial = w.dialEnded
-	r.quarantine = r.newGuard(r.neighbours.me)
-	r.room = r.newRoom(r.neighbours.me)
-	r.dispatch = newDispatch(r.neighbours.me, r.s, r.placer, w.clock, quiet(), unsent)
-	r.neighbours.ask = func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
+	r.options.Dial = w.dialEnded
+	r.quarantine = r.newQuarantineGuard(r.neighbours.self)
+	r.endpointLimits = r.newEndpointLimits(r.neighbours.self)
+	r.dispatch = newDispatchPlacer(r.neighbours.self, r.state, r.placer, w.clock, quiet(), unsent)
+	r.neighbours.request = func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
 		return w.ask(ctx, set.Name, address, t, q)
 	}
 	for t := range r.feeds {
@@ -217,15 +217,15 @@
 	w.mu.Lock()
 	to := w.all[i]
 	w.mu.Unlock()
-	if w.is(w.down, to.o.Settings.Name) {
+	if w.is(w.down, to.options.Settings.Name) {
 		return feed.Answer{}, errNoAnswer
 	}
-	if w.is(w.dead, to.o.Settings.Name) || w.is(w.dead, me) {
+	if w.is(w.dead, to.options.Settings.Name) || w.is(w.dead, me) {
 		<-ctx.Done()
 		return feed.Answer{}, ctx.Err()
 	}
 	got, err := to.feeds[t].Read(ctx, w.clock, q)
-	w.carry(to.o.Settings.Name, me, len(got.Append(nil)))
+	w.carry(to.options.Settings.Name, me, len(got.Append(nil)))
 	time.Sleep(neighbourWay)
 	var unknown *feed.UnknownError
 	switch {
@@ -270,10 +270,10 @@
 	out := make([]*Router, len(w.all))
 	var zone []readers.Daemon
 	for _, r := range w.all {
-		zone = append(zone, readers.Daemon{Name: r.o.Settings.Name, Address: r.o.Settings.PeerAddress})
+		zone = append(zone, readers.Daemon{Name: r.options.Settings.Name, Address: r.options.Settings.PeerAddress})
 	}
 	for _, r := range w.all {
-		c := readers.New(readers.Daemon{Name: r.o.Settings.Name})
+		c := readers.New(readers.Daemon{Name: r.options.Settings.Name})
 		c.Set(zone)
 		out[len(c.Candidates(0, len(zone)))] = r
 	}
@@ -288,8 +288,8 @@
 	for {
 		behind := 0
 		for _, r := range w.all {
-			t := r.s.table.Load()
-			if !w.is(leftOut, r.o.Settings.Name) && (t == nil || t.Version < version) {
+			t := r.state.table.Load()
+			if !w.is(leftOut, r.options.Settings.Name) && (t == nil || t.Version < version) {
 				behind++
 			}
 		}
@@ -304,7 +304,7 @@
 func (w *zoneWorld) oldest(leftOut map[string]bool) time.Duration {
 	var oldest time.Duration
 	for _, r := range w.all {
-		if !w.is(leftOut, r.o.Settings.Name) {
+		if !w.is(leftOut, r.options.Settings.Name) {
 			oldest = max(oldest, r.keysAge())
 		}
 	}
@@ -459,7 +459,7 @@
 			w := newZone(t, daemons)
 			time.Sleep(settled)
 			start = w.made()
-			if oldest := w.watch(time.Minute, nil); oldest > time.Duration(relayAgePart*float64(zoneSettings.ConfigWithin)) {
+			if oldest := w.watch(time.Minute, nil); oldest > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) {
 				t.Errorf("%d daemons: keys were %v old in a calm minute", daemons, oldest)
 			}
 			later = w.made() - start
@@ -536,14 +536,14 @@
 		w.follow = func(ctx context.Context, r *Router) {
 			f := r.newFollower(TopicEndpoints)
 			f.apply = func(record Record) (Record, bool) { return record, true }
-			f.snapshot = func(present map[string]bool) {
+			f.onSnapshot = func(present map[string]bool) {
 				mu.Lock()
 				defer mu.Unlock()
 				if len(present) == listed {
-					known[r.o.Settings.Name] = time.Since(w.began)
+					known[r.options.Settings.Name] = time.Since(w.began)
 				}
 			}
-			r.keepReading(ctx, f)
+			r.pollTopic(ctx, f)
 		}
 		w.start(daemons)
 		time.Sleep(8 * time.Second)
@@ -597,7 +597,7 @@
 		go w.beat()
 		w.start(daemons)
 		time.Sleep(settled)
-		first := w.inOrder()[0].o.Settings.Name
+		first := w.inOrder()[0].options.Settings.Name
 		w.set(w.away, true, first)
 		before, began := w.made(), time.Now()
 		w.start(daemons)
@@ -623,20 +623,20 @@
 	const calls = 100
 	faults := map[string]func(w *zoneWorld, order []*Router) (leftOut map[string]bool){
 		"the first loses the store": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.away, true, order[0].o.Settings.Name)
+			w.set(w.away, true, order[0].options.Settings.Name)
 			return w.away
 		},
 		"the first stands still": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.dead, true, order[0].o.Settings.Name)
+			w.set(w.dead, true, order[0].options.Settings.Name)
 			return w.dead
 		},
 		"two of the first level stand still": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.dead, true, order[1].o.Settings.Name, order[2].o.Settings.Name)
+			w.set(w.dead, true, order[1].options.Settings.Name, order[2].options.Settings.Name)
 			return w.dead
 		},
 		"a third is turned away, and has what the others know": func(w *zoneWorld, order []*Router) map[string]bool {
 			for i := 0; i < len(order); i += 3 {
-				w.set(w.refuses, true, order[i].o.Settings.Name)
+				w.set(w.refuses, true, order[i].options.Settings.Name)
 			}
 			return nil
 		},
@@ -678,13 +678,13 @@
 		order := w.inOrder()
 		alone := order[40]
 		for _, r := range order {
-			w.set(w.refuses, true, r.o.Settings.Name)
+			w.set(w.refuses, true, r.options.Settings.Name)
 			if r != alone {
-				w.set(w.down, true, r.o.Settings.Name)
+				w.set(w.down, true, r.options.Settings.Name)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		w.set(w.refuses, false, alone.o.Settings.Name)
+		w.set(w.refuses, false, alone.options.Settings.Name)
 		back := time.Now()
 		for alone.keysAge() > time.Second && time.Since(back) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
@@ -704,15 +704,15 @@
 		w := newZone(t, 1)
 		f := w.all[0].newEndpointsFollower()
 		entry := []Record{{Key: "e1", Value: []byte("1")}}
-		f.takePage("", w.clock(), Page{Records: entry})
+		f.applyPage("", w.clock(), Page{Records: entry})
 		if got, err := f.feed().Read(t.Context(), w.clock, feed.Question{From: -1}); err != nil || len(got.Records) != 1 {
 			t.Fatal("everything is told at first")
 		}
-		if told := f.fold(entry); len(told) != 0 {
+		if told := f.applyRecords(entry); len(told) != 0 {
 			t.Error("a repeat is told")
 		}
-		f.takePage("", w.clock(), Page{})
-		if told := f.fold(entry); len(told) != 1 {
+		f.applyPage("", w.clock(), Page{})
+		if told := f.applyRecords(entry); len(told) != 1 {
 			t.Error("the entry that is back is not told")
 		}
 	})
@@ -733,24 +733,24 @@
 				fault = w.away
 			}
 			for _, r := range w.all {
-				w.set(fault, true, r.o.Settings.Name)
+				w.set(fault, true, r.options.Settings.Name)
 			}
 			before := w.made()
 			time.Sleep(down)
 			// One read for each topic and daemon finds that the store is lost; after it
 			// each daemon asks at its turn, and the one that reads for the zone as before.
-			perTopic := daemons + int(down/restEach)*2 + int(down/minPause)
+			perTopic := daemons + int(down/storeBackoffPerDaemon)*2 + int(down/minRetryPause)
 			calls := w.made() - before
 			t.Logf("silent %v: %d calls while the store was down", silent, calls)
 			if calls > perTopic*int(topicCount) {
 				t.Errorf("silent %v: %d calls while the store was down", silent, calls)
 			}
 			for _, r := range w.all {
-				w.set(fault, false, r.o.Settings.Name)
+				w.set(fault, false, r.options.Settings.Name)
 			}
 			before = w.made()
 			back := time.Now()
-			for w.oldest(nil) > time.Duration(relayAgePart*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
+			for w.oldest(nil) > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 2*time.Second {
