--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -117,17 +117,17 @@
 	}
 	now := d.clock()
 	var best Neighbour
-	passed := 0
+	avoided := 0
 	for _, n := range d.daemons {
 		if until, ok := d.avoidedUntil[n.Address]; ok && now < until {
-			passed++
+			avoided++
 			continue
 		}
 		if best.Name == "" || dispatchesBefore(group, n, best) {
 			best = n
 		}
 	}
-	return best, passed < maxAvoidedDispatchers && best.Name != ""
+	return best, avoided < maxAvoidedDispatchers && best.Name != ""
 }
 
 // dispatchesBefore orders daemons by processor capacity and then by a hash, which
@@ -181,8 +181,8 @@
 	return p, err
 }
 
-// askDispatcher asks a dispatcher to place the request. ok is false if the dispatcher gave no
-// usable answer.
+// askDispatcher asks a dispatcher to place the request. ok is false if the dispatcher
+// gave no usable answer.
 func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, w *forward.Work) (p forward.Placement, ok bool, err error) {
 	m := placeMessage{
 		ID: d.lastID.Add(1), Route: w.Route.Name, Service: w.Service.Name, In: *w.In,
@@ -230,17 +230,17 @@
 		return forward.Placement{}, false, nil
 	}
 	p := *got.Place
-	left := d.timeToBegin(w, &p)
+	beginWithin := d.timeToBegin(w, &p)
 	if got.LeftMs > 0 {
-		left = min(left, time.Duration(got.LeftMs)*time.Millisecond)
+		beginWithin = min(beginWithin, time.Duration(got.LeftMs)*time.Millisecond)
 	}
-	if left <= minBeginTime || slices.Contains(w.Avoid, p.Target.Key) {
+	if beginWithin <= minBeginTime || slices.Contains(w.Avoid, p.Target.Key) {
 		d.sendMessage(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.End{Left: true}})
 		return forward.Placement{}, false, nil
 	}
 	p.BeginBy = time.Time{}
-	if left != noTimeLimit {
-		p.BeginBy = time.Now().Add(left)
+	if beginWithin != noTimeLimit {
+		p.BeginBy = time.Now().Add(beginWithin)
 	}
 	p.ID, p.Notes.Dispatcher = got.ID, from.Address
 	return p, true, nil
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -240,9 +240,9 @@
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	var out []reportedLoad
-	for key, h := range d.observedLoads {
-		if age := now.Sub(h.at); age < maxObservedLoadAge {
-			out = append(out, reportedLoad{Engine: key, Running: h.load.Running, Waiting: h.load.Waiting, Slots: h.load.Slots, AgeMs: age.Milliseconds()})
+	for key, observed := range d.observedLoads {
+		if age := now.Sub(observed.at); age < maxObservedLoadAge {
+			out = append(out, reportedLoad{Engine: key, Running: observed.load.Running, Waiting: observed.load.Waiting, Slots: observed.load.Slots, AgeMs: age.Milliseconds()})
 		}
 	}
 	clear(d.observedLoads)
--- a/router/lanes.go
+++ b/router/lanes.go
@@ -66,9 +66,9 @@
 // addRequest records the work of a request.
 func (l *subpoolSplit) addRequest(now time.Time, in subpool, tokens, slots int) {
 	l.meanTokens[in] += meanWeight * (float64(tokens) - l.meanTokens[in])
-	if fade := math.Exp(-now.Sub(l.decayedAt).Seconds() / workDecayTime.Seconds()); fade < 1 {
+	if decay := math.Exp(-now.Sub(l.decayedAt).Seconds() / workDecayTime.Seconds()); decay < 1 {
 		for i := range l.work {
-			l.work[i] *= fade
+			l.work[i] *= decay
 		}
 		l.decayedAt = now
 	}
@@ -86,11 +86,11 @@
 // as it hardly relates to the actual length of an answer.
 func (l *subpoolSplit) estimateWork(in subpool, tokens, slots int) float64 {
 	read := float64(tokens) / prefillRate
-	place := (read + l.meanAnswer[in]) / float64(max(slots, 1))
+	batchShare := (read + l.meanAnswer[in]) / float64(max(slots, 1))
 	if in == subpoolShort {
 		read *= shortWorkFactor
 	}
-	return max(read, place)
+	return max(read, batchShare)
 }
 
 // shortFraction returns the fraction of the engines for short prompts.
--- a/router/moves.go
+++ b/router/moves.go
@@ -35,20 +35,20 @@
 	}
 	key := levels[at].Key
 	store := storeOf(w.Table, key)
-	peer := p.state.roster.Find(d.Peer)
-	away := d.Reason == placement.ReasonSpill && r.Held == nil
+	alternate := p.state.roster.Find(d.Peer)
+	spilled := d.Reason == placement.ReasonSpill && r.Held == nil
 	switch {
 	case out.FetchFrom != "":
 	case to.fetchFrom != "" && to.fetchFrom != d.Endpoint && p.state.roster.Find(to.fetchFrom) != nil:
 		out.FetchFrom = p.state.roster.Find(to.fetchFrom).Address
-	case away && peer != nil && !p.state.roster.Unusable(now, d.Peer):
-		out.FetchFrom = peer.Address
+	case spilled && alternate != nil && !p.state.roster.Unusable(now, d.Peer):
+		out.FetchFrom = alternate.Address
 	case store != "":
 		out.FetchFrom = store
 	}
 	// A prefix that is read away from its preferred endpoint is saved, as the preferred
 	// endpoint would otherwise compute it again.
-	if store != "" && now.Sub(p.state.savedAt[key]) > savedLifetime && !to.retained && (away || p.randomFraction() < saveFraction) {
+	if store != "" && now.Sub(p.state.savedAt[key]) > savedLifetime && !to.retained && (spilled || p.randomFraction() < saveFraction) {
 		p.state.savedAt[key] = now
 		out.SaveTo = store
 	}
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -268,9 +268,9 @@
 func (n *neighbours) rank(subject string) (before int, known bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	mine := hash.Text(subject + "/" + n.self.Name)
+	own := hash.Text(subject + "/" + n.self.Name)
 	for _, name := range n.names {
-		if name != n.self.Name && hash.Text(subject+"/"+name) < mine {
+		if name != n.self.Name && hash.Text(subject+"/"+name) < own {
 			before++
 		}
 	}
--- a/router/orders.go
+++ b/router/orders.go
@@ -185,9 +185,9 @@
 
 // step gives the orders that are due.
 func (l *leader) step(ctx context.Context) {
-	behind := l.outdatedModels()
+	outdated := l.outdatedModels()
 	now := l.router.clock()
-	if len(behind) == 0 {
+	if len(outdated) == 0 {
 		l.behindSince = 0
 		l.finishLoads(ctx, now)
 		if len(l.unpublishedUpdates()) > 0 {
@@ -205,7 +205,7 @@
 		return
 	}
 	l.finishLoads(ctx, now)
-	for _, model := range behind {
+	for _, model := range outdated {
 		l.orderModel(ctx, model, l.router.state.engines(time.Now(), l.router.clock(), l.router.options.Settings.VersionWithin, model))
 	}
 }
--- a/router/placer.go
+++ b/router/placer.go
@@ -321,9 +321,9 @@
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	n := p.state.named[w.In.Model]
-	at := uint64(0)
+	segmentHash := uint64(0)
 	if len(w.In.Parts) > 0 {
-		at = hash.Text(w.In.Parts[0].ID)
+		segmentHash = hash.Text(w.In.Parts[0].ID)
 	}
 	pool := subpoolOf(w.In.PromptTokens)
 	engines := p.state.roster.Counts(w.Service.Name, w.In.Model)
@@ -332,16 +332,16 @@
 	if pool == subpoolShort {
 		lead = math.Inf(1) // short prompts share too little for a cache to matter
 	}
-	left := func(v int64) time.Duration { return n.timeToBegin(v, clock, p.versionBound) }
-	allowed := func(v int64) bool { return left(v) > minBeginTime }
-	v := chooseVersions(engines.Lane[pool], allowed, at, lead)
-	v = v.fillFrom(chooseVersions(engines.All, allowed, at, lead))
+	timeLeft := func(v int64) time.Duration { return n.timeToBegin(v, clock, p.versionBound) }
+	allowed := func(v int64) bool { return timeLeft(v) > minBeginTime }
+	v := chooseVersions(engines.Lane[pool], allowed, segmentHash, lead)
+	v = v.fillFrom(chooseVersions(engines.All, allowed, segmentHash, lead))
 	if v.first == 0 {
 		return v, &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointRetryAfter}
 	}
-	v.firstBeginWithin = left(v.first)
+	v.firstBeginWithin = timeLeft(v.first)
 	for i := range v.others {
-		v.others[i].beginWithin = left(v.others[i].version)
+		v.others[i].beginWithin = timeLeft(v.others[i].version)
 	}
 	return v, nil
 }
--- a/router/state.go
+++ b/router/state.go
@@ -194,7 +194,8 @@
 	s.refresh(now)
 }
 
-// hasOutdatedEngine reports whether some engine has older weights of the model than the version.
+// hasOutdatedEngine reports whether some engine has older weights of the model than the
+// version.
 func (s *state) hasOutdatedEngine(model string, version int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/router/versions.go
+++ b/router/versions.go
@@ -182,9 +182,9 @@
 // fillFrom adds versions that the subpool's own engines lack from all, which was chosen
 // among all engines of the model.
 //
-// If the first engines to load new weights are the only ones for short prompts, and the
-// older versions were not an alternative, all short prompts of the fleet would queue
-// there, or be refused if those engines fail.
+// The first engines to load new weights may be the only ones for short prompts. Without
+// the older versions as alternatives, all short prompts of the fleet would queue there,
+// or be refused if those engines fail.
 func (v versionChoice) fillFrom(all versionChoice) versionChoice {
 	if v.first == 0 {
 		return all
--- a/router/ways.go
+++ b/router/ways.go
@@ -75,32 +75,32 @@
 // Each prompt is therefore placed where it costs least instead of being late or
 // refused. An overloaded fleet has no idle engines, so there segments stay at their
 // preferred endpoints.
-func listCandidates(w *forward.Work, v versionChoice, in subpool, where prefixLocations) []candidate {
+func listCandidates(w *forward.Work, v versionChoice, in subpool, lookup prefixLocations) []candidate {
 	once := w.Route != nil && !w.Route.Repeatable()
-	to := func(o otherVersion) func(l subpool, loss float64) candidate {
-		levels, held := levelsOf(w, o.version), locationsOf(w, o.version, where)
-		return func(l subpool, loss float64) candidate {
+	to := func(o otherVersion) func(l subpool, extraPenalty float64) candidate {
+		levels, held := levelsOf(w, o.version), locationsOf(w, o.version, lookup)
+		return func(l subpool, extraPenalty float64) candidate {
 			return candidate{
 				pool: pools.OfModel(w.Service.Name, w.In.Model, o.version, l), levels: levels, held: held,
-				subpool: l, version: o.version, penalty: o.penalty + loss, beginWithin: o.beginWithin, notRepeatable: once,
+				subpool: l, version: o.version, penalty: o.penalty + extraPenalty, beginWithin: o.beginWithin, notRepeatable: once,
 			}
 		}
 	}
 	first := to(otherVersion{version: v.first, beginWithin: v.firstBeginWithin})
 	// A long prompt among short ones delays dozens of them.
-	otherLane, crossing := subpoolShort, float64(lastResortPenalty)
+	otherSubpool, otherPenalty := subpoolShort, float64(lastResortPenalty)
 	out := []candidate{first(in, 0)}
 	if in == subpoolLong {
-		away := out[0]
-		away.nonPreferred, away.penalty = true, nonPreferredPenalty
-		out = append(out, away)
+		nonPreferred := out[0]
+		nonPreferred.nonPreferred, nonPreferred.penalty = true, nonPreferredPenalty
+		out = append(out, nonPreferred)
 	} else {
-		otherLane, crossing = subpoolLong, otherSubpoolPenalty
+		otherSubpool, otherPenalty = subpoolLong, otherSubpoolPenalty
 	}
-	out = append(out, first(otherLane, crossing))
+	out = append(out, first(otherSubpool, otherPenalty))
 	for _, o := range v.others {
 		other := to(o)
-		out = append(out, other(in, 0), other(otherLane, crossing))
+		out = append(out, other(in, 0), other(otherSubpool, otherPenalty))
 	}
 	return out
 }
@@ -111,12 +111,12 @@
 
 // locationsOf returns a function that looks up the cached prefix of a prompt on first
 // use.
-func locationsOf(w *forward.Work, version int64, where prefixLocations) func() *placement.Held {
+func locationsOf(w *forward.Work, version int64, lookup prefixLocations) func() *placement.Held {
 	return sync.OnceValue(func() *placement.Held {
-		if where == nil || len(w.In.Parts) == 0 {
+		if lookup == nil || len(w.In.Parts) == 0 {
 			return nil
 		}
-		return where(w, salt(w, version))
+		return lookup(w, salt(w, version))
 	})
 }
 
@@ -170,8 +170,8 @@
 		if at.nonPreferred {
 			next.request.Avoid = append(slices.Clone(r.Avoid), preferred)
 		}
-		d, failed := v.Weigh(now, next.request)
-		if failed != nil {
+		d, weighErr := v.Weigh(now, next.request)
+		if weighErr != nil {
 			continue // another candidate may have an engine
 		}
 		if i == 0 {
