--- a/router/caches.go
+++ b/router/caches.go
@@ -46,14 +46,14 @@
 	maxHolders = 40
 )
 
-// ErrFollowed is returned by CacheFeed when a holder already has its maximum number of
+// ErrTooManyFollowers is returned by CacheFeed when a holder already has its maximum number of
 // followers.
-var ErrFollowed = errors.New("router: holder has its maximum number of followers")
+var ErrTooManyFollowers = errors.New("router: holder has its maximum number of followers")
 
 // CacheFeed requests cache events from engines and stores.
 type CacheFeed interface {
 	// CacheEvents returns the events with numbers from since on and waits up to wait if
-	// there is none yet. It returns ErrFollowed if the holder accepts no more
+	// there is none yet. It returns ErrTooManyFollowers if the holder accepts no more
 	// followers.
 	CacheEvents(ctx context.Context, address string, since int64, wait time.Duration) (caches.Batch, error)
 }
@@ -239,7 +239,7 @@
 
 // retryDelay returns the time until the next request to a holder after a failed one.
 func retryDelay(err error) time.Duration {
-	if errors.Is(err, ErrFollowed) {
+	if errors.Is(err, ErrTooManyFollowers) {
 		return rejectedBackoff + time.Duration(rand.Float64()*float64(rejectedBackoff))
 	}
 	return minRetryPause + time.Duration(rand.Float64()*float64(maxRetryPause))
--- a/router/counted.go
+++ b/router/counted.go
@@ -12,16 +12,16 @@
 type countingStore struct {
 	store Store
 	lease LeaseLog
-	list  Announcements
+	list  DaemonRegistry
 	scope tally.Scope
 }
 
 // countStoreCalls wraps the store interfaces in Options with a countingStore.
 func (r *Router) countStoreCalls() {
-	c := &countingStore{store: r.options.Store, lease: r.options.Lease, list: r.options.Announcements, scope: r.metrics.scope}
+	c := &countingStore{store: r.options.Store, lease: r.options.Lease, list: r.options.DaemonRegistry, scope: r.metrics.scope}
 	r.options.Store, r.options.Lease = c, c
 	if c.list != nil {
-		r.options.Announcements = c
+		r.options.DaemonRegistry = c
 	}
 }
 
@@ -53,13 +53,13 @@
 	return c.lease.AppendLease(ctx, at, record)
 }
 
-// Announce implements Announcements.
+// Announce implements DaemonRegistry.
 func (c *countingStore) Announce(ctx context.Context, n Neighbour) error {
 	c.count("append", TopicDaemons)
 	return c.list.Announce(ctx, n)
 }
 
-// Record implements Announcements.
+// Record implements DaemonRegistry.
 func (c *countingStore) Record(ctx context.Context, key string, value []byte) error {
 	c.count("append", TopicDaemons)
 	return c.list.Record(ctx, key, value)
--- a/router/daemons.go
+++ b/router/daemons.go
@@ -100,7 +100,7 @@
 func (r *Router) announce(ctx context.Context) bool {
 	call, cancel := context.WithTimeout(ctx, answerTimeout)
 	defer cancel()
-	err := r.options.Announcements.Announce(call, r.neighbours.self)
+	err := r.options.DaemonRegistry.Announce(call, r.neighbours.self)
 	if err != nil {
 		r.log.Warn("Daemon could not announce itself.", "error", err.Error())
 	}
--- a/router/follow.go
+++ b/router/follow.go
@@ -121,7 +121,7 @@
 	call, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
 	got, err := f.router.options.Store.Read(call, f.subscription.topic, f.next, wait)
-	if errors.Is(err, ErrHistoryGone) {
+	if errors.Is(err, ErrHistoryTruncated) {
 		f.complete = false
 		f.router.log.Info("History of the store is no longer kept, reading the newest record of each key.", "topic", f.subscription.topic.String(), "next", f.next)
 		return readResult{more: true}, nil
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -92,8 +92,9 @@
 	return readers.Daemon{Name: n.Name, Address: n.Address, Mbps: n.LinkMbps, Cores: n.Cores}
 }
 
-// Announcements is the list in the store through which daemons find each other.
-type Announcements interface {
+// DaemonRegistry is the list in the store through which daemons find each other.
+type DaemonRegistry interface {
+	// Announce adds the daemon to the list or replaces its entry.
 	Announce(ctx context.Context, n Neighbour) error
 	// Record stores a value under a key beside the announcements; an empty value
 	// deletes the key.
--- a/router/orders.go
+++ b/router/orders.go
@@ -144,7 +144,7 @@
 	defer cancel()
 	sent := l.router.clock()
 	records, end, err := l.router.options.Lease.LeaseRecords(call, from, wait)
-	var gone *HistoryGoneError
+	var gone *HistoryTruncatedError
 	if errors.As(err, &gone) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
@@ -301,7 +301,7 @@
 	defer cancel()
 	sent, record := l.router.clock(), c.Encode()
 	err := l.router.options.Lease.AppendLease(call, at, record)
-	var conflict *LostRaceError
+	var conflict *AppendConflictError
 	switch {
 	case err == nil:
 		l.failedClaims = 0
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -34,7 +34,7 @@
 // the daemon that created a hold writes it, and deletes it when it ends.
 type holdStore struct {
 	self  string // name of this daemon
-	store Announcements
+	store DaemonRegistry
 	log   *logging.Logger
 	wake  chan struct{}
 
@@ -43,7 +43,7 @@
 	pending map[quarantine.Fingerprint][]byte // empty value: the hold has ended
 }
 
-func newHoldStore(me string, store Announcements, log *logging.Logger) *holdStore {
+func newHoldStore(me string, store DaemonRegistry, log *logging.Logger) *holdStore {
 	return &holdStore{
 		self: me, store: store, log: log, wake: make(chan struct{}, 1),
 		owned: map[quarantine.Fingerprint]bool{}, pending: map[quarantine.Fingerprint][]byte{},
--- a/router/router.go
+++ b/router/router.go
@@ -57,8 +57,8 @@
 	Store    Store
 	Lease    LeaseLog
 	Codec    Codec
-	// Announcements is the list of daemons; nil: each daemon reads the store itself.
-	Announcements Announcements
+	// DaemonRegistry is the list of daemons; nil: each daemon reads the store itself.
+	DaemonRegistry DaemonRegistry
 	// Clock continues while the machine is suspended; nil: BootClock.
 	Clock     func() time.Duration
 	CacheFeed CacheFeed // nil: cache events are not followed
@@ -184,8 +184,8 @@
 		d := forward.Dialer()
 		o.Dial = d.DialContext
 	}
-	if r.options.Announcements != nil {
-		r.holdStore = newHoldStore(me.Name, r.options.Announcements, r.log)
+	if r.options.DaemonRegistry != nil {
+		r.holdStore = newHoldStore(me.Name, r.options.DaemonRegistry, r.log)
 		o.Changed = r.holdStore.changed
 	}
 	return guard.New(o)
@@ -242,7 +242,7 @@
 		go r.followCaches(work)
 	}
 	go r.serveReady(healthListener)
-	if r.options.Announcements != nil && r.options.Settings.PeerAddress != "" {
+	if r.options.DaemonRegistry != nil && r.options.Settings.PeerAddress != "" {
 		peers, err := net.Listen("tcp", r.options.Settings.PeerAddress)
 		if err != nil {
 			return eris.Wrap(err, "the other daemons' address cannot be listened on")
--- a/router/store.go
+++ b/router/store.go
@@ -40,29 +40,29 @@
 
 // Errors of the store.
 var (
-	// ErrHistoryGone is returned when the requested records are no longer kept. The
+	// ErrHistoryTruncated is returned when the requested records are no longer kept. The
 	// newest record of each key is still available.
-	ErrHistoryGone = errors.New("router: history of the store is no longer kept")
+	ErrHistoryTruncated = errors.New("router: history of the store is no longer kept")
 	// ErrStoreBusy is returned when the store rejected the call without executing it.
 	ErrStoreBusy = errors.New("router: store rejected the call")
 )
 
-// HistoryGoneError is an ErrHistoryGone with the offset of the oldest record that is
-// kept.
-type HistoryGoneError struct{ First int64 }
+// HistoryTruncatedError is an ErrHistoryTruncated with the offset of the oldest record
+// that is kept.
+type HistoryTruncatedError struct{ First int64 }
 
-func (e *HistoryGoneError) Error() string {
-	return fmt.Sprintf("%v: the oldest kept is %d", ErrHistoryGone, e.First)
+func (e *HistoryTruncatedError) Error() string {
+	return fmt.Sprintf("%v: the oldest kept is %d", ErrHistoryTruncated, e.First)
 }
 
-// Is reports whether target is ErrHistoryGone.
-func (e *HistoryGoneError) Is(target error) bool { return target == ErrHistoryGone }
+// Is reports whether target is ErrHistoryTruncated.
+func (e *HistoryTruncatedError) Is(target error) bool { return target == ErrHistoryTruncated }
 
-// LostRaceError is returned when an append is refused because the topic no longer ends
-// at the expected offset.
-type LostRaceError struct{ End int64 }
+// AppendConflictError is returned when an append is refused because the topic no longer
+// ends at the expected offset.
+type AppendConflictError struct{ End int64 }
 
-func (e *LostRaceError) Error() string {
+func (e *AppendConflictError) Error() string {
 	return fmt.Sprintf("router: append refused, the topic ends at %d", e.End)
 }
 
@@ -89,8 +89,8 @@
 	// LeaseRecords returns the records from the offset on and the end of the topic. If
 	// there are none, it waits up to wait for one.
 	LeaseRecords(ctx context.Context, from int64, wait time.Duration) ([][]byte, int64, error)
-	// AppendLease appends a record if the topic ends at the offset, and returns a
-	// *LostRaceError if it does not.
+	// AppendLease appends a record if the topic ends at the offset, and returns an
+	// *AppendConflictError if it does not.
 	AppendLease(ctx context.Context, at int64, record []byte) error
 }
 
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -135,7 +135,7 @@
 		metrics: &meters{scope: tally.NoopScope, storeFailures: tally.NoopScope.Counter("")},
 	}
 	store := &zoneStore{w: w, me: set.Name}
-	r.options.Store, r.options.Lease, r.options.Announcements = store, store, store
+	r.options.Store, r.options.Lease, r.options.DaemonRegistry = store, store, store
 	me := Neighbour{Name: set.Name, Zone: set.Zone, Address: set.PeerAddress}
 	if w.mbps != nil {
 		me.LinkMbps = w.mbps(set.Name)
