--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -69,6 +69,8 @@
 	id   uint64
 }
 
+// openPlacement is a placement made for another daemon. It is considered ended when
+// until has passed.
 type openPlacement struct {
 	forward.Placement
 	until time.Time
--- a/router/learn.go
+++ b/router/learn.go
@@ -101,7 +101,8 @@
 	// loadQueryTimeout bounds a query; engines usually answer in a few milliseconds.
 	loadQueryTimeout = 40 * time.Millisecond
 	// loadReportAge is the assumed age of the load in a report when it arrives.
-	loadReportAge     = 200 * time.Millisecond
+	loadReportAge = 200 * time.Millisecond
+	// maxQueriedEngines bounds the engines queried for one prompt.
 	maxQueriedEngines = 2
 )
 
--- a/router/neighbours_test.go
+++ b/router/neighbours_test.go
@@ -110,8 +110,8 @@
 			placer:     newPlacer(newState(set, rand.New(rand.NewPCG(1, 2))), set, nil, fixed(0), rand.New(rand.NewPCG(3, hash.Text(me.Name)))),
 		}
 		r.neighbours.set(all)
-		waits = append(waits, r.contendAfter(false))
-		if last := r.contendAfter(true); last != 0 {
+		waits = append(waits, r.claimDelay(false))
+		if last := r.claimDelay(true); last != 0 {
 			t.Errorf("the daemon that gave the last order waits %v", last)
 		}
 	}
@@ -123,7 +123,7 @@
 			t.Errorf("%v between claim %d and the next", gap, i)
 		}
 	}
-	if waits[0] != 0 || waits[daemons-1] > 2*maxContendDelay {
+	if waits[0] != 0 || waits[daemons-1] > 2*maxClaimDelay {
 		t.Errorf("claims from %v to %v", waits[0], waits[daemons-1])
 	}
 }
--- a/router/orders.go
+++ b/router/orders.go
@@ -29,18 +29,19 @@
 	// loadPollInterval is how often the leader asks a loading engine whether it has
 	// finished. The engine's own entry shows this more than a second later.
 	loadPollInterval = 350 * time.Millisecond
-	// contendStep is the time between the claims of two daemons that could both become
+	// claimStep is the time between the claims of two daemons that could both become
 	// leader. A claim reaches all daemons within a tenth of a second when there was no
 	// rollout before, and within leaseReadInterval during one. Of the daemons that
 	// claim within that time, all but one call the store in vain.
-	contendStep = 150 * time.Millisecond
-	// maxContendDelay bounds the delay of ordered claims. Later daemons claim after it
+	claimStep = 150 * time.Millisecond
+	// maxClaimDelay bounds the delay of ordered claims. Later daemons claim after it
 	// at a random time of up to the same length, as all the first ones may be down.
-	maxContendDelay = 3 * time.Second
+	maxClaimDelay = 3 * time.Second
 	// claimRetryPause is the pause after a failed claim, plus a random time of up to
 	// the same length.
 	claimRetryPause = 400 * time.Millisecond
-	reportTimeout   = 500 * time.Millisecond
+	// reportTimeout bounds the request for an engine's report.
+	reportTimeout = 500 * time.Millisecond
 )
 
 // leader gives weight-loading orders to engines while it holds the lease.
@@ -56,11 +57,13 @@
 	nextClaim    time.Duration // earliest time of the next claim, after a failed one
 	failedClaims int           // consecutive failed claims
 	behindSince  time.Duration // when engines were first found behind; 0: none are
-	contendDelay time.Duration
+	claimDelay   time.Duration
 
 	subscription *subscription // of the lease; used only by follow
 }
 
+// loadingEngine is an engine that was ordered to load a version. It is asked for its
+// report until it has finished or until has passed.
 type loadingEngine struct {
 	engine  weights.Engine
 	model   string
@@ -196,10 +199,10 @@
 		return
 	}
 	if l.behindSince == 0 {
-		l.behindSince, l.contendDelay = now, l.router.contendAfter(l.holdsLease())
+		l.behindSince, l.claimDelay = now, l.router.claimDelay(l.holdsLease())
 	}
 	l.mu.Lock()
-	due := max(l.behindSince, l.lease.FreeFrom()) + l.contendDelay
+	due := max(l.behindSince, l.lease.FreeFrom()) + l.claimDelay
 	l.mu.Unlock()
 	if now < due || l.router.shuttingDown.Load() {
 		return
@@ -217,18 +220,18 @@
 	return l.lease.Holder() == l.lease.Me()
 }
 
-// contendAfter returns the delay of this daemon's claim of the lease after the lease
+// claimDelay returns the delay of this daemon's claim of the lease after the lease
 // becomes free. The previous leader continues at once; the others follow in an order
 // that all of them compute.
-func (r *Router) contendAfter(holds bool) time.Duration {
+func (r *Router) claimDelay(holds bool) time.Duration {
 	if holds {
 		return 0
 	}
 	before, _ := r.neighbours.rank("orders") // with no list there is nobody to wait for
-	if wait := time.Duration(before) * contendStep; wait < maxContendDelay {
+	if wait := time.Duration(before) * claimStep; wait < maxClaimDelay {
 		return wait
 	}
-	return maxContendDelay + time.Duration(r.placer.randomFraction()*float64(maxContendDelay))
+	return maxClaimDelay + time.Duration(r.placer.randomFraction()*float64(maxClaimDelay))
 }
 
 // outdatedModels returns the models for which some engines have older weights than named.
--- a/router/parts.go
+++ b/router/parts.go
@@ -32,6 +32,8 @@
 	rateUpdated time.Time
 }
 
+// sharedSegment is a segment that several prompts have in common, with the engines that
+// were sent it.
 type sharedSegment struct {
 	tokens   int
 	lastUsed time.Time
--- a/router/router.go
+++ b/router/router.go
@@ -376,12 +376,12 @@
 			r.log.Info("Key freshness changed.", "fresh", fresh, "keys_age_ms", r.keysAge().Milliseconds())
 		}
 		if n%10 == 0 {
-			r.everySecond(now)
+			r.runEverySecond(now)
 		}
 	}
 }
 
-func (r *Router) everySecond(now time.Time) {
+func (r *Router) runEverySecond(now time.Time) {
 	r.state.view.Expire(now)
 	r.placer.expireSegments(now)
 	r.updateGauges()
--- a/router/settings.go
+++ b/router/settings.go
@@ -6,7 +6,7 @@
 // through package forward. Only package platform depends on the names that the store
 // and the wire protocol use.
 //
-// Lock order: state.mu (table of endpoints, versions, gates), then the locks inside
+// Lock order: state.mu (endpoints, weight versions, availability), then the locks inside
 // placement.Shared; budgetMu last. No lock is held while a message is sent.
 package router
 
--- a/router/versions.go
+++ b/router/versions.go
@@ -171,10 +171,12 @@
 	return older[len(older)-1]
 }
 
-func makeOtherVersions(all []int64, loss float64) []otherVersion {
+// makeOtherVersions returns the first maxOtherVersions versions as alternatives with the
+// same penalty.
+func makeOtherVersions(all []int64, penalty float64) []otherVersion {
 	var out []otherVersion
 	for _, v := range all[:min(len(all), maxOtherVersions)] {
-		out = append(out, otherVersion{version: v, penalty: loss})
+		out = append(out, otherVersion{version: v, penalty: penalty})
 	}
 	return out
 }
