--- a/feed/feed.go
+++ b/feed/feed.go
@@ -20,15 +20,15 @@
 
 // Bounds of what a daemon keeps of a topic and passes on.
 const (
-	// keptRecords and keptBytes bound the records that are kept beside the newest of
+	// maxKeptRecords and keptBytes bound the records that are kept beside the newest of
 	// each key. A topic with more keys may keep one record a key.
-	keptRecords = 2000
-	keptBytes   = 2 << 20
-	// slackPart is by how much more than that is kept before records are dropped, so
+	maxKeptRecords = 2000
+	maxKeptBytes   = 2 << 20
+	// trimSlackDivisor is by how much more than that is kept before records are dropped, so
 	// that not each record that comes moves all others.
-	slackPart = 4
-	// pageBytes bounds the keys and values of one answer, as soon as it has a record.
-	pageBytes = 64 << 10
+	trimSlackDivisor = 4
+	// maxPageBytes bounds the keys and values of one answer, as soon as it has a record.
+	maxPageBytes = 64 << 10
 )
 
 // Record is the newest value of a key, or one change of it. Without a value
@@ -41,31 +41,31 @@
 
 func (r *Record) size() int { return len(r.Key) + len(r.Value) }
 
-// Question is what a daemon asks about a topic.
-type Question struct {
+// Query is what a daemon asks about a topic.
+type Query struct {
 	From  int64         // where to read on; below zero: the newest of each key
 	After string        // of these, those of later keys
-	Hold  time.Duration // how long to wait for something new
+	MaxWait  time.Duration // how long to wait for something new
 	// Age is how old the asker's knowledge is, and Stamp what the last answer of the
 	// daemon that is asked bore: what that has confirmed since is new. A stamp of zero
 	// is no answer of it.
 	Age   time.Duration
 	Stamp int64
-	// Any says that what a daemon heard from one that may read through the asker will do.
-	Any bool
+	// AcceptDetached says that what a daemon heard from one that may read through the asker will do.
+	AcceptDetached bool
 }
 
 // Answer is what a daemon tells of a topic.
 type Answer struct {
 	Records []Record
-	All     bool  // they are the newest of each key, by key
+	Snapshot     bool  // they are the newest of each key, by key
 	More    bool  // there are more: after the last key, or from Next on
 	Next    int64 // where to read on; of pages: once all are there
 	// Age is how long before the answer the store confirmed that this was all, and
 	// Held how long the question waited. The asker knows when it sent the question, and
 	// so that the answer left Held later or more.
 	Age   time.Duration
-	Held  time.Duration
+	Waited  time.Duration
 	Stamp int64
 	// Detached says that the daemon has lost its way to the store and heard this from
 	// one that may read through it. Two daemons that take such answers for news wait for
@@ -75,24 +75,24 @@
 
 // UnknownError is the answer of a daemon that does not know the topic yet.
 type UnknownError struct {
-	// Quiet is how long ago it came closer to knowing it, itself or through the daemon
+	// SinceProgress is how long ago it came closer to knowing it, itself or through the daemon
 	// that it asks.
-	Quiet time.Duration
+	SinceProgress time.Duration
 }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("feed: topic is not known yet, no progress for %v", e.Quiet)
+	return fmt.Sprintf("feed: topic is not known yet, no progress for %v", e.SinceProgress)
 }
 
 // Batch is what one read brought.
 type Batch struct {
 	From    int64 // offset at which the read began
-	All     bool  // the records are the newest of each key
+	Snapshot     bool  // the records are the newest of each key
 	Records []Record
 	Next    int64
-	// Whole says that the store had no more records at the time of Confirmed, by the
+	// Complete says that the store had no more records at the time of Confirmed, by the
 	// boot clock.
-	Whole     bool
+	Complete     bool
 	Confirmed time.Duration
 }
 
@@ -105,23 +105,23 @@
 	keyed bool // the newest record of each key is all that counts
 
 	mu        sync.Mutex
-	first     int64 // oldest offset from which others can read on
+	oldest     int64 // oldest offset from which others can read on
 	next      int64
 	records   []Record
 	bytes     int
-	newest    map[string]Record // by key
+	latest    map[string]Record // by key
 	keys      []string          // of newest, in order; nil: not sorted yet
 	confirmed time.Duration     // the store had no more than this then
-	some      bool              // it has been confirmed
+	everConfirmed      bool              // it has been confirmed
 	detached  bool              // as in Answer
 	progress  time.Duration     // when this daemon came closer to knowing the topic
-	woken     chan struct{}     // closed when something changes
+	updated     chan struct{}     // closed when something changes
 }
 
 // New returns a Feed that knows nothing. keyed says that the newest record of each key
 // is all that counts in the topic.
 func New(keyed bool) *Feed {
-	return &Feed{keyed: keyed, newest: map[string]Record{}, woken: make(chan struct{})}
+	return &Feed{keyed: keyed, latest: map[string]Record{}, updated: make(chan struct{})}
 }
 
 // Progress takes that the daemon came closer to knowing the topic, by the boot clock.
@@ -138,8 +138,8 @@
 	defer f.mu.Unlock()
 	if f.detached != detached {
 		f.detached = detached
-		close(f.woken)
-		f.woken = make(chan struct{})
+		close(f.updated)
+		f.updated = make(chan struct{})
 	}
 }
 
@@ -147,36 +147,36 @@
 func (f *Feed) Add(b Batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if b.All || b.From > f.next {
+	if b.Snapshot || b.From > f.next {
 		// It is everything, or there is a gap: those that are behind can't read on from
 		// here.
-		f.records, f.bytes, f.first, f.next = nil, 0, b.From, b.From
-		if b.All {
-			f.first, f.next = b.Next, 0
-			clear(f.newest)
+		f.records, f.bytes, f.oldest, f.next = nil, 0, b.From, b.From
+		if b.Snapshot {
+			f.oldest, f.next = b.Next, 0
+			clear(f.latest)
 			f.keys = nil
 		}
 	}
-	changed := b.All
+	changed := b.Snapshot
 	for _, r := range b.Records {
-		if b.All || r.Offset >= f.next {
-			f.keep(r, b.All)
+		if b.Snapshot || r.Offset >= f.next {
+			f.store(r, b.Snapshot)
 			changed = true
 		}
 	}
 	f.next = max(f.next, b.Next)
 	f.trim()
-	if b.Whole && (!f.some || b.Confirmed > f.confirmed) {
-		f.confirmed, f.some, changed = b.Confirmed, true, true
+	if b.Complete && (!f.everConfirmed || b.Confirmed > f.confirmed) {
+		f.confirmed, f.everConfirmed, changed = b.Confirmed, true, true
 	}
 	if changed {
-		close(f.woken)
-		f.woken = make(chan struct{})
+		close(f.updated)
+		f.updated = make(chan struct{})
 	}
 }
 
-// keep takes one record. With mu held.
-func (f *Feed) keep(r Record, all bool) {
+// store takes one record. With mu held.
+func (f *Feed) store(r Record, all bool) {
 	if !all {
 		f.records = append(f.records, r)
 		f.bytes += r.size()
@@ -184,7 +184,7 @@
 	if !f.keyed {
 		return
 	}
-	_, known := f.newest[r.Key]
+	_, known := f.latest[r.Key]
 	at, _ := slices.BinarySearch(f.keys, r.Key)
 	switch dropped := len(r.Value) == 0; {
 	case dropped && known && f.keys != nil:
@@ -193,16 +193,16 @@
 		f.keys = slices.Insert(f.keys, at, r.Key)
 	}
 	if len(r.Value) == 0 {
-		delete(f.newest, r.Key)
+		delete(f.latest, r.Key)
 	} else {
-		f.newest[r.Key] = r
+		f.latest[r.Key] = r
 	}
 }
 
 // trim drops the oldest records that are too many. With mu held.
 func (f *Feed) trim() {
-	most, bytes := max(keptRecords, len(f.newest)), keptBytes
-	if len(f.records) <= most+most/slackPart && f.bytes <= bytes+bytes/slackPart {
+	most, bytes := max(maxKeptRecords, len(f.latest)), maxKeptBytes
+	if len(f.records) <= most+most/trimSlackDivisor && f.bytes <= bytes+bytes/trimSlackDivisor {
 		return
 	}
 	drop := 0
@@ -210,37 +210,37 @@
 		f.bytes -= f.records[drop].size()
 		drop++
 	}
-	f.first = f.records[drop-1].Offset + 1
+	f.oldest = f.records[drop-1].Offset + 1
 	f.records = slices.Clone(f.records[drop:])
 }
 
 // Read answers a question. It waits until there is something new or the question's
 // time is over, and then tells that nothing is. The error is an *UnknownError if this
 // daemon knows too little to tell anything, or the context's.
-func (f *Feed) Read(ctx context.Context, clock func() time.Duration, q Question) (Answer, error) {
+func (f *Feed) Read(ctx context.Context, clock func() time.Duration, q Query) (Answer, error) {
 	began := clock()
-	timer := time.NewTimer(q.Hold)
+	timer := time.NewTimer(q.MaxWait)
 	defer timer.Stop()
-	for over := false; ; {
+	for timedOut := false; ; {
 		f.mu.Lock()
 		got, ok := f.answer(&q)
 		fresh := got.Stamp != q.Stamp
 		if q.Stamp == 0 {
 			fresh = f.confirmed > began-q.Age
 		}
-		now, woken, progress := clock(), f.woken, f.progress
-		got.Age, got.Held, got.Detached = now-f.confirmed, now-began, f.detached
+		now, updated, progress := clock(), f.updated, f.progress
+		got.Age, got.Waited, got.Detached = now-f.confirmed, now-began, f.detached
 		f.mu.Unlock()
 		switch {
-		case over && !ok:
-			return Answer{}, &UnknownError{Quiet: now - progress}
-		case over || ok && (fresh || got.All || len(got.Records) > 0 || got.Detached && !q.Any):
+		case timedOut && !ok:
+			return Answer{}, &UnknownError{SinceProgress: now - progress}
+		case timedOut || ok && (fresh || got.Snapshot || len(got.Records) > 0 || got.Detached && !q.AcceptDetached):
 			return got, nil
 		}
 		select {
-		case <-woken:
+		case <-updated:
 		case <-timer.C:
-			over = true
+			timedOut = true
 		case <-ctx.Done():
 			return Answer{}, ctx.Err()
 		}
@@ -251,18 +251,18 @@
 //
 // A daemon that asks for what comes after all this has read the store itself
 // meanwhile. What was confirmed here it knows, and it is told that.
-func (f *Feed) answer(q *Question) (Answer, bool) {
-	if !f.some {
+func (f *Feed) answer(q *Query) (Answer, bool) {
+	if !f.everConfirmed {
 		return Answer{}, false
 	}
-	if q.From < f.first {
+	if q.From < f.oldest {
 		return f.page(q.After), f.keyed
 	}
 	out := Answer{Next: max(q.From, f.next), Stamp: int64(f.confirmed)}
 	from, _ := slices.BinarySearchFunc(f.records, q.From, func(r Record, from int64) int { return cmp.Compare(r.Offset, from) })
 	n := 0
 	for at, size := from, 0; at < len(f.records); at++ {
-		if size += f.records[at].size(); n > 0 && size > pageBytes {
+		if size += f.records[at].size(); n > 0 && size > maxPageBytes {
 			out.More, out.Next = true, f.records[at].Offset
 			break
 		}
@@ -275,8 +275,8 @@
 // page is the newest records of the keys after one, as many as fit. With mu held.
 func (f *Feed) page(after string) Answer {
 	if f.keys == nil {
-		f.keys = make([]string, 0, len(f.newest))
-		for key := range f.newest {
+		f.keys = make([]string, 0, len(f.latest))
+		for key := range f.latest {
 			f.keys = append(f.keys, key)
 		}
 		slices.Sort(f.keys)
@@ -285,10 +285,10 @@
 	if found {
 		from++
 	}
-	out := Answer{All: true, Next: f.next, Stamp: int64(f.confirmed)}
+	out := Answer{Snapshot: true, Next: f.next, Stamp: int64(f.confirmed)}
 	for size := 0; from < len(f.keys); from++ {
-		r := f.newest[f.keys[from]]
-		if size += r.size(); len(out.Records) > 0 && size > pageBytes {
+		r := f.latest[f.keys[from]]
+		if size += r.size(); len(out.Records) > 0 && size > maxPageBytes {
 			out.More = true
 			break
 		}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -17,7 +17,7 @@
 func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // read puts a question; ok is false if the feed knows too little.
-func read(f *Feed, ctx context.Context, clock func() time.Duration, q Question) (got Answer, ok bool) {
+func read(f *Feed, ctx context.Context, clock func() time.Duration, q Query) (got Answer, ok bool) {
 	got, err := f.Read(ctx, clock, q)
 	return got, err == nil
 }
@@ -27,9 +27,9 @@
 // twice the bound.
 func TestFeedTellsHowOldItIs(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Records: []Record{record(0)}, Next: 1, Whole: true, Confirmed: 10 * time.Second})
-	got, ok := read(f, t.Context(), fixed(14*time.Second), Question{From: -1})
-	if !ok || !got.All || len(got.Records) != 1 || got.Next != 1 || got.Age != 4*time.Second {
+	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: 10 * time.Second})
+	got, ok := read(f, t.Context(), fixed(14*time.Second), Query{From: -1})
+	if !ok || !got.Snapshot || len(got.Records) != 1 || got.Next != 1 || got.Age != 4*time.Second {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
@@ -38,9 +38,9 @@
 // for confirmed though the record that takes them away comes with the next part.
 func TestAPartConfirmsNothing(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Records: []Record{record(0)}, Next: 1, Whole: true, Confirmed: time.Second})
+	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: time.Second})
 	f.Add(Batch{From: 1, Records: []Record{record(1)}, Next: 2, Confirmed: 5 * time.Second})
-	if got, ok := read(f, t.Context(), fixed(5*time.Second), Question{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
+	if got, ok := read(f, t.Context(), fixed(5*time.Second), Query{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
@@ -50,9 +50,9 @@
 // store for being ahead, all readers of a daemon would go there as soon as one
 // record reached them another way.
 func TestFeedNeverSkipsRecords(t *testing.T) {
-	const most = keptRecords + keptRecords/slackPart // records are dropped past it
+	const most = maxKeptRecords + maxKeptRecords/trimSlackDivisor // records are dropped past it
 	part := func(from, next int64) Batch {
-		b := Batch{From: from, Next: next, Whole: true}
+		b := Batch{From: from, Next: next, Complete: true}
 		for i := from; i < next; i++ {
 			b.Records = append(b.Records, record(i))
 		}
@@ -60,29 +60,29 @@
 	}
 	for _, keyed := range []bool{false, true} {
 		f := New(keyed)
-		if _, ok := read(f, t.Context(), fixed(0), Question{}); ok {
+		if _, ok := read(f, t.Context(), fixed(0), Query{}); ok {
 			t.Error("an empty feed answers")
 		}
 		f.Add(part(5, 6))
 		for from, want := range map[int64]bool{4: keyed, 5: true, 6: true, 7: true} {
-			got, ok := read(f, t.Context(), fixed(0), Question{From: from})
-			if ok != want || ok && (got.Next < from || got.All != (from == 4) || len(got.Records) != int(max(0, 6-max(from, 5)))) {
+			got, ok := read(f, t.Context(), fixed(0), Query{From: from})
+			if ok != want || ok && (got.Next < from || got.Snapshot != (from == 4) || len(got.Records) != int(max(0, 6-max(from, 5)))) {
 				t.Errorf("keyed %v, from %d: %+v, %v", keyed, from, got, ok)
 			}
 		}
 		f.Add(part(9, 10))
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: 6}); ok != keyed || got.All != keyed {
+		if got, ok := read(f, t.Context(), fixed(0), Query{From: 6}); ok != keyed || got.Snapshot != keyed {
 			t.Error("a gap was read over")
 		}
 		for i := int64(10); i < most+50; i++ {
 			f.Add(part(i, i+1))
 		}
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: 9}); ok != keyed || got.All != keyed {
+		if got, ok := read(f, t.Context(), fixed(0), Query{From: 9}); ok != keyed || got.Snapshot != keyed {
 			t.Error("records that were dropped are passed over")
 		}
 		// Two reads that overlap add each record once.
 		f.Add(part(most, most+51))
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: most + 48}); !ok || len(got.Records) != 3 {
+		if got, ok := read(f, t.Context(), fixed(0), Query{From: most + 48}); !ok || len(got.Records) != 3 {
 			t.Errorf("%d records after an overlap", len(got.Records))
 		}
 	}
@@ -91,17 +91,17 @@
 func TestFeedWakesItsReaders(t *testing.T) {
 	for name, b := range map[string]Batch{
 		"a record":       {From: 3, Records: []Record{record(3)}, Next: 4},
-		"a confirmation": {From: 3, Next: 3, Whole: true, Confirmed: 2},
+		"a confirmation": {From: 3, Next: 3, Complete: true, Confirmed: 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := New(true)
-			f.Add(Batch{Next: 3, Whole: true, Confirmed: 1})
+			f.Add(Batch{Next: 3, Complete: true, Confirmed: 1})
 			began := time.Now()
 			go func() {
 				time.Sleep(100 * time.Millisecond) // virtual
 				f.Add(b)
 			}()
-			got, ok := read(f, context.Background(), fixed(2), Question{From: 3, Hold: time.Second, Stamp: 1})
+			got, ok := read(f, context.Background(), fixed(2), Query{From: 3, MaxWait: time.Second, Stamp: 1})
 			if !ok || len(got.Records) != len(b.Records) || time.Since(began) != 100*time.Millisecond {
 				t.Errorf("%s: %+v, %v after %v", name, got, ok, time.Since(began))
 			}
@@ -112,7 +112,7 @@
 // many is a feed of a number of keys with values of a size.
 func many(keys, size int) *Feed {
 	f := New(true)
-	b := Batch{All: true, Next: int64(keys), Whole: true, Confirmed: time.Second}
+	b := Batch{Snapshot: true, Next: int64(keys), Complete: true, Confirmed: time.Second}
 	for i := range keys {
 		b.Records = append(b.Records, Record{Key: fmt.Sprintf("k%06d", i), Value: make([]byte, size), Offset: int64(i)})
 	}
@@ -125,8 +125,8 @@
 	t.Helper()
 	keys = map[string]Record{}
 	for after := ""; ; n++ {
-		got, err := f.Read(t.Context(), fixed(time.Second), Question{From: -1, After: after})
-		if err != nil || !got.All {
+		got, err := f.Read(t.Context(), fixed(time.Second), Query{From: -1, After: after})
+		if err != nil || !got.Snapshot {
 			t.Fatalf("page %d: %+v, %v", n, got, err)
 		}
 		for _, r := range got.Records {
@@ -146,10 +146,10 @@
 	const keys, size = 10_003, 270
 	f := many(keys, size)
 	got, n := pages(t, f, func(int) {})
-	if len(got) != keys || n < keys*size/pageBytes || n > 2*keys*size/pageBytes {
+	if len(got) != keys || n < keys*size/maxPageBytes || n > 2*keys*size/maxPageBytes {
 		t.Errorf("%d keys in %d pages", len(got), n)
 	}
-	large, n := pages(t, many(3, 4*pageBytes), func(int) {})
+	large, n := pages(t, many(3, 4*maxPageBytes), func(int) {})
 	if len(large) != 3 || n != 3 {
 		t.Errorf("%d keys in %d pages that each have a record over the size of a page", len(large), n)
 	}
@@ -161,10 +161,10 @@
 	f := many(5000, 100)
 	next := int64(5000)
 	change := func(key, value string) {
-		f.Add(Batch{From: next, Records: []Record{{Key: key, Value: []byte(value), Offset: next}}, Next: next + 1, Whole: true, Confirmed: time.Second})
+		f.Add(Batch{From: next, Records: []Record{{Key: key, Value: []byte(value), Offset: next}}, Next: next + 1, Complete: true, Confirmed: time.Second})
 		next++
 	}
-	first, err := f.Read(t.Context(), fixed(time.Second), Question{From: -1})
+	first, err := f.Read(t.Context(), fixed(time.Second), Query{From: -1})
 	if err != nil || !first.More {
 		t.Fatalf("%+v, %v", first, err)
 	}
@@ -175,8 +175,8 @@
 			change("k004999", "")      // not told yet
 		}
 	})
-	after, err := f.Read(t.Context(), fixed(time.Second), Question{From: first.Next})
-	if err != nil || after.All {
+	after, err := f.Read(t.Context(), fixed(time.Second), Query{From: first.Next})
+	if err != nil || after.Snapshot {
 		t.Fatalf("%+v, %v", after, err)
 	}
 	for _, r := range after.Records {
@@ -193,8 +193,8 @@
 // Guards against an answer with thousands of changes that holds up a small link.
 func TestManyChangesGoInParts(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Whole: true, Confirmed: time.Second})
-	b := Batch{Whole: true, Confirmed: 2 * time.Second}
+	f.Add(Batch{Snapshot: true, Complete: true, Confirmed: time.Second})
+	b := Batch{Complete: true, Confirmed: 2 * time.Second}
 	for i := range int64(1000) {
 		b.Records = append(b.Records, Record{Key: fmt.Sprint("k", i), Value: make([]byte, 270), Offset: i})
 	}
@@ -202,8 +202,8 @@
 	f.Add(b)
 	n := 0
 	for from := int64(0); ; {
-		got, err := f.Read(t.Context(), fixed(2*time.Second), Question{From: from, Stamp: int64(time.Second)})
-		if err != nil || got.All || len(got.Records) == 0 || got.Records[0].Offset != from {
+		got, err := f.Read(t.Context(), fixed(2*time.Second), Query{From: from, Stamp: int64(time.Second)})
+		if err != nil || got.Snapshot || len(got.Records) == 0 || got.Records[0].Offset != from {
 			t.Fatalf("from %d: %+v, %v", from, got, err)
 		}
 		n += len(got.Records)
@@ -223,7 +223,7 @@
 	f := New(true)
 	f.Progress(3 * time.Second)
 	var unknown *UnknownError
-	if _, err := f.Read(t.Context(), fixed(5*time.Second), Question{From: -1}); !errors.As(err, &unknown) || unknown.Quiet != 2*time.Second {
+	if _, err := f.Read(t.Context(), fixed(5*time.Second), Query{From: -1}); !errors.As(err, &unknown) || unknown.SinceProgress != 2*time.Second {
 		t.Errorf("%v", err)
 	}
 }
@@ -237,9 +237,9 @@
 			}
 		})
 		a := Answer{
-			Records: rapid.SliceOfN(record, 0, 20).Draw(t, "records"), All: rapid.Bool().Draw(t, "all"), More: rapid.Bool().Draw(t, "more"), Detached: rapid.Bool().Draw(t, "detached"),
+			Records: rapid.SliceOfN(record, 0, 20).Draw(t, "records"), Snapshot: rapid.Bool().Draw(t, "all"), More: rapid.Bool().Draw(t, "more"), Detached: rapid.Bool().Draw(t, "detached"),
 			Next: rapid.Int64().Draw(t, "next"), Age: time.Duration(rapid.Int64().Draw(t, "age")),
-			Held: time.Duration(rapid.Int64().Draw(t, "held")), Stamp: rapid.Int64().Draw(t, "stamp"),
+			Waited: time.Duration(rapid.Int64().Draw(t, "held")), Stamp: rapid.Int64().Draw(t, "stamp"),
 		}
 		got, err := Decode(a.Append(nil))
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(a) {
@@ -249,11 +249,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	a := Answer{Records: []Record{record(3), {Key: "x", Offset: 9}}, All: true, Next: 10, Stamp: 4}
+	a := Answer{Records: []Record{record(3), {Key: "x", Offset: 9}}, Snapshot: true, Next: 10, Stamp: 4}
 	f.Add(a.Append(nil))
-	long := Answer{Records: []Record{{Key: "y", Value: make([]byte, 2*compressFrom)}}}
+	long := Answer{Records: []Record{{Key: "y", Value: make([]byte, 2*minCompressedBytes)}}}
 	f.Add(long.Append(nil))
-	f.Add([]byte{formVersion, flagCompressed, 0xff, 0xff, 0xff, 0xff, 0x7f})
+	f.Add([]byte{formatVersion, flagCompressed, 0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, err := Decode(data)
 		if err != nil {
@@ -267,7 +267,7 @@
 
 func BenchmarkPageOnTheWire(b *testing.B) {
 	f := New(true)
-	all := Batch{All: true, Whole: true, Confirmed: time.Second}
+	all := Batch{Snapshot: true, Complete: true, Confirmed: time.Second}
 	for i := range 10_003 {
 		value := fmt.Sprintf(`{"service":"models","address":"10.%d.%d.%d:8265","zone":"zone-%d","version":1,"slots":12,"state":"ready","coldLeftMs":0,"seq":%d,"models":[{"name":"m0","version":1}],"born":%d}`,
 			i%5, i/250, i%250, i%5, i*7, 1_800_000_000_000+i*31)
@@ -298,11 +298,11 @@
 func TestDetachedFeedKeepsNobodyWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(true)
-		f.Add(Batch{Next: 3, Whole: true, Confirmed: time.Second})
+		f.Add(Batch{Next: 3, Complete: true, Confirmed: time.Second})
 		f.SetDetached(true)
 		began := time.Now()
 		ask := func(anything bool) (Answer, time.Duration) {
-			got, err := f.Read(t.Context(), fixed(time.Second), Question{From: 3, Hold: time.Minute, Stamp: int64(time.Second), Any: anything})
+			got, err := f.Read(t.Context(), fixed(time.Second), Query{From: 3, MaxWait: time.Minute, Stamp: int64(time.Second), AcceptDetached: anything})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/lab/capacity/routed.go
+++ b/lab/capacity/routed.go
@@ -80,7 +80,7 @@
 // feedOf is the list of endpoints as a daemon keeps it for others.
 func feedOf(n int) *feed.Feed {
 	f := feed.New(true)
-	all := feed.Batch{All: true, Next: int64(n), Whole: true, Confirmed: time.Second}
+	all := feed.Batch{Snapshot: true, Next: int64(n), Complete: true, Confirmed: time.Second}
 	for i := range n {
 		e := entry(i)
 		all.Records = append(all.Records, feed.Record{Key: e.ID, Value: e.Append(nil), Offset: int64(i)})
@@ -93,7 +93,7 @@
 func pagesOf(f *feed.Feed) float64 {
 	clock := func() time.Duration { return time.Second }
 	bytes := 0.0
-	for q := (feed.Question{From: -1}); ; {
+	for q := (feed.Query{From: -1}); ; {
 		got := must(f.Read(context.Background(), clock, q))
 		data := got.Append(nil)
 		back := must(feed.Decode(data))
--- a/router/follow.go
+++ b/router/follow.go
@@ -85,10 +85,10 @@
 	f.feed().SetDetached(f.sub.detached)
 	f.relayed = ok
 	switch {
-	case ok && got.All:
+	case ok && got.Snapshot:
 		return f.takePage(after, confirmed, Page{Records: got.Records, End: got.Next, More: got.More}), nil
 	case ok:
-		return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: !got.More, Confirmed: confirmed}), nil
+		return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Complete: !got.More, Confirmed: confirmed}), nil
 	case ctx.Err() != nil:
 		return progress{}, ctx.Err() // the question was cut off, no neighbour is at fault
 	case f.sub.rests():
@@ -125,7 +125,7 @@
 		return progress{}, err
 	}
 	f.answered()
-	return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: got.End <= got.Next, Confirmed: sent}), nil
+	return f.take(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Complete: got.End <= got.Next, Confirmed: sent}), nil
 }
 
 // answered takes that the store itself answered.
@@ -154,14 +154,14 @@
 // finish keeps what a read brought for the neighbours.
 func (f *follower) finish(b feed.Batch) progress {
 	until := f.r.clock()
-	if f.relayed || b.All {
+	if f.relayed || b.Snapshot {
 		until = b.Confirmed
 	}
 	f.known = max(f.known, until)
 	f.feed().Add(b)
 	f.next, f.loaded = b.Next, true
 	f.reads++
-	return progress{more: !b.Whole, newer: b.Whole && f.sub.confirm(b.Confirmed)}
+	return progress{more: !b.Complete, newer: b.Complete && f.sub.confirm(b.Confirmed)}
 }
 
 // unseen is how long the topic may have been otherwise than this daemon knew,
--- a/router/load.go
+++ b/router/load.go
@@ -48,7 +48,7 @@
 		f.snapshot(keysOf(l.records))
 	}
 	f.load = nil
-	return f.finish(feed.Batch{From: f.next, All: true, Records: l.records, Next: l.next, Whole: true, Confirmed: l.confirmed})
+	return f.finish(feed.Batch{From: f.next, Snapshot: true, Records: l.records, Next: l.next, Complete: true, Confirmed: l.confirmed})
 }
 
 func keysOf(records []Record) map[string]bool {
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -107,7 +107,7 @@
 	grace  time.Duration             // an answer's time beyond its wait
 	next   time.Duration             // how long the second neighbour may wait
 	// ask puts a question to the daemon at an address.
-	ask func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error)
+	ask func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error)
 	// listed is closed once the daemon knows of others, or can't.
 	listed   chan struct{}
 	listOnce sync.Once
@@ -134,7 +134,7 @@
 			TopicLease:     leaseAge,
 			TopicDaemons:   daemonsAge,
 		},
-		ask: func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
+		ask: func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error) {
 			return askNeighbour(ctx, client, address, t, q)
 		},
 	}
@@ -300,15 +300,15 @@
 	return fmt.Sprintf("router: neighbour answered with status %d", e.Status)
 }
 
-func askNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Question) (feed.Answer, error) {
+func askNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Query) (feed.Answer, error) {
 	query := url.Values{
-		"topic": {strconv.Itoa(int(t))}, "from": {strconv.FormatInt(q.From, 10)}, "hold_ns": {strconv.FormatInt(int64(q.Hold), 10)},
+		"topic": {strconv.Itoa(int(t))}, "from": {strconv.FormatInt(q.From, 10)}, "hold_ns": {strconv.FormatInt(int64(q.MaxWait), 10)},
 		"age_ns": {strconv.FormatInt(int64(q.Age), 10)}, "stamp": {strconv.FormatInt(q.Stamp, 10)},
 	}
 	if q.After != "" {
 		query.Set("after", q.After)
 	}
-	if q.Any {
+	if q.AcceptDetached {
 		query.Set("any", "1")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+relayPath+"?"+query.Encode(), nil)
@@ -320,7 +320,7 @@
 		return feed.Answer{}, fmt.Errorf("router: neighbour gave no answer: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, feed.AnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, feed.MaxAnswerBytes))
 	if err != nil {
 		return feed.Answer{}, fmt.Errorf("router: answer of a neighbour broke off: %w", err)
 	}
@@ -354,7 +354,7 @@
 	if err != nil {
 		var unknown *feed.UnknownError
 		if errors.As(err, &unknown) {
-			w.Header().Set(quietHeader, strconv.FormatInt(int64(unknown.Quiet), 10))
+			w.Header().Set(quietHeader, strconv.FormatInt(int64(unknown.SinceProgress), 10))
 		}
 		w.WriteHeader(http.StatusGone)
 		return
@@ -365,7 +365,7 @@
 
 // questionOf reads a question. It returns an error if a part is no number or out of
 // its bounds.
-func questionOf(query url.Values) (Topic, feed.Question, error) {
+func questionOf(query url.Values) (Topic, feed.Query, error) {
 	var failed error
 	number := func(name string) int64 {
 		v, err := strconv.ParseInt(query.Get(name), 10, 64)
@@ -375,12 +375,12 @@
 		return v
 	}
 	topic := number("topic")
-	q := feed.Question{
-		From: number("from"), After: query.Get("after"), Any: query.Get("any") == "1",
-		Hold: time.Duration(number("hold_ns")), Age: time.Duration(number("age_ns")), Stamp: number("stamp"),
+	q := feed.Query{
+		From: number("from"), After: query.Get("after"), AcceptDetached: query.Get("any") == "1",
+		MaxWait: time.Duration(number("hold_ns")), Age: time.Duration(number("age_ns")), Stamp: number("stamp"),
 	}
-	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.Hold > relayHold) {
-		failed = fmt.Errorf("router: question for topic %d with a wait of %v is out of bounds", topic, q.Hold)
+	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.MaxWait > relayHold) {
+		failed = fmt.Errorf("router: question for topic %d with a wait of %v is out of bounds", topic, q.MaxWait)
 	}
 	return Topic(topic), q, failed
 }
--- a/router/neighbours_test.go
+++ b/router/neighbours_test.go
@@ -34,25 +34,25 @@
 // as newer than they are, or read on in the wrong place.
 func TestQuestionsAndAnswersArriveWhole(t *testing.T) {
 	r, address := relayServer(t)
-	r.feeds[TopicOperator].Add(feed.Batch{All: true, Records: []Record{{Key: "k", Value: []byte("v"), Offset: 6}}, Next: 7, Whole: true, Confirmed: 8 * time.Second})
-	r.feeds[TopicOperator].Add(feed.Batch{From: 7, Records: []Record{{Key: "k", Value: []byte("w"), Offset: 7}}, Next: 8, Whole: true, Confirmed: 9 * time.Second})
+	r.feeds[TopicOperator].Add(feed.Batch{Snapshot: true, Records: []Record{{Key: "k", Value: []byte("v"), Offset: 6}}, Next: 7, Complete: true, Confirmed: 8 * time.Second})
+	r.feeds[TopicOperator].Add(feed.Batch{From: 7, Records: []Record{{Key: "k", Value: []byte("w"), Offset: 7}}, Next: 8, Complete: true, Confirmed: 9 * time.Second})
 	client := &http.Client{}
 	defer client.CloseIdleConnections()
 	for name, c := range map[string]struct {
-		q    feed.Question
+		q    feed.Query
 		all  bool
 		want string
 	}{
-		"everything":            {feed.Question{From: -1, Age: time.Hour}, true, "w"},
-		"behind what is kept":   {feed.Question{From: 3, Age: time.Hour}, true, "w"},
-		"the newest record":     {feed.Question{From: 7, Age: time.Hour}, false, "w"},
-		"nothing new":           {feed.Question{From: 8, Hold: time.Millisecond, Stamp: int64(9 * time.Second)}, false, ""},
-		"older than the asker":  {feed.Question{From: 8, Hold: time.Millisecond, Age: time.Millisecond}, false, ""},
-		"ahead of this daemon":  {feed.Question{From: 12, Age: time.Hour}, false, ""},
-		"a new stamp, no wait ": {feed.Question{From: 8, Stamp: 5}, false, ""},
+		"everything":            {feed.Query{From: -1, Age: time.Hour}, true, "w"},
+		"behind what is kept":   {feed.Query{From: 3, Age: time.Hour}, true, "w"},
+		"the newest record":     {feed.Query{From: 7, Age: time.Hour}, false, "w"},
+		"nothing new":           {feed.Query{From: 8, MaxWait: time.Millisecond, Stamp: int64(9 * time.Second)}, false, ""},
+		"older than the asker":  {feed.Query{From: 8, MaxWait: time.Millisecond, Age: time.Millisecond}, false, ""},
+		"ahead of this daemon":  {feed.Query{From: 12, Age: time.Hour}, false, ""},
+		"a new stamp, no wait ": {feed.Query{From: 8, Stamp: 5}, false, ""},
 	} {
 		got, err := askNeighbour(t.Context(), client, address, TopicOperator, c.q)
-		if err != nil || got.All != c.all || got.Next != max(8, c.q.From) || got.Age != time.Second || got.Stamp != int64(9*time.Second) {
+		if err != nil || got.Snapshot != c.all || got.Next != max(8, c.q.From) || got.Age != time.Second || got.Stamp != int64(9*time.Second) {
 			t.Errorf("%s: %+v, %v", name, got, err)
 		}
 		if some := len(got.Records) > 0; some != (c.want != "") || some && string(got.Records[0].Value) != c.want {
@@ -60,7 +60,7 @@
 		}
 	}
 	var refused *StatusError
-	if _, err := askNeighbour(t.Context(), client, address, TopicEndpoints, feed.Question{From: -1}); !errors.As(err, &refused) || refused.Status != http.StatusGone {
+	if _, err := askNeighbour(t.Context(), client, address, TopicEndpoints, feed.Query{From: -1}); !errors.As(err, &refused) || refused.Status != http.StatusGone {
 		t.Errorf("a daemon that knows nothing answers with %v", err)
 	}
 }
@@ -133,7 +133,7 @@
 // zone, it would ask those that read through itself, and wait for news of its own.
 func TestAnAnswerOfANeighbourEndsTheSearch(t *testing.T) {
 	v := zoneOf(10, "j")
-	v.ask = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
+	v.ask = func(context.Context, string, Topic, feed.Query) (feed.Answer, error) {
 		return feed.Answer{Next: 5}, nil
 	}
 	s := &subscription{n: v, topic: TopicOperator, some: true}
@@ -155,7 +155,7 @@
 // reads through it.
 func TestDetachedNeighbourIsTheLastResort(t *testing.T) {
 	v := zoneOf(10, "j")
-	v.ask = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
+	v.ask = func(context.Context, string, Topic, feed.Query) (feed.Answer, error) {
 		return feed.Answer{Next: 5, Detached: true}, nil
 	}
 	s := &subscription{n: v, topic: TopicOperator, some: true}
--- a/router/orders.go
+++ b/router/orders.go
@@ -165,7 +165,7 @@
 	for i, r := range records {
 		b.Records = append(b.Records, Record{Value: r, Offset: from + int64(i)})
 	}
-	b.Whole = b.Next >= end
+	b.Complete = b.Next >= end
 	l.r.feeds[TopicLease].Add(b)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -312,7 +312,7 @@
 			// Neighbours that read through this daemon would find a gap otherwise, and
 			// all turn to the store.
 			l.r.feeds[TopicLease].Add(feed.Batch{
-				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Whole: true, Confirmed: sent,
+				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Complete: true, Confirmed: sent,
 			})
 		}
 		return l.lease.Held(l.r.clock())
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -158,7 +158,7 @@
 // ask puts the question to one neighbour, and returns when the store confirmed what
 // it tells: the answer left Held after the question or later.
 func (s *subscription) ask(ctx context.Context, d readers.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
-	q, grace := feed.Question{From: from, After: after, Hold: s.n.next, Any: s.lost}, s.n.grace
+	q, grace := feed.Query{From: from, After: after, MaxWait: s.n.next, AcceptDetached: s.lost}, s.n.grace
 	age, some := s.age()
 	if some {
 		q.Age = age
@@ -169,11 +169,11 @@
 		q.Age, grace = s.n.patience(s.topic), max(grace, relayPageTime)
 	}
 	if first && some {
-		q.Hold = max(s.n.next, min(relayHold, s.n.patience(s.topic)-age))
+		q.MaxWait = max(s.n.next, min(relayHold, s.n.patience(s.topic)-age))
 	}
-	call, cancel := context.WithTimeout(ctx, q.Hold+grace)
+	call, cancel := context.WithTimeout(ctx, q.MaxWait+grace)
 	defer cancel()
 	sent := s.n.clock()
 	got, err := s.n.ask(call, d.Address, s.topic, q)
-	return got, sent + got.Held - got.Age, err
+	return got, sent + got.Waited - got.Age, err
 }
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -149,7 +149,7 @@
 	r.quarantine = r.newGuard(r.neighbours.me)
 	r.room = r.newRoom(r.neighbours.me)
 	r.dispatch = newDispatch(r.neighbours.me, r.s, r.placer, w.clock, quiet(), unsent)
-	r.neighbours.ask = func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
+	r.neighbours.ask = func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error) {
 		return w.ask(ctx, set.Name, address, t, q)
 	}
 	for t := range r.feeds {
@@ -208,7 +208,7 @@
 }
 
 // ask carries a question from one daemon to another.
-func (w *zoneWorld) ask(ctx context.Context, me, address string, t Topic, q feed.Question) (feed.Answer, error) {
+func (w *zoneWorld) ask(ctx context.Context, me, address string, t Topic, q feed.Query) (feed.Answer, error) {
 	i, err := strconv.Atoi(address)
 	if err != nil {
 		return feed.Answer{}, err
@@ -232,7 +232,7 @@
 	case ctx.Err() != nil:
 		return feed.Answer{}, ctx.Err()
 	case errors.As(err, &unknown):
-		return feed.Answer{}, &StatusError{Status: 410, Quiet: unknown.Quiet}
+		return feed.Answer{}, &StatusError{Status: 410, Quiet: unknown.SinceProgress}
 	}
 	return got, err
 }
@@ -705,7 +705,7 @@
 		f := w.all[0].newEndpointsFollower()
 		entry := []Record{{Key: "e1", Value: []byte("1")}}
 		f.takePage("", w.clock(), Page{Records: entry})
-		if got, err := f.feed().Read(t.Context(), w.clock, feed.Question{From: -1}); err != nil || len(got.Records) != 1 {
+		if got, err := f.feed().Read(t.Context(), w.clock, feed.Query{From: -1}); err != nil || len(got.Records) != 1 {
 			t.Fatal("everything is told at first")
 		}
 		if told := f.fold(entry); len(told) != 0 {
