--- a/feed/feed.go
+++ b/feed/feed.go
@@ -1,10 +1,11 @@
-// Package feed holds what a daemon has read of one topic of the metadata store, for
-// the daemons that read through it.
+// Package feed caches what a daemon has read of one topic of the metadata store and
+// serves it to the daemons that read the topic through this one.
 //
-// A daemon that knows the topic up to some offset gets the records since. One that
-// knows nothing, or too little, gets the newest record of each key in pages: each page
-// says after which key the next one begins, so that a page that is lost costs that page
-// alone, and any daemon can give the next one.
+// A daemon that is up to date as of some offset gets the records from there on. One
+// that has nothing yet, or is further behind than the kept records reach, gets a
+// snapshot: the latest record of each key, in pages sorted by key. The next page is
+// requested by the last key received, so a lost page is the only one to be repeated,
+// and any daemon can serve the next one.
 //
 // The package does no I/O. The clock is passed in.
 package feed
@@ -18,21 +19,23 @@
 	"time"
 )
 
-// Bounds of what a daemon keeps of a topic and passes on.
+// Limits on the records kept and on the size of an answer.
 const (
-	// maxKeptRecords and keptBytes bound the records that are kept beside the newest of
-	// each key. A topic with more keys may keep one record a key.
+	// maxKeptRecords and maxKeptBytes limit the history that is kept besides the latest
+	// record of each key. A topic with more keys than maxKeptRecords may keep as many
+	// records as it has keys.
 	maxKeptRecords = 2000
 	maxKeptBytes   = 2 << 20
-	// trimSlackDivisor is by how much more than that is kept before records are dropped, so
-	// that not each record that comes moves all others.
+	// trimSlackDivisor sets the overshoot after which the history is trimmed: 1/4 above
+	// the limits. Without slack, each new record would copy all others.
 	trimSlackDivisor = 4
-	// maxPageBytes bounds the keys and values of one answer, as soon as it has a record.
+	// maxPageBytes limits the keys and values of one answer. An answer holds at least
+	// one record, whatever its size.
 	maxPageBytes = 64 << 10
 )
 
-// Record is the newest value of a key, or one change of it. Without a value
-// the key was dropped.
+// Record is the latest value of a key, or one change to it. An empty value means that
+// the key was removed.
 type Record struct {
 	Key    string
 	Value  []byte
@@ -41,42 +44,44 @@
 
 func (r *Record) size() int { return len(r.Key) + len(r.Value) }
 
-// Query is what a daemon asks about a topic.
+// Query is a read of a topic by another daemon.
 type Query struct {
-	From  int64         // where to read on; below zero: the newest of each key
-	After string        // of these, those of later keys
-	MaxWait  time.Duration // how long to wait for something new
-	// Age is how old the asker's knowledge is, and Stamp what the last answer of the
-	// daemon that is asked bore: what that has confirmed since is new. A stamp of zero
-	// is no answer of it.
+	From    int64         // first offset wanted; negative for a snapshot
+	After   string        // last key received of a snapshot; it continues with later keys
+	MaxWait time.Duration // how long to wait for an update
+	// Age is how long ago the client's state was confirmed, and Stamp the Answer.Stamp of
+	// the last answer by the same daemon. A confirmation with another stamp is an update.
+	// A stamp of zero means that this daemon has not answered the client before; Age is
+	// compared instead.
 	Age   time.Duration
 	Stamp int64
-	// AcceptDetached says that what a daemon heard from one that may read through the asker will do.
+	// AcceptDetached makes a detached daemon wait for an update like any other. By default
+	// it answers at once, see Answer.Detached.
 	AcceptDetached bool
 }
 
-// Answer is what a daemon tells of a topic.
+// Answer is the reply to a Query.
 type Answer struct {
-	Records []Record
-	Snapshot     bool  // they are the newest of each key, by key
-	More    bool  // there are more: after the last key, or from Next on
-	Next    int64 // where to read on; of pages: once all are there
-	// Age is how long before the answer the store confirmed that this was all, and
-	// Held how long the question waited. The asker knows when it sent the question, and
-	// so that the answer left Held later or more.
-	Age   time.Duration
-	Waited  time.Duration
-	Stamp int64
-	// Detached says that the daemon has lost its way to the store and heard this from
-	// one that may read through it. Two daemons that take such answers for news wait for
-	// each other until neither knows anything new.
+	Records  []Record
+	Snapshot bool  // Records are a page of the snapshot, sorted by key
+	More     bool  // more records follow: after the last key, or from Next
+	Next     int64 // first offset to read next; for a snapshot, once all pages have been read
+	// Age is how long before the answer the store confirmed that there were no further
+	// records. Waited is how long the query was held. The client knows when it sent the
+	// query, so the answer was sent at least Waited after that.
+	Age    time.Duration
+	Waited time.Duration
+	Stamp  int64
+	// Detached is set if the daemon has lost its connection to the store and read this
+	// from a daemon that may in turn read through it. Two daemons that both accepted such
+	// answers as updates would wait for each other and never get new records.
 	Detached bool
 }
 
-// UnknownError is the answer of a daemon that does not know the topic yet.
+// UnknownError is returned by a daemon that has not read the topic completely yet.
 type UnknownError struct {
-	// SinceProgress is how long ago it came closer to knowing it, itself or through the daemon
-	// that it asks.
+	// SinceProgress is the time since the daemon last received a part of the topic, from
+	// the store or from the daemon that it reads through.
 	SinceProgress time.Duration
 }
 
@@ -84,55 +89,56 @@
 	return fmt.Sprintf("feed: topic is not known yet, no progress for %v", e.SinceProgress)
 }
 
-// Batch is what one read brought.
+// Batch is the result of one read.
 type Batch struct {
-	From    int64 // offset at which the read began
-	Snapshot     bool  // the records are the newest of each key
-	Records []Record
-	Next    int64
-	// Complete says that the store had no more records at the time of Confirmed, by the
-	// boot clock.
-	Complete     bool
+	From     int64 // first offset read
+	Snapshot bool  // Records are the latest of each key
+	Records  []Record
+	Next     int64
+	// Complete is set if the store had no further records at the time Confirmed, which is
+	// read from the boot clock.
+	Complete  bool
 	Confirmed time.Duration
 }
 
-// Feed is one topic as this daemon has read it. Make it with New. It is safe for
+// Feed is this daemon's copy of one topic. Create it with New. It is safe for
 // concurrent use.
 //
-// It may leave records out that tell nothing new, as endpoints write theirs again with
-// every heartbeat.
+// Records that change nothing may be left out by the caller: endpoints rewrite their
+// records with every heartbeat.
 type Feed struct {
-	keyed bool // the newest record of each key is all that counts
+	keyed bool // only the latest record of each key matters
 
-	mu        sync.Mutex
-	oldest     int64 // oldest offset from which others can read on
-	next      int64
-	records   []Record
-	bytes     int
-	latest    map[string]Record // by key
-	keys      []string          // of newest, in order; nil: not sorted yet
-	confirmed time.Duration     // the store had no more than this then
-	everConfirmed      bool              // it has been confirmed
-	detached  bool              // as in Answer
-	progress  time.Duration     // when this daemon came closer to knowing the topic
-	updated     chan struct{}     // closed when something changes
+	mu            sync.Mutex
+	oldest        int64 // lowest offset from which the kept records are complete
+	next          int64
+	records       []Record
+	bytes         int
+	latest        map[string]Record // by key
+	keys          []string          // of latest, sorted; nil: to be built
+	confirmed     time.Duration     // when the store last had no further records
+	everConfirmed bool              // confirmed is set
+	detached      bool              // see Answer.Detached
+	progress      time.Duration     // when a part of the topic was last received
+	updated       chan struct{}     // closed and replaced on each update
 }
 
-// New returns a Feed that knows nothing. keyed says that the newest record of each key
-// is all that counts in the topic.
+// New returns an empty Feed. keyed is set for topics in which only the latest record of
+// each key matters; only these can serve snapshots.
 func New(keyed bool) *Feed {
 	return &Feed{keyed: keyed, latest: map[string]Record{}, updated: make(chan struct{})}
 }
 
-// Progress takes that the daemon came closer to knowing the topic, by the boot clock.
+// Progress records that a part of the topic was received at the given time of the boot
+// clock.
 func (f *Feed) Progress(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.progress = max(f.progress, at)
 }
 
-// SetDetached says whether the newest read was answered by a daemon that may read
-// through this one.
+// SetDetached records whether the latest read was answered by a daemon that may read
+// through this one, and wakes waiting readers if that changed.
 func (f *Feed) SetDetached(detached bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -143,13 +149,12 @@
 	}
 }
 
-// Add takes what was read. Two reads of one topic may overlap.
+// Add applies the result of a read. Batches may overlap; a record is added once.
 func (f *Feed) Add(b Batch) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if b.Snapshot || b.From > f.next {
-		// It is everything, or there is a gap: those that are behind can't read on from
-		// here.
+		// After a snapshot or a gap, readers that are behind need a snapshot too.
 		f.records, f.bytes, f.oldest, f.next = nil, 0, b.From, b.From
 		if b.Snapshot {
 			f.oldest, f.next = b.Next, 0
@@ -175,9 +180,10 @@
 	}
 }
 
-// store takes one record. With mu held.
-func (f *Feed) store(r Record, all bool) {
-	if !all {
+// store adds one record to the history, unless it comes from a snapshot, and to the
+// latest records. The caller holds mu.
+func (f *Feed) store(r Record, snapshot bool) {
+	if !snapshot {
 		f.records = append(f.records, r)
 		f.bytes += r.size()
 	}
@@ -199,7 +205,7 @@
 	}
 }
 
-// trim drops the oldest records that are too many. With mu held.
+// trim drops the oldest records once the limits are exceeded. The caller holds mu.
 func (f *Feed) trim() {
 	most, bytes := max(maxKeptRecords, len(f.latest)), maxKeptBytes
 	if len(f.records) <= most+most/trimSlackDivisor && f.bytes <= bytes+bytes/trimSlackDivisor {
@@ -214,9 +220,9 @@
 	f.records = slices.Clone(f.records[drop:])
 }
 
-// Read answers a question. It waits until there is something new or the question's
-// time is over, and then tells that nothing is. The error is an *UnknownError if this
-// daemon knows too little to tell anything, or the context's.
+// Read answers a query. It waits for an update for up to q.MaxWait and then returns the
+// current state, without records if the client is up to date. The error is an
+// *UnknownError if the topic has not been read far enough to answer, or the context's.
 func (f *Feed) Read(ctx context.Context, clock func() time.Duration, q Query) (Answer, error) {
 	began := clock()
 	timer := time.NewTimer(q.MaxWait)
@@ -247,10 +253,11 @@
 	}
 }
 
-// answer is what others are told now. With mu held.
+// answer builds the present answer; false if the feed cannot answer yet. The caller
+// holds mu.
 //
-// A daemon that asks for what comes after all this has read the store itself
-// meanwhile. What was confirmed here it knows, and it is told that.
+// A client may ask for an offset beyond the feed's, as it has read the store itself in
+// the meantime. It then gets no records, only the time of confirmation.
 func (f *Feed) answer(q *Query) (Answer, bool) {
 	if !f.everConfirmed {
 		return Answer{}, false
@@ -272,7 +279,8 @@
 	return out, true
 }
 
-// page is the newest records of the keys after one, as many as fit. With mu held.
+// page returns the latest records of the keys greater than after, up to maxPageBytes.
+// The caller holds mu.
 func (f *Feed) page(after string) Answer {
 	if f.keys == nil {
 		f.keys = make([]string, 0, len(f.latest))
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -13,19 +13,19 @@
 
 func record(offset int64) Record { return Record{Key: "k", Value: []byte("v"), Offset: offset} }
 
-// fixed is a clock that stands at a time.
+// fixed returns a clock that always reads d.
 func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// read puts a question; ok is false if the feed knows too little.
+// read runs a query; ok is false if the feed cannot answer it.
 func read(f *Feed, ctx context.Context, clock func() time.Duration, q Query) (got Answer, ok bool) {
 	got, err := f.Read(ctx, clock, q)
 	return got, err == nil
 }
 
-// A neighbour passes on what it read four seconds ago. Whoever believes keys for
-// five seconds must count those four, or a key that was taken away is served for
-// twice the bound.
-func TestFeedTellsHowOldItIs(t *testing.T) {
+// Guards against an age that starts at zero with each daemon in between: a neighbour
+// passes on what it read four seconds ago, and a client that accepts keys for five
+// seconds would serve a revoked key for nearly twice that.
+func TestAnswerAgeCountsFromConfirmation(t *testing.T) {
 	f := New(true)
 	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: 10 * time.Second})
 	got, ok := read(f, t.Context(), fixed(14*time.Second), Query{From: -1})
@@ -34,9 +34,9 @@
 	}
 }
 
-// A daemon has read only a part of what the store holds. Its readers would take keys
-// for confirmed though the record that takes them away comes with the next part.
-func TestAPartConfirmsNothing(t *testing.T) {
+// Guards against a confirmation by a batch that is not the last: readers would take a
+// key for valid although the record that revokes it comes with the next batch.
+func TestIncompleteBatchDoesNotConfirm(t *testing.T) {
 	f := New(true)
 	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: time.Second})
 	f.Add(Batch{From: 1, Records: []Record{record(1)}, Next: 2, Confirmed: 5 * time.Second})
@@ -45,12 +45,12 @@
 	}
 }
 
-// A reader is behind what the feed still holds, or ahead of it. It would miss
-// records, such as a configuration, if it read on here; and if it were sent to the
-// store for being ahead, all readers of a daemon would go there as soon as one
-// record reached them another way.
-func TestFeedNeverSkipsRecords(t *testing.T) {
-	const most = maxKeptRecords + maxKeptRecords/trimSlackDivisor // records are dropped past it
+// Guards against readers that miss records, such as a configuration, because they are
+// behind the kept history. Readers that are ahead of the feed must be served too: if
+// they were sent to the store, all readers of a daemon would turn there as soon as a
+// record reached them by another path.
+func TestReadNeverSkipsRecords(t *testing.T) {
+	const most = maxKeptRecords + maxKeptRecords/trimSlackDivisor // records kept before a trim
 	part := func(from, next int64) Batch {
 		b := Batch{From: from, Next: next, Complete: true}
 		for i := from; i < next; i++ {
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestFeedWakesItsReaders(t *testing.T) {
+func TestAddWakesWaitingReaders(t *testing.T) {
 	for name, b := range map[string]Batch{
 		"a record":       {From: 3, Records: []Record{record(3)}, Next: 4},
 		"a confirmation": {From: 3, Next: 3, Complete: true, Confirmed: 2},
@@ -109,7 +109,7 @@
 	}
 }
 
-// many is a feed of a number of keys with values of a size.
+// many returns a feed with the given number of keys, each with a value of size bytes.
 func many(keys, size int) *Feed {
 	f := New(true)
 	b := Batch{Snapshot: true, Next: int64(keys), Complete: true, Confirmed: time.Second}
@@ -120,7 +120,8 @@
 	return f
 }
 
-// pages reads everything page by page, and returns the keys and the pages.
+// pages reads a snapshot page by page, calls at after each page but the last, and returns
+// the records by key and the number of pages.
 func pages(t *testing.T, f *Feed, at func(page int)) (keys map[string]Record, n int) {
 	t.Helper()
 	keys = map[string]Record{}
@@ -140,9 +141,9 @@
 	}
 }
 
-// Guards against a list that goes as one answer: over a link of 20 Mbit/s the one of ten
-// thousand endpoints took longer than any answer may, and each try began anew.
-func TestEverythingGoesInPages(t *testing.T) {
+// Guards against a snapshot in a single answer: with ten thousand endpoints it took longer
+// over a link of 20 Mbit/s than the timeout of an answer, and each retry began anew.
+func TestSnapshotIsPaged(t *testing.T) {
 	const keys, size = 10_003, 270
 	f := many(keys, size)
 	got, n := pages(t, f, func(int) {})
@@ -155,9 +156,9 @@
 	}
 }
 
-// Guards against keys that come or go between two pages and are missed, or kept, by
-// those who read the pages.
-func TestChangesBetweenPagesAreReadAfterwards(t *testing.T) {
+// Guards against keys that are added or removed between two pages and that the reader
+// then misses, or keeps.
+func TestChangesBetweenPagesAreReadFromNext(t *testing.T) {
 	f := many(5000, 100)
 	next := int64(5000)
 	change := func(key, value string) {
@@ -170,9 +171,9 @@
 	}
 	got, _ := pages(t, f, func(n int) {
 		if n == 0 {
-			change("k000000", "")      // told already
-			change("k000000a", "come") // among what was told
-			change("k004999", "")      // not told yet
+			change("k000000", "")      // on a page already read
+			change("k000000a", "come") // sorts into a page already read
+			change("k004999", "")      // on a page still to be read
 		}
 	})
 	after, err := f.Read(t.Context(), fixed(time.Second), Query{From: first.Next})
@@ -190,8 +191,8 @@
 	}
 }
 
-// Guards against an answer with thousands of changes that holds up a small link.
-func TestManyChangesGoInParts(t *testing.T) {
+// Guards against a single answer with thousands of changes, which would block a slow link.
+func TestManyChangesAreSplit(t *testing.T) {
 	f := New(true)
 	f.Add(Batch{Snapshot: true, Complete: true, Confirmed: time.Second})
 	b := Batch{Complete: true, Confirmed: 2 * time.Second}
@@ -217,9 +218,9 @@
 	}
 }
 
-// Guards against a daemon that turns to the store while the one that it reads through is
-// still reading: it has to be told how that goes on.
-func TestFeedThatKnowsNothingTellsOfItsProgress(t *testing.T) {
+// Guards against a daemon that turns to the store while the daemon that it reads through is
+// still reading the topic: the error has to report the progress made.
+func TestUnknownErrorReportsProgress(t *testing.T) {
 	f := New(true)
 	f.Progress(3 * time.Second)
 	var unknown *UnknownError
@@ -228,7 +229,7 @@
 	}
 }
 
-func TestAnswerSurvivesTheWire(t *testing.T) {
+func TestAnswerRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := rapid.Custom(func(t *rapid.T) Record {
 			return Record{
@@ -265,7 +266,7 @@
 	})
 }
 
-func BenchmarkPageOnTheWire(b *testing.B) {
+func BenchmarkPageEncoding(b *testing.B) {
 	f := New(true)
 	all := Batch{Snapshot: true, Complete: true, Confirmed: time.Second}
 	for i := range 10_003 {
@@ -293,9 +294,9 @@
 	b.ReportMetric(float64(n)/float64(b.N), "pages/list")
 }
 
-// Guards against two daemons that wait for each other's news: one that has lost the
-// store hears from those that read through it, and must not keep them waiting.
-func TestDetachedFeedKeepsNobodyWaiting(t *testing.T) {
+// Guards against two daemons that wait for each other's updates: one that has lost the
+// store reads from those that read through it, and must answer them at once.
+func TestDetachedFeedAnswersWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(true)
 		f.Add(Batch{Next: 3, Complete: true, Confirmed: time.Second})
--- a/feed/wire.go
+++ b/feed/wire.go
@@ -11,8 +11,8 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// The form of an answer: a byte with the version of the form, a byte with flags, and
-// the fields, compressed where that pays.
+// Encoding of an answer: a byte with the format version, a byte with flags, and the
+// fields, which are compressed from minCompressedBytes on.
 const (
 	formatVersion = 1
 
@@ -21,22 +21,22 @@
 	flagCompressed = 1 << 2
 	flagDetached   = 1 << 3
 
-	// minCompressedBytes is the size from which an answer is compressed, in bytes.
+	// minCompressedBytes is the encoded size from which an answer is compressed.
 	minCompressedBytes = 512
-	// maxAnswerBytes bounds an answer, compressed or not. An operator's record may have
-	// some megabytes by itself.
+	// maxAnswerBytes limits an answer, before and after compression. A single record
+	// written by an operator may have several megabytes.
 	maxAnswerBytes = 16 << 20
-	// minRecordBytes is the size of the smallest record, in bytes.
+	// minRecordBytes is the size of an encoded record with empty key and value.
 	minRecordBytes = 3
 )
 
-// ErrMalformed says that bytes are no answer.
+// ErrMalformed is returned for data that is not an encoded answer.
 var ErrMalformed = errors.New("feed: answer is malformed")
 
-// MaxAnswerBytes bounds the bytes of one answer on the wire.
+// MaxAnswerBytes is the largest size of an encoded answer.
 const MaxAnswerBytes = maxAnswerBytes
 
-// Append adds the answer's bytes.
+// Append encodes the answer, appends it to the slice and returns that.
 func (a *Answer) Append(to []byte) []byte {
 	size := 64
 	for i := range a.Records {
@@ -73,8 +73,8 @@
 	return append(append(to, formatVersion, flags), body...)
 }
 
-// Decode reads an answer. The error is ErrForm. The records' values are parts of one
-// piece of memory.
+// Decode decodes an answer. The error wraps ErrMalformed. The values of the records
+// share one backing array.
 func Decode(data []byte) (Answer, error) {
 	if len(data) < 2 || data[0] != formatVersion {
 		return Answer{}, ErrMalformed
@@ -108,5 +108,5 @@
 	return out, nil
 }
 
-// lengthPrefixed reads bytes behind their number.
+// lengthPrefixed reads a length and as many bytes.
 func lengthPrefixed(r *wire.Reader) []byte { return r.Bytes(int(r.Uvarint(uint64(len(r.Rest))))) }
