--- a/directory/changes_test.go
+++ b/directory/changes_test.go
@@ -19,15 +19,15 @@
 	os.Exit(m.Run())
 }
 
-// scanned finds the usable endpoints by a look at all.
-func scanned(d *Directory, now time.Time) map[fleet.EndpointID]bool {
+// usableByScan finds the usable endpoints by a look at all.
+func usableByScan(d *Directory, now time.Time) map[fleet.EndpointID]bool {
 	live, lapsed := map[string][]*Endpoint{}, map[string][]*Endpoint{}
 	for _, e := range d.byID {
 		switch {
 		case e.State != Ready:
-		case !e.Gone:
+		case !e.Removed:
 			live[e.Service] = append(live[e.Service], e)
-		case now.Sub(e.Removed) < lapseTogether:
+		case now.Sub(e.RemovedAt) < lapseWindow:
 			lapsed[e.Service] = append(lapsed[e.Service], e)
 		}
 	}
@@ -38,11 +38,11 @@
 		}
 	}
 	for service, all := range lapsed {
-		if len(all) < 2 || len(all)*lapsePart <= len(live[service])+len(all) {
+		if len(all) < 2 || len(all)*minLapsedDivisor <= len(live[service])+len(all) {
 			continue
 		}
 		for _, e := range all {
-			if now.Sub(e.left) < d.grace {
+			if now.Sub(e.earliestRemoval) < d.grace {
 				out[e.Key] = true
 			}
 		}
@@ -55,7 +55,7 @@
 func TestChangesAddUpToAllEndpoints(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now := New(testGrace), epoch
-		told := map[fleet.EndpointID]bool{}
+		replayed := map[fleet.EndpointID]bool{}
 		id := rapid.Custom(func(t *rapid.T) string { return fmt.Sprint("e", rapid.IntRange(0, 7).Draw(t, "n")) })
 		put := rapid.Custom(func(t *rapid.T) Entry {
 			return Entry{
@@ -73,39 +73,39 @@
 			},
 			"learn": func(t *rapid.T) {
 				if e := d.Find(id.Draw(t, "id")); e != nil {
-					d.Learn(e.Key, e.ID, "m", rapid.Int64Range(1, 4).Draw(t, "version"))
+					d.ObserveVersion(e.Key, e.ID, "m", rapid.Int64Range(1, 4).Draw(t, "version"))
 				}
 			},
 			"wait": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 2000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"expire": func(*rapid.T) {
-				now = now.Add(forgetAfter)
+				now = now.Add(removedRetention)
 				d.Changes(now) // as the tick before it does
 				for _, c := range d.Changes(now) {
 					t.Fatalf("change of %s out of nothing", c.Endpoint.Key)
 				}
-				told = scanned(d, now)
+				replayed = usableByScan(d, now)
 				d.Expire(now)
 			},
 			"": func(t *rapid.T) {
 				for _, c := range d.Changes(now) {
-					delete(told, c.Endpoint.Key)
+					delete(replayed, c.Endpoint.Key)
 					if c.Usable {
-						told[c.Endpoint.Key] = true
+						replayed[c.Endpoint.Key] = true
 					}
 				}
-				if want := scanned(d, now); !maps.Equal(told, want) {
-					t.Fatalf("told %v, there are %v", told, want)
+				if want := usableByScan(d, now); !maps.Equal(replayed, want) {
+					t.Fatalf("told %v, there are %v", replayed, want)
 				}
 				counted := map[int64]int{}
 				for _, e := range d.byID {
-					if e.listed() {
+					if e.ready() {
 						counted[e.Versions["m"]]++
 					}
 				}
-				if !maps.Equal(counted, d.serving["m"]) && len(counted)+len(d.serving["m"]) > 0 {
-					t.Fatalf("engines by version: counted %v, there are %v", d.serving["m"], counted)
+				if !maps.Equal(counted, d.readyVersions["m"]) && len(counted)+len(d.readyVersions["m"]) > 0 {
+					t.Fatalf("engines by version: counted %v, there are %v", d.readyVersions["m"], counted)
 				}
 			},
 		})
@@ -122,7 +122,7 @@
 			Models: rapid.MapOfN(text, rapid.Int64(), 0, 5).Draw(t, "models"),
 		}
 		got, err := DecodeEntry("a", e.Append(nil))
-		if err != nil || got.Orders != e.Orders || !got.SaysAs(e) {
+		if err != nil || got.Orders != e.Orders || !got.EqualExceptOrders(e) {
 			t.Fatalf("%+v came as %+v, %v", e, got, err)
 		}
 	})
@@ -136,7 +136,7 @@
 		if err != nil {
 			return
 		}
-		if again, err := DecodeEntry("a", got.Append(nil)); err != nil || !again.SaysAs(got) {
+		if again, err := DecodeEntry("a", got.Append(nil)); err != nil || !again.EqualExceptOrders(got) {
 			t.Errorf("%+v came as %+v, %v", got, again, err)
 		}
 	})
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -38,9 +38,9 @@
 	Orders  int64            // orders that the process has accepted
 }
 
-// SaysAs tells whether the entry says the same as another but for the orders, which
+// EqualExceptOrders tells whether the entry says the same as another but for the orders, which
 // change with no consequence for where work may go.
-func (e Entry) SaysAs(other Entry) bool {
+func (e Entry) EqualExceptOrders(other Entry) bool {
 	return e.ID == other.ID && e.Born == other.Born && e.Service == other.Service && e.Address == other.Address &&
 		e.Zone == other.Zone && e.Slots == other.Slots && e.State == other.State && maps.Equal(e.Models, other.Models)
 }
@@ -48,29 +48,29 @@
 // Endpoint is one life of an endpoint with what is known of it.
 type Endpoint struct {
 	Entry
-	Key     fleet.EndpointID // differs between two lives under one ID
-	Gone    bool             // its entry was removed
-	Removed time.Time        // when that was read
-	left    time.Time        // the earliest moment at which it may have been removed
+	Key             fleet.EndpointID // differs between two lives under one ID
+	Removed         bool             // its entry was removed
+	RemovedAt       time.Time        // when that was read
+	earliestRemoval time.Time        // the earliest moment at which it may have been removed
 	// Versions are the newest weight versions seen of this life, from its entry
 	// or its answers. A life never goes back to older weights. They may be shared and
 	// are replaced as a whole.
 	Versions map[string]int64
 
-	usable   bool     // as Changes last told
-	touched  bool     // it is in Directory.touched
-	replaced bool     // another life has its id
-	lapsedIn *service // whose lapsed entries it is among; nil: none's
+	usable        bool     // as Changes last told
+	changed       bool     // it is in Directory.touched
+	replaced      bool     // another life has its id
+	lapsedService *service // whose lapsed entries it is among; nil: none's
 }
 
-// News is what an entry says beyond the one before it.
-type News uint8
+// PutResult is what an entry says beyond the one before it.
+type PutResult uint8
 
 // The kinds of news.
 const (
-	Repeat News = iota // nothing but the count of orders
-	Detail             // something that does not decide where work may go
-	Changed
+	HeartbeatOnly PutResult = iota // nothing but the count of orders
+	DetailChanged                  // something that does not decide where work may go
+	RoutingChanged
 )
 
 // Change is an endpoint that may be given work from now on, may not any more, or
@@ -82,13 +82,13 @@
 
 // Times of the fold.
 const (
-	// lapseTogether is the time within which entries that vanish are taken to
+	// lapseWindow is the time within which entries that vanish are taken to
 	// have lapsed by one outage of the store rather than left one by one.
-	lapseTogether = 3 * time.Second
-	// lapsePart is the part of a service's entries that has to vanish together.
-	lapsePart = 3
-	// forgetAfter is how long an endpoint that is gone is remembered.
-	forgetAfter = time.Minute
+	lapseWindow = 3 * time.Second
+	// minLapsedDivisor is the part of a service's entries that has to vanish together.
+	minLapsedDivisor = 3
+	// removedRetention is how long an endpoint that is gone is remembered.
+	removedRetention = time.Minute
 )
 
 // Directory holds the endpoints. Make it with New.
@@ -96,13 +96,13 @@
 // One change costs the same however many endpoints there are: Changes looks at what
 // was touched and at entries that lapsed lately, never at all endpoints.
 type Directory struct {
-	byID     map[string]*Endpoint
-	shared   shared
-	grace    time.Duration
-	services map[string]*service
-	serving  map[string]map[int64]int // engines that are listed and ready, by model and version
-	touched  []*Endpoint
-	removed  []*Endpoint // in the order of Removed
+	byID          map[string]*Endpoint
+	interned      interner
+	grace         time.Duration
+	services      map[string]*service
+	readyVersions map[string]map[int64]int // engines that are listed and ready, by model and version
+	changed       []*Endpoint
+	removed       []*Endpoint // in the order of Removed
 }
 
 // service is what the fold needs to know of the endpoints of one service.
@@ -118,7 +118,7 @@
 // that bound.
 func New(grace time.Duration) *Directory {
 	return &Directory{
-		byID: map[string]*Endpoint{}, grace: grace, services: map[string]*service{}, serving: map[string]map[int64]int{},
+		byID: map[string]*Endpoint{}, grace: grace, services: map[string]*service{}, readyVersions: map[string]map[int64]int{},
 	}
 }
 
@@ -128,40 +128,40 @@
 }
 
 // Put takes an entry.
-func (d *Directory) Put(e Entry) News {
+func (d *Directory) Put(e Entry) PutResult {
 	old := d.byID[e.ID]
-	if old != nil && !old.Gone && old.SaysAs(e) {
+	if old != nil && !old.Removed && old.EqualExceptOrders(e) {
 		old.Orders = e.Orders
-		return Repeat
+		return HeartbeatOnly
 	}
-	d.shared.share(&e)
+	d.interned.intern(&e)
 	if key := Key(e.ID, e.Born); old == nil || old.Key != key {
 		if old != nil {
 			d.uncount(old)
 			old.replaced = true
-			d.touch(old)
+			d.markChanged(old)
 		}
 		next := &Endpoint{Entry: e, Key: key, Versions: e.Models}
 		d.byID[e.ID] = next
 		d.count(next)
-		d.touch(next)
-		return Changed
+		d.markChanged(next)
+		return RoutingChanged
 	}
-	changed := old.Gone || old.State != e.State || old.Service != e.Service ||
-		old.Address != e.Address || behind(old.Versions, e.Models)
+	changed := old.Removed || old.State != e.State || old.Service != e.Service ||
+		old.Address != e.Address || hasNewer(old.Versions, e.Models)
 	d.uncount(old)
-	old.Entry, old.Gone = e, false
-	old.Versions = newest(old.Versions, e.Models)
+	old.Entry, old.Removed = e, false
+	old.Versions = mergeNewest(old.Versions, e.Models)
 	d.count(old)
-	d.touch(old)
+	d.markChanged(old)
 	if changed {
-		return Changed
+		return RoutingChanged
 	}
-	return Detail
+	return DetailChanged
 }
 
-// listed tells whether the endpoint's entry is there and says that it is ready.
-func (e *Endpoint) listed() bool { return !e.Gone && !e.replaced && e.State == Ready }
+// ready tells whether the endpoint's entry is there and says that it is ready.
+func (e *Endpoint) ready() bool { return !e.Removed && !e.replaced && e.State == Ready }
 
 func (d *Directory) serviceOf(e *Endpoint) *service {
 	s := d.services[e.Service]
@@ -173,21 +173,21 @@
 }
 
 // count adds a listed endpoint to the sums of its service and models.
-func (d *Directory) count(e *Endpoint) { d.add(e, 1) }
+func (d *Directory) count(e *Endpoint) { d.addToCounts(e, 1) }
 
 // uncount takes it out again. Call it before the endpoint changes.
-func (d *Directory) uncount(e *Endpoint) { d.add(e, -1) }
+func (d *Directory) uncount(e *Endpoint) { d.addToCounts(e, -1) }
 
-func (d *Directory) add(e *Endpoint, n int) {
-	if !e.listed() {
+func (d *Directory) addToCounts(e *Endpoint, n int) {
+	if !e.ready() {
 		return
 	}
 	d.serviceOf(e).live += n
 	for model, v := range e.Versions {
-		versions := d.serving[model]
+		versions := d.readyVersions[model]
 		if versions == nil {
 			versions = map[int64]int{}
-			d.serving[model] = versions
+			d.readyVersions[model] = versions
 		}
 		if versions[v] += n; versions[v] == 0 {
 			delete(versions, v)
@@ -195,10 +195,10 @@
 	}
 }
 
-func (d *Directory) touch(e *Endpoint) {
-	if !e.touched {
-		e.touched = true
-		d.touched = append(d.touched, e)
+func (d *Directory) markChanged(e *Endpoint) {
+	if !e.changed {
+		e.changed = true
+		d.changed = append(d.changed, e)
 	}
 }
 
@@ -207,17 +207,17 @@
 // every second tells of it up to a second late.
 func (d *Directory) Remove(now, since time.Time, id string) bool {
 	e := d.byID[id]
-	if e == nil || e.Gone {
+	if e == nil || e.Removed {
 		return false
 	}
 	d.uncount(e)
-	e.Gone, e.Removed, e.left = true, now, since
+	e.Removed, e.RemovedAt, e.earliestRemoval = true, now, since
 	d.removed = append(d.removed, e)
-	if s := d.serviceOf(e); e.State == Ready && e.lapsedIn != s {
-		e.lapsedIn = s
+	if s := d.serviceOf(e); e.State == Ready && e.lapsedService != s {
+		e.lapsedService = s
 		s.lapsed = append(s.lapsed, e)
 	}
-	d.touch(e)
+	d.markChanged(e)
 	return true
 }
 
@@ -234,26 +234,26 @@
 	return gone
 }
 
-// Learn takes the weight version that an answer of this life named.
-func (d *Directory) Learn(key fleet.EndpointID, id, model string, version int64) bool {
+// ObserveVersion takes the weight version that an answer of this life named.
+func (d *Directory) ObserveVersion(key fleet.EndpointID, id, model string, version int64) bool {
 	e := d.byID[id]
 	if e == nil || e.Key != key || e.Versions[model] >= version {
 		return false
 	}
 	d.uncount(e)
-	e.Versions = newest(e.Versions, map[string]int64{model: version})
+	e.Versions = mergeNewest(e.Versions, map[string]int64{model: version})
 	d.count(e)
-	d.touch(e)
+	d.markChanged(e)
 	return true
 }
 
 // Find returns the present life of the endpoint with the id.
 func (d *Directory) Find(id string) *Endpoint { return d.byID[id] }
 
-// Behind tells whether an engine that is listed and ready has the model with weights
+// HasOlderVersion tells whether an engine that is listed and ready has the model with weights
 // older than the version.
-func (d *Directory) Behind(model string, version int64) bool {
-	for v, n := range d.serving[model] {
+func (d *Directory) HasOlderVersion(model string, version int64) bool {
+	for v, n := range d.readyVersions[model] {
 		if n > 0 && v < version {
 			return true
 		}
@@ -264,10 +264,10 @@
 // Expire forgets endpoints that have long been gone, so that the table stays
 // bounded by the endpoints of the last minute.
 func (d *Directory) Expire(now time.Time) {
-	for len(d.removed) > 0 && now.Sub(d.removed[0].Removed) > forgetAfter {
+	for len(d.removed) > 0 && now.Sub(d.removed[0].RemovedAt) > removedRetention {
 		e := d.removed[0]
 		d.removed = d.removed[1:]
-		if e.Gone && d.byID[e.ID] == e && now.Sub(e.Removed) > forgetAfter {
+		if e.Removed && d.byID[e.ID] == e && now.Sub(e.RemovedAt) > removedRetention {
 			delete(d.byID, e.ID)
 		}
 	}
@@ -283,38 +283,38 @@
 	var out []Change
 	for _, s := range d.services {
 		if len(s.lapsed) > 0 {
-			out = s.judge(now, d.grace, out)
+			out = s.updateLapsed(now, d.grace, out)
 		}
 	}
-	for _, e := range d.touched {
-		e.touched = false
-		if e.Gone && !e.replaced && e.State == Ready && now.Sub(e.Removed) < lapseTogether {
+	for _, e := range d.changed {
+		e.changed = false
+		if e.Removed && !e.replaced && e.State == Ready && now.Sub(e.RemovedAt) < lapseWindow {
 			continue // judged above, with the others that lapsed
 		}
-		was := e.usable
-		e.usable = e.listed()
-		if was || e.usable {
+		wasUsable := e.usable
+		e.usable = e.ready()
+		if wasUsable || e.usable {
 			out = append(out, Change{Endpoint: e, Usable: e.usable})
 		}
 	}
-	d.touched = d.touched[:0]
+	d.changed = d.changed[:0]
 	return out
 }
 
-// judge decides which of the entries that vanished lately still count, and adds the
+// updateLapsed decides which of the entries that vanished lately still count, and adds the
 // endpoints for which that changed.
-func (s *service) judge(now time.Time, grace time.Duration, out []Change) []Change {
+func (s *service) updateLapsed(now time.Time, grace time.Duration, out []Change) []Change {
 	kept := s.lapsed[:0]
 	for _, e := range s.lapsed {
-		if e.lapsedIn != s {
+		if e.lapsedService != s {
 			continue // its entry named another service meanwhile
 		}
-		if !e.Gone || e.replaced || e.State != Ready {
-			e.lapsedIn = nil // it is back, or another life has its id
+		if !e.Removed || e.replaced || e.State != Ready {
+			e.lapsedService = nil // it is back, or another life has its id
 			continue
 		}
-		if now.Sub(e.Removed) >= lapseTogether {
-			e.lapsedIn = nil
+		if now.Sub(e.RemovedAt) >= lapseWindow {
+			e.lapsedService = nil
 			if e.usable {
 				e.usable = false
 				out = append(out, Change{Endpoint: e})
@@ -325,9 +325,9 @@
 	}
 	clear(s.lapsed[len(kept):])
 	s.lapsed = kept
-	together := len(kept) > 1 && len(kept)*lapsePart > s.live+len(kept)
+	outage := len(kept) > 1 && len(kept)*minLapsedDivisor > s.live+len(kept)
 	for _, e := range kept {
-		usable := together && now.Sub(e.left) < grace
+		usable := outage && now.Sub(e.earliestRemoval) < grace
 		if usable != e.usable {
 			e.usable = usable
 			out = append(out, Change{Endpoint: e, Usable: usable})
@@ -340,7 +340,7 @@
 func (d *Directory) Ready(model string) []*Endpoint {
 	var out []*Endpoint
 	for _, e := range d.byID {
-		if _, serves := e.Versions[model]; serves && e.listed() {
+		if _, serves := e.Versions[model]; serves && e.ready() {
 			out = append(out, e)
 		}
 	}
@@ -348,20 +348,20 @@
 	return out
 }
 
-// newest merges versions, without a change to either map.
-func newest(known, said map[string]int64) map[string]int64 {
-	if !behind(known, said) {
+// mergeNewest merges versions, without a change to either map.
+func mergeNewest(known, reported map[string]int64) map[string]int64 {
+	if !hasNewer(known, reported) {
 		return known
 	}
 	out := maps.Clone(known)
-	for model, v := range said {
+	for model, v := range reported {
 		out[model] = max(out[model], v)
 	}
 	return out
 }
 
-func behind(known, said map[string]int64) bool {
-	for model, v := range said {
+func hasNewer(known, reported map[string]int64) bool {
+	for model, v := range reported {
 		if has, known := known[model]; !known || v > has {
 			return true
 		}
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -14,7 +14,7 @@
 	return Entry{ID: id, Born: born, Service: "s", Address: "10.0.0.1:1", State: Ready, Models: map[string]int64{"m": 1}}
 }
 
-func full(n int) *Directory {
+func withEntries(n int) *Directory {
 	d := New(testGrace)
 	for i := range n {
 		d.Put(entry(fmt.Sprint("e", i), 1))
@@ -35,10 +35,10 @@
 }
 
 func TestHeartbeatAloneChangesNothing(t *testing.T) {
-	d := full(1)
+	d := withEntries(1)
 	e := entry("e0", 1)
 	e.Orders = 9
-	if d.Put(e) != Repeat {
+	if d.Put(e) != HeartbeatOnly {
 		t.Error("a heartbeat counts as a change")
 	}
 }
@@ -46,7 +46,7 @@
 // One endpoint leaves and its entry is removed. It gets no new work from that
 // moment: it serves on for a moment only, and then callers would be cut.
 func TestRemovedEndpointGetsNoWork(t *testing.T) {
-	d := full(6)
+	d := withEntries(6)
 	d.Remove(epoch, epoch, "e0")
 	if got := usable(d, 0); got != 5 {
 		t.Errorf("%d usable", got)
@@ -54,10 +54,10 @@
 }
 
 func TestDrainingEndpointGetsNoWork(t *testing.T) {
-	d := full(2)
+	d := withEntries(2)
 	e := entry("e0", 1)
 	e.State = Draining
-	if d.Put(e) != Changed || usable(d, 0) != 1 {
+	if d.Put(e) != RoutingChanged || usable(d, 0) != 1 {
 		t.Errorf("%d usable", usable(d, 0))
 	}
 }
@@ -66,7 +66,7 @@
 // and are back in two seconds; a daemon that believed they had left would refuse
 // every caller meanwhile. What is still missing after that is gone.
 func TestEntriesThatLapseTogetherCountForAWhile(t *testing.T) {
-	d := full(6)
+	d := withEntries(6)
 	for i := range 6 {
 		d.Remove(epoch, epoch, fmt.Sprint("e", i))
 	}
@@ -82,17 +82,17 @@
 // An endpoint crashes and starts again under its id with nothing of before. Its
 // weights and cache are new; what was learnt of the old life must not count.
 func TestRestartUnderTheSameIDIsAnotherEndpoint(t *testing.T) {
-	d := full(1)
+	d := withEntries(1)
 	old := d.Find("e0").Key
-	d.Learn(old, "e0", "m", 7)
-	if d.Put(entry("e0", 2)) != Changed {
+	d.ObserveVersion(old, "e0", "m", 7)
+	if d.Put(entry("e0", 2)) != RoutingChanged {
 		t.Error("the restart is no change")
 	}
 	e := d.Find("e0")
 	if e.Key == old || e.Versions["m"] != 1 {
 		t.Errorf("key %s, versions %v", e.Key, e.Versions)
 	}
-	if d.Learn(old, "e0", "m", 9) {
+	if d.ObserveVersion(old, "e0", "m", 9) {
 		t.Error("an answer of the old life counts for the new one")
 	}
 }
@@ -100,8 +100,8 @@
 // An engine took new weights and an older heartbeat of it comes late. Requests
 // would be bound to weights that it no longer has.
 func TestVersionNeverGoesBack(t *testing.T) {
-	d := full(1)
-	d.Learn(d.Find("e0").Key, "e0", "m", 3)
+	d := withEntries(1)
+	d.ObserveVersion(d.Find("e0").Key, "e0", "m", 3)
 	d.Put(entry("e0", 1))
 	if got := d.Find("e0").Versions["m"]; got != 3 {
 		t.Errorf("version %d", got)
@@ -109,7 +109,7 @@
 }
 
 func TestGoneEndpointsAreForgotten(t *testing.T) {
-	d := full(2)
+	d := withEntries(2)
 	d.Remove(epoch, epoch, "e0")
 	d.Expire(epoch.Add(2 * time.Minute))
 	if d.Find("e0") != nil || d.Find("e1") == nil {
@@ -122,7 +122,7 @@
 // later. If it took the entries for lapsed from its own reading on, callers
 // would be sent to an endpoint that left 2.1 seconds before, and cut there.
 func TestLapsedEntriesCountFromWhenTheyMayHaveGone(t *testing.T) {
-	d := full(4)
+	d := withEntries(4)
 	read := epoch.Add(900 * time.Millisecond)
 	d.Remove(read, epoch, "e0")
 	d.Remove(read.Add(100*time.Millisecond), epoch, "e1")
@@ -138,7 +138,7 @@
 // record tells of it, only their absence among the newest entries. A daemon that
 // went by records would send callers to them for ever.
 func TestEntriesMissingFromASnapshotAreGone(t *testing.T) {
-	d := full(3)
+	d := withEntries(3)
 	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 2 {
 		t.Errorf("%v are gone", gone)
 	}
@@ -160,7 +160,7 @@
 		return e
 	}
 	base := entry(func(*Entry) {})
-	if !base.SaysAs(entry(func(e *Entry) { e.Orders = 4 })) {
+	if !base.EqualExceptOrders(entry(func(e *Entry) { e.Orders = 4 })) {
 		t.Error("a repeat counts as a change")
 	}
 	for name, change := range map[string]func(*Entry){
@@ -169,7 +169,7 @@
 		"state": func(e *Entry) { e.State = Draining }, "version": func(e *Entry) { e.Models = map[string]int64{"m": 4} },
 		"model": func(e *Entry) { e.Models = map[string]int64{"m": 3, "n": 1} },
 	} {
-		if base.SaysAs(entry(change)) {
+		if base.EqualExceptOrders(entry(change)) {
 			t.Errorf("another %s counts as a repeat", name)
 		}
 	}
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -8,36 +8,36 @@
 
 // Bounds of what entries share. Entries beyond them keep what is their own.
 const (
-	sharedTexts  = 1024
-	sharedModels = 32
+	maxInternedTexts  = 1024
+	maxInternedModels = 32
 )
 
-// shared keeps one copy of what thousands of entries have in common: the names of
+// interner keeps one copy of what thousands of entries have in common: the names of
 // services and zones, and the weight versions.
-type shared struct {
+type interner struct {
 	texts  map[string]string
 	models []map[string]int64
 }
 
-// share replaces the entry's texts and versions by the copies that others have.
-func (s *shared) share(e *Entry) {
-	e.Service, e.Zone = s.text(e.Service), fleet.ZoneID(s.text(string(e.Zone)))
+// intern replaces the entry's texts and versions by the copies that others have.
+func (s *interner) intern(e *Entry) {
+	e.Service, e.Zone = s.internText(e.Service), fleet.ZoneID(s.internText(string(e.Zone)))
 	for _, m := range s.models {
 		if maps.Equal(m, e.Models) {
 			e.Models = m
 			return
 		}
 	}
-	if len(s.models) < sharedModels {
+	if len(s.models) < maxInternedModels {
 		s.models = append(s.models, e.Models)
 	}
 }
 
-func (s *shared) text(t string) string {
+func (s *interner) internText(t string) string {
 	if known, ok := s.texts[t]; ok {
 		return known
 	}
-	if len(s.texts) < sharedTexts {
+	if len(s.texts) < maxInternedTexts {
 		if s.texts == nil {
 			s.texts = map[string]string{}
 		}
--- a/directory/wire.go
+++ b/directory/wire.go
@@ -11,14 +11,14 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrEntry says that bytes are no entry.
-var ErrEntry = errors.New("directory: entry is malformed")
+// ErrMalformed says that bytes are no entry.
+var ErrMalformed = errors.New("directory: entry is malformed")
 
 const (
-	entryForm = 1 // version of the form of an entry
-	// textBytes bounds each text of an entry, and modelsMost its models.
-	textBytes  = 255
-	modelsMost = 255
+	entryFormat = 1 // version of the form of an entry
+	// maxTextBytes bounds each text of an entry, and modelsMost its models.
+	maxTextBytes = 255
+	maxModels    = 255
 )
 
 // Append adds the entry's bytes but for its ID, in the form in which daemons pass it on.
@@ -27,7 +27,7 @@
 	if to == nil {
 		to = make([]byte, 0, 24+len(e.Service)+len(e.Address)+len(e.Zone)+16*len(e.Models))
 	}
-	to = append(to, entryForm, byte(e.State))
+	to = append(to, entryFormat, byte(e.State))
 	to = binary.AppendVarint(to, e.Born)
 	to = binary.AppendVarint(to, e.Orders)
 	to = binary.AppendUvarint(to, uint64(max(e.Slots, 0)))
@@ -35,7 +35,7 @@
 		to = appendText(to, text)
 	}
 	names := slices.Sorted(maps.Keys(e.Models))
-	names = names[:min(len(names), modelsMost)]
+	names = names[:min(len(names), maxModels)]
 	to = append(to, byte(len(names)))
 	for _, name := range names {
 		to = binary.AppendVarint(appendText(to, name), e.Models[name])
@@ -44,25 +44,25 @@
 }
 
 func appendText(to []byte, text string) []byte {
-	text = text[:min(len(text), textBytes)]
+	text = text[:min(len(text), maxTextBytes)]
 	return append(append(to, byte(len(text))), text...)
 }
 
 // DecodeEntry reads the entry of an id. The error is ErrEntry.
 func DecodeEntry(id string, data []byte) (Entry, error) {
 	r := wire.Reader{Rest: data}
-	form := r.Byte()
+	format := r.Byte()
 	e := Entry{ID: id, State: State(r.Byte()), Models: map[string]int64{}}
 	e.Born, e.Orders = r.Varint(), r.Varint()
 	e.Slots = int(r.Uvarint(math.MaxInt32))
-	e.Service, e.Address = r.Text(textBytes), r.Text(textBytes)
-	e.Zone = fleet.ZoneID(r.Text(textBytes))
+	e.Service, e.Address = r.Text(maxTextBytes), r.Text(maxTextBytes)
+	e.Zone = fleet.ZoneID(r.Text(maxTextBytes))
 	for n := r.Byte(); n > 0 && !r.Bad; n-- {
-		name := r.Text(textBytes)
+		name := r.Text(maxTextBytes)
 		e.Models[name] = r.Varint()
 	}
-	if r.Bad || len(r.Rest) > 0 || form != entryForm || e.State > Draining || id == "" {
-		return Entry{}, ErrEntry
+	if r.Bad || len(r.Rest) > 0 || format != entryFormat || e.State > Draining || id == "" {
+		return Entry{}, ErrMalformed
 	}
 	return e, nil
 }
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -15,46 +15,46 @@
 	"time"
 )
 
-// Confirmed holds when the newest answered read was sent. It is safe for
+// Tracker holds when the newest answered read was sent. It is safe for
 // concurrent use. The zero value has never been confirmed.
-type Confirmed struct {
-	mu    sync.Mutex
-	sent  time.Duration
-	heard time.Duration
-	some  bool
+type Tracker struct {
+	mu         sync.Mutex
+	lastSent   time.Duration
+	lastAnswer time.Duration
+	confirmed  bool
 }
 
-// Answered notes a read that was sent at the given time and has been answered
+// RecordAnswer notes a read that was sent at the given time and has been answered
 // now. What it confirms counts from the sending: the answer may have been on
 // its way for long, and says nothing of what happened since it left.
-func (c *Confirmed) Answered(sent, now time.Duration) {
+func (c *Tracker) RecordAnswer(sent, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.heard = max(c.heard, now)
-	if !c.some || sent > c.sent {
-		c.sent, c.some = sent, true
+	c.lastAnswer = max(c.lastAnswer, now)
+	if !c.confirmed || sent > c.lastSent {
+		c.lastSent, c.confirmed = sent, true
 	}
 }
 
-// Silence is the time since an answer came; false if there has been none. It
+// SinceAnswer is the time since an answer came; false if there has been none. It
 // tells whether there is a way to the store, while Age also grows as a read
 // waits for news there.
-func (c *Confirmed) Silence(now time.Duration) (time.Duration, bool) {
+func (c *Tracker) SinceAnswer(now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now - c.heard, c.some
+	return now - c.lastAnswer, c.confirmed
 }
 
 // Age is the time since the newest answered read was sent; false if there has
 // been none.
-func (c *Confirmed) Age(now time.Duration) (time.Duration, bool) {
+func (c *Tracker) Age(now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return now - c.sent, c.some
+	return now - c.lastSent, c.confirmed
 }
 
 // Within tells whether knowledge is no older than the bound.
-func (c *Confirmed) Within(now, bound time.Duration) bool {
+func (c *Tracker) Within(now, bound time.Duration) bool {
 	age, ok := c.Age(now)
 	return ok && age < bound
 }
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestNeverConfirmedIsNeverFresh(t *testing.T) {
-	var c Confirmed
+	var c Tracker
 	if c.Within(0, time.Hour) {
 		t.Error("fresh without a read")
 	}
@@ -16,8 +16,8 @@
 // when it was sent: a key that was taken away in between would be served for
 // four seconds too long if the time of the answer counted.
 func TestAgeCountsFromTheSending(t *testing.T) {
-	var c Confirmed
-	c.Answered(10*time.Second, 14*time.Second)
+	var c Tracker
+	c.RecordAnswer(10*time.Second, 14*time.Second)
 	if !c.Within(14*time.Second, 5*time.Second) || c.Within(15*time.Second, 5*time.Second) {
 		t.Error("wrong bound")
 	}
@@ -26,9 +26,9 @@
 // Two reads overlap and the older one is answered last. It must not make what
 // is known look older.
 func TestLateAnswerOfAnOlderReadChangesNothing(t *testing.T) {
-	var c Confirmed
-	c.Answered(10*time.Second, 11*time.Second)
-	c.Answered(7*time.Second, 12*time.Second)
+	var c Tracker
+	c.RecordAnswer(10*time.Second, 11*time.Second)
+	c.RecordAnswer(7*time.Second, 12*time.Second)
 	if age, _ := c.Age(12 * time.Second); age != 2*time.Second {
 		t.Errorf("age %v", age)
 	}
@@ -37,12 +37,12 @@
 // A read waits for news for as long as it may. Meanwhile the age of what is
 // known grows, but the store is there.
 func TestSilenceEndsWithEachAnswer(t *testing.T) {
-	var c Confirmed
-	if _, ok := c.Silence(time.Second); ok {
+	var c Tracker
+	if _, ok := c.SinceAnswer(time.Second); ok {
 		t.Error("heard of a store that never answered")
 	}
-	c.Answered(10*time.Second, 12*time.Second)
-	if got, _ := c.Silence(12*time.Second + time.Millisecond); got != time.Millisecond {
+	c.RecordAnswer(10*time.Second, 12*time.Second)
+	if got, _ := c.SinceAnswer(12*time.Second + time.Millisecond); got != time.Millisecond {
 		t.Errorf("silence %v", got)
 	}
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -59,9 +59,9 @@
 }
 
 // Put takes an entry.
-func (r *Roster) Put(e directory.Entry) directory.News {
+func (r *Roster) Put(e directory.Entry) directory.PutResult {
 	news := r.directory.Put(e)
-	r.note(news == directory.Changed)
+	r.note(news == directory.RoutingChanged)
 	return news
 }
 
@@ -183,7 +183,7 @@
 // Learn takes the weight version that an endpoint was seen to have.
 func (r *Roster) Learn(key fleet.EndpointID, model string, version int64) bool {
 	e := r.usable[key]
-	return e != nil && r.note(r.directory.Learn(key, e.ID, model, version))
+	return e != nil && r.note(r.directory.ObserveVersion(key, e.ID, model, version))
 }
 
 // Failed takes an attempt that the endpoint failed.
@@ -228,7 +228,9 @@
 func (r *Roster) Ready(model string) []*directory.Endpoint { return r.directory.Ready(model) }
 
 // Behind tells whether one of them has weights older than the version.
-func (r *Roster) Behind(model string, version int64) bool { return r.directory.Behind(model, version) }
+func (r *Roster) Behind(model string, version int64) bool {
+	return r.directory.HasOlderVersion(model, version)
+}
 
 // Counts returns the usable engines of a model. Its maps change with the Roster.
 func (r *Roster) Counts(service, model string) pools.Counts { return r.pools.Counts(service, model) }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -116,7 +116,7 @@
 	me := daemonAddress(i)
 	r.datagrams.write = func(to netip.AddrPort, data []byte) error { return f.carry(me, to, data) }
 	r.s.table.Store(f.table)
-	r.s.operator.Answered(f.clock(), f.clock())
+	r.s.operator.RecordAnswer(f.clock(), f.clock())
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	if f.stops[i] != nil {
--- a/router/follow.go
+++ b/router/follow.go
@@ -220,7 +220,7 @@
 			continue
 		}
 		if p.newer {
-			r.s.operator.Answered(f.sub.confirmed, r.clock())
+			r.s.operator.RecordAnswer(f.sub.confirmed, r.clock())
 		}
 	}
 }
@@ -268,7 +268,7 @@
 			continue
 		}
 		if p.newer {
-			r.s.endpoints.Answered(f.sub.confirmed, r.clock())
+			r.s.endpoints.RecordAnswer(f.sub.confirmed, r.clock())
 		}
 		if p.more {
 			continue
@@ -369,10 +369,10 @@
 		return record, true
 	}
 	news := r.s.roster.Put(entry)
-	if news == directory.Changed && !oneOfMany {
+	if news == directory.RoutingChanged && !oneOfMany {
 		r.noteEndpoint(now, &entry, record.Offset)
 	}
-	more := news != directory.Repeat
+	more := news != directory.HeartbeatOnly
 	if !relayed && (more || oneOfMany) {
 		record.Value = entry.Append(nil)
 	}
--- a/router/report.go
+++ b/router/report.go
@@ -143,7 +143,7 @@
 // measureReading tells how old what the daemon knows is, and how far from the store it
 // reads.
 func (r *Router) measureReading() {
-	for topic, known := range map[Topic]*freshness.Confirmed{TopicOperator: &r.s.operator, TopicEndpoints: &r.s.endpoints} {
+	for topic, known := range map[Topic]*freshness.Tracker{TopicOperator: &r.s.operator, TopicEndpoints: &r.s.endpoints} {
 		if age, some := known.Age(r.clock()); some {
 			r.metrics.scope.Tagged(map[string]string{"topic": topic.String()}).Gauge("knowledge_age_seconds").Update(age.Seconds())
 		}
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -286,7 +286,7 @@
 		if len(r.cacheSources()) > 0 {
 			t.Error("followed before the list is known")
 		}
-		r.s.endpoints.Answered(r.clock(), r.clock())
+		r.s.endpoints.RecordAnswer(r.clock(), r.clock())
 		return len(r.cacheSources())
 	}
 	if small, large := sources(18), sources(60); small != 18 || large != 0 {
--- a/router/router.go
+++ b/router/router.go
@@ -210,7 +210,7 @@
 		return false
 	}
 	_, listed := r.s.endpoints.Age(r.clock())
-	silence, _ := r.s.operator.Silence(r.clock())
+	silence, _ := r.s.operator.SinceAnswer(r.clock())
 	longest := time.Duration(operatorPart*float64(r.o.Settings.RevokeWithin)) + answerTime + readySlack
 	return listed && silence < longest
 }
--- a/router/state.go
+++ b/router/state.go
@@ -39,8 +39,8 @@
 // state is what a daemon believes.
 type state struct {
 	table     atomic.Pointer[routes.Table]
-	operator  freshness.Confirmed // reads of the operator's topic
-	endpoints freshness.Confirmed
+	operator  freshness.Tracker // reads of the operator's topic
+	endpoints freshness.Tracker
 	// limited are the endpoints that name a limit. It is replaced as a whole.
 	limited atomic.Pointer[map[fleet.EndpointID]bool]
 
