--- a/directory/changes_test.go
+++ b/directory/changes_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// usableByScan finds the usable endpoints by a look at all.
+// usableByScan determines the usable endpoints by a scan of all endpoints.
 func usableByScan(d *Directory, now time.Time) map[fleet.EndpointID]bool {
 	live, lapsed := map[string][]*Endpoint{}, map[string][]*Endpoint{}
 	for _, e := range d.byID {
@@ -50,9 +50,9 @@
 	return out
 }
 
-// Guards against endpoints that are told of as changes and differ from what a look at
-// all of them gives, whatever happens in whatever order.
-func TestChangesAddUpToAllEndpoints(t *testing.T) {
+// Guards against changes that do not add up to the result of a full scan, for random
+// sequences of operations.
+func TestChangesMatchFullScan(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, now := New(testGrace), epoch
 		replayed := map[fleet.EndpointID]bool{}
@@ -81,9 +81,9 @@
 			},
 			"expire": func(*rapid.T) {
 				now = now.Add(removedRetention)
-				d.Changes(now) // as the tick before it does
+				d.Changes(now) // precedes Expire, as in the periodic call
 				for _, c := range d.Changes(now) {
-					t.Fatalf("change of %s out of nothing", c.Endpoint.Key)
+					t.Fatalf("change of %s without a cause", c.Endpoint.Key)
 				}
 				replayed = usableByScan(d, now)
 				d.Expire(now)
@@ -96,7 +96,7 @@
 					}
 				}
 				if want := usableByScan(d, now); !maps.Equal(replayed, want) {
-					t.Fatalf("told %v, there are %v", replayed, want)
+					t.Fatalf("changes add up to %v, want %v", replayed, want)
 				}
 				counted := map[int64]int{}
 				for _, e := range d.byID {
@@ -105,14 +105,14 @@
 					}
 				}
 				if !maps.Equal(counted, d.readyVersions["m"]) && len(counted)+len(d.readyVersions["m"]) > 0 {
-					t.Fatalf("engines by version: counted %v, there are %v", d.readyVersions["m"], counted)
+					t.Fatalf("engines by version: %v, want %v", d.readyVersions["m"], counted)
 				}
 			},
 		})
 	})
 }
 
-func TestEntrySurvivesTheWire(t *testing.T) {
+func TestEntryRoundTrip(t *testing.T) {
 	text := rapid.StringN(0, 20, 60)
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entry{
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory folds the entries that endpoints register in the platform's
-// store to the endpoints that may be given work.
+// Package directory derives the endpoints that may receive requests from the entries
+// that endpoints register in the platform's metadata store.
 //
-// An entry may be late, may vanish with the store's leases while its endpoint
-// lives, and may come from a writer that does not know the format. The package
-// does no I/O and reads no clock. A Directory is not safe for concurrent use.
+// An entry may arrive late, may disappear with an expired lease while its endpoint is
+// still running, and may have been written by a process that does not know the format.
+// The package does no I/O and reads no clock. A Directory is not safe for concurrent use.
 package directory
 
 import (
@@ -16,118 +16,121 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// State is what an endpoint says of itself.
+// State is the state that an endpoint reports in its entry.
 type State uint8
 
-// The states.
+// States of an endpoint.
 const (
 	Ready State = iota
 	Draining
 )
 
-// Entry is what one endpoint registered.
+// Entry is the registration of one endpoint.
 type Entry struct {
-	ID      string // chosen by the endpoint, the same after some restarts
-	Born    int64  // start of the process, Unix milliseconds; 0: not told
+	ID      string // chosen by the endpoint; some keep it over a restart
+	Born    int64  // start of the process, Unix milliseconds; 0: not reported
 	Service string
 	Address string // IP:port
 	Zone    fleet.ZoneID
 	Slots   int
 	State   State
 	Models  map[string]int64 // weight version by model
-	Orders  int64            // orders that the process has accepted
+	Orders  int64            // number of orders that the process has accepted
 }
 
-// EqualExceptOrders tells whether the entry says the same as another but for the orders, which
-// change with no consequence for where work may go.
+// EqualExceptOrders reports whether the entries are equal apart from the number of accepted
+// orders, which has no effect on routing.
 func (e Entry) EqualExceptOrders(other Entry) bool {
 	return e.ID == other.ID && e.Born == other.Born && e.Service == other.Service && e.Address == other.Address &&
 		e.Zone == other.Zone && e.Slots == other.Slots && e.State == other.State && maps.Equal(e.Models, other.Models)
 }
 
-// Endpoint is one life of an endpoint with what is known of it.
+// Endpoint is one incarnation of an endpoint with the state derived from its entry.
 type Endpoint struct {
 	Entry
-	Key             fleet.EndpointID // differs between two lives under one ID
+	Key             fleet.EndpointID // differs between incarnations with the same ID
 	Removed         bool             // its entry was removed
-	RemovedAt       time.Time        // when that was read
-	earliestRemoval time.Time        // the earliest moment at which it may have been removed
-	// Versions are the newest weight versions seen of this life, from its entry
-	// or its answers. A life never goes back to older weights. They may be shared and
-	// are replaced as a whole.
+	RemovedAt       time.Time        // when this daemon read of the removal
+	earliestRemoval time.Time        // the earliest time at which it may have been removed
+	// Versions holds the highest weight version seen of each model, in the entry or in
+	// answers. An incarnation never returns to older weights. The map may be shared
+	// between endpoints: it is replaced, never modified.
 	Versions map[string]int64
 
-	usable        bool     // as Changes last told
-	changed       bool     // it is in Directory.touched
-	replaced      bool     // another life has its id
-	lapsedService *service // whose lapsed entries it is among; nil: none's
+	usable        bool     // as last returned by Changes
+	changed       bool     // it is in Directory.changed
+	replaced      bool     // another incarnation has its ID
+	lapsedService *service // the service that lists it in lapsed, or nil
 }
 
-// PutResult is what an entry says beyond the one before it.
+// PutResult says how an entry differs from the previous one of the same endpoint.
 type PutResult uint8
 
-// The kinds of news.
+// Results of Put.
 const (
-	HeartbeatOnly PutResult = iota // nothing but the count of orders
-	DetailChanged                  // something that does not decide where work may go
-	RoutingChanged
+	HeartbeatOnly  PutResult = iota // nothing but the number of orders
+	DetailChanged                   // fields without effect on routing
+	RoutingChanged                  // fields that decide where requests may go
 )
 
-// Change is an endpoint that may be given work from now on, may not any more, or
-// differs from what was told of it.
+// Change is an endpoint that has become usable or unusable, or is usable and differs
+// from what Changes returned before.
 type Change struct {
 	Endpoint *Endpoint
 	Usable   bool
 }
 
-// Times of the fold.
+// Parameters for removed entries.
 const (
-	// lapseWindow is the time within which entries that vanish are taken to
-	// have lapsed by one outage of the store rather than left one by one.
+	// lapseWindow is the time within which removed entries are attributed to one outage
+	// of the store, in which leases expire, rather than to endpoints that left.
 	lapseWindow = 3 * time.Second
-	// minLapsedDivisor is the part of a service's entries that has to vanish together.
+	// minLapsedDivisor sets the fraction of a service's ready entries that must be removed
+	// within lapseWindow to count as an outage: more than one in three.
 	minLapsedDivisor = 3
-	// removedRetention is how long an endpoint that is gone is remembered.
+	// removedRetention is how long a removed endpoint is kept.
 	removedRetention = time.Minute
 )
 
-// Directory holds the endpoints. Make it with New.
+// Directory holds the endpoints by ID. Create it with New.
 //
-// One change costs the same however many endpoints there are: Changes looks at what
-// was touched and at entries that lapsed lately, never at all endpoints.
+// The cost of a change does not depend on the number of endpoints: Changes looks at the
+// endpoints that changed and at entries that lapsed recently, never at all endpoints.
 type Directory struct {
 	byID          map[string]*Endpoint
 	interned      interner
 	grace         time.Duration
 	services      map[string]*service
-	readyVersions map[string]map[int64]int // engines that are listed and ready, by model and version
+	readyVersions map[string]map[int64]int // number of ready engines, by model and version
 	changed       []*Endpoint
-	removed       []*Endpoint // in the order of Removed
+	removed       []*Endpoint // in the order of RemovedAt
 }
 
-// service is what the fold needs to know of the endpoints of one service.
+// service holds the counts of one service that outages are detected by.
 type service struct {
-	live   int         // listed and ready
+	live   int         // number of ready endpoints
 	lapsed []*Endpoint // removed within lapseTogether while they were ready
 }
 
-// New returns an empty Directory. An endpoint whose entry lapsed together with
-// others still counts for the grace after the earliest moment at which it may
-// have left. Endpoints that live are back about two seconds after the store; one
-// that left must get no work past the bound on leaving, so the grace lies below
-// that bound.
+// New returns an empty Directory. An endpoint whose entry lapsed together with others
+// stays usable for the grace period, which starts at the earliest time at which it may
+// have left. Running endpoints register again about two seconds after the store is
+// back. An endpoint that really left must get no requests after the time allowed for
+// leaving, so the grace period must be shorter than that.
 func New(grace time.Duration) *Directory {
 	return &Directory{
 		byID: map[string]*Endpoint{}, grace: grace, services: map[string]*service{}, readyVersions: map[string]map[int64]int{},
 	}
 }
 
-// Key names one life of an endpoint.
+// Key returns the ID of one incarnation of an endpoint: its own ID with the start of
+// the process.
 func Key(id string, born int64) fleet.EndpointID {
 	return fleet.EndpointID(id + "@" + strconv.FormatInt(born, 36))
 }
 
-// Put takes an entry.
+// Put adds or updates the endpoint of an entry and returns how the entry differs from
+// the previous one.
 func (d *Directory) Put(e Entry) PutResult {
 	old := d.byID[e.ID]
 	if old != nil && !old.Removed && old.EqualExceptOrders(e) {
@@ -160,7 +163,7 @@
 	return DetailChanged
 }
 
-// ready tells whether the endpoint's entry is there and says that it is ready.
+// ready reports whether the endpoint's entry is present, current and in state Ready.
 func (e *Endpoint) ready() bool { return !e.Removed && !e.replaced && e.State == Ready }
 
 func (d *Directory) serviceOf(e *Endpoint) *service {
@@ -172,10 +175,10 @@
 	return s
 }
 
-// count adds a listed endpoint to the sums of its service and models.
+// count adds a ready endpoint to the counts of its service and models.
 func (d *Directory) count(e *Endpoint) { d.addToCounts(e, 1) }
 
-// uncount takes it out again. Call it before the endpoint changes.
+// uncount removes it from them. Call it before modifying the endpoint.
 func (d *Directory) uncount(e *Endpoint) { d.addToCounts(e, -1) }
 
 func (d *Directory) addToCounts(e *Endpoint, n int) {
@@ -202,9 +205,9 @@
 	}
 }
 
-// Remove takes that the entry of the id is gone, or can't be read any more. since
-// is the earliest moment at which that may have happened: a list that is read
-// every second tells of it up to a second late.
+// Remove marks the endpoint's entry as removed, or as no longer readable. since is the
+// earliest time at which that may have happened: a list that is read every second shows
+// a removal up to a second late. It returns false if there is no such entry.
 func (d *Directory) Remove(now, since time.Time, id string) bool {
 	e := d.byID[id]
 	if e == nil || e.Removed {
@@ -221,8 +224,9 @@
 	return true
 }
 
-// Retain takes the ids of all entries there are, and returns those that are gone.
-// The removals may have been lost together with the store's history.
+// Retain removes all entries whose ID is not present and returns their IDs, sorted. It
+// is for snapshots: the records of the removals may have been lost together with the
+// store's history.
 func (d *Directory) Retain(now, since time.Time, present map[string]bool) []string {
 	var gone []string
 	for id := range d.byID {
@@ -234,7 +238,8 @@
 	return gone
 }
 
-// ObserveVersion takes the weight version that an answer of this life named.
+// ObserveVersion records the weight version that an answer of this incarnation named,
+// and reports whether it is higher than the known one.
 func (d *Directory) ObserveVersion(key fleet.EndpointID, id, model string, version int64) bool {
 	e := d.byID[id]
 	if e == nil || e.Key != key || e.Versions[model] >= version {
@@ -247,11 +252,11 @@
 	return true
 }
 
-// Find returns the present life of the endpoint with the id.
+// Find returns the current incarnation of the endpoint with the ID, or nil.
 func (d *Directory) Find(id string) *Endpoint { return d.byID[id] }
 
-// HasOlderVersion tells whether an engine that is listed and ready has the model with weights
-// older than the version.
+// HasOlderVersion reports whether a ready engine has the model with weights older than
+// the version.
 func (d *Directory) HasOlderVersion(model string, version int64) bool {
 	for v, n := range d.readyVersions[model] {
 		if n > 0 && v < version {
@@ -261,8 +266,8 @@
 	return false
 }
 
-// Expire forgets endpoints that have long been gone, so that the table stays
-// bounded by the endpoints of the last minute.
+// Expire drops endpoints that were removed more than a minute ago, so that replaced
+// endpoints do not accumulate.
 func (d *Directory) Expire(now time.Time) {
 	for len(d.removed) > 0 && now.Sub(d.removed[0].RemovedAt) > removedRetention {
 		e := d.removed[0]
@@ -273,12 +278,13 @@
 	}
 }
 
-// Changes returns what changed since it was called last, with time as well. Call it
-// after each change of the directory, and on a tick.
+// Changes returns what changed since the last call, including changes by the passing of
+// time. Call it after each modification of the directory, and periodically.
 //
-// An entry that vanishes alone means that its endpoint left. When many of a
-// service vanish at once, the store's leases ran out in an outage: nobody left,
-// and to believe it would refuse all work until the entries are back.
+// An entry that is removed alone means that its endpoint left. If many entries of a
+// service are removed at once, the store's leases expired in an outage and the endpoints
+// are still running; dropping them would refuse all requests until they have registered
+// again.
 func (d *Directory) Changes(now time.Time) []Change {
 	var out []Change
 	for _, s := range d.services {
@@ -289,7 +295,7 @@
 	for _, e := range d.changed {
 		e.changed = false
 		if e.Removed && !e.replaced && e.State == Ready && now.Sub(e.RemovedAt) < lapseWindow {
-			continue // judged above, with the others that lapsed
+			continue // handled by updateLapsed
 		}
 		wasUsable := e.usable
 		e.usable = e.ready()
@@ -301,16 +307,16 @@
 	return out
 }
 
-// updateLapsed decides which of the entries that vanished lately still count, and adds the
-// endpoints for which that changed.
+// updateLapsed determines which of the recently lapsed entries are still usable, and
+// appends the endpoints for which that changed.
 func (s *service) updateLapsed(now time.Time, grace time.Duration, out []Change) []Change {
 	kept := s.lapsed[:0]
 	for _, e := range s.lapsed {
 		if e.lapsedService != s {
-			continue // its entry named another service meanwhile
+			continue // its entry has named another service since
 		}
 		if !e.Removed || e.replaced || e.State != Ready {
-			e.lapsedService = nil // it is back, or another life has its id
+			e.lapsedService = nil // registered again, or replaced by another incarnation
 			continue
 		}
 		if now.Sub(e.RemovedAt) >= lapseWindow {
@@ -336,7 +342,7 @@
 	return out
 }
 
-// Ready lists every endpoint that is listed and ready and has the model, by key.
+// Ready returns the ready endpoints that have the model, sorted by key.
 func (d *Directory) Ready(model string) []*Endpoint {
 	var out []*Endpoint
 	for _, e := range d.byID {
@@ -348,7 +354,7 @@
 	return out
 }
 
-// mergeNewest merges versions, without a change to either map.
+// mergeNewest returns the highest version of each model. It modifies neither map.
 func mergeNewest(known, reported map[string]int64) map[string]int64 {
 	if !hasNewer(known, reported) {
 		return known
@@ -360,6 +366,7 @@
 	return out
 }
 
+// hasNewer reports whether reported has a model that is not known, or a higher version.
 func hasNewer(known, reported map[string]int64) bool {
 	for model, v := range reported {
 		if has, known := known[model]; !known || v > has {
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -22,7 +22,7 @@
 	return d
 }
 
-// usable counts the endpoints that may be given work.
+// usable counts the usable endpoints at the given time after epoch.
 func usable(d *Directory, at time.Duration) int {
 	d.Changes(epoch.Add(at))
 	n := 0
@@ -34,7 +34,7 @@
 	return n
 }
 
-func TestHeartbeatAloneChangesNothing(t *testing.T) {
+func TestPutReportsHeartbeatOnly(t *testing.T) {
 	d := withEntries(1)
 	e := entry("e0", 1)
 	e.Orders = 9
@@ -43,9 +43,9 @@
 	}
 }
 
-// One endpoint leaves and its entry is removed. It gets no new work from that
-// moment: it serves on for a moment only, and then callers would be cut.
-func TestRemovedEndpointGetsNoWork(t *testing.T) {
+// Guards against requests to an endpoint whose entry was removed: it serves on for a
+// moment only, and would then cut them off.
+func TestRemovedEndpointIsUnusable(t *testing.T) {
 	d := withEntries(6)
 	d.Remove(epoch, epoch, "e0")
 	if got := usable(d, 0); got != 5 {
@@ -53,7 +53,7 @@
 	}
 }
 
-func TestDrainingEndpointGetsNoWork(t *testing.T) {
+func TestDrainingEndpointIsUnusable(t *testing.T) {
 	d := withEntries(2)
 	e := entry("e0", 1)
 	e.State = Draining
@@ -62,10 +62,10 @@
 	}
 }
 
-// The store was away and the leases of all entries ran out. The endpoints live
-// and are back in two seconds; a daemon that believed they had left would refuse
-// every caller meanwhile. What is still missing after that is gone.
-func TestEntriesThatLapseTogetherCountForAWhile(t *testing.T) {
+// Guards against a daemon that refuses all requests after an outage of the store, in
+// which the leases of all entries expired: the endpoints are running and register again
+// within two seconds. Those that do not have left.
+func TestEntriesLapsedTogetherStayUsable(t *testing.T) {
 	d := withEntries(6)
 	for i := range 6 {
 		d.Remove(epoch, epoch, fmt.Sprint("e", i))
@@ -79,9 +79,9 @@
 	}
 }
 
-// An endpoint crashes and starts again under its id with nothing of before. Its
-// weights and cache are new; what was learnt of the old life must not count.
-func TestRestartUnderTheSameIDIsAnotherEndpoint(t *testing.T) {
+// Guards against state of a crashed process being applied to its successor under the
+// same ID, which has other weights and an empty cache.
+func TestRestartCreatesNewIncarnation(t *testing.T) {
 	d := withEntries(1)
 	old := d.Find("e0").Key
 	d.ObserveVersion(old, "e0", "m", 7)
@@ -93,13 +93,13 @@
 		t.Errorf("key %s, versions %v", e.Key, e.Versions)
 	}
 	if d.ObserveVersion(old, "e0", "m", 9) {
-		t.Error("an answer of the old life counts for the new one")
+		t.Error("an answer of the old incarnation counts for the new one")
 	}
 }
 
-// An engine took new weights and an older heartbeat of it comes late. Requests
-// would be bound to weights that it no longer has.
-func TestVersionNeverGoesBack(t *testing.T) {
+// Guards against a late heartbeat that sets the version back after an engine has loaded
+// new weights: requests would be bound to weights that it no longer has.
+func TestVersionNeverDecreases(t *testing.T) {
 	d := withEntries(1)
 	d.ObserveVersion(d.Find("e0").Key, "e0", "m", 3)
 	d.Put(entry("e0", 1))
@@ -108,7 +108,7 @@
 	}
 }
 
-func TestGoneEndpointsAreForgotten(t *testing.T) {
+func TestExpireDropsRemovedEndpoints(t *testing.T) {
 	d := withEntries(2)
 	d.Remove(epoch, epoch, "e0")
 	d.Expire(epoch.Add(2 * time.Minute))
@@ -117,11 +117,10 @@
 	}
 }
 
-// Two endpoints of a service leave one shortly after the other and never say
-// so: their entries are removed. A daemon reads that nine tenths of a second
-// later. If it took the entries for lapsed from its own reading on, callers
-// would be sent to an endpoint that left 2.1 seconds before, and cut there.
-func TestLapsedEntriesCountFromWhenTheyMayHaveGone(t *testing.T) {
+// Guards against a grace period that starts when the removal is read: two endpoints
+// leave at nearly the same time without draining, and the daemon reads of it 0.9 s
+// later. Requests would be sent to an endpoint that left 2.1 s before, and cut off.
+func TestGraceStartsAtEarliestRemoval(t *testing.T) {
 	d := withEntries(4)
 	read := epoch.Add(900 * time.Millisecond)
 	d.Remove(read, epoch, "e0")
@@ -134,10 +133,10 @@
 	}
 }
 
-// The store forgot its history, and meanwhile two of three endpoints left. No
-// record tells of it, only their absence among the newest entries. A daemon that
-// went by records would send callers to them for ever.
-func TestEntriesMissingFromASnapshotAreGone(t *testing.T) {
+// Guards against endpoints that stay usable for ever: the store lost its history while
+// two of three endpoints left, so that no record of the removal exists and only their
+// absence from the snapshot shows it.
+func TestRetainRemovesMissingEntries(t *testing.T) {
 	d := withEntries(3)
 	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 2 {
 		t.Errorf("%v are gone", gone)
@@ -150,10 +149,10 @@
 	}
 }
 
-// Endpoints write their entries again with every heartbeat. A daemon that passes on
-// what it reads must not take a change that matters for such a repeat: an engine that
-// drains would go on getting work from all who read through it.
-func TestOnlyOrdersMakeNoDifference(t *testing.T) {
+// Guards against a relevant change that is taken for a heartbeat, with which endpoints
+// rewrite their entries: a daemon would not pass it on, and a draining engine would go
+// on getting requests from all daemons that read through this one.
+func TestEqualExceptOrders(t *testing.T) {
 	entry := func(change func(*Entry)) Entry {
 		e := Entry{ID: "a", Born: 7, Service: "s", Address: "10.0.0.1:1", Zone: "z", Slots: 8, Models: map[string]int64{"m": 3}}
 		change(&e)
@@ -164,7 +163,7 @@
 		t.Error("a repeat counts as a change")
 	}
 	for name, change := range map[string]func(*Entry){
-		"id": func(e *Entry) { e.ID = "b" }, "life": func(e *Entry) { e.Born = 8 }, "service": func(e *Entry) { e.Service = "t" },
+		"id": func(e *Entry) { e.ID = "b" }, "incarnation": func(e *Entry) { e.Born = 8 }, "service": func(e *Entry) { e.Service = "t" },
 		"address": func(e *Entry) { e.Address = "10.0.0.2:1" }, "zone": func(e *Entry) { e.Zone = "y" }, "slots": func(e *Entry) { e.Slots = 9 },
 		"state": func(e *Entry) { e.State = Draining }, "version": func(e *Entry) { e.Models = map[string]int64{"m": 4} },
 		"model": func(e *Entry) { e.Models = map[string]int64{"m": 3, "n": 1} },
--- a/directory/shared.go
+++ b/directory/shared.go
@@ -6,20 +6,20 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Bounds of what entries share. Entries beyond them keep what is their own.
+// Limits of the interner. Further values are kept by each entry.
 const (
 	maxInternedTexts  = 1024
 	maxInternedModels = 32
 )
 
-// interner keeps one copy of what thousands of entries have in common: the names of
-// services and zones, and the weight versions.
+// interner keeps one copy of the values that thousands of entries have in common: the
+// names of services and zones, and the maps of weight versions.
 type interner struct {
 	texts  map[string]string
 	models []map[string]int64
 }
 
-// intern replaces the entry's texts and versions by the copies that others have.
+// intern replaces the entry's names and versions by the shared copies.
 func (s *interner) intern(e *Entry) {
 	e.Service, e.Zone = s.internText(e.Service), fleet.ZoneID(s.internText(string(e.Zone)))
 	for _, m := range s.models {
--- a/directory/wire.go
+++ b/directory/wire.go
@@ -11,18 +11,19 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMalformed says that bytes are no entry.
+// ErrMalformed is returned for data that is not an encoded entry.
 var ErrMalformed = errors.New("directory: entry is malformed")
 
 const (
-	entryFormat = 1 // version of the form of an entry
-	// maxTextBytes bounds each text of an entry, and modelsMost its models.
+	entryFormat = 1 // version of the encoding
+	// maxTextBytes limits each string of an entry, and maxModels the number of its models.
 	maxTextBytes = 255
 	maxModels    = 255
 )
 
-// Append adds the entry's bytes but for its ID, in the form in which daemons pass it on.
-// A text that is longer than an entry may have is cut.
+// Append encodes the entry without its ID, as daemons pass it to each other, and
+// appends it to the slice. Strings beyond maxTextBytes are truncated, and models beyond
+// maxModels left out.
 func (e *Entry) Append(to []byte) []byte {
 	if to == nil {
 		to = make([]byte, 0, 24+len(e.Service)+len(e.Address)+len(e.Zone)+16*len(e.Models))
@@ -48,7 +49,7 @@
 	return append(append(to, byte(len(text))), text...)
 }
 
-// DecodeEntry reads the entry of an id. The error is ErrEntry.
+// DecodeEntry decodes the entry of the endpoint with the ID. The error is ErrMalformed.
 func DecodeEntry(id string, data []byte) (Entry, error) {
 	r := wire.Reader{Rest: data}
 	format := r.Byte()
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -1,13 +1,12 @@
-// Package freshness tells how old a daemon's knowledge of API keys is.
+// Package freshness tracks the age of a daemon's copy of the API keys.
 //
-// A daemon that lost its way to the store goes on serving with the keys it
-// knows. Some of them may have been taken away meanwhile, which nobody at the
-// daemon can see; so keys are believed only for a bounded time after a read
-// that was answered.
+// A daemon that has lost its connection to the store goes on serving with the keys that
+// it has. Some of them may have been revoked since, which the daemon cannot see, so keys
+// are accepted only for a limited time after the last answered read.
 //
-// Times are readings of a clock that runs on while the machine is suspended and
-// does not jump with the time of day, given as the duration since any fixed
-// moment. The package reads no clock itself.
+// Times are readings of a clock that continues while the machine is suspended and is not
+// affected by changes of the time of day, as durations since an arbitrary fixed time.
+// The package reads no clock itself.
 package freshness
 
 import (
@@ -15,8 +14,8 @@
 	"time"
 )
 
-// Tracker holds when the newest answered read was sent. It is safe for
-// concurrent use. The zero value has never been confirmed.
+// Tracker records when the latest answered read was sent. It is safe for concurrent
+// use. Its zero value has no answered read.
 type Tracker struct {
 	mu         sync.Mutex
 	lastSent   time.Duration
@@ -24,9 +23,9 @@
 	confirmed  bool
 }
 
-// RecordAnswer notes a read that was sent at the given time and has been answered
-// now. What it confirms counts from the sending: the answer may have been on
-// its way for long, and says nothing of what happened since it left.
+// RecordAnswer records a read that was sent at the given time and answered now. The age
+// counts from the sending: the answer may have been delayed, and does not cover what
+// happened after it was sent.
 func (c *Tracker) RecordAnswer(sent, now time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -36,24 +35,24 @@
 	}
 }
 
-// SinceAnswer is the time since an answer came; false if there has been none. It
-// tells whether there is a way to the store, while Age also grows as a read
-// waits for news there.
+// SinceAnswer returns the time since the last answer was received; false if there has
+// been none. It shows whether the store can be reached, whereas Age also grows while a
+// read is held by the store until there are new records.
 func (c *Tracker) SinceAnswer(now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now - c.lastAnswer, c.confirmed
 }
 
-// Age is the time since the newest answered read was sent; false if there has
-// been none.
+// Age returns the time since the latest answered read was sent; false if there has been
+// none.
 func (c *Tracker) Age(now time.Duration) (time.Duration, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return now - c.lastSent, c.confirmed
 }
 
-// Within tells whether knowledge is no older than the bound.
+// Within reports whether the age is below the bound.
 func (c *Tracker) Within(now, bound time.Duration) bool {
 	age, ok := c.Age(now)
 	return ok && age < bound
--- a/freshness/freshness_test.go
+++ b/freshness/freshness_test.go
@@ -5,17 +5,16 @@
 	"time"
 )
 
-func TestNeverConfirmedIsNeverFresh(t *testing.T) {
+func TestNoAnswerIsNeverFresh(t *testing.T) {
 	var c Tracker
 	if c.Within(0, time.Hour) {
 		t.Error("fresh without a read")
 	}
 }
 
-// A read is sent, its answer takes four seconds. What it confirms is what held
-// when it was sent: a key that was taken away in between would be served for
-// four seconds too long if the time of the answer counted.
-func TestAgeCountsFromTheSending(t *testing.T) {
+// Guards against an age that counts from the answer: with an answer that takes four
+// seconds, a key that was revoked in between would be accepted four seconds too long.
+func TestAgeCountsFromSending(t *testing.T) {
 	var c Tracker
 	c.RecordAnswer(10*time.Second, 14*time.Second)
 	if !c.Within(14*time.Second, 5*time.Second) || c.Within(15*time.Second, 5*time.Second) {
@@ -23,9 +22,9 @@
 	}
 }
 
-// Two reads overlap and the older one is answered last. It must not make what
-// is known look older.
-func TestLateAnswerOfAnOlderReadChangesNothing(t *testing.T) {
+// Guards against an age that grows because the older of two overlapping reads is
+// answered last.
+func TestLateAnswerOfOlderReadIsIgnored(t *testing.T) {
 	var c Tracker
 	c.RecordAnswer(10*time.Second, 11*time.Second)
 	c.RecordAnswer(7*time.Second, 12*time.Second)
@@ -34,15 +33,15 @@
 	}
 }
 
-// A read waits for news for as long as it may. Meanwhile the age of what is
-// known grows, but the store is there.
-func TestSilenceEndsWithEachAnswer(t *testing.T) {
+// While a read is held until there are new records, the age grows although the store
+// can be reached.
+func TestSinceAnswerResetsWithEachAnswer(t *testing.T) {
 	var c Tracker
 	if _, ok := c.SinceAnswer(time.Second); ok {
-		t.Error("heard of a store that never answered")
+		t.Error("a time since the last answer without any answer")
 	}
 	c.RecordAnswer(10*time.Second, 12*time.Second)
 	if got, _ := c.SinceAnswer(12*time.Second + time.Millisecond); got != time.Millisecond {
-		t.Errorf("silence %v", got)
+		t.Errorf("%v since the last answer", got)
 	}
 }
