--- a/lab/capacity/routed.go
+++ b/lab/capacity/routed.go
@@ -35,7 +35,7 @@
 }
 
 func rosterOf(n int) *roster.Roster {
-	r := roster.New(roster.Options{Grace: time.Second, Part: 0.2, View: placement.NewView(placement.Options{Zone: zone(0)})})
+	r := roster.New(roster.Options{Grace: time.Second, ShortFraction: 0.2, Placement: placement.NewView(placement.Options{Zone: zone(0)})})
 	for i := range n {
 		r.Put(entry(i))
 	}
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -23,19 +23,19 @@
 )
 
 const (
-	// Fanout is the most daemons that read through one as long as all answer, if its
+	// MinFanout is the most daemons that read through one as long as all answer, if its
 	// link is not known to carry more. A daemon with a link of 20 Mbit/s passes on a
 	// change of 100 kB to as many in 0.3 s.
-	Fanout = 8
-	// mbpsEach is the link that one more reader takes, in Mbit/s, and mostFanout the most
+	MinFanout = 8
+	// mbpsPerReader is the link that one more reader takes, in Mbit/s, and mostFanout the most
 	// readers of a daemon: when it is lost, all of them turn elsewhere at once.
-	mbpsEach   = 20
-	mostFanout = 24
-	// leaveFor is how long a daemon is passed over that did not answer or knew less
+	mbpsPerReader = 20
+	maxFanout     = 24
+	// initialAvoidance is how long a daemon is passed over that did not answer or knew less
 	// than others; each further time twice as long, up to leaveAtMost. Machines
 	// that are gone for good stay on the list, and each try costs a timeout.
-	leaveFor    = 2 * time.Second
-	leaveAtMost = 16 * time.Second
+	initialAvoidance = 2 * time.Second
+	maxAvoidance     = 16 * time.Second
 )
 
 // Daemon is a daemon that can be read through.
@@ -48,20 +48,20 @@
 
 // fanout is how many daemons read through this one as long as all answer.
 func (d *Daemon) fanout() int {
-	return max(Fanout, min(int(d.Mbps/mbpsEach), mostFanout))
+	return max(MinFanout, min(int(d.Mbps/mbpsPerReader), maxFanout))
 }
 
-// Choice is one daemon's view of the tree.
-type Choice struct {
-	me    Daemon
-	order []Daemon // of the zone
-	index int      // of this daemon in it
-	place place    // of this daemon in the tree
-	left  map[string]absence
+// Selector is one daemon's view of the tree.
+type Selector struct {
+	self     Daemon
+	order    []Daemon // of the zone
+	index    int      // of this daemon in it
+	position position // of this daemon in the tree
+	avoided  map[string]avoidance
 }
 
-// place is a daemon's place in the tree.
-type place struct {
+// position is a daemon's position in the tree.
+type position struct {
 	depth  int // steps from the store
 	parent int // index of the daemon that it reads through; -1: it reads the store
 	// start and width are the index of the first daemon of the parent's level, and how
@@ -69,24 +69,24 @@
 	start, width int
 }
 
-// absence is a daemon that is passed over.
-type absence struct {
-	until time.Duration
-	span  time.Duration
+// avoidance is a daemon that is passed over.
+type avoidance struct {
+	until   time.Duration
+	backoff time.Duration
 }
 
 // New returns the choice of a daemon that knows of no other yet.
-func New(me Daemon) *Choice {
-	c := &Choice{me: me, left: map[string]absence{}}
+func New(me Daemon) *Selector {
+	c := &Selector{self: me, avoided: map[string]avoidance{}}
 	c.Set(nil)
 	return c
 }
 
 // Set takes the daemons of the zone. This daemon counts, whether it is among them
 // or not.
-func (c *Choice) Set(zone []Daemon) {
-	c.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == c.me.Name })
-	c.order = append(c.order, c.me)
+func (c *Selector) Set(zone []Daemon) {
+	c.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == c.self.Name })
+	c.order = append(c.order, c.self)
 	ranks := make(map[string]uint64, len(c.order))
 	for _, d := range c.order {
 		ranks[d.Name] = rank(d)
@@ -94,25 +94,25 @@
 	slices.SortFunc(c.order, func(a, b Daemon) int {
 		return cmp.Or(cmp.Compare(b.Mbps, a.Mbps), cmp.Compare(b.Cores, a.Cores), cmp.Compare(ranks[a.Name], ranks[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	c.index = slices.IndexFunc(c.order, func(d Daemon) bool { return d.Name == c.me.Name })
-	c.place = placeOf(c.order, c.index)
-	known := make(map[string]absence, len(c.left))
+	c.index = slices.IndexFunc(c.order, func(d Daemon) bool { return d.Name == c.self.Name })
+	c.position = positionOf(c.order, c.index)
+	known := make(map[string]avoidance, len(c.avoided))
 	for _, d := range c.order {
-		if a, ok := c.left[d.Address]; ok {
+		if a, ok := c.avoided[d.Address]; ok {
 			known[d.Address] = a
 		}
 	}
-	c.left = known
+	c.avoided = known
 }
 
 func rank(d Daemon) uint64 { return hash.Text("reader/" + d.Name) }
 
-// placeOf fills the tree level by level, in order, up to the daemon at the index.
-func placeOf(order []Daemon, index int) place {
+// positionOf fills the tree level by level, in order, up to the daemon at the index.
+func positionOf(order []Daemon, index int) position {
 	if index == 0 {
-		return place{parent: -1}
+		return position{parent: -1}
 	}
-	p := place{depth: 1, width: 1}
+	p := position{depth: 1, width: 1}
 	next, levelEnd := 1, 1 // the first daemon without a parent; the end of the parents' level
 	for parent := 0; ; parent++ {
 		if parent == levelEnd {
@@ -127,22 +127,22 @@
 	}
 }
 
-// Before is the number of daemons that come before this one.
-func (c *Choice) Before() int { return c.index }
+// Index is the number of daemons that come before this one.
+func (c *Selector) Index() int { return c.index }
 
 // Size is the number of daemons in the zone, this one included.
-func (c *Choice) Size() int { return len(c.order) }
+func (c *Selector) Size() int { return len(c.order) }
 
 // Candidates lists the daemons to read through, the best first and no more than
 // most: the one that the tree gives, another of that level, and then whoever comes
 // first. It is empty for a daemon that reads the store itself.
-func (c *Choice) Candidates(now time.Duration, most int) []Daemon {
+func (c *Selector) Candidates(now time.Duration, most int) []Daemon {
 	var out []Daemon
 	for _, i := range c.preferred() {
 		if len(out) == most {
 			break
 		}
-		if d := c.order[i]; !c.passedOver(now, d) && !slices.Contains(out, d) {
+		if d := c.order[i]; !c.isAvoided(now, d) && !slices.Contains(out, d) {
 			out = append(out, d)
 		}
 	}
@@ -150,11 +150,11 @@
 }
 
 // preferred lists all earlier daemons by their index, in the order of choice.
-func (c *Choice) preferred() []int {
+func (c *Selector) preferred() []int {
 	if c.index == 0 {
 		return nil
 	}
-	p := c.place
+	p := c.position
 	out := []int{p.parent}
 	if p.width > 1 {
 		// Those that read through one daemon turn to different ones when it is lost.
@@ -168,11 +168,11 @@
 
 // Depth is how many steps this daemon is from the store as long as all answer; 0:
 // it reads the store itself.
-func (c *Choice) Depth() int { return c.place.depth }
+func (c *Selector) Depth() int { return c.position.depth }
 
-// Other returns any other daemon of the zone, chosen by a number in [0, 1). It is
+// RandomOther returns any other daemon of the zone, chosen by a number in [0, 1). It is
 // for a daemon that finds neither a candidate nor the store.
-func (c *Choice) Other(number float64) (Daemon, bool) {
+func (c *Selector) RandomOther(number float64) (Daemon, bool) {
 	others := len(c.order) - 1
 	if others < 1 {
 		return Daemon{}, false
@@ -184,25 +184,25 @@
 	return c.order[i], true
 }
 
-func (c *Choice) passedOver(now time.Duration, d Daemon) bool {
-	a, ok := c.left[d.Address]
+func (c *Selector) isAvoided(now time.Duration, d Daemon) bool {
+	a, ok := c.avoided[d.Address]
 	return ok && now < a.until
 }
 
-// Leave passes a daemon over for a while.
-func (c *Choice) Leave(now time.Duration, d Daemon) {
-	a, ok := c.left[d.Address]
+// Avoid passes a daemon over for a while.
+func (c *Selector) Avoid(now time.Duration, d Daemon) {
+	a, ok := c.avoided[d.Address]
 	switch {
 	case ok && now < a.until:
 		return // several reads were under way
 	case ok:
-		a.span = min(2*a.span, leaveAtMost)
+		a.backoff = min(2*a.backoff, maxAvoidance)
 	default:
-		a.span = leaveFor
+		a.backoff = initialAvoidance
 	}
-	a.until = now + a.span
-	c.left[d.Address] = a
+	a.until = now + a.backoff
+	c.avoided[d.Address] = a
 }
 
-// Served takes that a daemon gave an answer that could be used.
-func (c *Choice) Served(d Daemon) { delete(c.left, d.Address) }
+// RecordAnswer takes that a daemon gave an answer that could be used.
+func (c *Selector) RecordAnswer(d Daemon) { delete(c.avoided, d.Address) }
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -8,13 +8,13 @@
 	"pgregory.net/rapid"
 )
 
-// zone makes the views that n daemons have of their zone, in the tree's order.
-func zone(n int) []*Choice {
+// selectors makes the views that n daemons have of their selectors, in the tree's order.
+func selectors(n int) []*Selector {
 	var all []Daemon
 	for i := range n {
 		all = append(all, Daemon{Name: fmt.Sprintf("vm-%d", i), Address: fmt.Sprintf("10.0.0.%d:1", i)})
 	}
-	out := make([]*Choice, n)
+	out := make([]*Selector, n)
 	for _, d := range all {
 		c := New(d)
 		c.Set(all)
@@ -29,7 +29,7 @@
 func TestNoDaemonCarriesMoreThanTheFanout(t *testing.T) {
 	for n, deepest := range map[int]int{1: 0, 2: 1, 9: 1, 10: 2, 65: 2, 73: 2, 220: 3} {
 		children, depth := map[string]int{}, map[string]int{}
-		for _, c := range zone(n) {
+		for _, c := range selectors(n) {
 			through := c.Candidates(0, 1)
 			if len(through) == 0 {
 				if c.index != 0 {
@@ -38,13 +38,13 @@
 				continue
 			}
 			children[through[0].Name]++
-			depth[c.me.Name] = depth[through[0].Name] + 1
-			if depth[c.me.Name] > deepest {
-				t.Errorf("of %d daemons number %d is %d steps from the store", n, c.index, depth[c.me.Name])
+			depth[c.self.Name] = depth[through[0].Name] + 1
+			if depth[c.self.Name] > deepest {
+				t.Errorf("of %d daemons number %d is %d steps from the store", n, c.index, depth[c.self.Name])
 			}
 		}
 		for name, k := range children {
-			if k > Fanout {
+			if k > MinFanout {
 				t.Errorf("%d of %d daemons read through %s", k, n, name)
 			}
 		}
@@ -79,26 +79,26 @@
 // The daemon that a fifth of a zone reads through loses power. Its readers must turn
 // to others at once, and not all to the same one.
 func TestReadersOfALostDaemonAreSpread(t *testing.T) {
-	all := zone(73)
-	for lost := 1; lost <= Fanout; lost++ {
+	all := selectors(73)
+	for lost := 1; lost <= MinFanout; lost++ {
 		next := map[string]int{}
 		for _, c := range all[9:] {
 			through := c.Candidates(0, 1)[0]
-			if through.Name != all[lost].me.Name {
+			if through.Name != all[lost].self.Name {
 				continue
 			}
-			c.Leave(0, through)
+			c.Avoid(0, through)
 			instead := c.Candidates(0, 1)[0]
-			if instead.Name == all[lost].me.Name {
-				t.Fatalf("%s goes on with the lost daemon", c.me.Name)
+			if instead.Name == all[lost].self.Name {
+				t.Fatalf("%s goes on with the lost daemon", c.self.Name)
 			}
 			if next[instead.Name]++; next[instead.Name] > 2 {
 				t.Errorf("%d readers of daemon %d turn to %s", next[instead.Name], lost, instead.Name)
 			}
-			c.Served(through)
+			c.RecordAnswer(through)
 		}
-		if next[all[0].me.Name] > 0 {
-			t.Errorf("%d readers of daemon %d turn to the first", next[all[0].me.Name], lost)
+		if next[all[0].self.Name] > 0 {
+			t.Errorf("%d readers of daemon %d turn to the first", next[all[0].self.Name], lost)
 		}
 	}
 }
@@ -106,19 +106,19 @@
 // A machine is gone for good, and its name stays on the list. Asked every two
 // seconds it costs each reader a timeout every two seconds.
 func TestALostDaemonIsAskedLessAndLess(t *testing.T) {
-	c := zone(10)[9]
+	c := selectors(10)[9]
 	lost := c.Candidates(0, 1)[0]
 	now, asked := time.Duration(0), 0
 	for ; now < time.Minute; now += 100 * time.Millisecond {
 		if c.Candidates(now, 1)[0] == lost {
 			asked++
-			c.Leave(now, lost)
+			c.Avoid(now, lost)
 		}
 	}
 	if asked < 4 || asked > 7 {
 		t.Errorf("asked %d times in a minute", asked)
 	}
-	c.Served(lost)
+	c.RecordAnswer(lost)
 	if c.Candidates(now, 1)[0] != lost {
 		t.Error("not taken back when it answered")
 	}
@@ -127,20 +127,20 @@
 // A daemon that finds neither the store nor an earlier daemon may read through any
 // other, but not through itself.
 func TestOtherIsNeverTheDaemonItself(t *testing.T) {
-	for _, c := range zone(7) {
+	for _, c := range selectors(7) {
 		seen := map[string]bool{}
 		for i := range 60 {
-			d, ok := c.Other(float64(i) / 60)
-			if !ok || d.Name == c.me.Name {
-				t.Fatalf("%s is given %v", c.me.Name, d)
+			d, ok := c.RandomOther(float64(i) / 60)
+			if !ok || d.Name == c.self.Name {
+				t.Fatalf("%s is given %v", c.self.Name, d)
 			}
 			seen[d.Name] = true
 		}
 		if len(seen) != 6 {
-			t.Errorf("%s meets %d of 6 others", c.me.Name, len(seen))
+			t.Errorf("%s meets %d of 6 others", c.self.Name, len(seen))
 		}
 	}
-	if _, ok := New(Daemon{Name: "alone"}).Other(0.5); ok {
+	if _, ok := New(Daemon{Name: "alone"}).RandomOther(0.5); ok {
 		t.Error("a daemon alone in its zone found another")
 	}
 }
@@ -172,7 +172,7 @@
 		}
 	}
 	for name, n := range children {
-		if n > mostFanout {
+		if n > maxFanout {
 			t.Errorf("%d read through %s", n, name)
 		}
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -18,8 +18,8 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-// View is the part of placement that is told of changes.
-type View interface {
+// PlacementSink is the part of placement that is told of changes.
+type PlacementSink interface {
 	pools.Sink
 	SetGate(id fleet.EndpointID, g placement.Gate)
 }
@@ -28,10 +28,10 @@
 type Options struct {
 	// Grace is how long an endpoint counts whose entry lapsed together with others, see
 	// package directory.
-	Grace  time.Duration
-	Health health.Options
-	Part   float64 // of the engines for short prompts, at first
-	View   View
+	Grace         time.Duration
+	Health        health.Options
+	ShortFraction float64 // of the engines for short prompts, at first
+	Placement     PlacementSink
 }
 
 // Roster is what a daemon knows of the endpoints. Make it with New.
@@ -39,21 +39,21 @@
 	directory *directory.Directory
 	health    *health.Tracker
 	pools     *pools.Table
-	view      View
+	placement PlacementSink
 
-	usable  map[fleet.EndpointID]*directory.Endpoint
-	resting map[fleet.EndpointID]time.Time // until when they are left alone
-	gated   map[fleet.EndpointID]bool      // placement was told that they get no work
-	limited map[fleet.EndpointID]bool      // they name a limit of requests
-	changed bool                           // something waits for Refresh
-	due     []fleet.EndpointID             // memory of recheck
+	usable         map[fleet.EndpointID]*directory.Endpoint
+	suspendedUntil map[fleet.EndpointID]time.Time // until when they are left alone
+	gated          map[fleet.EndpointID]bool      // placement was told that they get no work
+	limited        map[fleet.EndpointID]bool      // they name a limit of requests
+	changed        bool                           // something waits for Refresh
+	recheckBuf     []fleet.EndpointID             // memory of recheck
 }
 
 // New returns a Roster without endpoints.
 func New(o Options) *Roster {
 	return &Roster{
-		directory: directory.New(o.Grace), health: health.New(o.Health), pools: pools.New(o.View, o.Part), view: o.View,
-		usable: map[fleet.EndpointID]*directory.Endpoint{}, resting: map[fleet.EndpointID]time.Time{},
+		directory: directory.New(o.Grace), health: health.New(o.Health), pools: pools.New(o.Placement, o.ShortFraction), placement: o.Placement,
+		usable: map[fleet.EndpointID]*directory.Endpoint{}, suspendedUntil: map[fleet.EndpointID]time.Time{},
 		gated: map[fleet.EndpointID]bool{},
 	}
 }
@@ -61,23 +61,23 @@
 // Put takes an entry.
 func (r *Roster) Put(e directory.Entry) directory.PutResult {
 	news := r.directory.Put(e)
-	r.note(news == directory.RoutingChanged)
+	r.markChanged(news == directory.RoutingChanged)
 	return news
 }
 
 // Remove takes that the entry of the id is gone, see directory.Directory.Remove.
 func (r *Roster) Remove(now, since time.Time, id string) bool {
-	return r.note(r.directory.Remove(now, since, id))
+	return r.markChanged(r.directory.Remove(now, since, id))
 }
 
 // Retain takes the ids of all entries that there are, and returns those that are gone.
 func (r *Roster) Retain(now, since time.Time, present map[string]bool) []string {
 	gone := r.directory.Retain(now, since, present)
-	r.note(len(gone) > 0)
+	r.markChanged(len(gone) > 0)
 	return gone
 }
 
-func (r *Roster) note(changed bool) bool {
+func (r *Roster) markChanged(changed bool) bool {
 	r.changed = r.changed || changed
 	return changed
 }
@@ -92,28 +92,28 @@
 	r.changed = false
 	for _, c := range r.directory.Changes(now) {
 		if c.Usable {
-			r.put(now, c.Endpoint)
+			r.addUsable(now, c.Endpoint)
 		} else {
-			r.drop(now, c.Endpoint.Key)
+			r.removeUsable(now, c.Endpoint.Key)
 		}
 	}
 	r.recheck(now)
 }
 
-// put adds a usable endpoint to the pools, or updates it there.
-func (r *Roster) put(now time.Time, e *directory.Endpoint) {
+// addUsable adds a usable endpoint to the pools, or updates it there.
+func (r *Roster) addUsable(now time.Time, e *directory.Endpoint) {
 	r.usable[e.Key] = e
 	member := fleet.Endpoint{ID: e.Key, Zone: e.Zone, Class: e.Service, Address: e.Address, State: fleet.VMLive}
 	r.health.List(now, member)
 	out := r.Unusable(now, e.Key)
 	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, out, r.limited[e.Key])
 	if out {
-		r.gate(e.Key)
+		r.closeGate(e.Key)
 	}
 }
 
-// drop takes an endpoint out of the pools.
-func (r *Roster) drop(now time.Time, key fleet.EndpointID) {
+// removeUsable takes an endpoint out of the pools.
+func (r *Roster) removeUsable(now time.Time, key fleet.EndpointID) {
 	delete(r.usable, key)
 	delete(r.gated, key)
 	r.pools.Remove(key)
@@ -123,34 +123,34 @@
 // recheck looks at the endpoints whose state may change with time: those that rest, and
 // those that health has ejected or keeps in spite of that.
 func (r *Roster) recheck(now time.Time) {
-	r.due = r.health.AppendAway(r.due[:0])
-	for key := range r.resting {
-		r.due = append(r.due, key)
+	r.recheckBuf = r.health.AppendAway(r.recheckBuf[:0])
+	for key := range r.suspendedUntil {
+		r.recheckBuf = append(r.recheckBuf, key)
 	}
 	for key := range r.gated {
-		r.due = append(r.due, key)
+		r.recheckBuf = append(r.recheckBuf, key)
 	}
-	for _, key := range r.due {
+	for _, key := range r.recheckBuf {
 		out := r.Unusable(now, key)
 		r.pools.SetOut(key, out)
 		if out {
-			r.gate(key)
+			r.closeGate(key)
 		} else {
 			delete(r.gated, key)
-			r.view.SetGate(key, placement.GateOpen)
+			r.placement.SetGate(key, placement.GateOpen)
 		}
 	}
-	for key, until := range r.resting {
+	for key, until := range r.suspendedUntil {
 		if now.After(until) {
-			delete(r.resting, key)
+			delete(r.suspendedUntil, key)
 		}
 	}
 }
 
-// gate tells placement to send an endpoint no work for the moment.
-func (r *Roster) gate(key fleet.EndpointID) {
+// closeGate tells placement to send an endpoint no work for the moment.
+func (r *Roster) closeGate(key fleet.EndpointID) {
 	r.gated[key] = true
-	r.view.SetGate(key, placement.GateEjected)
+	r.placement.SetGate(key, placement.GateEjected)
 }
 
 // SetLimited takes which endpoints name a limit of requests. It keeps the map.
@@ -166,53 +166,53 @@
 	r.limited = limited
 }
 
-// SetPart sets the part of the engines that is for short prompts.
-func (r *Roster) SetPart(part float64) { r.pools.SetPart(part) }
+// SetShortFraction sets the part of the engines that is for short prompts.
+func (r *Roster) SetShortFraction(fraction float64) { r.pools.SetPart(fraction) }
 
-// Rest withholds work from an endpoint for a while.
-func (r *Roster) Rest(now time.Time, key fleet.EndpointID, d time.Duration) {
-	if until := now.Add(d); until.After(r.resting[key]) {
-		r.resting[key] = until
+// Suspend withholds work from an endpoint for a while.
+func (r *Roster) Suspend(now time.Time, key fleet.EndpointID, d time.Duration) {
+	if until := now.Add(d); until.After(r.suspendedUntil[key]) {
+		r.suspendedUntil[key] = until
 	}
-	r.gate(key)
+	r.closeGate(key)
 }
 
-// Wake ends a rest.
-func (r *Roster) Wake(key fleet.EndpointID) { delete(r.resting, key) }
+// Resume ends a rest.
+func (r *Roster) Resume(key fleet.EndpointID) { delete(r.suspendedUntil, key) }
 
-// Learn takes the weight version that an endpoint was seen to have.
-func (r *Roster) Learn(key fleet.EndpointID, model string, version int64) bool {
+// ObserveVersion takes the weight version that an endpoint was seen to have.
+func (r *Roster) ObserveVersion(key fleet.EndpointID, model string, version int64) bool {
 	e := r.usable[key]
-	return e != nil && r.note(r.directory.ObserveVersion(key, e.ID, model, version))
+	return e != nil && r.markChanged(r.directory.ObserveVersion(key, e.ID, model, version))
 }
 
-// Failed takes an attempt that the endpoint failed.
-func (r *Roster) Failed(now time.Time, key fleet.EndpointID) {
+// RecordFailure takes an attempt that the endpoint failed.
+func (r *Roster) RecordFailure(now time.Time, key fleet.EndpointID) {
 	r.health.Failure(now, key, 0)
-	r.close(now, key)
+	r.gateIfUnusable(now, key)
 }
 
-// Answered takes a whole answer of the endpoint that is not an error.
-func (r *Roster) Answered(now time.Time, key fleet.EndpointID) {
+// RecordSuccess takes a whole answer of the endpoint that is not an error.
+func (r *Roster) RecordSuccess(now time.Time, key fleet.EndpointID) {
 	r.health.Success(now, key, 0, 0)
-	r.close(now, key)
+	r.gateIfUnusable(now, key)
 }
 
-func (r *Roster) close(now time.Time, key fleet.EndpointID) {
+func (r *Roster) gateIfUnusable(now time.Time, key fleet.EndpointID) {
 	if r.Unusable(now, key) {
-		r.gate(key)
+		r.closeGate(key)
 	}
 }
 
 // Unusable tells whether an endpoint gets no work for the moment.
 func (r *Roster) Unusable(now time.Time, key fleet.EndpointID) bool {
-	return now.Before(r.resting[key]) || r.health.Status(now, key) == health.Ejected
+	return now.Before(r.suspendedUntil[key]) || r.health.Status(now, key) == health.Ejected
 }
 
 // MayTry tells whether an endpoint may have a request: one that is due back after
 // failures is tried by one request at a time.
 func (r *Roster) MayTry(now time.Time, key fleet.EndpointID, repeatable bool) bool {
-	if r.usable[key] == nil || now.Before(r.resting[key]) {
+	if r.usable[key] == nil || now.Before(r.suspendedUntil[key]) {
 		return false
 	}
 	return r.health.Status(now, key) != health.Trial || r.health.Allow(now, key, repeatable)
@@ -227,8 +227,8 @@
 // Ready lists the engines that are listed and ready and have the model, by key.
 func (r *Roster) Ready(model string) []*directory.Endpoint { return r.directory.Ready(model) }
 
-// Behind tells whether one of them has weights older than the version.
-func (r *Roster) Behind(model string, version int64) bool {
+// HasOlderVersion tells whether one of them has weights older than the version.
+func (r *Roster) HasOlderVersion(model string, version int64) bool {
 	return r.directory.HasOlderVersion(model, version)
 }
 
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -186,7 +186,7 @@
 	for _, d := range w.all {
 		if d.me == to {
 			for key := range d.s.roster.All() {
-				d.s.roster.Rest(time.Now(), key, time.Minute)
+				d.s.roster.Suspend(time.Now(), key, time.Minute)
 			}
 		} else {
 			asker = d
--- a/router/learn.go
+++ b/router/learn.go
@@ -175,7 +175,7 @@
 	defer p.s.mu.Unlock()
 	full := info.Load != nil && info.Load.Slots > 0 && info.Load.Running >= info.Load.Slots
 	if info.Misplaced || !full {
-		p.s.roster.Rest(now, pl.Target.Key, restAfterRefusal)
+		p.s.roster.Suspend(now, pl.Target.Key, restAfterRefusal)
 	}
 }
 
@@ -201,11 +201,11 @@
 	}
 	if end.Lost && end.Failure == retry.NotSent {
 		// Nobody is there at all: nothing speaks for trying once more soon.
-		p.s.roster.Rest(now, pl.Target.Key, restUnreachable)
+		p.s.roster.Suspend(now, pl.Target.Key, restUnreachable)
 	}
 	if end.Lost {
-		p.s.roster.Failed(now, pl.Target.Key)
+		p.s.roster.RecordFailure(now, pl.Target.Key)
 	} else if end.Whole && !end.Error {
-		p.s.roster.Answered(now, pl.Target.Key)
+		p.s.roster.RecordSuccess(now, pl.Target.Key)
 	}
 }
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -114,7 +114,7 @@
 
 	mu      sync.Mutex
 	names   []string // of all daemons that announced themselves
-	choice  *readers.Choice
+	choice  *readers.Selector
 	began   time.Duration      // when proceed was called first
 	through [topicCount]string // names of the daemons read through, for the log
 }
@@ -180,7 +180,7 @@
 	defer n.mu.Unlock()
 	until := max(n.began, progress) + startPatience
 	if company {
-		until += time.Duration(n.choice.Before()) * restEach
+		until += time.Duration(n.choice.Index()) * restEach
 	}
 	return n.choice.Depth() > 0 && n.clock() < until
 }
@@ -241,7 +241,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := n.choice.Candidates(n.clock(), relayTries)
-	if other, ok := n.choice.Other(number); ok && lost {
+	if other, ok := n.choice.RandomOther(number); ok && lost {
 		out = append(out[:min(1, len(out))], other)
 	}
 	return out
@@ -272,7 +272,7 @@
 func (n *neighbours) leave(t Topic, d readers.Daemon, why string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.choice.Leave(n.clock(), d)
+	n.choice.Avoid(n.clock(), d)
 	if n.through[t] == d.Name {
 		n.through[t] = ""
 		n.log.Info("Neighbour is left.", "topic", t.String(), "neighbour", d.Name, "why", why, "age_ms", age.Milliseconds())
@@ -283,7 +283,7 @@
 func (n *neighbours) serves(t Topic, d readers.Daemon, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.choice.Served(d)
+	n.choice.RecordAnswer(d)
 	if n.through[t] != d.Name {
 		n.through[t] = d.Name
 		n.log.Info("Reads through a neighbour.", "topic", t.String(), "neighbour", d.Name, "age_ms", age.Milliseconds(), "daemons", n.choice.Size())
--- a/router/state.go
+++ b/router/state.go
@@ -98,9 +98,9 @@
 	changes := &viewChanges{shared: view}
 	return &state{
 		roster: roster.New(roster.Options{
-			Grace:  time.Duration(lapsePart * float64(set.DrainWithin)),
-			Health: health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: ejectAtMost},
-			Part:   firstShort, View: changes,
+			Grace:         time.Duration(lapsePart * float64(set.DrainWithin)),
+			Health:        health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: ejectAtMost},
+			ShortFraction: firstShort, Placement: changes,
 		}),
 		named: map[string]named{},
 		saved: map[prefix.Key]time.Time{},
@@ -147,7 +147,7 @@
 			s.split = limited
 			s.roster.SetLimited(*limited)
 		}
-		s.roster.SetPart(s.lanes.short())
+		s.roster.SetShortFraction(s.lanes.short())
 		s.roster.Refresh(now)
 	})
 }
@@ -180,10 +180,10 @@
 		}
 		switch {
 		case n.Loading && e.Versions[n.Model] < n.Version:
-			s.roster.Rest(now, key, loadingNews)
+			s.roster.Suspend(now, key, loadingNews)
 		case !n.Loading:
-			s.roster.Wake(key)
-			s.roster.Learn(key, n.Model, n.Version)
+			s.roster.Resume(key)
+			s.roster.ObserveVersion(key, n.Model, n.Version)
 		}
 	}
 	s.refresh(now)
@@ -193,7 +193,7 @@
 func (s *state) behind(model string, version int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.Behind(model, version)
+	return s.roster.HasOlderVersion(model, version)
 }
 
 // engines lists the engines that serve the model, for the plan of orders.
