--- a/readers/readers.go
+++ b/readers/readers.go
@@ -1,16 +1,16 @@
-// Package readers chooses through which other daemon of its zone a daemon reads
-// the metadata store.
+// Package readers selects the daemon of its own zone through which a daemon reads the
+// metadata store.
 //
-// If every daemon read the store itself, the calls would grow with the number of
-// daemons, and if all read through one, that one's link and processor would carry
-// them all: a change of 100 kB takes 2.6 s to reach 64 readers over 20 Mbit/s. So
-// the daemons of a zone form a tree. Their links, processors and a hash of their names
-// give them one order, the first reads the store and each other one reads through an
-// earlier one, as many through each as its link carries. All come to the same tree with
-// no message. Daemons that know of different ones still form no circle, as each reads
-// through earlier ones only.
+// If every daemon read the store itself, the store's load would grow with the number of
+// daemons. If all read through one daemon, its link and processor would carry them all:
+// a change of 100 kB takes 2.6 s to reach 64 readers over 20 Mbit/s. The daemons of a
+// zone therefore form a tree. They are sorted by link, processor and a hash of their
+// names; the first reads the store, and each other one reads through an earlier one,
+// which gets as many readers as its link carries. All daemons compute the same tree
+// without exchanging messages. Daemons with different lists cannot form a cycle as long
+// as they agree on the order, since each reads through earlier ones only.
 //
-// The package does no I/O and reads no clock. A Choice is not safe for concurrent
+// The package does no I/O and reads no clock. A Selector is not safe for concurrent
 // use.
 package readers
 
@@ -23,67 +23,67 @@
 )
 
 const (
-	// MinFanout is the most daemons that read through one as long as all answer, if its
-	// link is not known to carry more. A daemon with a link of 20 Mbit/s passes on a
-	// change of 100 kB to as many in 0.3 s.
+	// MinFanout is the number of readers of a daemon whose link is unknown or slow, as
+	// long as all daemons answer. A daemon with a link of 20 Mbit/s passes a change of
+	// 100 kB on to 8 readers in 0.3 s.
 	MinFanout = 8
-	// mbpsPerReader is the link that one more reader takes, in Mbit/s, and mostFanout the most
-	// readers of a daemon: when it is lost, all of them turn elsewhere at once.
+	// mbpsPerReader is the bandwidth of the link, in Mbit/s, that allows for one reader.
+	// maxFanout limits the readers of a daemon: if it is lost, all of them turn to other
+	// daemons at once.
 	mbpsPerReader = 20
 	maxFanout     = 24
-	// initialAvoidance is how long a daemon is passed over that did not answer or knew less
-	// than others; each further time twice as long, up to leaveAtMost. Machines
-	// that are gone for good stay on the list, and each try costs a timeout.
+	// initialAvoidance is how long a daemon is avoided that did not answer or was behind
+	// others. It doubles with each further failure up to maxAvoidance: lost machines stay
+	// on the list, and each attempt costs a timeout.
 	initialAvoidance = 2 * time.Second
 	maxAvoidance     = 16 * time.Second
 )
 
-// Daemon is a daemon that can be read through.
+// Daemon is a daemon of the zone.
 type Daemon struct {
 	Name    string
 	Address string  // IP:port
-	Mbps    float64 // of its link; 0: not known
-	Cores   float64 // processor that it may use; 0: not known
+	Mbps    float64 // bandwidth of its link in Mbit/s; 0: not known
+	Cores   float64 // processor cores that it may use; 0: not known
 }
 
-// fanout is how many daemons read through this one as long as all answer.
+// fanout returns how many daemons read through this one as long as all answer.
 func (d *Daemon) fanout() int {
 	return max(MinFanout, min(int(d.Mbps/mbpsPerReader), maxFanout))
 }
 
-// Selector is one daemon's view of the tree.
+// Selector holds one daemon's view of the tree. Create it with New.
 type Selector struct {
 	self     Daemon
-	order    []Daemon // of the zone
-	index    int      // of this daemon in it
-	position position // of this daemon in the tree
+	order    []Daemon // the daemons of the zone, in the order of the tree
+	index    int      // of self in order
+	position position // of self in the tree
 	avoided  map[string]avoidance
 }
 
 // position is a daemon's position in the tree.
 type position struct {
-	depth  int // steps from the store
+	depth  int // hops from the store: 0 for the daemon that reads it
 	parent int // index of the daemon that it reads through; -1: it reads the store
-	// start and width are the index of the first daemon of the parent's level, and how
-	// many that level has.
+	// start is the index of the first daemon of the parent's level, and width the number
+	// of daemons on that level.
 	start, width int
 }
 
-// avoidance is a daemon that is passed over.
+// avoidance is the state of a daemon that is avoided after failures.
 type avoidance struct {
 	until   time.Duration
 	backoff time.Duration
 }
 
-// New returns the choice of a daemon that knows of no other yet.
+// New returns the Selector of a daemon without other daemons.
 func New(me Daemon) *Selector {
 	c := &Selector{self: me, avoided: map[string]avoidance{}}
 	c.Set(nil)
 	return c
 }
 
-// Set takes the daemons of the zone. This daemon counts, whether it is among them
-// or not.
+// Set replaces the daemons of the zone. This daemon is added if it is not among them.
 func (c *Selector) Set(zone []Daemon) {
 	c.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == c.self.Name })
 	c.order = append(c.order, c.self)
@@ -107,13 +107,14 @@
 
 func rank(d Daemon) uint64 { return hash.Text("reader/" + d.Name) }
 
-// positionOf fills the tree level by level, in order, up to the daemon at the index.
+// positionOf computes the position of the daemon at the index by filling the tree level by
+// level, in order.
 func positionOf(order []Daemon, index int) position {
 	if index == 0 {
 		return position{parent: -1}
 	}
 	p := position{depth: 1, width: 1}
-	next, levelEnd := 1, 1 // the first daemon without a parent; the end of the parents' level
+	next, levelEnd := 1, 1 // the first daemon without a parent; the end of the parent's level
 	for parent := 0; ; parent++ {
 		if parent == levelEnd {
 			p.depth++
@@ -127,15 +128,16 @@
 	}
 }
 
-// Index is the number of daemons that come before this one.
+// Index returns the number of daemons that precede this one in the order of the tree.
 func (c *Selector) Index() int { return c.index }
 
-// Size is the number of daemons in the zone, this one included.
+// Size returns the number of daemons in the zone, including this one.
 func (c *Selector) Size() int { return len(c.order) }
 
-// Candidates lists the daemons to read through, the best first and no more than
-// most: the one that the tree gives, another of that level, and then whoever comes
-// first. It is empty for a daemon that reads the store itself.
+// Candidates returns up to most daemons to read through, best first: the parent in the
+// tree, another daemon of the parent's level, then the remaining earlier daemons in
+// order. Avoided daemons are left out. It is empty for a daemon that reads the store
+// itself.
 func (c *Selector) Candidates(now time.Duration, most int) []Daemon {
 	var out []Daemon
 	for _, i := range c.preferred() {
@@ -149,7 +151,8 @@
 	return out
 }
 
-// preferred lists all earlier daemons by their index, in the order of choice.
+// preferred returns the indexes of the earlier daemons, best first. The parent and its
+// substitute occur twice.
 func (c *Selector) preferred() []int {
 	if c.index == 0 {
 		return nil
@@ -157,7 +160,7 @@
 	p := c.position
 	out := []int{p.parent}
 	if p.width > 1 {
-		// Those that read through one daemon turn to different ones when it is lost.
+		// The readers of a lost daemon turn to different daemons.
 		out = append(out, p.start+(p.parent-p.start+1+c.index%(p.width-1))%p.width)
 	}
 	for i := range c.index {
@@ -166,12 +169,13 @@
 	return out
 }
 
-// Depth is how many steps this daemon is from the store as long as all answer; 0:
-// it reads the store itself.
+// Depth returns the number of daemons between this one and the store as long as all
+// answer; 0: it reads the store itself.
 func (c *Selector) Depth() int { return c.position.depth }
 
-// RandomOther returns any other daemon of the zone, chosen by a number in [0, 1). It is
-// for a daemon that finds neither a candidate nor the store.
+// RandomOther returns another daemon of the zone, chosen by a random number in [0, 1);
+// false if there is none. It is for a daemon that reaches neither a candidate nor the
+// store.
 func (c *Selector) RandomOther(number float64) (Daemon, bool) {
 	others := len(c.order) - 1
 	if others < 1 {
@@ -189,12 +193,12 @@
 	return ok && now < a.until
 }
 
-// Avoid passes a daemon over for a while.
+// Avoid excludes a daemon from the candidates for a while, for longer with each call.
 func (c *Selector) Avoid(now time.Duration, d Daemon) {
 	a, ok := c.avoided[d.Address]
 	switch {
 	case ok && now < a.until:
-		return // several reads were under way
+		return // failure of a read that was already in progress
 	case ok:
 		a.backoff = min(2*a.backoff, maxAvoidance)
 	default:
@@ -204,5 +208,5 @@
 	c.avoided[d.Address] = a
 }
 
-// RecordAnswer takes that a daemon gave an answer that could be used.
+// RecordAnswer records a usable answer of a daemon, which is then no longer avoided.
 func (c *Selector) RecordAnswer(d Daemon) { delete(c.avoided, d.Address) }
--- a/readers/readers_test.go
+++ b/readers/readers_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// selectors makes the views that n daemons have of their selectors, in the tree's order.
+// selectors returns the Selectors of the n daemons of a zone, in the order of the tree.
 func selectors(n int) []*Selector {
 	var all []Daemon
 	for i := range n {
@@ -23,10 +23,10 @@
 	return out
 }
 
-// 220 daemons of a zone read through one, whose link of 20 Mbit/s is full: the news
-// come late to all, and callers are refused by some. No daemon may carry more than
-// the fan-out, and none may be further from the store than the tree is deep.
-func TestNoDaemonCarriesMoreThanTheFanout(t *testing.T) {
+// Guards against 220 daemons of a zone that read through one with a link of 20 Mbit/s:
+// updates arrive late at all of them, and some refuse requests. No daemon may have more
+// readers than the fan-out, and the depth of the tree is bounded.
+func TestFanoutAndDepthAreBounded(t *testing.T) {
 	for n, deepest := range map[int]int{1: 0, 2: 1, 9: 1, 10: 2, 65: 2, 73: 2, 220: 3} {
 		children, depth := map[string]int{}, map[string]int{}
 		for _, c := range selectors(n) {
@@ -40,7 +40,7 @@
 			children[through[0].Name]++
 			depth[c.self.Name] = depth[through[0].Name] + 1
 			if depth[c.self.Name] > deepest {
-				t.Errorf("of %d daemons number %d is %d steps from the store", n, c.index, depth[c.self.Name])
+				t.Errorf("of %d daemons number %d has depth %d", n, c.index, depth[c.self.Name])
 			}
 		}
 		for name, k := range children {
@@ -51,9 +51,10 @@
 	}
 }
 
-// Daemons that start together know of different others. If two read through each
-// other, neither hears of a change of the configuration until it gives up.
-func TestNoTwoReadThroughEachOther(t *testing.T) {
+// Guards against cycles among daemons that start at the same time and have different
+// lists: two that read through each other get no change of the configuration until one
+// gives up.
+func TestNoCyclesWithDifferentLists(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 80).Draw(t, "daemons")
 		var all []Daemon
@@ -65,7 +66,7 @@
 			known := rapid.SliceOfDistinct(rapid.SampledFrom(all), func(d Daemon) string { return d.Name }).Draw(t, fmt.Sprint("known to ", i))
 			c.Set(known)
 			if c.order[c.index].Name != d.Name {
-				t.Fatalf("%s takes itself for %s", d.Name, c.order[c.index].Name)
+				t.Fatalf("%s has the index of %s", d.Name, c.order[c.index].Name)
 			}
 			for _, through := range c.Candidates(0, n) {
 				if rank(through) >= rank(d) {
@@ -76,9 +77,9 @@
 	})
 }
 
-// The daemon that a fifth of a zone reads through loses power. Its readers must turn
-// to others at once, and not all to the same one.
-func TestReadersOfALostDaemonAreSpread(t *testing.T) {
+// Guards against readers of a lost daemon that stay with it or all turn to the same
+// other daemon.
+func TestReadersOfLostDaemonAreSpread(t *testing.T) {
 	all := selectors(73)
 	for lost := 1; lost <= MinFanout; lost++ {
 		next := map[string]int{}
@@ -103,9 +104,9 @@
 	}
 }
 
-// A machine is gone for good, and its name stays on the list. Asked every two
-// seconds it costs each reader a timeout every two seconds.
-func TestALostDaemonIsAskedLessAndLess(t *testing.T) {
+// Guards against repeated timeouts: a lost machine stays on the list, and at a fixed
+// interval of two seconds each reader would wait for it every two seconds.
+func TestAvoidBacksOff(t *testing.T) {
 	c := selectors(10)[9]
 	lost := c.Candidates(0, 1)[0]
 	now, asked := time.Duration(0), 0
@@ -124,9 +125,9 @@
 	}
 }
 
-// A daemon that finds neither the store nor an earlier daemon may read through any
-// other, but not through itself.
-func TestOtherIsNeverTheDaemonItself(t *testing.T) {
+// A daemon that reaches neither the store nor an earlier daemon may read through any
+// other daemon, but not through itself.
+func TestRandomOtherIsNeverSelf(t *testing.T) {
 	for _, c := range selectors(7) {
 		seen := map[string]bool{}
 		for i := range 60 {
@@ -137,7 +138,7 @@
 			seen[d.Name] = true
 		}
 		if len(seen) != 6 {
-			t.Errorf("%s meets %d of 6 others", c.self.Name, len(seen))
+			t.Errorf("%s gets %d of 6 others", c.self.Name, len(seen))
 		}
 	}
 	if _, ok := New(Daemon{Name: "alone"}).RandomOther(0.5); ok {
@@ -145,9 +146,9 @@
 	}
 }
 
-// Guards against a zone that hangs on its smallest links: a daemon of 20 Mbit/s that
-// reads for 220 others falls behind, and all of them turn to the store at once.
-func TestLargeLinksCarryTheZone(t *testing.T) {
+// Guards against trees with slow links near the root: a daemon with 20 Mbit/s that reads
+// for 220 others falls behind, and all of them turn to the store at once.
+func TestDaemonsWithFastLinksAreParents(t *testing.T) {
 	const large, small = 10, 210
 	var all []Daemon
 	for i := range large + small {
@@ -162,7 +163,7 @@
 		c := New(d)
 		c.Set(all)
 		if c.Depth() > 2 {
-			t.Errorf("%s is %d steps from the store", d.Name, c.Depth())
+			t.Errorf("%s has depth %d", d.Name, c.Depth())
 		}
 		for _, through := range c.Candidates(0, 1) {
 			if through.Mbps < 1000 {
@@ -176,7 +177,7 @@
 			t.Errorf("%d read through %s", n, name)
 		}
 	}
-	// A daemon that is not on the list yet knows its own link.
+	// A daemon that is not on the list yet uses its own link.
 	c := New(all[7])
 	c.Set(all[:5])
 	if c.Depth() != 0 {
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -1,9 +1,10 @@
-// Package roster holds which endpoints may be given work: those that are listed, less
-// those that fail or are left alone for the moment. It keeps placement's pools by that.
+// Package roster holds the endpoints that may receive requests: those that are
+// registered, without those that health checks ejected or that are suspended. It updates
+// placement's pools accordingly.
 //
-// A change costs what it changes, however many endpoints there are: nothing is made anew
-// from all of them, and Refresh looks at what was touched and at what is due. The
-// package does no I/O and reads no clock. A Roster is not safe for concurrent use.
+// The cost of a change does not depend on the number of endpoints: nothing is rebuilt
+// from all of them, and Refresh looks at those that changed or are due. The package does
+// no I/O and reads no clock. A Roster is not safe for concurrent use.
 package roster
 
 import (
@@ -18,23 +19,24 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-// PlacementSink is the part of placement that is told of changes.
+// PlacementSink receives the changes on behalf of placement.
 type PlacementSink interface {
 	pools.Sink
 	SetGate(id fleet.EndpointID, g placement.Gate)
 }
 
-// Options set up a Roster.
+// Options configures a Roster.
 type Options struct {
-	// Grace is how long an endpoint counts whose entry lapsed together with others, see
-	// package directory.
+	// Grace is how long an endpoint stays usable whose entry lapsed together with others,
+	// see package directory.
 	Grace         time.Duration
 	Health        health.Options
-	ShortFraction float64 // of the engines for short prompts, at first
+	ShortFraction float64 // initial fraction of the engines for short prompts
 	Placement     PlacementSink
 }
 
-// Roster is what a daemon knows of the endpoints. Make it with New.
+// Roster combines registration, health and suspensions of the endpoints. Create it with
+// New.
 type Roster struct {
 	directory *directory.Directory
 	health    *health.Tracker
@@ -42,11 +44,11 @@
 	placement PlacementSink
 
 	usable         map[fleet.EndpointID]*directory.Endpoint
-	suspendedUntil map[fleet.EndpointID]time.Time // until when they are left alone
-	gated          map[fleet.EndpointID]bool      // placement was told that they get no work
-	limited        map[fleet.EndpointID]bool      // they name a limit of requests
-	changed        bool                           // something waits for Refresh
-	recheckBuf     []fleet.EndpointID             // memory of recheck
+	suspendedUntil map[fleet.EndpointID]time.Time // end of the suspension
+	gated          map[fleet.EndpointID]bool      // placement's gate is closed for them
+	limited        map[fleet.EndpointID]bool      // they report a limit of concurrent requests
+	changed        bool                           // there are changes for Refresh
+	recheckBuf     []fleet.EndpointID             // reused by recheck
 }
 
 // New returns a Roster without endpoints.
@@ -58,19 +60,19 @@
 	}
 }
 
-// Put takes an entry.
+// Put adds or updates an endpoint, see directory.Directory.Put.
 func (r *Roster) Put(e directory.Entry) directory.PutResult {
 	news := r.directory.Put(e)
 	r.markChanged(news == directory.RoutingChanged)
 	return news
 }
 
-// Remove takes that the entry of the id is gone, see directory.Directory.Remove.
+// Remove marks an entry as removed, see directory.Directory.Remove.
 func (r *Roster) Remove(now, since time.Time, id string) bool {
 	return r.markChanged(r.directory.Remove(now, since, id))
 }
 
-// Retain takes the ids of all entries that there are, and returns those that are gone.
+// Retain removes all entries whose ID is not present and returns their IDs.
 func (r *Roster) Retain(now, since time.Time, present map[string]bool) []string {
 	gone := r.directory.Retain(now, since, present)
 	r.markChanged(len(gone) > 0)
@@ -82,12 +84,12 @@
 	return changed
 }
 
-// Changed tells whether something waits for Refresh. A daemon that has just become ready
-// would else refuse its first callers until the next tick.
+// Changed reports whether there are changes for Refresh. A daemon that has just become
+// ready checks it, as it would otherwise refuse requests until the next tick.
 func (r *Roster) Changed() bool { return r.changed }
 
-// Refresh puts into force what changed since it was called last, with time as well. Call
-// it after changes and on a tick.
+// Refresh applies what changed since the last call, including changes by the passing of
+// time. Call it after changes and periodically.
 func (r *Roster) Refresh(now time.Time) {
 	r.changed = false
 	for _, c := range r.directory.Changes(now) {
@@ -100,7 +102,7 @@
 	r.recheck(now)
 }
 
-// addUsable adds a usable endpoint to the pools, or updates it there.
+// addUsable adds a usable endpoint to the pools or updates it there.
 func (r *Roster) addUsable(now time.Time, e *directory.Endpoint) {
 	r.usable[e.Key] = e
 	member := fleet.Endpoint{ID: e.Key, Zone: e.Zone, Class: e.Service, Address: e.Address, State: fleet.VMLive}
@@ -112,7 +114,7 @@
 	}
 }
 
-// removeUsable takes an endpoint out of the pools.
+// removeUsable removes an endpoint from the pools.
 func (r *Roster) removeUsable(now time.Time, key fleet.EndpointID) {
 	delete(r.usable, key)
 	delete(r.gated, key)
@@ -120,8 +122,8 @@
 	r.health.Missing(now, key)
 }
 
-// recheck looks at the endpoints whose state may change with time: those that rest, and
-// those that health has ejected or keeps in spite of that.
+// recheck updates the endpoints whose state may change with time: those that are
+// suspended, and those that health ejected or retains despite failures.
 func (r *Roster) recheck(now time.Time) {
 	r.recheckBuf = r.health.AppendAway(r.recheckBuf[:0])
 	for key := range r.suspendedUntil {
@@ -147,13 +149,14 @@
 	}
 }
 
-// closeGate tells placement to send an endpoint no work for the moment.
+// closeGate makes placement send no requests to an endpoint until recheck opens the gate.
 func (r *Roster) closeGate(key fleet.EndpointID) {
 	r.gated[key] = true
 	r.placement.SetGate(key, placement.GateEjected)
 }
 
-// SetLimited takes which endpoints name a limit of requests. It keeps the map.
+// SetLimited sets the endpoints that report a limit of concurrent requests. The Roster
+// keeps the map.
 func (r *Roster) SetLimited(limited map[fleet.EndpointID]bool) {
 	for key := range r.limited {
 		if !limited[key] {
@@ -166,10 +169,11 @@
 	r.limited = limited
 }
 
-// SetShortFraction sets the part of the engines that is for short prompts.
+// SetShortFraction sets the fraction of the engines that is for short prompts.
 func (r *Roster) SetShortFraction(fraction float64) { r.pools.SetPart(fraction) }
 
-// Suspend withholds work from an endpoint for a while.
+// Suspend keeps requests from an endpoint for the given time, or for longer if it is
+// suspended already.
 func (r *Roster) Suspend(now time.Time, key fleet.EndpointID, d time.Duration) {
 	if until := now.Add(d); until.After(r.suspendedUntil[key]) {
 		r.suspendedUntil[key] = until
@@ -177,22 +181,23 @@
 	r.closeGate(key)
 }
 
-// Resume ends a rest.
+// Resume ends a suspension.
 func (r *Roster) Resume(key fleet.EndpointID) { delete(r.suspendedUntil, key) }
 
-// ObserveVersion takes the weight version that an endpoint was seen to have.
+// ObserveVersion records the weight version that an answer of the endpoint named, and
+// reports whether it is higher than the known one.
 func (r *Roster) ObserveVersion(key fleet.EndpointID, model string, version int64) bool {
 	e := r.usable[key]
 	return e != nil && r.markChanged(r.directory.ObserveVersion(key, e.ID, model, version))
 }
 
-// RecordFailure takes an attempt that the endpoint failed.
+// RecordFailure records an attempt that failed at the endpoint.
 func (r *Roster) RecordFailure(now time.Time, key fleet.EndpointID) {
 	r.health.Failure(now, key, 0)
 	r.gateIfUnusable(now, key)
 }
 
-// RecordSuccess takes a whole answer of the endpoint that is not an error.
+// RecordSuccess records a complete answer of the endpoint that is not an error.
 func (r *Roster) RecordSuccess(now time.Time, key fleet.EndpointID) {
 	r.health.Success(now, key, 0, 0)
 	r.gateIfUnusable(now, key)
@@ -204,13 +209,13 @@
 	}
 }
 
-// Unusable tells whether an endpoint gets no work for the moment.
+// Unusable reports whether an endpoint is suspended or ejected.
 func (r *Roster) Unusable(now time.Time, key fleet.EndpointID) bool {
 	return now.Before(r.suspendedUntil[key]) || r.health.Status(now, key) == health.Ejected
 }
 
-// MayTry tells whether an endpoint may have a request: one that is due back after
-// failures is tried by one request at a time.
+// MayTry reports whether a request may be sent to an endpoint. An endpoint on trial after
+// an ejection gets one request at a time.
 func (r *Roster) MayTry(now time.Time, key fleet.EndpointID, repeatable bool) bool {
 	if r.usable[key] == nil || now.Before(r.suspendedUntil[key]) {
 		return false
@@ -218,27 +223,30 @@
 	return r.health.Status(now, key) != health.Trial || r.health.Allow(now, key, repeatable)
 }
 
-// Find returns an endpoint that may be given work, as listed; nil: it may not.
+// Find returns a usable endpoint, or nil.
 func (r *Roster) Find(key fleet.EndpointID) *directory.Endpoint { return r.usable[key] }
 
-// All goes over the endpoints that may be given work.
+// All iterates over the usable endpoints.
 func (r *Roster) All() iter.Seq2[fleet.EndpointID, *directory.Endpoint] { return maps.All(r.usable) }
 
-// Ready lists the engines that are listed and ready and have the model, by key.
+// Ready returns the ready engines that have the model, sorted by key. Suspended and
+// ejected ones are among them.
 func (r *Roster) Ready(model string) []*directory.Endpoint { return r.directory.Ready(model) }
 
-// HasOlderVersion tells whether one of them has weights older than the version.
+// HasOlderVersion reports whether a ready engine has weights older than the version.
 func (r *Roster) HasOlderVersion(model string, version int64) bool {
 	return r.directory.HasOlderVersion(model, version)
 }
 
-// Counts returns the usable engines of a model. Its maps change with the Roster.
+// Counts returns the counts of usable engines of a model. Its maps are those of the
+// Roster and change with it.
 func (r *Roster) Counts(service, model string) pools.Counts { return r.pools.Counts(service, model) }
 
-// Engines is the number of usable engines of a model.
+// Engines returns the number of usable engines of a model.
 func (r *Roster) Engines(service, model string) int { return r.pools.Engines(service, model) }
 
-// Expire forgets what is long gone. Call it about once a second.
+// Expire drops state of endpoints that were removed long ago. Call it about once a
+// second.
 func (r *Roster) Expire(now time.Time) {
 	r.directory.Expire(now)
 	r.health.Expire(now)
