--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -17,12 +17,12 @@
 
 // Times and bounds of spreading.
 const (
-	DirectPeers = 64
-	RelayPeers  = 3
-	RelayTimes  = 8
-	SyncEvery   = 250 * time.Millisecond
-	// Tick is the time between two ticks.
-	Tick = 100 * time.Millisecond
+	DirectFanout = 64
+	RelayFanout  = 3
+	RelayRounds  = 8
+	SyncInterval = 250 * time.Millisecond
+	// TickInterval is the time between two ticks.
+	TickInterval = 100 * time.Millisecond
 )
 
 // Peer is a daemon of the deployment.
@@ -39,26 +39,26 @@
 
 // Peers are the other daemons. Make them with NewPeers.
 type Peers struct {
-	me     Peer
-	rng    *rand.Rand
-	others []Peer
-	synced time.Duration
-	out    []Datagram
+	self     Peer
+	rng      *rand.Rand
+	others   []Peer
+	lastSync time.Duration
+	out      []Datagram
 }
 
 // NewPeers returns Peers of which none are known yet. rng is seeded.
-func NewPeers(me Peer, rng *rand.Rand) *Peers { return &Peers{me: me, rng: rng} }
+func NewPeers(me Peer, rng *rand.Rand) *Peers { return &Peers{self: me, rng: rng} }
 
 // Set takes the list of all daemons.
 func (p *Peers) Set(all []Peer) {
-	p.others = slices.DeleteFunc(slices.Clone(all), func(o Peer) bool { return o.Name == p.me.Name || o.Address == "" })
+	p.others = slices.DeleteFunc(slices.Clone(all), func(o Peer) bool { return o.Name == p.self.Name || o.Address == "" })
 }
 
 // Others lists the other daemons.
 func (p *Peers) Others() []Peer { return p.others }
 
-// Some draws daemons.
-func (p *Peers) Some(most int) []Peer {
+// Sample draws daemons.
+func (p *Peers) Sample(most int) []Peer {
 	if len(p.others) <= most {
 		return p.others
 	}
@@ -69,9 +69,9 @@
 	return out
 }
 
-// Tell sends a message to drawn daemons.
-func (p *Peers) Tell(most int, data []byte) {
-	for _, to := range p.Some(most) {
+// SendToSample sends a message to drawn daemons.
+func (p *Peers) SendToSample(most int, data []byte) {
+	for _, to := range p.Sample(most) {
 		p.Send(to, data)
 	}
 }
@@ -83,15 +83,15 @@
 
 // SyncDue tells whether it is time to tell some daemon what is known.
 func (p *Peers) SyncDue(now time.Duration) bool {
-	if len(p.others) == 0 || now-p.synced < SyncEvery {
+	if len(p.others) == 0 || now-p.lastSync < SyncInterval {
 		return false
 	}
-	p.synced = now
+	p.lastSync = now
 	return true
 }
 
-// Outbox returns what is to be sent, and forgets it.
-func (p *Peers) Outbox() []Datagram {
+// TakeOutbox returns what is to be sent, and forgets it.
+func (p *Peers) TakeOutbox() []Datagram {
 	out := p.out
 	p.out = nil
 	return out
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -85,7 +85,7 @@
 // Run does what is due with time alone until the context ends.
 func (g *Guard) Run(ctx context.Context) {
 	defer g.end()
-	for pause.Tick(ctx, gossip.Tick) == nil {
+	for pause.Tick(ctx, gossip.TickInterval) == nil {
 		g.mu.Lock()
 		now := g.o.Clock()
 		g.node.Tick(now)
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -109,14 +109,14 @@
 		return
 	}
 	t.set(now, update{endpoint: e, limit: said}, false)
-	t.peers.Tell(gossip.DirectPeers, encode([]update{{endpoint: e, limit: said}}))
+	t.peers.SendToSample(gossip.DirectFanout, encode([]update{{endpoint: e, limit: said}}))
 }
 
 func (t *Table) set(now time.Duration, u update, fromPeer bool) {
 	if t.entries[u.endpoint] == nil && len(t.entries) >= maxEndpoints {
 		return
 	}
-	t.entries[u.endpoint] = &entry{limit: u.limit, at: now - u.age, relays: gossip.RelayTimes}
+	t.entries[u.endpoint] = &entry{limit: u.limit, at: now - u.age, relays: gossip.RelayRounds}
 	c := Change{Endpoint: u.endpoint, FromPeer: fromPeer, Age: u.age}
 	if u.limit >= 0 {
 		c.Limit = &u.limit
@@ -152,11 +152,11 @@
 		}
 		if w.relays > 0 {
 			w.relays--
-			t.peers.Tell(gossip.RelayPeers, encode([]update{updateOf(now, e, w)}))
+			t.peers.SendToSample(gossip.RelayFanout, encode([]update{updateOf(now, e, w)}))
 		}
 	}
 	if len(t.entries) > 0 && t.peers.SyncDue(now) {
-		t.peers.Tell(1, encode(t.next(now)))
+		t.peers.SendToSample(1, encode(t.next(now)))
 	}
 }
 
@@ -203,7 +203,7 @@
 }
 
 // Outbox returns what is to be sent, and forgets it.
-func (t *Table) Outbox() []gossip.Datagram { return t.peers.Outbox() }
+func (t *Table) Outbox() []gossip.Datagram { return t.peers.TakeOutbox() }
 
 // Changes returns the limits that changed, and forgets them.
 func (t *Table) Changes() []Change {
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -35,7 +35,7 @@
 }
 
 func (b *tables) pass(span time.Duration) {
-	for until := b.now + span; b.now < until; b.now += gossip.Tick {
+	for until := b.now + span; b.now < until; b.now += gossip.TickInterval {
 		for i, table := range b.all {
 			table.Tick(b.now)
 			table.Changes()
--- a/neighbour/choose.go
+++ b/neighbour/choose.go
@@ -25,9 +25,9 @@
 // DefaultZonePairs links every zone with every other one up to five zones.
 const DefaultZonePairs = 2
 
-// spareRings is the number of rings when there is one zone only, so that the
+// singleZoneRings is the number of rings when there is one zone only, so that the
 // loss of two daemons does not cut the graph.
-const spareRings = 2
+const singleZoneRings = 2
 
 // MaxNeighbours is the most neighbours that Choose returns with the default
 // options: two on the ring of the own zone and two for each linked zone.
@@ -53,15 +53,15 @@
 
 	rings := 1
 	if len(names) == 1 {
-		rings = spareRings
+		rings = singleZoneRings
 	}
 	for i := range rings {
-		beside(self, ringName(self.Zone, self.Zone, i), own, nil, chosen)
+		addAdjacent(self, ringName(self.Zone, self.Zone, i), own, nil, chosen)
 	}
-	for _, other := range linked(self.Zone, names, o.ZonePairs) {
-		beside(self, ringName(self.Zone, other, 0), own, zones[other], chosen)
+	for _, other := range linkedZones(self.Zone, names, o.ZonePairs) {
+		addAdjacent(self, ringName(self.Zone, other, 0), own, zones[other], chosen)
 	}
-	return sorted(chosen)
+	return sortedByID(chosen)
 }
 
 // byZone groups the daemons that take part, self among them, once each.
@@ -84,9 +84,9 @@
 	return names
 }
 
-// linked returns the zones at a distance of up to pairs from z in the circle of
+// linkedZones returns the zones at a distance of up to pairs from z in the circle of
 // names.
-func linked(z fleet.ZoneID, names []fleet.ZoneID, pairs int) []fleet.ZoneID {
+func linkedZones(z fleet.ZoneID, names []fleet.ZoneID, pairs int) []fleet.ZoneID {
 	at := slices.Index(names, z)
 	n := len(names)
 	var out []fleet.ZoneID
@@ -108,68 +108,68 @@
 	return string(a) + "\x00" + string(b) + "\x00" + string(rune('0'+i))
 }
 
-// place is a daemon's place on a ring; the id breaks a tie of hashes.
-type place struct {
+// ringPosition is a daemon's ringPosition on a ring; the id breaks a tie of hashes.
+type ringPosition struct {
 	hash uint64
 	id   string
 }
 
-func placeOf(ring, id string) place {
-	return place{xxhash.Sum64String(ring + "\x00" + id), id}
+func positionOnRing(ring, id string) ringPosition {
+	return ringPosition{xxhash.Sum64String(ring + "\x00" + id), id}
 }
 
-func (p place) before(q place) bool {
+func (p ringPosition) before(q ringPosition) bool {
 	if p.hash != q.hash {
 		return p.hash < q.hash
 	}
 	return p.id < q.id
 }
 
-// beside adds the daemons right before and right after self on a ring.
-func beside(self ports.Daemon, ring string, as, bs []ports.Daemon, chosen map[string]ports.Daemon) {
-	r := ringSearch{self: placeOf(ring, self.ID)}
+// addAdjacent adds the daemons right before and right after self on a ring.
+func addAdjacent(self ports.Daemon, ring string, as, bs []ports.Daemon, chosen map[string]ports.Daemon) {
+	r := ringSearch{self: positionOnRing(ring, self.ID)}
 	for _, daemons := range [][]ports.Daemon{as, bs} {
 		for _, d := range daemons {
 			if d.ID != self.ID {
-				r.see(d, placeOf(ring, d.ID))
+				r.consider(d, positionOnRing(ring, d.ID))
 			}
 		}
 	}
-	if !r.any {
+	if !r.found {
 		return
 	}
 	chosen[r.next.daemon.ID] = r.next.daemon
 	chosen[r.previous.daemon.ID] = r.previous.daemon
 }
 
-type placed struct {
-	daemon ports.Daemon
-	place  place
+type candidate struct {
+	daemon   ports.Daemon
+	position ringPosition
 }
 
 // ringSearch finds the places next to self in one pass, without sorting.
 type ringSearch struct {
-	self           place
-	any            bool
-	next, previous placed
+	self           ringPosition
+	found          bool
+	next, previous candidate
 }
 
-func (r *ringSearch) see(d ports.Daemon, p place) {
-	c := placed{d, p}
-	if !r.any {
-		r.any, r.next, r.previous = true, c, c
+func (r *ringSearch) consider(d ports.Daemon, p ringPosition) {
+	c := candidate{d, p}
+	if !r.found {
+		r.found, r.next, r.previous = true, c, c
 		return
 	}
-	if r.closerAfter(p, r.next.place) {
+	if r.closerAfter(p, r.next.position) {
 		r.next = c
 	}
-	if r.closerAfter(r.previous.place, p) {
+	if r.closerAfter(r.previous.position, p) {
 		r.previous = c
 	}
 }
 
 // closerAfter tells whether p comes before q when walking up from self.
-func (r *ringSearch) closerAfter(p, q place) bool {
+func (r *ringSearch) closerAfter(p, q ringPosition) bool {
 	pWraps, qWraps := p.before(r.self), q.before(r.self)
 	if pWraps != qWraps {
 		return qWraps
@@ -177,7 +177,7 @@
 	return p.before(q)
 }
 
-func sorted(chosen map[string]ports.Daemon) []ports.Daemon {
+func sortedByID(chosen map[string]ports.Daemon) []ports.Daemon {
 	out := make([]ports.Daemon, 0, len(chosen))
 	for _, d := range chosen {
 		out = append(out, d)
@@ -189,5 +189,5 @@
 // Initiates tells whether a rather than b opens the exchanges between them, so
 // that a link costs one exchange in each interval, not two.
 func Initiates(a, b string) bool {
-	return placeOf("initiates", a).before(placeOf("initiates", b))
+	return positionOnRing("initiates", a).before(positionOnRing("initiates", b))
 }
--- a/neighbour/digest.go
+++ b/neighbour/digest.go
@@ -18,12 +18,12 @@
 
 // Digest is what one daemon tells its neighbours.
 type Digest struct {
-	Daemon    string
-	Life      uint64 // start of the process, Unix nanoseconds
-	Sequence  uint64 // grows with each digest of one life
-	Accepted  Revision
-	Endpoints []fleet.Evidence
-	Usage     []byte // organisations' use, see package contract
+	Daemon      string
+	Incarnation uint64 // start of the process, Unix nanoseconds
+	Sequence    uint64 // grows with each digest of one life
+	Accepted    Revision
+	Endpoints   []fleet.Evidence
+	Usage       []byte // organisations' use, see package contract
 }
 
 // Bounds of a digest. A digest beyond them is refused whole.
@@ -43,8 +43,8 @@
 	Reason DropReason
 	// Fetch says that the sender has accepted a later revision.
 	Fetch bool
-	// Behind says that the sender's revision is earlier than the own: tell it.
-	Behind bool
+	// SenderBehind says that the sender's revision is earlier than the own: tell it.
+	SenderBehind bool
 	// Conflict says that the sender calls another manifest by the same offset.
 	// One of the two was not read from the log; neither is taken over.
 	Conflict bool
@@ -55,37 +55,37 @@
 
 // The reasons.
 const (
-	DropOwn       DropReason = "own"        // from this daemon, or a namesake
-	DropInvalid   DropReason = "invalid"    // outside the bounds
-	DropOldLife   DropReason = "old life"   // from before the sender's restart
-	DropRepeated  DropReason = "repeated"   // late or delivered twice
-	DropTableFull DropReason = "table full" // more senders than a daemon has neighbours
+	DropOwn            DropReason = "own"        // from this daemon, or a namesake
+	DropInvalid        DropReason = "invalid"    // outside the bounds
+	DropOldIncarnation DropReason = "old life"   // from before the sender's restart
+	DropRepeated       DropReason = "repeated"   // late or delivered twice
+	DropTableFull      DropReason = "table full" // more senders than a daemon has neighbours
 )
 
 // Bounds of the table of senders.
 const (
 	maxSenders = 256
-	// lifeTimeout is how long the newest life of a sender must be silent before
+	// incarnationTimeout is how long the newest life of a sender must be silent before
 	// one with an earlier start counts: a VM that replaced it may have a clock
 	// that runs behind.
-	lifeTimeout = 30 * time.Second
+	incarnationTimeout = 30 * time.Second
 	// senderTimeout is how long a silent sender stays in the table.
 	senderTimeout = 5 * time.Minute
-	// fetchPause is how long a revision that could not be had, or was found to
+	// fetchRetryDelay is how long a revision that could not be had, or was found to
 	// be forged, is not fetched from the same sender again.
-	fetchPause = 2 * time.Second
+	fetchRetryDelay = 2 * time.Second
 )
 
 // Sender is what is known of one daemon from its digests.
 type Sender struct {
-	Daemon   string
-	Life     uint64
-	Sequence uint64
-	Accepted Revision
-	Heard    time.Time
-
-	failed      Revision
-	failedUntil time.Time
+	Daemon       string
+	Incarnation  uint64 `json:"Life"`
+	Sequence     uint64
+	Accepted     Revision
+	LastReceived time.Time `json:"Heard"`
+
+	failedRevision Revision
+	failedUntil    time.Time
 }
 
 // Table judges digests. It is not safe for concurrent use.
@@ -102,21 +102,21 @@
 // Receive judges a digest against the accepted revision. It never asks to go
 // back: an earlier revision, or another one at the same offset, is not taken.
 func (t *Table) Receive(now time.Time, own Revision, d Digest) Verdict {
-	if reason := t.admit(now, d); reason != "" {
+	if reason := t.checkSender(now, d); reason != "" {
 		return Verdict{Reason: reason}
 	}
 	s := t.senders[d.Daemon]
-	s.Life, s.Sequence, s.Accepted, s.Heard = d.Life, d.Sequence, d.Accepted, now
-	paused := s.failed == d.Accepted && now.Before(s.failedUntil)
+	s.Incarnation, s.Sequence, s.Accepted, s.LastReceived = d.Incarnation, d.Sequence, d.Accepted, now
+	paused := s.failedRevision == d.Accepted && now.Before(s.failedUntil)
 	return Verdict{
-		Fetch:    d.Accepted.Offset > own.Offset && !paused,
-		Behind:   d.Accepted.Offset < own.Offset,
-		Conflict: d.Accepted.Offset == own.Offset && d.Accepted.Digest != own.Digest,
+		Fetch:        d.Accepted.Offset > own.Offset && !paused,
+		SenderBehind: d.Accepted.Offset < own.Offset,
+		Conflict:     d.Accepted.Offset == own.Offset && d.Accepted.Digest != own.Digest,
 	}
 }
 
-// admit checks the digest's shape and order, and makes room for its sender.
-func (t *Table) admit(now time.Time, d Digest) DropReason {
+// checkSender checks the digest's shape and order, and makes room for its sender.
+func (t *Table) checkSender(now time.Time, d Digest) DropReason {
 	if d.Daemon == t.self {
 		return DropOwn
 	}
@@ -133,9 +133,9 @@
 		return ""
 	}
 	switch {
-	case d.Life < s.Life && now.Sub(s.Heard) < lifeTimeout:
-		return DropOldLife
-	case d.Life == s.Life && d.Sequence <= s.Sequence:
+	case d.Incarnation < s.Incarnation && now.Sub(s.LastReceived) < incarnationTimeout:
+		return DropOldIncarnation
+	case d.Incarnation == s.Incarnation && d.Sequence <= s.Sequence:
 		return DropRepeated
 	}
 	return ""
@@ -143,7 +143,7 @@
 
 // valid tells whether the digest keeps the bounds.
 func (d Digest) valid() bool {
-	if d.Daemon == "" || len(d.Daemon) > MaxDaemonID || d.Life == 0 || d.Accepted.Offset < 0 {
+	if d.Daemon == "" || len(d.Daemon) > MaxDaemonID || d.Incarnation == 0 || d.Accepted.Offset < 0 {
 		return false
 	}
 	if len(d.Endpoints) > MaxEndpoints || len(d.Usage) > MaxUsage {
@@ -160,17 +160,17 @@
 // expire forgets senders that have long been silent.
 func (t *Table) expire(now time.Time) {
 	for id, s := range t.senders {
-		if now.Sub(s.Heard) > senderTimeout {
+		if now.Sub(s.LastReceived) > senderTimeout {
 			delete(t.senders, id)
 		}
 	}
 }
 
-// FetchFailed keeps a revision from being fetched from the same sender at
+// RecordFetchFailure keeps a revision from being fetched from the same sender at
 // once again.
-func (t *Table) FetchFailed(now time.Time, daemon string, r Revision) {
+func (t *Table) RecordFetchFailure(now time.Time, daemon string, r Revision) {
 	if s, known := t.senders[daemon]; known {
-		s.failed, s.failedUntil = r, now.Add(fetchPause)
+		s.failedRevision, s.failedUntil = r, now.Add(fetchRetryDelay)
 	}
 }
 
@@ -179,13 +179,13 @@
 func (t *Table) Holders(now time.Time, r Revision) []string {
 	var holders []*Sender
 	for _, s := range t.senders {
-		paused := s.failed == s.Accepted && now.Before(s.failedUntil)
+		paused := s.failedRevision == s.Accepted && now.Before(s.failedUntil)
 		if s.Accepted.Offset >= r.Offset && !paused {
 			holders = append(holders, s)
 		}
 	}
 	slices.SortFunc(holders, func(a, b *Sender) int {
-		return cmp.Or(b.Heard.Compare(a.Heard), strings.Compare(a.Daemon, b.Daemon))
+		return cmp.Or(b.LastReceived.Compare(a.LastReceived), strings.Compare(a.Daemon, b.Daemon))
 	})
 	ids := make([]string, 0, len(holders))
 	for _, s := range holders {
@@ -194,10 +194,10 @@
 	return ids
 }
 
-// Heard is when the daemon's newest digest came; zero: never.
-func (t *Table) Heard(daemon string) time.Time {
+// LastReceived is when the daemon's newest digest came; zero: never.
+func (t *Table) LastReceived(daemon string) time.Time {
 	if s, known := t.senders[daemon]; known {
-		return s.Heard
+		return s.LastReceived
 	}
 	return time.Time{}
 }
@@ -211,13 +211,13 @@
 	return out
 }
 
-// Due tells whether self should open an exchange with the neighbour now. The
+// ShouldInitiate tells whether self should open an exchange with the neighbour now. The
 // daemon that Initiates does so in each interval. The other one does when it
 // has heard nothing for two intervals: the list lags, so that the first may
 // not know that it has this neighbour.
-func (t *Table) Due(now time.Time, neighbour string, interval time.Duration) bool {
+func (t *Table) ShouldInitiate(now time.Time, neighbour string, interval time.Duration) bool {
 	if Initiates(t.self, neighbour) {
 		return true
 	}
-	return now.Sub(t.Heard(neighbour)) > 2*interval
+	return now.Sub(t.LastReceived(neighbour)) > 2*interval
 }
--- a/neighbour/digest_test.go
+++ b/neighbour/digest_test.go
@@ -19,7 +19,7 @@
 }
 
 func from(daemon string, life, sequence uint64, r Revision) Digest {
-	return Digest{Daemon: daemon, Life: life, Sequence: sequence, Accepted: r}
+	return Digest{Daemon: daemon, Incarnation: life, Sequence: sequence, Accepted: r}
 }
 
 func TestVerdicts(t *testing.T) {
@@ -31,15 +31,15 @@
 	}{
 		{"same", from("b", 1, 1, own), Verdict{}},
 		{"later", from("b", 1, 1, revision(11, 2)), Verdict{Fetch: true}},
-		{"earlier", from("b", 1, 1, revision(9, 3)), Verdict{Behind: true}},
-		{"nothing accepted", from("b", 1, 1, Revision{}), Verdict{Behind: true}},
+		{"earlier", from("b", 1, 1, revision(9, 3)), Verdict{SenderBehind: true}},
+		{"nothing accepted", from("b", 1, 1, Revision{}), Verdict{SenderBehind: true}},
 		{"another at the same offset", from("b", 1, 1, revision(10, 9)), Verdict{Conflict: true}},
 		{"own", from("a", 1, 1, own), Verdict{Reason: DropOwn}},
 		{"negative offset", from("b", 1, 1, revision(-1, 1)), Verdict{Reason: DropInvalid}},
 		{"no name", from("", 1, 1, own), Verdict{Reason: DropInvalid}},
 		{"no life", from("b", 0, 1, own), Verdict{Reason: DropInvalid}},
-		{"endless use", Digest{Daemon: "b", Life: 1, Usage: make([]byte, MaxUsage+1)}, Verdict{Reason: DropInvalid}},
-		{"too much evidence", Digest{Daemon: "b", Life: 1, Endpoints: make([]fleet.Evidence, MaxEndpoints+1)}, Verdict{Reason: DropInvalid}},
+		{"endless use", Digest{Daemon: "b", Incarnation: 1, Usage: make([]byte, MaxUsage+1)}, Verdict{Reason: DropInvalid}},
+		{"too much evidence", Digest{Daemon: "b", Incarnation: 1, Endpoints: make([]fleet.Evidence, MaxEndpoints+1)}, Verdict{Reason: DropInvalid}},
 	} {
 		if got := NewTable("a").Receive(epoch, own, c.d); got != c.want {
 			t.Errorf("%s: %+v, want %+v", c.name, got, c.want)
@@ -63,8 +63,8 @@
 		{time.Second, 5, 3, DropRepeated},
 		{time.Second, 5, 2, DropRepeated},
 		{2 * time.Second, 9, 1, ""}, // restarted
-		{3 * time.Second, 5, 4, DropOldLife},
-		{31 * time.Second, 5, 5, DropOldLife},
+		{3 * time.Second, 5, 4, DropOldIncarnation},
+		{31 * time.Second, 5, 5, DropOldIncarnation},
 		// The VM was replaced by one whose clock runs behind.
 		{33 * time.Second, 5, 6, ""},
 	}
@@ -84,7 +84,7 @@
 	if !table.Receive(epoch, own, from("b", 1, 1, claimed)).Fetch {
 		t.Fatal("a later revision is not fetched")
 	}
-	table.FetchFailed(epoch, "b", claimed)
+	table.RecordFetchFailure(epoch, "b", claimed)
 	if table.Receive(epoch.Add(time.Second), own, from("b", 1, 2, claimed)).Fetch {
 		t.Error("fetched again within the pause")
 	}
@@ -150,14 +150,14 @@
 		t.Error("both initiate")
 	}
 	table := NewTable(other)
-	if !table.Due(epoch, opener, time.Second) {
+	if !table.ShouldInitiate(epoch, opener, time.Second) {
 		t.Error("an unheard neighbour is not asked")
 	}
 	table.Receive(epoch, Revision{}, from(opener, 1, 1, Revision{}))
-	if table.Due(epoch.Add(2*time.Second), opener, time.Second) {
+	if table.ShouldInitiate(epoch.Add(2*time.Second), opener, time.Second) {
 		t.Error("a neighbour that speaks is asked too")
 	}
-	if !table.Due(epoch.Add(3*time.Second), opener, time.Second) {
+	if !table.ShouldInitiate(epoch.Add(3*time.Second), opener, time.Second) {
 		t.Error("a silent neighbour is not asked")
 	}
 }
--- a/neighbour/interval.go
+++ b/neighbour/interval.go
@@ -16,7 +16,7 @@
 // one, or as long as the budget asks for. Digests grow with the organisations
 // and endpoints they name, and without this a bad day, when they name most,
 // would cost the most.
-func Interval(least time.Duration, neighbours, digestBytes int, budget float64) time.Duration {
+func Interval(minInterval time.Duration, neighbours, digestBytes int, budget float64) time.Duration {
 	bytes := 2 * neighbours * (digestBytes + exchangeOverhead)
-	return max(least, time.Duration(float64(bytes)/budget*float64(time.Second)))
+	return max(minInterval, time.Duration(float64(bytes)/budget*float64(time.Second)))
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -40,11 +40,11 @@
 // digestFromWire reads a digest; times are by the clock of now.
 func digestFromWire(now time.Time, w *peerpb.Digest) neighbour.Digest {
 	d := neighbour.Digest{
-		Daemon:   w.GetDaemon(),
-		Life:     w.GetLife(),
-		Sequence: w.GetSequence(),
-		Accepted: revisionFromWire(w.GetAccepted()),
-		Usage:    w.GetUsage(),
+		Daemon:      w.GetDaemon(),
+		Incarnation: w.GetLife(),
+		Sequence:    w.GetSequence(),
+		Accepted:    revisionFromWire(w.GetAccepted()),
+		Usage:       w.GetUsage(),
 	}
 	for _, e := range w.GetEndpoints() {
 		d.Endpoints = append(d.Endpoints, fleet.Evidence{
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -271,7 +271,7 @@
 	if len(d.Endpoints) != 1 || d.Endpoints[0] != want {
 		t.Errorf("endpoints %v", d.Endpoints)
 	}
-	if d.Accepted.Offset != 4 || d.Accepted.Digest != [32]byte{1} || string(d.Usage) != "use" || d.Sequence != 1 || d.Life != 5 {
+	if d.Accepted.Offset != 4 || d.Accepted.Digest != [32]byte{1} || string(d.Usage) != "use" || d.Sequence != 1 || d.Incarnation != 5 {
 		t.Errorf("digest %+v", d)
 	}
 	short := s.digest(sent)
--- a/peer/run.go
+++ b/peer/run.go
@@ -143,7 +143,7 @@
 	var out []ports.Daemon
 	interval := s.interval()
 	for _, d := range s.neighbours {
-		if s.table.Due(now, d.ID, interval) {
+		if s.table.ShouldInitiate(now, d.ID, interval) {
 			out = append(out, d)
 		}
 	}
@@ -222,7 +222,7 @@
 		s.o.Observe(Event{EventRefused, daemon, err})
 		s.mu.Lock()
 		now := time.Now()
-		s.table.FetchFailed(now, daemon, r)
+		s.table.RecordFetchFailure(now, daemon, r)
 		holders := s.table.Holders(now, r)
 		s.mu.Unlock()
 		if len(holders) == 0 || s.ctx.Err() != nil {
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -96,7 +96,7 @@
 		round = h.round + 1
 	}
 	if n.apply(now, update{fingerprint: f, round: round, since: now - first(ends), left: HoldTime}, ReasonEnds) {
-		n.tell(now, f, gossip.DirectPeers)
+		n.tell(now, f, gossip.DirectFanout)
 	}
 }
 
@@ -119,7 +119,7 @@
 		return false
 	}
 	n.apply(now, update{fingerprint: f, round: h.round, cleared: true, since: now - h.since, left: h.until - now}, why)
-	n.tell(now, f, gossip.DirectPeers)
+	n.tell(now, f, gossip.DirectFanout)
 	return true
 }
 
@@ -133,7 +133,7 @@
 		n.makeRoom()
 	}
 	n.holds[t.fingerprint] = &hold{
-		round: t.round, cleared: t.cleared, since: now - t.since, until: now + t.left, relays: gossip.RelayTimes,
+		round: t.round, cleared: t.cleared, since: now - t.since, until: now + t.left, relays: gossip.RelayRounds,
 	}
 	c := Change{Fingerprint: t.fingerprint, Held: !t.cleared, Reason: why, Left: t.left}
 	for _, e := range n.suspects.ends[t.fingerprint] {
@@ -178,7 +178,7 @@
 			}
 		case h.relays > 0:
 			h.relays--
-			n.tell(now, f, gossip.RelayPeers)
+			n.tell(now, f, gossip.RelayFanout)
 		}
 	}
 	if len(n.holds) > 0 && n.peers.SyncDue(now) {
@@ -224,7 +224,7 @@
 
 // tell tells daemons of the hold of a request.
 func (n *Node) tell(now time.Duration, f Fingerprint, peers int) {
-	n.peers.Tell(peers, encodeHolds([]update{n.updateOf(now, f)}))
+	n.peers.SendToSample(peers, encodeHolds([]update{n.updateOf(now, f)}))
 }
 
 func (n *Node) updateOf(now time.Duration, f Fingerprint) update {
@@ -246,7 +246,7 @@
 		n.turn = (n.turn + 1) % len(all)
 		next = append(next, n.updateOf(now, all[n.turn]))
 	}
-	n.peers.Tell(1, encodeHolds(next))
+	n.peers.SendToSample(1, encodeHolds(next))
 }
 
 // Receive takes a message of another daemon.
@@ -310,7 +310,7 @@
 }
 
 // Outbox returns what is to be sent, and forgets it.
-func (n *Node) Outbox() []gossip.Datagram { return n.peers.Outbox() }
+func (n *Node) Outbox() []gossip.Datagram { return n.peers.TakeOutbox() }
 
 // Changes returns the holds that began or ended, and forgets them.
 func (n *Node) Changes() []Change {
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -69,7 +69,7 @@
 		}
 		delete(d.mail, d.now)
 		for i, n := range d.nodes {
-			if (d.now/simStep+time.Duration(i))%(gossip.Tick/simStep) == 0 {
+			if (d.now/simStep+time.Duration(i))%(gossip.TickInterval/simStep) == 0 {
 				n.Tick(d.now)
 				d.collect(i)
 			}
@@ -306,15 +306,15 @@
 	d.nodes[0].Tick(d.now)
 	d.nodes[0].Outbox()
 	d.bytes[0] = 0
-	for range 10 * gossip.RelayTimes {
+	for range 10 * gossip.RelayRounds {
 		d.nodes[0].Tick(d.now)
-		d.now += gossip.Tick
+		d.now += gossip.TickInterval
 		d.collect(0)
 	}
 	calm := d.bytes[0]
 	for range 100 {
 		d.nodes[0].Tick(d.now)
-		d.now += gossip.Tick
+		d.now += gossip.TickInterval
 		d.collect(0)
 	}
 	if perSecond := (d.bytes[0] - calm) / 10; perSecond > 1500 {
--- a/room/room.go
+++ b/room/room.go
@@ -84,7 +84,7 @@
 	for pause.Tick(ctx, k.period()) == nil {
 		k.mu.Lock()
 		now := k.o.Clock()
-		if now-told >= gossip.Tick-tick/2 {
+		if now-told >= gossip.TickInterval-tick/2 {
 			told = now
 			k.table.Tick(now)
 		}
@@ -104,7 +104,7 @@
 	if len(k.keys)+len(k.asked) > 0 {
 		return tick
 	}
-	return gossip.Tick
+	return gossip.TickInterval
 }
 
 // Receive takes a message of another daemon. It returns false for other messages.
