--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -1,10 +1,12 @@
-// Package gossip spreads small facts among all daemons.
+// Package gossip selects the recipients of messages that spread small updates among all
+// daemons, and queues the messages.
 //
-// Whoever learns a fact first tells up to DirectPeers daemons. Each daemon that hears
-// it passes it on to RelayPeers drawn ones at each of the next RelayTimes ticks. Every
-// SyncEvery a daemon tells a drawn one some of what it knows, for those that were cut
-// off or have started anew. Messages may be lost, late and doubled, so a fact has to
-// say by itself which of two is the newer one.
+// The origin of an update sends it to up to DirectFanout daemons. Each daemon that
+// receives it for the first time relays it to RelayFanout random ones at each of the
+// next RelayRounds ticks. Every SyncInterval a daemon sends part of its state to a random
+// one, for daemons that were disconnected or have restarted. Messages may be lost,
+// delayed and duplicated, so an update must be comparable by itself with another one to
+// tell which is newer.
 //
 // The package does no I/O and reads no clock.
 package gossip
@@ -15,29 +17,30 @@
 	"time"
 )
 
-// Times and bounds of spreading.
+// Parameters of the protocol, see the package comment.
 const (
 	DirectFanout = 64
 	RelayFanout  = 3
 	RelayRounds  = 8
 	SyncInterval = 250 * time.Millisecond
-	// TickInterval is the time between two ticks.
+	// TickInterval is the time between relay rounds.
 	TickInterval = 100 * time.Millisecond
 )
 
-// Peer is a daemon of the deployment.
+// Peer is another daemon of the deployment.
 type Peer struct {
 	Name    string
-	Address string // where it takes messages, IP:port
+	Address string // where it receives messages, IP:port
 }
 
-// Datagram is a message to another daemon. It may be lost, late or doubled.
+// Datagram is a message to another daemon. It may be lost, delayed or duplicated.
 type Datagram struct {
 	To   string // Peer.Address
 	Data []byte
 }
 
-// Peers are the other daemons. Make them with NewPeers.
+// Peers holds the other daemons and the messages to be sent to them. Create it with
+// NewPeers.
 type Peers struct {
 	self     Peer
 	rng      *rand.Rand
@@ -46,18 +49,19 @@
 	out      []Datagram
 }
 
-// NewPeers returns Peers of which none are known yet. rng is seeded.
+// NewPeers returns Peers without other daemons. rng must be seeded by the caller.
 func NewPeers(me Peer, rng *rand.Rand) *Peers { return &Peers{self: me, rng: rng} }
 
-// Set takes the list of all daemons.
+// Set replaces the list of daemons. The own daemon and those without an address are left
+// out.
 func (p *Peers) Set(all []Peer) {
 	p.others = slices.DeleteFunc(slices.Clone(all), func(o Peer) bool { return o.Name == p.self.Name || o.Address == "" })
 }
 
-// Others lists the other daemons.
+// Others returns the other daemons.
 func (p *Peers) Others() []Peer { return p.others }
 
-// Sample draws daemons.
+// Sample returns up to most random daemons.
 func (p *Peers) Sample(most int) []Peer {
 	if len(p.others) <= most {
 		return p.others
@@ -69,19 +73,20 @@
 	return out
 }
 
-// SendToSample sends a message to drawn daemons.
+// SendToSample queues a message to up to most random daemons.
 func (p *Peers) SendToSample(most int, data []byte) {
 	for _, to := range p.Sample(most) {
 		p.Send(to, data)
 	}
 }
 
-// Send sends a message to one daemon.
+// Send queues a message to one daemon.
 func (p *Peers) Send(to Peer, data []byte) {
 	p.out = append(p.out, Datagram{To: to.Address, Data: data})
 }
 
-// SyncDue tells whether it is time to tell some daemon what is known.
+// SyncDue reports whether SyncInterval has passed since it last returned true and there
+// are other daemons.
 func (p *Peers) SyncDue(now time.Duration) bool {
 	if len(p.others) == 0 || now-p.lastSync < SyncInterval {
 		return false
@@ -90,7 +95,7 @@
 	return true
 }
 
-// TakeOutbox returns what is to be sent, and forgets it.
+// TakeOutbox returns the queued messages and empties the queue.
 func (p *Peers) TakeOutbox() []Datagram {
 	out := p.out
 	p.out = nil
--- a/neighbour/choose.go
+++ b/neighbour/choose.go
@@ -1,8 +1,8 @@
-// Package neighbour decides which daemons a daemon talks to, and what it makes
-// of what they say.
+// Package neighbour selects the daemons with which a daemon exchanges digests, and
+// evaluates the digests received.
 //
-// All daemons compute the same graph from the platform's list, so that no
-// message is needed to agree on it. The package does no I/O and reads no clock.
+// All daemons compute the same graph from the platform's list, without exchanging
+// messages to agree on it. The package does no I/O and reads no clock.
 package neighbour
 
 import (
@@ -15,33 +15,32 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Options bounds the graph. Zero fields take the defaults.
+// Options configures the graph. Zero fields take the defaults.
 type Options struct {
-	// ZonePairs is the number of other zones, on each side in the circle of all
-	// zones, with which a zone is linked.
+	// ZonePairs is the number of other zones, on each side in the ring of all zones, with
+	// which a zone is linked.
 	ZonePairs int
 }
 
-// DefaultZonePairs links every zone with every other one up to five zones.
+// DefaultZonePairs links every zone with every other one if there are up to five zones.
 const DefaultZonePairs = 2
 
-// singleZoneRings is the number of rings when there is one zone only, so that the
-// loss of two daemons does not cut the graph.
+// singleZoneRings is the number of rings in a deployment with one zone. With a single
+// ring, the loss of two daemons could partition the graph.
 const singleZoneRings = 2
 
-// MaxNeighbours is the most neighbours that Choose returns with the default
+// MaxNeighbours is the maximum number of neighbours that Choose returns with the default
 // options: two on the ring of the own zone and two for each linked zone.
 const MaxNeighbours = 2 + 2*2*DefaultZonePairs
 
-// Choose returns the neighbours of self, by id. Daemons that are leaving are
-// no neighbours. Self need not be listed, since the list lags.
+// Choose returns the neighbours of self, sorted by ID. Daemons that are leaving are left
+// out. Self need not be in the list, which lags.
 //
-// The daemons of a zone form a ring, ordered by a hash of their ids, and so
-// do the daemons of each two linked zones; neighbours are those before and
-// after self on each ring. Each zone is thus connected without any other, and
-// any two linked zones without a third, so that the loss of a zone leaves the
-// rest connected before the list shows the loss. Replacing a daemon changes
-// only the neighbours beside it.
+// The daemons of a zone form a ring, ordered by a hash of their IDs, and so do the
+// daemons of each pair of linked zones. The neighbours are the previous and the next
+// daemon on each ring. Each zone is thus connected by itself, and so is each pair of
+// linked zones: after the loss of a zone the others stay connected, even while the list
+// still has its daemons. Replacing a daemon affects only the daemons next to it.
 func Choose(self ports.Daemon, list []ports.Daemon, o Options) []ports.Daemon {
 	if o.ZonePairs <= 0 {
 		o.ZonePairs = DefaultZonePairs
@@ -64,7 +63,7 @@
 	return sortedByID(chosen)
 }
 
-// byZone groups the daemons that take part, self among them, once each.
+// byZone groups self and the daemons that are not leaving by zone.
 func byZone(self ports.Daemon, list []ports.Daemon) map[fleet.ZoneID][]ports.Daemon {
 	zones := map[fleet.ZoneID][]ports.Daemon{self.Zone: {self}}
 	for _, d := range list {
@@ -84,8 +83,8 @@
 	return names
 }
 
-// linkedZones returns the zones at a distance of up to pairs from z in the circle of
-// names.
+// linkedZones returns the zones at a distance of up to pairs from z on the ring of all
+// zones.
 func linkedZones(z fleet.ZoneID, names []fleet.ZoneID, pairs int) []fleet.ZoneID {
 	at := slices.Index(names, z)
 	n := len(names)
@@ -100,7 +99,7 @@
 	return out
 }
 
-// ringName is the same whichever of the two zones asks.
+// ringName returns the name of the i-th ring of two zones, in either order.
 func ringName(a, b fleet.ZoneID, i int) string {
 	if b < a {
 		a, b = b, a
@@ -108,7 +107,7 @@
 	return string(a) + "\x00" + string(b) + "\x00" + string(rune('0'+i))
 }
 
-// ringPosition is a daemon's ringPosition on a ring; the id breaks a tie of hashes.
+// ringPosition is a daemon's position on a ring. The ID breaks ties between hashes.
 type ringPosition struct {
 	hash uint64
 	id   string
@@ -125,7 +124,7 @@
 	return p.id < q.id
 }
 
-// addAdjacent adds the daemons right before and right after self on a ring.
+// addAdjacent adds the previous and the next daemon on a ring to chosen.
 func addAdjacent(self ports.Daemon, ring string, as, bs []ports.Daemon, chosen map[string]ports.Daemon) {
 	r := ringSearch{self: positionOnRing(ring, self.ID)}
 	for _, daemons := range [][]ports.Daemon{as, bs} {
@@ -147,7 +146,7 @@
 	position ringPosition
 }
 
-// ringSearch finds the places next to self in one pass, without sorting.
+// ringSearch finds the positions adjacent to self in one pass, without sorting.
 type ringSearch struct {
 	self           ringPosition
 	found          bool
@@ -168,7 +167,7 @@
 	}
 }
 
-// closerAfter tells whether p comes before q when walking up from self.
+// closerAfter reports whether p precedes q when the ring is followed upwards from self.
 func (r *ringSearch) closerAfter(p, q ringPosition) bool {
 	pWraps, qWraps := p.before(r.self), q.before(r.self)
 	if pWraps != qWraps {
@@ -186,8 +185,8 @@
 	return out
 }
 
-// Initiates tells whether a rather than b opens the exchanges between them, so
-// that a link costs one exchange in each interval, not two.
+// Initiates reports whether a, and not b, opens the exchanges between them, so that a
+// link costs one exchange per interval instead of two.
 func Initiates(a, b string) bool {
 	return positionOnRing("initiates", a).before(positionOnRing("initiates", b))
 }
--- a/neighbour/choose_test.go
+++ b/neighbour/choose_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// daemons makes a list of count daemons over zones, named by their place.
+// daemons returns a list of count daemons, distributed over the zones.
 func daemons(count, zones int) []ports.Daemon {
 	list := make([]ports.Daemon, 0, count)
 	for i := range count {
@@ -25,7 +25,7 @@
 	return list
 }
 
-// graph is each daemon's neighbours as it computes them itself.
+// graph holds the IDs of each daemon's neighbours, as that daemon computes them.
 type graph map[string][]string
 
 func graphOf(list []ports.Daemon) graph {
@@ -40,7 +40,7 @@
 	return g
 }
 
-// connected tells whether the daemons that are up reach each other over links
+// connected reports whether all daemons that are up can reach each other over links
 // between daemons that are up.
 func (g graph) connected(up func(id string) bool) bool {
 	seen := map[string]bool{}
@@ -79,10 +79,10 @@
 	return true
 }
 
-// A zone is lost at once, and the platform's list goes on naming its daemons. If the
-// rest fell into parts, a new manifest would reach only one of them and
-// callers would be served by two configurations.
-func TestGraphStaysConnectedWithoutAnyZone(t *testing.T) {
+// Guards against a graph that is partitioned by the loss of a zone, while the platform's
+// list still has its daemons: a new manifest would reach one part only, and callers
+// would be served by two configurations.
+func TestGraphConnectedWithoutAnyZone(t *testing.T) {
 	for _, c := range []struct{ count, zones int }{{9, 3}, {6, 3}, {100, 5}, {1100, 5}, {1100, 12}, {9, 1}} {
 		t.Run(fmt.Sprintf("%d in %d", c.count, c.zones), func(t *testing.T) {
 			list := daemons(c.count, c.zones)
@@ -112,9 +112,10 @@
 	}
 }
 
-// Two regions of three and two zones lose each other for an hour. A manifest that
-// one region still gets from the log must reach all of that region.
-func TestGraphStaysConnectedWithinARegion(t *testing.T) {
+// Guards against daemons of a region that are connected only through the other region:
+// two regions of three and two zones are cut off from each other, and a manifest that one
+// region still gets from the log must reach all of that region.
+func TestGraphConnectedWithinRegion(t *testing.T) {
 	list := daemons(1100, 5)
 	g := graphOf(list)
 	for _, region := range [][]fleet.ZoneID{{"zone-0", "zone-1", "zone-2"}, {"zone-3", "zone-4"}} {
@@ -128,8 +129,8 @@
 	}
 }
 
-// Zones are of uneven size after a bad day, and any of them may be lost next.
-func TestGraphOfUnevenZones(t *testing.T) {
+// Zones may differ in size after failures, and any of them may be lost.
+func TestGraphConnectedWithUnevenZones(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		zones := rapid.IntRange(1, 9).Draw(t, "zones")
 		var list []ports.Daemon
@@ -157,9 +158,9 @@
 	})
 }
 
-// A hundred VMs are replaced on an ordinary day. Each replacement closes and
-// opens connections; if it moved many of them, control would eat its budget.
-func TestReplacementMovesFewLinks(t *testing.T) {
+// Guards against replacements that move many links: a hundred VMs are replaced on an
+// ordinary day, and the new connections would exceed the budget for control traffic.
+func TestReplacementChangesFewNeighbours(t *testing.T) {
 	list := daemons(1100, 5)
 	before := graphOf(list)
 	list[500].ID = "replacement"
@@ -175,7 +176,7 @@
 	}
 }
 
-// A daemon that has just started is not yet listed, and one that leaves still is.
+// A daemon that has just started is not in the list yet, and one that is leaving still is.
 func TestChooseWithLaggingList(t *testing.T) {
 	list := daemons(9, 3)
 	fresh := ports.Daemon{ID: "fresh", Zone: "zone-1", State: fleet.VMLive}
--- a/neighbour/digest.go
+++ b/neighbour/digest.go
@@ -10,73 +10,73 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Revision names an accepted manifest.
+// Revision identifies an accepted manifest.
 type Revision struct {
-	Offset ports.Offset // of its record in the log; 0: nothing accepted
+	Offset ports.Offset // of its record in the log; 0: no manifest accepted
 	Digest [32]byte     // SHA-256 of the manifest's bytes
 }
 
-// Digest is what one daemon tells its neighbours.
+// Digest is the state that a daemon reports to its neighbours.
 type Digest struct {
 	Daemon      string
 	Incarnation uint64 // start of the process, Unix nanoseconds
-	Sequence    uint64 // grows with each digest of one life
+	Sequence    uint64 // increases with each digest of one incarnation
 	Accepted    Revision
 	Endpoints   []fleet.Evidence
-	Usage       []byte // organisations' use, see package contract
+	Usage       []byte // usage by organisation, see package contract
 }
 
-// Bounds of a digest. A digest beyond them is refused whole.
+// Limits of a digest and of a fetched manifest. A digest beyond them is dropped.
 const (
 	MaxDaemonID      = 128     // bytes
 	MaxEndpointID    = 128     // bytes
-	MaxEndpoints     = 64      // pieces of evidence
+	MaxEndpoints     = 64      // number of evidence entries
 	MaxUsage         = 8 << 10 // bytes
 	MaxEvidenceAge   = time.Minute
 	MaxManifestBytes = 16 << 20
 	MaxProofBytes    = 64 << 10
 )
 
-// Verdict is what a digest means for the receiver.
+// Verdict is the result of evaluating a digest.
 type Verdict struct {
-	// Reason is empty when the digest counts. Otherwise nothing in it does.
+	// Reason is empty for a valid digest; otherwise all of the digest is dropped.
 	Reason DropReason
-	// Fetch says that the sender has accepted a later revision.
+	// Fetch is set if the sender has accepted a later revision that should be fetched.
 	Fetch bool
-	// SenderBehind says that the sender's revision is earlier than the own: tell it.
+	// SenderBehind is set if the sender's revision is earlier than the own one.
 	SenderBehind bool
-	// Conflict says that the sender calls another manifest by the same offset.
-	// One of the two was not read from the log; neither is taken over.
+	// Conflict is set if the sender has another manifest at the same offset. One of the
+	// two was not read from the log; the receiver keeps its own.
 	Conflict bool
 }
 
-// DropReason tells why a digest does not count.
+// DropReason is the reason for which a digest was dropped.
 type DropReason string
 
-// The reasons.
+// Reasons for dropping a digest.
 const (
-	DropOwn            DropReason = "own"        // from this daemon, or a namesake
-	DropInvalid        DropReason = "invalid"    // outside the bounds
+	DropOwn            DropReason = "own"        // from this daemon, or one with the same ID
+	DropInvalid        DropReason = "invalid"    // outside the limits
 	DropOldIncarnation DropReason = "old life"   // from before the sender's restart
-	DropRepeated       DropReason = "repeated"   // late or delivered twice
-	DropTableFull      DropReason = "table full" // more senders than a daemon has neighbours
+	DropRepeated       DropReason = "repeated"   // delivered late or twice
+	DropTableFull      DropReason = "table full" // more than maxSenders senders
 )
 
-// Bounds of the table of senders.
+// Limits and timeouts of the table of senders.
 const (
 	maxSenders = 256
-	// incarnationTimeout is how long the newest life of a sender must be silent before
-	// one with an earlier start counts: a VM that replaced it may have a clock
-	// that runs behind.
+	// incarnationTimeout is how long the newest incarnation of a sender must be silent
+	// before one with an earlier start is accepted: the clock of a VM that replaced it may
+	// be behind.
 	incarnationTimeout = 30 * time.Second
-	// senderTimeout is how long a silent sender stays in the table.
+	// senderTimeout is how long a silent sender is kept in the table.
 	senderTimeout = 5 * time.Minute
-	// fetchRetryDelay is how long a revision that could not be had, or was found to
-	// be forged, is not fetched from the same sender again.
+	// fetchRetryDelay is how long a revision is not fetched again from a sender that could
+	// not deliver it, or delivered a manifest that does not match it.
 	fetchRetryDelay = 2 * time.Second
 )
 
-// Sender is what is known of one daemon from its digests.
+// Sender is the state of one daemon according to its digests.
 type Sender struct {
 	Daemon       string
 	Incarnation  uint64 `json:"Life"`
@@ -88,19 +88,20 @@
 	failedUntil    time.Time
 }
 
-// Table judges digests. It is not safe for concurrent use.
+// Table evaluates digests and holds the state of their senders. It is not safe for
+// concurrent use.
 type Table struct {
 	self    string
 	senders map[string]*Sender
 }
 
-// NewTable returns the table of the daemon self.
+// NewTable returns an empty table for the daemon with the ID self.
 func NewTable(self string) *Table {
 	return &Table{self: self, senders: map[string]*Sender{}}
 }
 
-// Receive judges a digest against the accepted revision. It never asks to go
-// back: an earlier revision, or another one at the same offset, is not taken.
+// Receive evaluates a digest against the accepted revision and stores the sender's
+// state. An earlier revision, or another one at the same offset, is never fetched.
 func (t *Table) Receive(now time.Time, own Revision, d Digest) Verdict {
 	if reason := t.checkSender(now, d); reason != "" {
 		return Verdict{Reason: reason}
@@ -115,7 +116,8 @@
 	}
 }
 
-// checkSender checks the digest's shape and order, and makes room for its sender.
+// checkSender checks that the digest is valid and not outdated, and adds its sender to
+// the table.
 func (t *Table) checkSender(now time.Time, d Digest) DropReason {
 	if d.Daemon == t.self {
 		return DropOwn
@@ -141,7 +143,7 @@
 	return ""
 }
 
-// valid tells whether the digest keeps the bounds.
+// valid reports whether the digest is within the limits.
 func (d Digest) valid() bool {
 	if d.Daemon == "" || len(d.Daemon) > MaxDaemonID || d.Incarnation == 0 || d.Accepted.Offset < 0 {
 		return false
@@ -157,7 +159,7 @@
 	return true
 }
 
-// expire forgets senders that have long been silent.
+// expire removes senders that have been silent for senderTimeout.
 func (t *Table) expire(now time.Time) {
 	for id, s := range t.senders {
 		if now.Sub(s.LastReceived) > senderTimeout {
@@ -166,16 +168,17 @@
 	}
 }
 
-// RecordFetchFailure keeps a revision from being fetched from the same sender at
-// once again.
+// RecordFetchFailure prevents a revision from being fetched from the sender again before
+// fetchRetryDelay.
 func (t *Table) RecordFetchFailure(now time.Time, daemon string, r Revision) {
 	if s, known := t.senders[daemon]; known {
 		s.failedRevision, s.failedUntil = r, now.Add(fetchRetryDelay)
 	}
 }
 
-// Holders returns the senders that have accepted the revision or a later one and
-// may be asked for it, the latest heard first and then by id.
+// Holders returns the IDs of the senders that have accepted the revision or a later one
+// and from which a fetch has not just failed. Those whose digest was received last come
+// first; ties are sorted by ID.
 func (t *Table) Holders(now time.Time, r Revision) []string {
 	var holders []*Sender
 	for _, s := range t.senders {
@@ -194,7 +197,7 @@
 	return ids
 }
 
-// LastReceived is when the daemon's newest digest came; zero: never.
+// LastReceived returns when the last digest of the daemon was received; zero if none was.
 func (t *Table) LastReceived(daemon string) time.Time {
 	if s, known := t.senders[daemon]; known {
 		return s.LastReceived
@@ -202,7 +205,7 @@
 	return time.Time{}
 }
 
-// Senders returns a copy of the table, in no order.
+// Senders returns a copy of the table, in no particular order.
 func (t *Table) Senders() []Sender {
 	out := make([]Sender, 0, len(t.senders))
 	for _, s := range t.senders {
@@ -211,10 +214,9 @@
 	return out
 }
 
-// ShouldInitiate tells whether self should open an exchange with the neighbour now. The
-// daemon that Initiates does so in each interval. The other one does when it
-// has heard nothing for two intervals: the list lags, so that the first may
-// not know that it has this neighbour.
+// ShouldInitiate reports whether self should open an exchange with the neighbour now. The
+// side selected by Initiates does so in each interval. The other one does so after two
+// intervals without a digest: the list lags, so the first may not know of this neighbour.
 func (t *Table) ShouldInitiate(now time.Time, neighbour string, interval time.Duration) bool {
 	if Initiates(t.self, neighbour) {
 		return true
--- a/neighbour/digest_test.go
+++ b/neighbour/digest_test.go
@@ -18,11 +18,11 @@
 	return Revision{Offset: offset, Digest: [32]byte{tag}}
 }
 
-func from(daemon string, life, sequence uint64, r Revision) Digest {
-	return Digest{Daemon: daemon, Incarnation: life, Sequence: sequence, Accepted: r}
+func from(daemon string, incarnation, sequence uint64, r Revision) Digest {
+	return Digest{Daemon: daemon, Incarnation: incarnation, Sequence: sequence, Accepted: r}
 }
 
-func TestVerdicts(t *testing.T) {
+func TestReceiveVerdicts(t *testing.T) {
 	own := revision(10, 1)
 	for _, c := range []struct {
 		name string
@@ -37,8 +37,8 @@
 		{"own", from("a", 1, 1, own), Verdict{Reason: DropOwn}},
 		{"negative offset", from("b", 1, 1, revision(-1, 1)), Verdict{Reason: DropInvalid}},
 		{"no name", from("", 1, 1, own), Verdict{Reason: DropInvalid}},
-		{"no life", from("b", 0, 1, own), Verdict{Reason: DropInvalid}},
-		{"endless use", Digest{Daemon: "b", Incarnation: 1, Usage: make([]byte, MaxUsage+1)}, Verdict{Reason: DropInvalid}},
+		{"no incarnation", from("b", 0, 1, own), Verdict{Reason: DropInvalid}},
+		{"usage too long", Digest{Daemon: "b", Incarnation: 1, Usage: make([]byte, MaxUsage+1)}, Verdict{Reason: DropInvalid}},
 		{"too much evidence", Digest{Daemon: "b", Incarnation: 1, Endpoints: make([]fleet.Evidence, MaxEndpoints+1)}, Verdict{Reason: DropInvalid}},
 	} {
 		if got := NewTable("a").Receive(epoch, own, c.d); got != c.want {
@@ -47,16 +47,16 @@
 	}
 }
 
-// A digest comes late, twice, or from before its sender's restart. Its news are
-// old: taken as new, they would bring an ended life of an endpoint back, or
-// count an organisation's use twice.
-func TestLateDigestsDoNotCount(t *testing.T) {
+// Guards against digests that are delivered late or twice, or were sent before the
+// sender's restart. Applied, they would revive an ended incarnation of an endpoint or
+// count an organisation's usage twice.
+func TestOutdatedDigestsAreDropped(t *testing.T) {
 	table := NewTable("a")
 	own := revision(10, 1)
 	steps := []struct {
-		after          time.Duration
-		life, sequence uint64
-		want           DropReason
+		after                 time.Duration
+		incarnation, sequence uint64
+		want                  DropReason
 	}{
 		{0, 5, 1, ""},
 		{time.Second, 5, 3, ""},
@@ -65,20 +65,20 @@
 		{2 * time.Second, 9, 1, ""}, // restarted
 		{3 * time.Second, 5, 4, DropOldIncarnation},
 		{31 * time.Second, 5, 5, DropOldIncarnation},
-		// The VM was replaced by one whose clock runs behind.
+		// The VM was replaced by one whose clock is behind.
 		{33 * time.Second, 5, 6, ""},
 	}
 	for i, s := range steps {
-		got := table.Receive(epoch.Add(s.after), own, from("b", s.life, s.sequence, own))
+		got := table.Receive(epoch.Add(s.after), own, from("b", s.incarnation, s.sequence, own))
 		if got.Reason != s.want {
 			t.Errorf("step %d: %q, want %q", i, got.Reason, s.want)
 		}
 	}
 }
 
-// A neighbour claims a later revision and cannot give it, or gives a forged one.
-// Asking again at once would fill the control budget and change nothing.
-func TestFailedFetchPauses(t *testing.T) {
+// Guards against repeated fetches from a neighbour that claims a later revision and
+// cannot deliver it, or delivers a forged one: they would use up the control budget.
+func TestFailedFetchIsDelayed(t *testing.T) {
 	table := NewTable("a")
 	own, claimed := revision(10, 1), revision(99, 7)
 	if !table.Receive(epoch, own, from("b", 1, 1, claimed)).Fetch {
@@ -102,9 +102,9 @@
 	}
 }
 
-// Hundreds of names send digests, from a fault or an attack. The table keeps its
-// bound, and forgets the silent ones in time.
-func TestTableOfSendersIsBounded(t *testing.T) {
+// Guards against a table that grows without limit if digests arrive from hundreds of IDs,
+// by a fault or an attack. Silent senders are removed in time.
+func TestSenderTableIsBounded(t *testing.T) {
 	table := NewTable("a")
 	for i := range maxSenders {
 		table.Receive(epoch, Revision{}, from(fmt.Sprint("d", i), 1, 1, Revision{}))
@@ -117,8 +117,8 @@
 	}
 }
 
-// Whatever comes in whatever order, a daemon only ever fetches later revisions.
-func TestNeverAsksToGoBack(t *testing.T) {
+// For random sequences of digests, only later revisions are fetched.
+func TestOnlyLaterRevisionsAreFetched(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := NewTable("a")
 		own := Revision{}
@@ -138,10 +138,9 @@
 	})
 }
 
-// Of two neighbours one opens the exchanges, and the other one does when it
-// hears nothing: a daemon that has just started is not yet in the list that
-// its neighbours have.
-func TestOneSideOpensExchanges(t *testing.T) {
+// One of two neighbours opens the exchanges. The other one does so if it receives no
+// digest: a daemon that has just started is not yet in the list of its neighbours.
+func TestShouldInitiate(t *testing.T) {
 	opener, other := "a", "b"
 	if !Initiates(opener, other) {
 		opener, other = other, opener
@@ -151,18 +150,18 @@
 	}
 	table := NewTable(other)
 	if !table.ShouldInitiate(epoch, opener, time.Second) {
-		t.Error("an unheard neighbour is not asked")
+		t.Error("no exchange is opened with a neighbour that never sent a digest")
 	}
 	table.Receive(epoch, Revision{}, from(opener, 1, 1, Revision{}))
 	if table.ShouldInitiate(epoch.Add(2*time.Second), opener, time.Second) {
-		t.Error("a neighbour that speaks is asked too")
+		t.Error("an exchange is opened with a neighbour that opens them itself")
 	}
 	if !table.ShouldInitiate(epoch.Add(3*time.Second), opener, time.Second) {
-		t.Error("a silent neighbour is not asked")
+		t.Error("no exchange is opened with a silent neighbour")
 	}
 }
 
-func TestIntervalKeepsTheBudget(t *testing.T) {
+func TestIntervalKeepsBudget(t *testing.T) {
 	for _, c := range []struct {
 		neighbours, bytes int
 		want              time.Duration
--- a/neighbour/interval.go
+++ b/neighbour/interval.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// DefaultBudget is what a daemon may spend on exchanges, sent and received, in
-// bytes a second.
+// DefaultBudget is the bandwidth that a daemon may use for exchanges, in bytes per second
+// sent and received.
 const DefaultBudget = 3000
 
-// exchangeOverhead is what an exchange adds to a digest in one direction: gRPC
-// and TLS framing, and the headers of TCP and IP with their acknowledgements.
-// It is an estimate on the high side; measured on loopback, gRPC alone adds
-// about 30 bytes.
+// exchangeOverhead is the number of bytes that an exchange adds to a digest in one
+// direction: gRPC and TLS framing, TCP and IP headers and acknowledgements. It is a
+// conservative estimate: gRPC alone adds about 30 bytes.
 const exchangeOverhead = 200
 
-// Interval returns the time between exchanges with each neighbour: the least
-// one, or as long as the budget asks for. Digests grow with the organisations
-// and endpoints they name, and without this a bad day, when they name most,
-// would cost the most.
+// Interval returns the time between exchanges with each neighbour: minInterval, or more
+// if the budget requires it. Digests grow with the organisations and endpoints that they
+// contain; with a fixed interval the traffic would be highest during large failures.
+// digestBytes is the size of a digest, and budget is in bytes per second.
 func Interval(minInterval time.Duration, neighbours, digestBytes int, budget float64) time.Duration {
 	bytes := 2 * neighbours * (digestBytes + exchangeOverhead)
 	return max(minInterval, time.Duration(float64(bytes)/budget*float64(time.Second)))
