--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -192,7 +192,7 @@
 	v.told(v.members.Expire(now))
 	probes := v.members.Probes(now, v.probesAllowed(now))
 	for i := range probes {
-		v.members.Asked(now, probes[i].ID)
+		v.members.RecordProbe(now, probes[i].ID)
 	}
 	v.refresh()
 	loads := v.loads()
@@ -237,7 +237,7 @@
 	now := v.now()
 	l.At = now
 	v.mu.Lock()
-	v.told(v.members.Reported(now, id, l))
+	v.told(v.members.ApplyReport(now, id, l))
 	if said := v.said[id]; said.slots != l.Slots || !slices.Equal(said.weights, l.Weights) {
 		v.said[id] = saying{weights: l.Weights, slots: l.Slots}
 		v.dirty = true
@@ -252,7 +252,7 @@
 func (v *fleetView) refused(id fleet.EndpointID) {
 	now := v.now()
 	v.mu.Lock()
-	v.members.Refused(now, id)
+	v.members.RecordRefusal(now, id)
 	v.mu.Unlock()
 	v.healthMu.Lock()
 	v.health.Failure(now, id, 0)
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -11,7 +11,7 @@
 func (v *fleetView) news(now time.Time) []fleet.Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.News(now, newsWithin, newsLimit)
+	return v.members.RecentEvidence(now, newsWithin, newsLimit)
 }
 
 // notify tells the other daemons where cold prefixes went, so that the next
@@ -36,5 +36,5 @@
 func (v *fleetView) hearsay(now time.Time, es []fleet.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told(v.members.Hearsay(now, es))
+	v.told(v.members.ApplyNeighbourEvidence(now, es))
 }
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -11,19 +11,19 @@
 	At          time.Time // by the holder's own clock
 }
 
-// maxPast bounds the incarnations remembered as ended for one endpoint.
-const maxPast = 4
+// maxEndedIncarnations bounds the incarnations remembered as ended for one endpoint.
+const maxEndedIncarnations = 4
 
-// word is what is known of an endpoint from the endpoint itself.
-type word struct {
+// reportState is what is known of an endpoint from the endpoint itself.
+type reportState struct {
 	Evidence
-	past    []Incarnation // ended lives, oldest first
-	changed time.Time     // when Incarnation or Draining last changed
+	endedIncarnations []Incarnation // ended lives, oldest first
+	lastChange        time.Time     // when Incarnation or Draining last changed
 }
 
-// ended tells whether i was the endpoint's life before the present one.
-func (w *word) ended(i Incarnation) bool {
-	for _, p := range w.past {
+// hasEnded tells whether i was the endpoint's life before the present one.
+func (w *reportState) hasEnded(i Incarnation) bool {
+	for _, p := range w.endedIncarnations {
 		if p == i {
 			return true
 		}
@@ -31,34 +31,34 @@
 	return false
 }
 
-// take adopts e, which the caller found to be newer.
-func (w *word) take(now time.Time, e Evidence) {
+// apply adopts e, which the caller found to be newer.
+func (w *reportState) apply(now time.Time, e Evidence) {
 	if e.Incarnation == 0 {
 		e.Incarnation = w.Incarnation
 	}
 	if e.Incarnation != w.Incarnation {
-		w.forget(e.Incarnation)
+		w.removeEnded(e.Incarnation)
 		if w.Incarnation != 0 {
-			w.past = append(w.past, w.Incarnation)
+			w.endedIncarnations = append(w.endedIncarnations, w.Incarnation)
 		}
-		if len(w.past) > maxPast {
-			w.past = w.past[1:]
+		if len(w.endedIncarnations) > maxEndedIncarnations {
+			w.endedIncarnations = w.endedIncarnations[1:]
 		}
 	}
 	first := w.Incarnation == 0
 	if e.Draining != w.Draining || !first && e.Incarnation != w.Incarnation {
-		w.changed = now
+		w.lastChange = now
 	}
 	w.Evidence = e
 }
 
-// forget removes i from the ended lives: the endpoint itself has spoken as i.
-func (w *word) forget(i Incarnation) {
-	kept := w.past[:0]
-	for _, p := range w.past {
+// removeEnded removes i from the ended lives: the endpoint itself has spoken as i.
+func (w *reportState) removeEnded(i Incarnation) {
+	kept := w.endedIncarnations[:0]
+	for _, p := range w.endedIncarnations {
 		if p != i {
 			kept = append(kept, p)
 		}
 	}
-	w.past = kept
+	w.endedIncarnations = kept
 }
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -23,26 +23,26 @@
 	// ReturnAfter is how long the list must call an endpoint live again that it
 	// had called leaving.
 	ReturnAfter time.Duration
-	// HearsayMargin is how much newer a neighbour's evidence must be than the
+	// NeighbourMargin is how much newer a neighbour's evidence must be than the
 	// own before it counts: more than a digest's time on the way.
-	HearsayMargin time.Duration
-	// FloorShare is the share of a class's endpoints in a zone that are tried at
+	NeighbourMargin time.Duration
+	// MinTriedFraction is the share of a class's endpoints in a zone that are tried at
 	// the least, although they are silent or refused.
-	FloorShare float64
+	MinTriedFraction float64
 	// MaxEndpoints bounds the table; entries of the list beyond it are dropped.
 	MaxEndpoints int
 }
 
 // The defaults of MembershipOptions.
 const (
-	DefaultProbeAfter    = time.Second
-	DefaultSilentAfter   = 1800 * time.Millisecond
-	DefaultRefusedFor    = 2 * time.Second
-	DefaultMissingAfter  = 30 * time.Second
-	DefaultReturnAfter   = 10 * time.Second
-	DefaultHearsayMargin = time.Second
-	DefaultFloorShare    = 0.5
-	DefaultMaxEndpoints  = 16384
+	DefaultProbeAfter       = time.Second
+	DefaultSilentAfter      = 1800 * time.Millisecond
+	DefaultRefusedFor       = 2 * time.Second
+	DefaultMissingAfter     = 30 * time.Second
+	DefaultReturnAfter      = 10 * time.Second
+	DefaultNeighbourMargin  = time.Second
+	DefaultMinTriedFraction = 0.5
+	DefaultMaxEndpoints     = 16384
 )
 
 func (o MembershipOptions) withDefaults() MembershipOptions {
@@ -51,9 +51,9 @@
 	setDuration(&o.RefusedFor, DefaultRefusedFor)
 	setDuration(&o.MissingAfter, DefaultMissingAfter)
 	setDuration(&o.ReturnAfter, DefaultReturnAfter)
-	setDuration(&o.HearsayMargin, DefaultHearsayMargin)
-	if o.FloorShare <= 0 {
-		o.FloorShare = DefaultFloorShare
+	setDuration(&o.NeighbourMargin, DefaultNeighbourMargin)
+	if o.MinTriedFraction <= 0 {
+		o.MinTriedFraction = DefaultMinTriedFraction
 	}
 	if o.MaxEndpoints <= 0 {
 		o.MaxEndpoints = DefaultMaxEndpoints
@@ -77,7 +77,7 @@
 	ChangeLeaving   ChangeKind = "leaving"   // gets no new work from now on
 	ChangeReturned  ChangeKind = "returned"  // may get work again
 	ChangeRestarted ChangeKind = "restarted" // other incarnation: its cache is empty
-	ChangeGone      ChangeKind = "gone"      // forgotten
+	ChangeRemoved   ChangeKind = "gone"      // forgotten
 )
 
 // Change is one event of the membership, for tables keyed by endpoint.
@@ -92,7 +92,7 @@
 	Endpoint
 	Incarnation Incarnation
 	Load        Load
-	Heard       time.Time // when it last spoke to this daemon; zero: never
+	LastReport  time.Time `json:"Heard"` // when it last spoke to this daemon; zero: never
 	Leaving     bool      // by its own word or by the list's
 	Doubtful    bool      // silent or refused; tried only to keep the floor
 	Listed      bool      // the newest list has it
@@ -101,17 +101,17 @@
 // member is a row of the table.
 type member struct {
 	Endpoint
-	word
-	load     Load
-	heard    time.Time // last word to this daemon
-	asked    time.Time // last probe
-	waiting  time.Time // first probe since the last word; zero: none open
-	refused  time.Time // until when refused
-	listed   time.Time // last list that had it
-	liveFrom time.Time // since when the list says live without a break
-	leaving  bool      // by the list, with ReturnAfter applied
-	missing  bool      // not in the newest list
-	cell     int       // place in Membership.counts
+	reportState
+	load            Load
+	lastReport      time.Time // last word to this daemon
+	lastProbe       time.Time // last probe
+	unansweredSince time.Time // first probe since the last word; zero: none open
+	refusedUntil    time.Time // until when refused
+	lastListed      time.Time // last list that had it
+	liveSince       time.Time // since when the list says live without a break
+	leaving         bool      // by the list, with ReturnAfter applied
+	unlisted        bool      // not in the newest list
+	group           int       // place in Membership.counts
 }
 
 // Membership joins the platform's lagging list of VMs with what endpoints say
@@ -120,9 +120,9 @@
 type Membership struct {
 	o       MembershipOptions
 	members map[EndpointID]*member
-	rows    []*member // the members by id
-	counts  []count   // by member.cell; scratch of AppendUsable
-	dropped int       // entries of the newest list beyond MaxEndpoints
+	rows    []*member    // the members by id
+	counts  []groupCount // by member.cell; scratch of AppendUsable
+	dropped int          // entries of the newest list beyond MaxEndpoints
 }
 
 // NewMembership returns a membership without endpoints.
@@ -145,70 +145,70 @@
 	}
 	m.dropped = 0
 	for _, r := range m.members {
-		r.missing = true
+		r.unlisted = true
 	}
 	var changes []Change
 	for _, e := range list {
-		changes = m.listEntry(now, e, changes)
+		changes = m.applyListEntry(now, e, changes)
 	}
-	m.sort()
+	m.rebuildRows()
 	return append(changes, m.Expire(now)...)
 }
 
-// listEntry takes one entry of the list.
-func (m *Membership) listEntry(now time.Time, e Endpoint, changes []Change) []Change {
+// applyListEntry takes one entry of the list.
+func (m *Membership) applyListEntry(now time.Time, e Endpoint, changes []Change) []Change {
 	r, known := m.members[e.ID]
 	if !known {
 		if len(m.members) >= m.o.MaxEndpoints {
 			m.dropped++
 			return changes
 		}
-		r = &member{Endpoint: e, liveFrom: now, listed: now, leaving: e.State == VMLeaving}
+		r = &member{Endpoint: e, liveSince: now, lastListed: now, leaving: e.State == VMLeaving}
 		m.members[e.ID] = r
 		return append(changes, Change{ChangeJoined, e.ID, 0})
 	}
-	r.missing, r.listed = false, now
+	r.unlisted, r.lastListed = false, now
 	if moved(r.Endpoint, e) {
 		// Another process stands behind the name: nothing heard holds for it.
-		*r = member{Endpoint: e, liveFrom: now, listed: now, leaving: e.State == VMLeaving}
+		*r = member{Endpoint: e, liveSince: now, lastListed: now, leaving: e.State == VMLeaving}
 		return append(changes, Change{ChangeMoved, e.ID, 0})
 	}
-	return m.listState(now, r, e.State, changes)
+	return m.applyListState(now, r, e.State, changes)
 }
 
 func moved(a, b Endpoint) bool {
 	return a.Address != b.Address || a.VM != b.VM || a.Class != b.Class || a.Zone != b.Zone
 }
 
-// listState takes the list's word on a known endpoint. A stale page of the list
+// applyListState takes the list's word on a known endpoint. A stale page of the list
 // may call a leaving VM live for a moment; work sent then would be cut when the
 // VM goes, so "live" must last before it counts, unless the endpoint shows a
 // new life.
-func (m *Membership) listState(now time.Time, r *member, s VMState, changes []Change) []Change {
+func (m *Membership) applyListState(now time.Time, r *member, s VMState, changes []Change) []Change {
 	was := r.State
 	r.State = s
 	if s == VMLeaving {
-		r.liveFrom = time.Time{}
+		r.liveSince = time.Time{}
 		if r.leaving {
 			return changes
 		}
 		r.leaving = true
 		return append(changes, Change{ChangeLeaving, r.ID, r.Incarnation})
 	}
-	if was == VMLeaving || r.liveFrom.IsZero() {
-		r.liveFrom = now
+	if was == VMLeaving || r.liveSince.IsZero() {
+		r.liveSince = now
 	}
-	if r.leaving && now.Sub(r.liveFrom) >= m.o.ReturnAfter {
+	if r.leaving && now.Sub(r.liveSince) >= m.o.ReturnAfter {
 		r.leaving = false
 		return append(changes, Change{ChangeReturned, r.ID, r.Incarnation})
 	}
 	return changes
 }
 
-// Reported takes what an endpoint said of itself to this daemon; l.At is when
+// ApplyReport takes what an endpoint said of itself to this daemon; l.At is when
 // it was true by this daemon's clock. A report that is older than the newest
 // one is dropped: it may come from a life that has ended.
-func (m *Membership) Reported(now time.Time, id EndpointID, l Load) []Change {
+func (m *Membership) ApplyReport(now time.Time, id EndpointID, l Load) []Change {
 	r, known := m.members[id]
 	if !known {
 		return nil
@@ -219,18 +219,18 @@
 	if l.At.Before(r.load.At) || l.At.Before(r.At) && l.Incarnation != r.Incarnation {
 		return nil
 	}
-	r.load, r.heard = l, l.At
-	r.waiting, r.refused = time.Time{}, time.Time{}
+	r.load, r.lastReport = l, l.At
+	r.unansweredSince, r.refusedUntil = time.Time{}, time.Time{}
 	if l.At.Before(r.At) {
 		return nil // a neighbour heard something newer of this life
 	}
-	return m.take(now, r, Evidence{id, l.Incarnation, l.Draining, l.At}, nil)
+	return m.applyEvidence(now, r, Evidence{id, l.Incarnation, l.Draining, l.At}, nil)
 }
 
-// take adopts newer evidence and names what changed by it.
-func (m *Membership) take(now time.Time, r *member, e Evidence, changes []Change) []Change {
+// applyEvidence adopts newer evidence and names what changed by it.
+func (m *Membership) applyEvidence(now time.Time, r *member, e Evidence, changes []Change) []Change {
 	before := r.Evidence
-	r.take(now, e)
+	r.apply(now, e)
 	if before.Incarnation != 0 && before.Incarnation != r.Incarnation {
 		changes = append(changes, Change{ChangeRestarted, r.ID, r.Incarnation})
 		if r.leaving && r.State == VMLive {
@@ -247,64 +247,64 @@
 	return changes
 }
 
-// Refused says that the endpoint took no connection, or none of the request.
-func (m *Membership) Refused(now time.Time, id EndpointID) {
+// RecordRefusal says that the endpoint took no connection, or none of the request.
+func (m *Membership) RecordRefusal(now time.Time, id EndpointID) {
 	if r, known := m.members[id]; known {
-		r.refused = now.Add(m.o.RefusedFor)
+		r.refusedUntil = now.Add(m.o.RefusedFor)
 	}
 }
 
-// DrainingSeen says that the endpoint refused work since it is leaving.
-func (m *Membership) DrainingSeen(now time.Time, id EndpointID) []Change {
+// RecordDraining says that the endpoint refused work since it is leaving.
+func (m *Membership) RecordDraining(now time.Time, id EndpointID) []Change {
 	r, known := m.members[id]
 	if !known {
 		return nil
 	}
-	r.heard, r.waiting = now, time.Time{}
-	return m.take(now, r, Evidence{id, r.Incarnation, true, now}, nil)
+	r.lastReport, r.unansweredSince = now, time.Time{}
+	return m.applyEvidence(now, r, Evidence{id, r.Incarnation, true, now}, nil)
 }
 
-// Asked says that the endpoint was sent a probe, see Probes.
-func (m *Membership) Asked(now time.Time, id EndpointID) {
+// RecordProbe says that the endpoint was sent a probe, see Probes.
+func (m *Membership) RecordProbe(now time.Time, id EndpointID) {
 	r, known := m.members[id]
 	if !known {
 		return
 	}
-	r.asked = now
-	if r.waiting.IsZero() {
-		r.waiting = now
+	r.lastProbe = now
+	if r.unansweredSince.IsZero() {
+		r.unansweredSince = now
 	}
 }
 
-// Hearsay takes what a neighbour heard. A life that has ended here is never
+// ApplyNeighbourEvidence takes what a neighbour heard. A life that has ended here is never
 // taken up again on a neighbour's word, whatever its clock says; an
 // endpoint's own word to this daemon always counts more, see Reported.
-func (m *Membership) Hearsay(now time.Time, es []Evidence) []Change {
+func (m *Membership) ApplyNeighbourEvidence(now time.Time, es []Evidence) []Change {
 	var changes []Change
 	for _, e := range es {
 		r, known := m.members[e.Endpoint]
-		if !known || e.Incarnation == 0 || r.ended(e.Incarnation) {
+		if !known || e.Incarnation == 0 || r.hasEnded(e.Incarnation) {
 			continue
 		}
 		if e.At.After(now) {
 			e.At = now
 		}
-		if !r.At.IsZero() && e.At.Sub(r.At) < m.margin(r, e) {
+		if !r.At.IsZero() && e.At.Sub(r.At) < m.neighbourMargin(r, e) {
 			continue
 		}
-		changes = m.take(now, r, e, changes)
+		changes = m.applyEvidence(now, r, e, changes)
 	}
 	return changes
 }
 
-// margin is how much newer than the own evidence a neighbour's must be. That the
+// neighbourMargin is how much newer than the own evidence a neighbour's must be. That the
 // same life now leaves counts without one: taken wrongly it costs the endpoint
 // some work until it speaks again, left out wrongly it costs a request.
-func (m *Membership) margin(r *member, e Evidence) time.Duration {
+func (m *Membership) neighbourMargin(r *member, e Evidence) time.Duration {
 	if e.Draining && e.Incarnation == r.Incarnation {
 		return time.Nanosecond
 	}
-	return m.o.HearsayMargin
+	return m.o.NeighbourMargin
 }
 
 // Expire applies what the passing of time alone decides. The shell calls it
@@ -312,24 +312,24 @@
 func (m *Membership) Expire(now time.Time) []Change {
 	var changes []Change
 	for _, r := range m.rows {
-		if !m.forgettable(now, r) {
+		if !m.canRemove(now, r) {
 			continue
 		}
 		delete(m.members, r.ID)
-		changes = append(changes, Change{ChangeGone, r.ID, r.Incarnation})
+		changes = append(changes, Change{ChangeRemoved, r.ID, r.Incarnation})
 	}
 	if len(changes) > 0 {
-		m.sort()
+		m.rebuildRows()
 	}
 	return changes
 }
 
-// forgettable tells whether both the list and the endpoint have been silent
+// canRemove tells whether both the list and the endpoint have been silent
 // for long enough. One of them alone is not enough: a list that lost half of
 // its rows would take half of the fleet away, and an endpoint that is cut off
 // from this daemon may come back.
-func (m *Membership) forgettable(now time.Time, r *member) bool {
-	if !r.missing || now.Sub(r.listed) < m.o.MissingAfter {
+func (m *Membership) canRemove(now time.Time, r *member) bool {
+	if !r.unlisted || now.Sub(r.lastListed) < m.o.MissingAfter {
 		return false
 	}
 	return m.doubtful(now, r)
@@ -337,24 +337,24 @@
 
 // doubtful tells whether the endpoint was asked and gave no answer.
 func (m *Membership) doubtful(now time.Time, r *member) bool {
-	if now.Before(r.refused) {
+	if now.Before(r.refusedUntil) {
 		return true
 	}
-	return !r.waiting.IsZero() && now.Sub(r.waiting) >= m.o.SilentAfter
+	return !r.unansweredSince.IsZero() && now.Sub(r.unansweredSince) >= m.o.SilentAfter
 }
 
-// sort brings the rows and their cells in line with the table.
-func (m *Membership) sort() {
+// rebuildRows brings the rows and their cells in line with the table.
+func (m *Membership) rebuildRows() {
 	m.rows = m.rows[:0]
-	cells := map[cell]int{}
+	cells := map[group]int{}
 	for _, r := range m.members {
 		m.rows = append(m.rows, r)
-		c := cell{r.Class, r.Zone}
+		c := group{r.Class, r.Zone}
 		if _, known := cells[c]; !known {
 			cells[c] = len(cells)
 		}
-		r.cell = cells[c]
+		r.group = cells[c]
 	}
-	m.counts = make([]count, len(cells))
+	m.counts = make([]groupCount, len(cells))
 	slices.SortFunc(m.rows, func(a, b *member) int { return strings.Compare(string(a.ID), string(b.ID)) })
 }
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -48,9 +48,9 @@
 // probe asks every endpoint that is due and lets answer say which reply.
 func probe(m *Membership, now time.Time, answer func(id EndpointID) (Load, bool)) {
 	for _, e := range m.Probes(now, 100) {
-		m.Asked(now, e.ID)
+		m.RecordProbe(now, e.ID)
 		if l, ok := answer(e.ID); ok {
-			m.Reported(now, e.ID, l)
+			m.ApplyReport(now, e.ID, l)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		gone = append(gone, m.SetList(now, runners(17))...)
 		probe(m, now, func(id EndpointID) (Load, bool) { return Load{At: now, Incarnation: 1}, id != "runner-17" })
 	}
-	if want := []Change{{ChangeGone, "runner-17", 0}}; !slices.Equal(gone, want) {
+	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(gone, want) {
 		t.Errorf("changes %v, want %v", gone, want)
 	}
 	if m.Len() != 17 {
@@ -138,16 +138,16 @@
 func TestLateWordOfAnEndedLife(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(3))
-	m.Reported(at(1*time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	changes := m.Reported(at(5*time.Second), "runner-00", Load{At: at(5 * time.Second), Incarnation: 2})
+	m.ApplyReport(at(1*time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
+	changes := m.ApplyReport(at(5*time.Second), "runner-00", Load{At: at(5 * time.Second), Incarnation: 2})
 	if !slices.Equal(kinds(changes), []ChangeKind{ChangeRestarted}) {
 		t.Errorf("changes %v", changes)
 	}
-	if c := m.Reported(at(6*time.Second), "runner-00", Load{At: at(2 * time.Second), Incarnation: 1}); len(c) > 0 {
+	if c := m.ApplyReport(at(6*time.Second), "runner-00", Load{At: at(2 * time.Second), Incarnation: 1}); len(c) > 0 {
 		t.Errorf("a late answer brought %v", c)
 	}
 	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(20 * time.Second)}}
-	if c := m.Hearsay(at(20*time.Second), late); len(c) > 0 {
+	if c := m.ApplyNeighbourEvidence(at(20*time.Second), late); len(c) > 0 {
 		t.Errorf("a neighbour's late word brought %v", c)
 	}
 	if got := m.All(at(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
@@ -160,25 +160,25 @@
 func TestNeighboursWordOfALeavingEndpoint(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(3))
-	m.Reported(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
-	m.Reported(at(9800*time.Millisecond), "runner-00", Load{At: at(9800 * time.Millisecond), Incarnation: 1})
-	m.Hearsay(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: at(10 * time.Second)}})
+	m.ApplyReport(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
+	m.ApplyReport(at(9800*time.Millisecond), "runner-00", Load{At: at(9800 * time.Millisecond), Incarnation: 1})
+	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: at(10 * time.Second)}})
 	if got := m.All(at(10 * time.Second))[0].Incarnation; got != 1 {
 		t.Errorf("incarnation %d on a word that may be older than the own", got)
 	}
-	m.Hearsay(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(9700 * time.Millisecond)}})
+	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(9700 * time.Millisecond)}})
 	if !slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
 		t.Error("gets no work on an older word")
 	}
 	news := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(10 * time.Second)}}
-	m.Hearsay(at(10*time.Second), news)
+	m.ApplyNeighbourEvidence(at(10*time.Second), news)
 	if slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
 		t.Error("gets work")
 	}
-	if got := m.News(at(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
+	if got := m.RecentEvidence(at(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
 		t.Errorf("passed on %v", got)
 	}
-	m.Reported(at(12*time.Second), "runner-00", Load{At: at(12 * time.Second), Incarnation: 1})
+	m.ApplyReport(at(12*time.Second), "runner-00", Load{At: at(12 * time.Second), Incarnation: 1})
 	if !slices.Contains(usable(m, at(12*time.Second)), "runner-00") {
 		t.Error("the runner's own word does not count")
 	}
@@ -218,7 +218,7 @@
 	m := NewMembership(MembershipOptions{})
 	list := runners(2)
 	m.SetList(at(0), list)
-	m.Reported(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
+	m.ApplyReport(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
 	list[0].Address = "10.9.9.9:80"
 	if c := m.SetList(at(time.Second), list); !slices.Equal(kinds(c), []ChangeKind{ChangeMoved}) {
 		t.Errorf("changes %v", c)
@@ -234,14 +234,14 @@
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(18))
 	for _, e := range runners(18) {
-		m.Refused(at(time.Second), e.ID)
+		m.RecordRefusal(at(time.Second), e.ID)
 	}
 	if got := len(usable(m, at(time.Second))); got != 18 {
 		t.Errorf("%d usable with all refused, want all tried", got)
 	}
-	m.Reported(at(time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	m.Reported(at(time.Second), "runner-03", Load{At: at(time.Second), Incarnation: 1})
-	m.Reported(at(time.Second), "runner-06", Load{At: at(time.Second), Incarnation: 1})
+	m.ApplyReport(at(time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
+	m.ApplyReport(at(time.Second), "runner-03", Load{At: at(time.Second), Incarnation: 1})
+	m.ApplyReport(at(time.Second), "runner-06", Load{At: at(time.Second), Incarnation: 1})
 	for _, e := range m.Usable(at(time.Second)) {
 		if e.Zone == "zone-0" && e.Doubtful {
 			t.Errorf("%s is tried although its zone has enough that answer", e.ID)
@@ -273,11 +273,11 @@
 			"word": func(t *rapid.T) {
 				id := EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id")))
 				l := Load{At: now, Incarnation: Incarnation(rapid.IntRange(1, 3).Draw(t, "life")), Draining: rapid.Bool().Draw(t, "draining")}
-				m.Reported(now, id, l)
+				m.ApplyReport(now, id, l)
 				draining[id] = l.Draining
 			},
 			"refused": func(t *rapid.T) {
-				m.Refused(now, EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id"))))
+				m.RecordRefusal(now, EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id"))))
 			},
 			"": func(t *rapid.T) {
 				if m.Len() > 8 {
--- a/fleet/usable.go
+++ b/fleet/usable.go
@@ -6,18 +6,18 @@
 	"time"
 )
 
-// cell is a group of endpoints for which the floor is kept.
-type cell struct {
+// group is a group of endpoints for which the floor is kept.
+type group struct {
 	class string
 	zone  ZoneID
 }
 
-// count is how many endpoints of a cell stay, and how many are not doubtful.
-type count struct{ staying, clear int }
+// groupCount is how many endpoints of a cell stay, and how many are not doubtful.
+type groupCount struct{ staying, responsive int }
 
-// belowFloor tells whether doubtful endpoints of the cell are to be tried.
-func (c count) belowFloor(share float64) bool {
-	return c.clear < int(math.Ceil(share*float64(c.staying)))
+// needsDoubtful tells whether doubtful endpoints of the cell are to be tried.
+func (c groupCount) needsDoubtful(share float64) bool {
+	return c.responsive < int(math.Ceil(share*float64(c.staying)))
 }
 
 // Usable returns the endpoints that may get new work, by id.
@@ -34,20 +34,20 @@
 func (m *Membership) AppendUsable(to []Member, now time.Time) []Member {
 	clear(m.counts)
 	for _, r := range m.rows {
-		if r.stays() {
-			m.counts[r.cell].staying++
+		if r.notLeaving() {
+			m.counts[r.group].staying++
 			if !m.doubtful(now, r) {
-				m.counts[r.cell].clear++
+				m.counts[r.group].responsive++
 			}
 		}
 	}
 	for _, r := range m.rows {
-		if !r.stays() {
+		if !r.notLeaving() {
 			continue
 		}
 		doubtful := m.doubtful(now, r)
-		if !doubtful || m.counts[r.cell].belowFloor(m.o.FloorShare) {
-			to = append(to, r.view(doubtful))
+		if !doubtful || m.counts[r.group].needsDoubtful(m.o.MinTriedFraction) {
+			to = append(to, r.snapshot(doubtful))
 		}
 	}
 	return to
@@ -61,23 +61,23 @@
 // AppendAll is All with a slice to append to, for callers that ask often.
 func (m *Membership) AppendAll(to []Member, now time.Time) []Member {
 	for _, r := range m.rows {
-		to = append(to, r.view(m.doubtful(now, r)))
+		to = append(to, r.snapshot(m.doubtful(now, r)))
 	}
 	return to
 }
 
-// stays tells whether the endpoint is not leaving.
-func (r *member) stays() bool { return !r.leaving && !r.Draining }
+// notLeaving tells whether the endpoint is not leaving.
+func (r *member) notLeaving() bool { return !r.leaving && !r.Draining }
 
-func (r *member) view(doubtful bool) Member {
+func (r *member) snapshot(doubtful bool) Member {
 	return Member{
 		Endpoint:    r.Endpoint,
 		Incarnation: r.Incarnation,
 		Load:        r.load,
-		Heard:       r.heard,
-		Leaving:     !r.stays(),
+		LastReport:  r.lastReport,
+		Leaving:     !r.notLeaving(),
 		Doubtful:    doubtful,
-		Listed:      !r.missing,
+		Listed:      !r.unlisted,
 	}
 }
 
@@ -87,15 +87,15 @@
 func (m *Membership) Probes(now time.Time, limit int) []Endpoint {
 	var due []*member
 	for _, r := range m.rows {
-		last := r.asked
-		if r.heard.After(last) {
-			last = r.heard
+		last := r.lastProbe
+		if r.lastReport.After(last) {
+			last = r.lastReport
 		}
 		if now.Sub(last) >= m.o.ProbeAfter {
 			due = append(due, r)
 		}
 	}
-	slices.SortStableFunc(due, func(a, b *member) int { return a.asked.Compare(b.asked) })
+	slices.SortStableFunc(due, func(a, b *member) int { return a.lastProbe.Compare(b.lastProbe) })
 	due = due[:min(limit, len(due))]
 	probes := make([]Endpoint, 0, len(due))
 	for _, r := range due {
@@ -104,18 +104,18 @@
 	return probes
 }
 
-// News returns up to limit pieces of evidence that changed within the given
+// RecentEvidence returns up to limit pieces of evidence that changed within the given
 // time, the newest first: what a digest to the neighbours carries. Evidence
 // that has not changed is not sent again, since at thousands of endpoints it
 // would fill the budget for control.
-func (m *Membership) News(now time.Time, within time.Duration, limit int) []Evidence {
+func (m *Membership) RecentEvidence(now time.Time, within time.Duration, limit int) []Evidence {
 	var rows []*member
 	for _, r := range m.rows {
-		if !r.changed.IsZero() && now.Sub(r.changed) <= within {
+		if !r.lastChange.IsZero() && now.Sub(r.lastChange) <= within {
 			rows = append(rows, r)
 		}
 	}
-	slices.SortStableFunc(rows, func(a, b *member) int { return b.changed.Compare(a.changed) })
+	slices.SortStableFunc(rows, func(a, b *member) int { return b.lastChange.Compare(a.lastChange) })
 	rows = rows[:min(limit, len(rows))]
 	news := make([]Evidence, 0, len(rows))
 	for _, r := range rows {
--- a/lab/measure/control_test.go
+++ b/lab/measure/control_test.go
@@ -135,7 +135,7 @@
 		b.Run(fmt.Sprint(count, "/reported"), func(b *testing.B) {
 			b.ReportAllocs()
 			for b.Loop() {
-				m.Reported(now, "runner-0007", load)
+				m.ApplyReport(now, "runner-0007", load)
 			}
 		})
 	}
--- a/lab/measure/rollout.go
+++ b/lab/measure/rollout.go
@@ -75,7 +75,7 @@
 	}
 	m.SetList(now, list)
 	for _, e := range list {
-		m.Reported(now, e.ID, fleet.Load{At: now, Incarnation: 1})
+		m.ApplyReport(now, e.ID, fleet.Load{At: now, Incarnation: 1})
 	}
 	return m, now
 }
--- a/rollout/bind.go
+++ b/rollout/bind.go
@@ -34,7 +34,7 @@
 		if !servesClass(m, e.Class, model) {
 			continue
 		}
-		if e.Heard.IsZero() && len(e.Load.Weights) == 0 {
+		if e.LastReport.IsZero() && len(e.Load.Weights) == 0 {
 			unheard = append(unheard, e.Endpoint)
 			continue
 		}
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -229,7 +229,7 @@
 	m := declared(3, "v2")
 	members := make([]fleet.Member, 18)
 	for i := range members {
-		members[i].Heard = epoch
+		members[i].LastReport = epoch
 		members[i].ID = fleet.EndpointID(fmt.Sprint(i))
 		members[i].Class = "large"
 		members[i].Load.Weights = []fleet.Weights{{Model: "model-0", Version: "v1"}}
@@ -264,7 +264,7 @@
 	for i, version := range []string{"v1", "v1", "v2", "", ""} {
 		e := fleet.Member{Endpoint: fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprint(i)), Class: "large"}}
 		if version != "" {
-			e.Heard = epoch
+			e.LastReport = epoch
 			e.Load.Weights = []fleet.Weights{{Model: "model-0", Version: version}}
 		}
 		members = append(members, e)
