--- a/feed/feed.go
+++ b/feed/feed.go
@@ -86,7 +86,7 @@
 }
 
 func (e *UnknownError) Error() string {
-	return fmt.Sprintf("feed: topic is not known yet, no progress for %v", e.SinceProgress)
+	return fmt.Sprintf("feed: topic has not been read completely yet, no progress for %v", e.SinceProgress)
 }
 
 // Batch is the result of one read.
