--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -2,26 +2,26 @@
 
 import "time"
 
-// Evidence is what an endpoint last said of itself, as one daemon heard it.
-// Daemons pass it on in their digests.
+// Evidence is the state that an endpoint last reported to some daemon. Daemons pass it
+// on in their digests.
 type Evidence struct {
 	Endpoint    EndpointID
 	Incarnation Incarnation
 	Draining    bool
-	At          time.Time // by the holder's own clock
+	At          time.Time // time of the report, by the clock of the daemon that holds the Evidence
 }
 
-// maxEndedIncarnations bounds the incarnations remembered as ended for one endpoint.
+// maxEndedIncarnations limits the ended incarnations that are kept for one endpoint.
 const maxEndedIncarnations = 4
 
-// reportState is what is known of an endpoint from the endpoint itself.
+// reportState is the latest evidence on an endpoint, with its ended incarnations.
 type reportState struct {
 	Evidence
-	endedIncarnations []Incarnation // ended lives, oldest first
+	endedIncarnations []Incarnation // oldest first
 	lastChange        time.Time     // when Incarnation or Draining last changed
 }
 
-// hasEnded tells whether i was the endpoint's life before the present one.
+// hasEnded reports whether i is known as an earlier incarnation of the endpoint.
 func (w *reportState) hasEnded(i Incarnation) bool {
 	for _, p := range w.endedIncarnations {
 		if p == i {
@@ -31,7 +31,7 @@
 	return false
 }
 
-// apply adopts e, which the caller found to be newer.
+// apply replaces the evidence by e, which the caller must have found to be newer.
 func (w *reportState) apply(now time.Time, e Evidence) {
 	if e.Incarnation == 0 {
 		e.Incarnation = w.Incarnation
@@ -52,7 +52,8 @@
 	w.Evidence = e
 }
 
-// removeEnded removes i from the ended lives: the endpoint itself has spoken as i.
+// removeEnded removes i from the ended incarnations, as the endpoint has reported it as
+// its present one.
 func (w *reportState) removeEnded(i Incarnation) {
 	kept := w.endedIncarnations[:0]
 	for _, p := range w.endedIncarnations {
--- a/fleet/main_test.go
+++ b/fleet/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the generated cases, so that every run gives the
-// same verdict; -rapid.seed on the command line chooses others.
+// TestMain sets the seed of the generated cases, so that runs are reproducible;
+// -rapid.seed on the command line overrides it.
 func TestMain(m *testing.M) {
 	if err := flag.Set("rapid.seed", "1"); err != nil {
 		panic(err)
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -6,34 +6,33 @@
 	"time"
 )
 
-// MembershipOptions holds the times and bounds by which a Membership joins
-// the platform's list with what endpoints say. Zero fields take the defaults.
+// MembershipOptions holds the timeouts and limits by which a Membership combines the
+// platform's list with the reports of endpoints. Zero fields take the defaults.
 type MembershipOptions struct {
-	// ProbeAfter is how long an endpoint may say nothing before it is asked.
+	// ProbeAfter is how long an endpoint may send no report before it is probed.
 	ProbeAfter time.Duration
-	// SilentAfter is how long an endpoint that was asked may give no answer
-	// before it gets no new work.
+	// SilentAfter is how long a probe may stay unanswered before the endpoint is doubtful.
 	SilentAfter time.Duration
-	// RefusedFor is how long a refused connection keeps new work away, unless
-	// the endpoint speaks before.
+	// RefusedFor is how long an endpoint is doubtful after it refused a connection, unless
+	// it sends a report before.
 	RefusedFor time.Duration
-	// MissingAfter is how long the list must go without an endpoint that is
-	// silent too before it is forgotten.
+	// MissingAfter is how long a doubtful endpoint must be missing from the list before it
+	// is removed.
 	MissingAfter time.Duration
-	// ReturnAfter is how long the list must call an endpoint live again that it
-	// had called leaving.
+	// ReturnAfter is how long the list must show an endpoint as live after it had shown it
+	// as leaving, before the endpoint may receive requests again.
 	ReturnAfter time.Duration
-	// NeighbourMargin is how much newer a neighbour's evidence must be than the
-	// own before it counts: more than a digest's time on the way.
+	// NeighbourMargin is how much newer than the own evidence a neighbour's must be to be
+	// applied. It must exceed the time that a digest takes to arrive.
 	NeighbourMargin time.Duration
-	// MinTriedFraction is the share of a class's endpoints in a zone that are tried at
-	// the least, although they are silent or refused.
+	// MinTriedFraction is the fraction of a class's endpoints in a zone below which
+	// doubtful endpoints are usable too.
 	MinTriedFraction float64
-	// MaxEndpoints bounds the table; entries of the list beyond it are dropped.
+	// MaxEndpoints limits the table; further entries of the list are dropped.
 	MaxEndpoints int
 }
 
-// The defaults of MembershipOptions.
+// Defaults of MembershipOptions.
 const (
 	DefaultProbeAfter       = time.Second
 	DefaultSilentAfter      = 1800 * time.Millisecond
@@ -67,35 +66,35 @@
 	}
 }
 
-// ChangeKind tells what happened to an endpoint.
+// ChangeKind is the kind of a Change.
 type ChangeKind string
 
-// The kinds of Change.
+// Kinds of Change.
 const (
 	ChangeJoined    ChangeKind = "joined"    // first seen
 	ChangeMoved     ChangeKind = "moved"     // other VM, class, zone or address
-	ChangeLeaving   ChangeKind = "leaving"   // gets no new work from now on
-	ChangeReturned  ChangeKind = "returned"  // may get work again
-	ChangeRestarted ChangeKind = "restarted" // other incarnation: its cache is empty
-	ChangeRemoved   ChangeKind = "gone"      // forgotten
+	ChangeLeaving   ChangeKind = "leaving"   // receives no new requests from now on
+	ChangeReturned  ChangeKind = "returned"  // may receive requests again
+	ChangeRestarted ChangeKind = "restarted" // another incarnation: its cache is empty
+	ChangeRemoved   ChangeKind = "gone"      // removed from the table
 )
 
-// Change is one event of the membership, for tables keyed by endpoint.
+// Change is a change of the membership, for tables keyed by endpoint.
 type Change struct {
 	Kind        ChangeKind
 	Endpoint    EndpointID
 	Incarnation Incarnation // after the change
 }
 
-// Member is an endpoint with what is known of it.
+// Member is an endpoint with its state as known to this daemon.
 type Member struct {
 	Endpoint
 	Incarnation Incarnation
 	Load        Load
-	LastReport  time.Time `json:"Heard"` // when it last spoke to this daemon; zero: never
-	Leaving     bool      // by its own word or by the list's
-	Doubtful    bool      // silent or refused; tried only to keep the floor
-	Listed      bool      // the newest list has it
+	LastReport  time.Time `json:"Heard"` // time of the last report to this daemon; zero: none
+	Leaving     bool      // draining by its own report, or leaving by the list
+	Doubtful    bool      // silent or refusing; used only below MinTriedFraction
+	Listed      bool      // present in the newest list
 }
 
 // member is a row of the table.
@@ -103,26 +102,26 @@
 	Endpoint
 	reportState
 	load            Load
-	lastReport      time.Time // last word to this daemon
+	lastReport      time.Time // last report to this daemon
 	lastProbe       time.Time // last probe
-	unansweredSince time.Time // first probe since the last word; zero: none open
-	refusedUntil    time.Time // until when refused
-	lastListed      time.Time // last list that had it
-	liveSince       time.Time // since when the list says live without a break
+	unansweredSince time.Time // first probe since the last report; zero: none
+	refusedUntil    time.Time // end of RefusedFor
+	lastListed      time.Time // time of the last list with it
+	liveSince       time.Time // start of the period in which all lists show it as live
 	leaving         bool      // by the list, with ReturnAfter applied
-	unlisted        bool      // not in the newest list
-	group           int       // place in Membership.counts
+	unlisted        bool      // missing from the newest list
+	group           int       // index in Membership.counts
 }
 
-// Membership joins the platform's lagging list of VMs with what endpoints say
-// in their answers, and gives the endpoints that may get new work. It is not
-// safe for concurrent use.
+// Membership combines the platform's list of VMs, which lags, with the reports of
+// endpoints in their answers, and determines the endpoints that may receive new
+// requests. It is not safe for concurrent use.
 type Membership struct {
 	o       MembershipOptions
 	members map[EndpointID]*member
-	rows    []*member    // the members by id
-	counts  []groupCount // by member.cell; scratch of AppendUsable
-	dropped int          // entries of the newest list beyond MaxEndpoints
+	rows    []*member    // the members, sorted by ID
+	counts  []groupCount // by member.group; reused by AppendUsable
+	dropped int          // number of entries of the newest list beyond MaxEndpoints
 }
 
 // NewMembership returns a membership without endpoints.
@@ -130,15 +129,15 @@
 	return &Membership{o: o.withDefaults(), members: map[EndpointID]*member{}}
 }
 
-// Len is the number of endpoints in the table.
+// Len returns the number of endpoints in the table.
 func (m *Membership) Len() int { return len(m.members) }
 
-// Dropped is the number of entries that did not fit in the newest list.
+// Dropped returns the number of entries of the newest list that exceeded MaxEndpoints.
 func (m *Membership) Dropped() int { return m.dropped }
 
-// SetList takes an answer of the platform. An empty one counts as failed: the
-// fleet is fixed, so a list without endpoints is the list's fault, which shows
-// as every request refused at once; ignoring it keeps the fleet serving.
+// SetList applies a list of the platform and returns the changes. An empty list is taken
+// for a failure and ignored: the fleet is fixed, so the fault is in the list, and applying
+// it would refuse every request at once.
 func (m *Membership) SetList(now time.Time, list []Endpoint) []Change {
 	if len(list) == 0 {
 		return m.Expire(now)
@@ -155,7 +154,7 @@
 	return append(changes, m.Expire(now)...)
 }
 
-// applyListEntry takes one entry of the list.
+// applyListEntry applies one entry of the list.
 func (m *Membership) applyListEntry(now time.Time, e Endpoint, changes []Change) []Change {
 	r, known := m.members[e.ID]
 	if !known {
@@ -169,7 +168,7 @@
 	}
 	r.unlisted, r.lastListed = false, now
 	if moved(r.Endpoint, e) {
-		// Another process stands behind the name: nothing heard holds for it.
+		// The ID now belongs to another process, to which earlier reports do not apply.
 		*r = member{Endpoint: e, liveSince: now, lastListed: now, leaving: e.State == VMLeaving}
 		return append(changes, Change{ChangeMoved, e.ID, 0})
 	}
@@ -180,10 +179,10 @@
 	return a.Address != b.Address || a.VM != b.VM || a.Class != b.Class || a.Zone != b.Zone
 }
 
-// applyListState takes the list's word on a known endpoint. A stale page of the list
-// may call a leaving VM live for a moment; work sent then would be cut when the
-// VM goes, so "live" must last before it counts, unless the endpoint shows a
-// new life.
+// applyListState applies the state in the list to a known endpoint. An outdated replica of
+// the list may show a leaving VM as live for a moment, and requests sent to it would be
+// cut off when the VM stops. The endpoint is therefore leaving until the list has shown
+// it as live for ReturnAfter, or the endpoint reports another incarnation.
 func (m *Membership) applyListState(now time.Time, r *member, s VMState, changes []Change) []Change {
 	was := r.State
 	r.State = s
@@ -205,9 +204,9 @@
 	return changes
 }
 
-// ApplyReport takes what an endpoint said of itself to this daemon; l.At is when
-// it was true by this daemon's clock. A report that is older than the newest
-// one is dropped: it may come from a life that has ended.
+// ApplyReport applies the load that an endpoint reported to this daemon; l.At is the time
+// of the report by this daemon's clock. Reports older than the newest one are dropped, as
+// they may come from an ended incarnation.
 func (m *Membership) ApplyReport(now time.Time, id EndpointID, l Load) []Change {
 	r, known := m.members[id]
 	if !known {
@@ -222,12 +221,12 @@
 	r.load, r.lastReport = l, l.At
 	r.unansweredSince, r.refusedUntil = time.Time{}, time.Time{}
 	if l.At.Before(r.At) {
-		return nil // a neighbour heard something newer of this life
+		return nil // a neighbour has newer evidence on this incarnation
 	}
 	return m.applyEvidence(now, r, Evidence{id, l.Incarnation, l.Draining, l.At}, nil)
 }
 
-// applyEvidence adopts newer evidence and names what changed by it.
+// applyEvidence applies newer evidence and appends the resulting changes.
 func (m *Membership) applyEvidence(now time.Time, r *member, e Evidence, changes []Change) []Change {
 	before := r.Evidence
 	r.apply(now, e)
@@ -247,14 +246,15 @@
 	return changes
 }
 
-// RecordRefusal says that the endpoint took no connection, or none of the request.
+// RecordRefusal records that the endpoint refused the connection, or read nothing of the
+// request.
 func (m *Membership) RecordRefusal(now time.Time, id EndpointID) {
 	if r, known := m.members[id]; known {
 		r.refusedUntil = now.Add(m.o.RefusedFor)
 	}
 }
 
-// RecordDraining says that the endpoint refused work since it is leaving.
+// RecordDraining records that the endpoint rejected a request because it is draining.
 func (m *Membership) RecordDraining(now time.Time, id EndpointID) []Change {
 	r, known := m.members[id]
 	if !known {
@@ -264,7 +264,7 @@
 	return m.applyEvidence(now, r, Evidence{id, r.Incarnation, true, now}, nil)
 }
 
-// RecordProbe says that the endpoint was sent a probe, see Probes.
+// RecordProbe records that a probe was sent to the endpoint, see Probes.
 func (m *Membership) RecordProbe(now time.Time, id EndpointID) {
 	r, known := m.members[id]
 	if !known {
@@ -276,9 +276,9 @@
 	}
 }
 
-// ApplyNeighbourEvidence takes what a neighbour heard. A life that has ended here is never
-// taken up again on a neighbour's word, whatever its clock says; an
-// endpoint's own word to this daemon always counts more, see Reported.
+// ApplyNeighbourEvidence applies the evidence of a neighbour. An incarnation that has
+// ended according to this daemon is never revived by it, whatever the neighbour's clock
+// is. Reports to this daemon take precedence, see ApplyReport.
 func (m *Membership) ApplyNeighbourEvidence(now time.Time, es []Evidence) []Change {
 	var changes []Change
 	for _, e := range es {
@@ -297,9 +297,10 @@
 	return changes
 }
 
-// neighbourMargin is how much newer than the own evidence a neighbour's must be. That the
-// same life now leaves counts without one: taken wrongly it costs the endpoint
-// some work until it speaks again, left out wrongly it costs a request.
+// neighbourMargin returns how much newer than the own evidence a neighbour's must be.
+// There is no margin for evidence that the same incarnation is draining: if it is applied
+// wrongly, the endpoint gets no requests until its next report; if it is ignored wrongly,
+// a request fails.
 func (m *Membership) neighbourMargin(r *member, e Evidence) time.Duration {
 	if e.Draining && e.Incarnation == r.Incarnation {
 		return time.Nanosecond
@@ -307,8 +308,8 @@
 	return m.o.NeighbourMargin
 }
 
-// Expire applies what the passing of time alone decides. The shell calls it
-// every few hundred milliseconds.
+// Expire removes endpoints that have been silent and missing from the list for long
+// enough. Call it every few hundred milliseconds.
 func (m *Membership) Expire(now time.Time) []Change {
 	var changes []Change
 	for _, r := range m.rows {
@@ -324,10 +325,10 @@
 	return changes
 }
 
-// canRemove tells whether both the list and the endpoint have been silent
-// for long enough. One of them alone is not enough: a list that lost half of
-// its rows would take half of the fleet away, and an endpoint that is cut off
-// from this daemon may come back.
+// canRemove reports whether the endpoint has been missing from the list for MissingAfter
+// and is doubtful as well. Neither suffices alone: a list that lost half of its rows would
+// remove half of the fleet, and an endpoint that this daemon cannot reach may become
+// reachable again.
 func (m *Membership) canRemove(now time.Time, r *member) bool {
 	if !r.unlisted || now.Sub(r.lastListed) < m.o.MissingAfter {
 		return false
@@ -335,7 +336,7 @@
 	return m.doubtful(now, r)
 }
 
-// doubtful tells whether the endpoint was asked and gave no answer.
+// doubtful reports whether the endpoint refused a connection or left a probe unanswered.
 func (m *Membership) doubtful(now time.Time, r *member) bool {
 	if now.Before(r.refusedUntil) {
 		return true
@@ -343,7 +344,7 @@
 	return !r.unansweredSince.IsZero() && now.Sub(r.unansweredSince) >= m.o.SilentAfter
 }
 
-// rebuildRows brings the rows and their cells in line with the table.
+// rebuildRows rebuilds the rows and their groups from the members.
 func (m *Membership) rebuildRows() {
 	m.rows = m.rows[:0]
 	cells := map[group]int{}
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -13,7 +13,7 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// runners makes a list of count live runners over three zones.
+// runners returns a list of count live runners in three zones.
 func runners(count int) []Endpoint {
 	list := make([]Endpoint, 0, count)
 	for i := range count {
@@ -45,7 +45,7 @@
 	return out
 }
 
-// probe asks every endpoint that is due and lets answer say which reply.
+// probe probes every endpoint that is due and applies the reports that answer returns.
 func probe(m *Membership, now time.Time, answer func(id EndpointID) (Load, bool)) {
 	for _, e := range m.Probes(now, 100) {
 		m.RecordProbe(now, e.ID)
@@ -55,46 +55,46 @@
 	}
 }
 
-// The list is down from the start, and a runner begins to drain. Only its own
-// answers can tell; work sent to it later would be cut when the VM goes.
-func TestLeavingEndpointGetsNoWorkWithListDown(t *testing.T) {
+// Guards against requests to a draining endpoint while the list is unavailable: only the
+// endpoint's own answers show it, and requests would be cut off when the VM stops.
+func TestDrainingEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(18))
-	leaves := at(10 * time.Second)
-	for now := at(0); now.Before(leaves.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
+	drainsAt := at(10 * time.Second)
+	for now := at(0); now.Before(drainsAt.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		m.SetList(now, nil)
 		probe(m, now, func(id EndpointID) (Load, bool) {
-			return Load{At: now, Incarnation: 1, Draining: id == "runner-03" && !now.Before(leaves)}, true
+			return Load{At: now, Incarnation: 1, Draining: id == "runner-03" && !now.Before(drainsAt)}, true
 		})
-		works := slices.Contains(usable(m, now), "runner-03")
-		if now.After(leaves.Add(3*time.Second)) && works {
-			t.Fatalf("gets work %v after it began to leave", now.Sub(leaves))
+		isUsable := slices.Contains(usable(m, now), "runner-03")
+		if now.After(drainsAt.Add(3*time.Second)) && isUsable {
+			t.Fatalf("usable %v after it began to drain", now.Sub(drainsAt))
 		}
-		if now.Before(leaves) && !works {
-			t.Fatalf("gets no work at %v although it is not leaving", now.Sub(epoch))
+		if now.Before(drainsAt) && !isUsable {
+			t.Fatalf("unusable at %v although it is not draining", now.Sub(epoch))
 		}
 	}
 }
 
-// A VM is taken away without a word while the list is down. Requests sent to
-// it would hang until their deadline.
-func TestSilentEndpointGetsNoWorkWithListDown(t *testing.T) {
+// Guards against requests to a VM that was removed without draining while the list is
+// unavailable: they would hang until their deadline.
+func TestSilentEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(18))
-	dies := at(5 * time.Second)
+	stopsAt := at(5 * time.Second)
 	for now := at(0); now.Before(at(12 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		probe(m, now, func(id EndpointID) (Load, bool) {
-			return Load{At: now, Incarnation: 1}, id != "runner-03" || now.Before(dies)
+			return Load{At: now, Incarnation: 1}, id != "runner-03" || now.Before(stopsAt)
 		})
-		if now.After(dies.Add(3*time.Second)) && slices.Contains(usable(m, now), "runner-03") {
-			t.Fatalf("gets work %v after it fell silent", now.Sub(dies))
+		if now.After(stopsAt.Add(3*time.Second)) && slices.Contains(usable(m, now), "runner-03") {
+			t.Fatalf("usable %v after it fell silent", now.Sub(stopsAt))
 		}
 	}
 }
 
-// The list's own store loses rows, answers with nothing, and comes back. No
-// caller may notice, since the runners still answer.
-func TestForgetfulListEmptiesNothing(t *testing.T) {
+// Guards against endpoints being dropped because the list loses rows or is empty for a
+// while, although they still answer.
+func TestIncompleteListKeepsEndpoints(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	full := runners(18)
 	m.SetList(at(0), full)
@@ -114,9 +114,9 @@
 	}
 }
 
-// A VM is really gone: the list goes without it and it answers nothing. It must
-// leave the table too, or the table grows with every replacement.
-func TestGoneEndpointIsForgotten(t *testing.T) {
+// Guards against a table that grows with every replaced VM: one that is missing from the
+// list and does not answer is removed.
+func TestMissingSilentEndpointIsRemoved(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(18))
 	var gone []Change
@@ -132,10 +132,9 @@
 	}
 }
 
-// A runner crashes and comes back empty under the same address. A late answer of
-// its first life must not bring that life back, or requests would be placed by
-// a cache that is gone.
-func TestLateWordOfAnEndedLife(t *testing.T) {
+// Guards against late answers of a crashed runner that revive its old incarnation after
+// the restart: requests would be placed according to a cache that no longer exists.
+func TestLateReportOfEndedIncarnationIsIgnored(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(3))
 	m.ApplyReport(at(1*time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
@@ -148,45 +147,45 @@
 	}
 	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(20 * time.Second)}}
 	if c := m.ApplyNeighbourEvidence(at(20*time.Second), late); len(c) > 0 {
-		t.Errorf("a neighbour's late word brought %v", c)
+		t.Errorf("late evidence of a neighbour brought %v", c)
 	}
 	if got := m.All(at(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
 		t.Errorf("member %+v", got)
 	}
 }
 
-// A neighbour met a leaving runner that this daemon has not asked for a while.
-// Its word spares this daemon's callers a refused attempt.
-func TestNeighboursWordOfALeavingEndpoint(t *testing.T) {
+// Guards against a rejected attempt at a draining runner that this daemon has not
+// contacted for a while, although a neighbour has evidence of the draining.
+func TestNeighbourEvidenceOfDraining(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(3))
 	m.ApplyReport(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
 	m.ApplyReport(at(9800*time.Millisecond), "runner-00", Load{At: at(9800 * time.Millisecond), Incarnation: 1})
 	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: at(10 * time.Second)}})
 	if got := m.All(at(10 * time.Second))[0].Incarnation; got != 1 {
-		t.Errorf("incarnation %d on a word that may be older than the own", got)
+		t.Errorf("incarnation %d on evidence that may be older than the own", got)
 	}
 	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(9700 * time.Millisecond)}})
 	if !slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
-		t.Error("gets no work on an older word")
+		t.Error("unusable on older evidence")
 	}
-	news := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(10 * time.Second)}}
-	m.ApplyNeighbourEvidence(at(10*time.Second), news)
+	evidence := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(10 * time.Second)}}
+	m.ApplyNeighbourEvidence(at(10*time.Second), evidence)
 	if slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
-		t.Error("gets work")
+		t.Error("usable although a neighbour has evidence of draining")
 	}
 	if got := m.RecentEvidence(at(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
 		t.Errorf("passed on %v", got)
 	}
 	m.ApplyReport(at(12*time.Second), "runner-00", Load{At: at(12 * time.Second), Incarnation: 1})
 	if !slices.Contains(usable(m, at(12*time.Second)), "runner-00") {
-		t.Error("the runner's own word does not count")
+		t.Error("a report to this daemon is ignored")
 	}
 }
 
-// The list is read from replicas that lag differently, so that a leaving VM is
-// live again for one reading. Work sent then would be cut.
-func TestFlappingListDoesNotBringALeavingEndpointBack(t *testing.T) {
+// Guards against requests to a leaving VM that an outdated replica of the list shows as
+// live for one read: they would be cut off.
+func TestFlappingListKeepsEndpointLeaving(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	list := runners(3)
 	leaving := runners(3)
@@ -200,7 +199,7 @@
 			m.SetList(now, leaving)
 		}
 		if slices.Contains(usable(m, now), "runner-01") {
-			t.Fatalf("gets work at %d s", i)
+			t.Fatalf("usable at %d s", i)
 		}
 	}
 	var changes []Change
@@ -212,9 +211,9 @@
 	}
 }
 
-// A VM is replaced by one with the same name at another address, or comes back
-// as a new life while the list still lags.
-func TestReturnedEndpointIsAnotherLife(t *testing.T) {
+// A VM that was replaced by one with the same name at another address has no known
+// incarnation.
+func TestMovedEndpointLosesIncarnation(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	list := runners(2)
 	m.SetList(at(0), list)
@@ -228,9 +227,9 @@
 	}
 }
 
-// This daemon's own network fails, so that every runner looks dead. Trying
-// them is better than refusing all: some may be reached.
-func TestFloorOfEndpointsTried(t *testing.T) {
+// Guards against refusing all requests if this daemon's own network fails and every
+// runner appears to be down: some may still be reachable.
+func TestDoubtfulEndpointsUsedBelowMinTriedFraction(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(at(0), runners(18))
 	for _, e := range runners(18) {
@@ -249,9 +248,9 @@
 	}
 }
 
-// Whatever lists and words come in whatever order, an endpoint whose newest own
-// word is that it drains gets no work, and the table keeps its bound.
-func TestMembershipUnderAnyOrder(t *testing.T) {
+// For random sequences of lists and reports, an endpoint whose last report says that it
+// is draining is unusable, and the table stays within its limit.
+func TestMembershipInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMembership(MembershipOptions{MaxEndpoints: 8})
 		now := epoch
@@ -270,7 +269,7 @@
 				}
 				m.SetList(now, list)
 			},
-			"word": func(t *rapid.T) {
+			"report": func(t *rapid.T) {
 				id := EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id")))
 				l := Load{At: now, Incarnation: Incarnation(rapid.IntRange(1, 3).Draw(t, "life")), Draining: rapid.Bool().Draw(t, "draining")}
 				m.ApplyReport(now, id, l)
@@ -285,7 +284,7 @@
 				}
 				for _, e := range m.Usable(now) {
 					if e.Incarnation != 0 && draining[e.ID] {
-						t.Fatalf("%s gets work although it drains", e.ID)
+						t.Fatalf("%s is usable although it is draining", e.ID)
 					}
 				}
 			},
--- a/fleet/usable.go
+++ b/fleet/usable.go
@@ -6,31 +6,32 @@
 	"time"
 )
 
-// group is a group of endpoints for which the floor is kept.
+// group identifies the endpoints to which MinTriedFraction applies together.
 type group struct {
 	class string
 	zone  ZoneID
 }
 
-// groupCount is how many endpoints of a cell stay, and how many are not doubtful.
+// groupCount counts the endpoints of a group that are not leaving, and those of them that
+// are not doubtful.
 type groupCount struct{ staying, responsive int }
 
-// needsDoubtful tells whether doubtful endpoints of the cell are to be tried.
+// needsDoubtful reports whether doubtful endpoints of the group are usable.
 func (c groupCount) needsDoubtful(share float64) bool {
 	return c.responsive < int(math.Ceil(share*float64(c.staying)))
 }
 
-// Usable returns the endpoints that may get new work, by id.
+// Usable returns the endpoints that may receive new requests, sorted by ID.
 //
-// A leaving endpoint is never among them. A silent or refused one is, marked
-// Doubtful, where fewer than the floor of its class and zone would be left:
-// when this daemon's own network is at fault every endpoint looks dead, and
-// trying them costs less than refusing everything.
+// Leaving endpoints are never included. Doubtful ones are included, marked as such, if
+// the fraction of other endpoints of their class and zone is below MinTriedFraction: if
+// this daemon's own network fails, all endpoints appear to be down, and trying them is
+// better than refusing all requests.
 func (m *Membership) Usable(now time.Time) []Member {
 	return m.AppendUsable(make([]Member, 0, len(m.rows)), now)
 }
 
-// AppendUsable is Usable with a slice to append to, for callers that ask often.
+// AppendUsable is like Usable but appends to a slice, for frequent calls.
 func (m *Membership) AppendUsable(to []Member, now time.Time) []Member {
 	clear(m.counts)
 	for _, r := range m.rows {
@@ -53,12 +54,12 @@
 	return to
 }
 
-// All returns every endpoint of the table, by id.
+// All returns all endpoints of the table, sorted by ID.
 func (m *Membership) All(now time.Time) []Member {
 	return m.AppendAll(make([]Member, 0, len(m.rows)), now)
 }
 
-// AppendAll is All with a slice to append to, for callers that ask often.
+// AppendAll is like All but appends to a slice, for frequent calls.
 func (m *Membership) AppendAll(to []Member, now time.Time) []Member {
 	for _, r := range m.rows {
 		to = append(to, r.snapshot(m.doubtful(now, r)))
@@ -66,7 +67,7 @@
 	return to
 }
 
-// notLeaving tells whether the endpoint is not leaving.
+// notLeaving reports whether neither the list nor the endpoint says that it is leaving.
 func (r *member) notLeaving() bool { return !r.leaving && !r.Draining }
 
 func (r *member) snapshot(doubtful bool) Member {
@@ -81,9 +82,9 @@
 	}
 }
 
-// Probes returns up to limit endpoints that should be asked for their load, the
-// ones asked longest ago first. Every answer to a request counts as a word
-// too, so that a busy endpoint is never asked.
+// Probes returns up to limit endpoints whose load should be requested, those with the
+// oldest probe first. Answers to requests carry reports too, so busy endpoints are not
+// probed.
 func (m *Membership) Probes(now time.Time, limit int) []Endpoint {
 	var due []*member
 	for _, r := range m.rows {
@@ -104,10 +105,9 @@
 	return probes
 }
 
-// RecentEvidence returns up to limit pieces of evidence that changed within the given
-// time, the newest first: what a digest to the neighbours carries. Evidence
-// that has not changed is not sent again, since at thousands of endpoints it
-// would fill the budget for control.
+// RecentEvidence returns up to limit evidence entries that changed within the given time,
+// newest first, for digests to the neighbours. Unchanged evidence is not repeated: with
+// thousands of endpoints it would exceed the budget for control traffic.
 func (m *Membership) RecentEvidence(now time.Time, within time.Duration, limit int) []Evidence {
 	var rows []*member
 	for _, r := range m.rows {
@@ -117,9 +117,9 @@
 	}
 	slices.SortStableFunc(rows, func(a, b *member) int { return b.lastChange.Compare(a.lastChange) })
 	rows = rows[:min(limit, len(rows))]
-	news := make([]Evidence, 0, len(rows))
+	out := make([]Evidence, 0, len(rows))
 	for _, r := range rows {
-		news = append(news, r.Evidence)
+		out = append(out, r.Evidence)
 	}
-	return news
+	return out
 }
