--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -50,7 +50,7 @@
 }
 
 // NewPeers returns Peers without other daemons. rng must be seeded by the caller.
-func NewPeers(me Peer, rng *rand.Rand) *Peers { return &Peers{self: me, rng: rng} }
+func NewPeers(self Peer, rng *rand.Rand) *Peers { return &Peers{self: self, rng: rng} }
 
 // Set replaces the list of daemons. The own daemon and those without an address are left
 // out.
@@ -61,21 +61,21 @@
 // Others returns the other daemons.
 func (p *Peers) Others() []Peer { return p.others }
 
-// Sample returns up to most random daemons.
-func (p *Peers) Sample(most int) []Peer {
-	if len(p.others) <= most {
+// Sample returns up to n random daemons.
+func (p *Peers) Sample(n int) []Peer {
+	if len(p.others) <= n {
 		return p.others
 	}
-	out := make([]Peer, 0, most)
-	for _, i := range p.rng.Perm(len(p.others))[:most] {
+	out := make([]Peer, 0, n)
+	for _, i := range p.rng.Perm(len(p.others))[:n] {
 		out = append(out, p.others[i])
 	}
 	return out
 }
 
-// SendToSample queues a message to up to most random daemons.
-func (p *Peers) SendToSample(most int, data []byte) {
-	for _, to := range p.Sample(most) {
+// SendToSample queues a message to up to n random daemons.
+func (p *Peers) SendToSample(n int, data []byte) {
+	for _, to := range p.Sample(n) {
 		p.Send(to, data)
 	}
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -77,32 +77,32 @@
 }
 
 // New returns the Selector of a daemon without other daemons.
-func New(me Daemon) *Selector {
-	c := &Selector{self: me, avoided: map[string]avoidance{}}
-	c.Set(nil)
-	return c
+func New(self Daemon) *Selector {
+	s := &Selector{self: self, avoided: map[string]avoidance{}}
+	s.Set(nil)
+	return s
 }
 
 // Set replaces the daemons of the zone. This daemon is added if it is not among them.
-func (c *Selector) Set(zone []Daemon) {
-	c.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == c.self.Name })
-	c.order = append(c.order, c.self)
-	ranks := make(map[string]uint64, len(c.order))
-	for _, d := range c.order {
+func (s *Selector) Set(zone []Daemon) {
+	s.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == s.self.Name })
+	s.order = append(s.order, s.self)
+	ranks := make(map[string]uint64, len(s.order))
+	for _, d := range s.order {
 		ranks[d.Name] = rank(d)
 	}
-	slices.SortFunc(c.order, func(a, b Daemon) int {
+	slices.SortFunc(s.order, func(a, b Daemon) int {
 		return cmp.Or(cmp.Compare(b.Mbps, a.Mbps), cmp.Compare(b.Cores, a.Cores), cmp.Compare(ranks[a.Name], ranks[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	c.index = slices.IndexFunc(c.order, func(d Daemon) bool { return d.Name == c.self.Name })
-	c.position = positionOf(c.order, c.index)
-	known := make(map[string]avoidance, len(c.avoided))
-	for _, d := range c.order {
-		if a, ok := c.avoided[d.Address]; ok {
+	s.index = slices.IndexFunc(s.order, func(d Daemon) bool { return d.Name == s.self.Name })
+	s.position = positionOf(s.order, s.index)
+	known := make(map[string]avoidance, len(s.avoided))
+	for _, d := range s.order {
+		if a, ok := s.avoided[d.Address]; ok {
 			known[d.Address] = a
 		}
 	}
-	c.avoided = known
+	s.avoided = known
 }
 
 func rank(d Daemon) uint64 { return hash.Text("reader/" + d.Name) }
@@ -129,22 +129,22 @@
 }
 
 // Index returns the number of daemons that precede this one in the order of the tree.
-func (c *Selector) Index() int { return c.index }
+func (s *Selector) Index() int { return s.index }
 
 // Size returns the number of daemons in the zone, including this one.
-func (c *Selector) Size() int { return len(c.order) }
+func (s *Selector) Size() int { return len(s.order) }
 
-// Candidates returns up to most daemons to read through, best first: the parent in the
+// Candidates returns up to limit daemons to read through, best first: the parent in the
 // tree, another daemon of the parent's level, then the remaining earlier daemons in
 // order. Avoided daemons are left out. It is empty for a daemon that reads the store
 // itself.
-func (c *Selector) Candidates(now time.Duration, most int) []Daemon {
+func (s *Selector) Candidates(now time.Duration, limit int) []Daemon {
 	var out []Daemon
-	for _, i := range c.preferred() {
-		if len(out) == most {
+	for _, i := range s.preferred() {
+		if len(out) == limit {
 			break
 		}
-		if d := c.order[i]; !c.isAvoided(now, d) && !slices.Contains(out, d) {
+		if d := s.order[i]; !s.isAvoided(now, d) && !slices.Contains(out, d) {
 			out = append(out, d)
 		}
 	}
@@ -153,17 +153,17 @@
 
 // preferred returns the indexes of the earlier daemons, best first. The parent and its
 // substitute occur twice.
-func (c *Selector) preferred() []int {
-	if c.index == 0 {
+func (s *Selector) preferred() []int {
+	if s.index == 0 {
 		return nil
 	}
-	p := c.position
+	p := s.position
 	out := []int{p.parent}
 	if p.width > 1 {
 		// The readers of a lost daemon turn to different daemons.
-		out = append(out, p.start+(p.parent-p.start+1+c.index%(p.width-1))%p.width)
+		out = append(out, p.start+(p.parent-p.start+1+s.index%(p.width-1))%p.width)
 	}
-	for i := range c.index {
+	for i := range s.index {
 		out = append(out, i)
 	}
 	return out
@@ -171,31 +171,31 @@
 
 // Depth returns the number of daemons between this one and the store as long as all
 // answer; 0: it reads the store itself.
-func (c *Selector) Depth() int { return c.position.depth }
+func (s *Selector) Depth() int { return s.position.depth }
 
-// RandomOther returns another daemon of the zone, chosen by a random number in [0, 1);
+// RandomOther returns another daemon of the zone, chosen by random, a number in [0, 1);
 // false if there is none. It is for a daemon that reaches neither a candidate nor the
 // store.
-func (c *Selector) RandomOther(number float64) (Daemon, bool) {
-	others := len(c.order) - 1
+func (s *Selector) RandomOther(random float64) (Daemon, bool) {
+	others := len(s.order) - 1
 	if others < 1 {
 		return Daemon{}, false
 	}
-	i := int(number * float64(others))
-	if i >= c.index {
+	i := int(random * float64(others))
+	if i >= s.index {
 		i++
 	}
-	return c.order[i], true
+	return s.order[i], true
 }
 
-func (c *Selector) isAvoided(now time.Duration, d Daemon) bool {
-	a, ok := c.avoided[d.Address]
+func (s *Selector) isAvoided(now time.Duration, d Daemon) bool {
+	a, ok := s.avoided[d.Address]
 	return ok && now < a.until
 }
 
 // Avoid excludes a daemon from the candidates for a while, for longer with each call.
-func (c *Selector) Avoid(now time.Duration, d Daemon) {
-	a, ok := c.avoided[d.Address]
+func (s *Selector) Avoid(now time.Duration, d Daemon) {
+	a, ok := s.avoided[d.Address]
 	switch {
 	case ok && now < a.until:
 		return // failure of a read that was already in progress
@@ -205,8 +205,8 @@
 		a.backoff = initialAvoidance
 	}
 	a.until = now + a.backoff
-	c.avoided[d.Address] = a
+	s.avoided[d.Address] = a
 }
 
 // RecordAnswer records a usable answer of a daemon, which is then no longer avoided.
-func (c *Selector) RecordAnswer(d Daemon) { delete(c.avoided, d.Address) }
+func (s *Selector) RecordAnswer(d Daemon) { delete(s.avoided, d.Address) }
