--- a/daemon/catalogue.go
+++ b/daemon/catalogue.go
@@ -49,5 +49,5 @@
 	d.admission.setManifest(&v.Manifest)
 	d.claimer.setManifest(&v.Manifest)
 	d.catalogue.set(index, v)
-	d.peers.Announce()
+	d.peers.AnnounceManifest()
 }
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -179,7 +179,7 @@
 	v.dirty = v.dirty || len(changes) > 0
 	for _, c := range changes {
 		if c.Kind == fleet.ChangeLeaving || c.Kind == fleet.ChangeRestarted {
-			v.daemon.peers.AnnounceNews()
+			v.daemon.peers.AnnounceEvidence()
 		}
 		v.log.Info("Endpoint has changed.", "endpoint", string(c.Endpoint), "change", string(c.Kind))
 	}
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -38,7 +38,7 @@
 // clock does not begin at zero, which is the time of nothing.
 func (d *Daemon) clock() time.Duration { return time.Hour + d.o.Now().Sub(d.life) }
 
-func (d *Daemon) relay(to string, data []byte) { d.peers.Relay(to, data) }
+func (d *Daemon) relay(to string, data []byte) { d.peers.SendMessage(to, data) }
 
 // relayed takes another daemon's message. Daemons that are not listed are not answered.
 func (d *Daemon) relayed(from string, data []byte) {
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -21,7 +21,7 @@
 	if v.daemon.o.NoNotices {
 		return
 	}
-	if v.daemon.peers.Notify(v.now(), notices) > 0 {
+	if v.daemon.peers.AnnouncePlacements(v.now(), notices) > 0 {
 		v.daemon.metrics.Scope.Counter("notices_sent").Inc(int64(len(notices)))
 	}
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -74,14 +74,14 @@
 			Zone:        s.Daemon.Zone,
 			PeerAddress: s.Listen.Peers,
 		},
-		Life:          uint64(d.life.UnixNano()),
-		Daemons:       d.daemons.get,
-		LocalDigest:   d.localDigest,
-		Heard:         d.heard,
-		Notified:      d.fleet.notified,
-		Relayed:       d.relayed,
-		FetchManifest: d.fetchManifest,
-		Await: func(ctx context.Context, r neighbour.Revision) bool {
+		Incarnation:              uint64(d.life.UnixNano()),
+		Daemons:                  d.daemons.get,
+		LocalDigest:              d.localDigest,
+		OnDigest:                 d.heard,
+		OnPlacementAnnouncements: d.fleet.notified,
+		OnMessage:                d.relayed,
+		FetchManifest:            d.fetchManifest,
+		AwaitRevision: func(ctx context.Context, r neighbour.Revision) bool {
 			return d.manifests.Await(ctx, r.Offset)
 		},
 		Merge:       d.merge,
@@ -112,7 +112,7 @@
 		fields = append(fields, "error", e.Err.Error())
 	}
 	log := d.o.Logs.For(logging.PartPeers)
-	if e.Kind == peer.EventConflict || e.Kind == peer.EventRefused {
+	if e.Kind == peer.EventConflict || e.Kind == peer.EventRejected {
 		log.Warn("Neighbour's manifest is not taken.", fields...)
 		return
 	}
@@ -130,8 +130,8 @@
 }
 
 // localDigest is what the neighbours are told.
-func (d *Daemon) localDigest(now time.Time) peer.Local {
-	l := peer.Local{Endpoints: d.fleet.news(now), Usage: d.admission.usage(now, !d.shutdown.ready())}
+func (d *Daemon) localDigest(now time.Time) peer.LocalState {
+	l := peer.LocalState{Endpoints: d.fleet.news(now), Usage: d.admission.usage(now, !d.shutdown.ready())}
 	if v := d.manifests.InForce(); v != nil {
 		l.Accepted = revisionOf(v.Revision)
 	}
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -178,11 +178,11 @@
 		Budget:   o.Budget,
 		TLS:      c.files,
 		Daemons:  func() []ports.Daemon { return list },
-		LocalDigest: func(now time.Time) peer.Local {
+		LocalDigest: func(now time.Time) peer.LocalState {
 			for i := range evidence {
 				evidence[i].At = now
 			}
-			return peer.Local{Accepted: n.state().Revision, Endpoints: append([]fleet.Evidence(nil), evidence...), Usage: usage}
+			return peer.LocalState{Accepted: n.state().Revision, Endpoints: append([]fleet.Evidence(nil), evidence...), Usage: usage}
 		},
 		FetchManifest: func(context.Context, neighbour.Revision) (peer.Accepted, error) { return n.state(), nil },
 		Merge:         func(_ context.Context, _ string, a peer.Accepted) error { return c.take(n, a) },
@@ -260,7 +260,7 @@
 	if err := c.take(c.nodes[0], a); err != nil {
 		return 0, err
 	}
-	c.nodes[0].service.Announce()
+	c.nodes[0].service.AnnounceManifest()
 	limit := time.After(time.Minute)
 	for range c.nodes {
 		select {
--- a/peer/client.go
+++ b/peer/client.go
@@ -15,21 +15,21 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// link is a connection to one address.
-type link struct {
+// connection is a connection to one address.
+type connection struct {
 	conn   *grpc.ClientConn
 	client peerpb.PeerClient
 }
 
-func (l *link) close() {
+func (l *connection) close() {
 	// Close fails only for a connection that is closed already.
 	_ = l.conn.Close()
 }
 
-// reconnect is how gRPC opens a lost connection again. Its own default waits up to
+// reconnectParams is how gRPC opens a lost connection again. Its own default waits up to
 // two minutes, so that a restarted neighbour would learn of a new manifest
 // long after the promised seconds; this keeps the wait below them.
-var reconnect = grpc.ConnectParams{
+var reconnectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  100 * time.Millisecond,
 		Multiplier: 1.6,
@@ -50,12 +50,12 @@
 	}
 	options := []grpc.DialOption{
 		grpc.WithTransportCredentials(creds),
-		grpc.WithConnectParams(reconnect),
+		grpc.WithConnectParams(reconnectParams),
 		grpc.WithNoProxy(),
 		grpc.WithDisableServiceConfig(),
-		grpc.WithInitialWindowSize(window),
-		grpc.WithInitialConnWindowSize(window),
-		grpc.WithIdleTimeout(idleAfter),
+		grpc.WithInitialWindowSize(flowControlWindow),
+		grpc.WithInitialConnWindowSize(flowControlWindow),
+		grpc.WithIdleTimeout(idleTimeout),
 	}
 	if o.Dial != nil {
 		options = append(options, grpc.WithContextDialer(func(ctx context.Context, address string) (net.Conn, error) {
@@ -65,47 +65,47 @@
 	return options, nil
 }
 
-// link returns the connection to an address, which gRPC opens when it is used.
-func (s *Service) link(address string) (*link, error) {
+// connectionTo returns the connection to an address, which gRPC opens when it is used.
+func (s *Service) connectionTo(address string) (*connection, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, known := s.links[address]; known {
+	if l, known := s.connections[address]; known {
 		return l, nil
 	}
-	conn, err := grpc.NewClient("passthrough:///"+address, s.dialling...)
+	conn, err := grpc.NewClient("passthrough:///"+address, s.dialOptions...)
 	if err != nil {
 		return nil, eris.Wrapf(err, "peer: address %s", address)
 	}
-	l := &link{conn, peerpb.NewPeerClient(conn)}
-	s.links[address] = l
+	l := &connection{conn, peerpb.NewPeerClient(conn)}
+	s.connections[address] = l
 	return l, nil
 }
 
 // exchange gives the own digest to a neighbour and takes its digest.
 func (s *Service) exchange(ctx context.Context, address string) error {
-	l, err := s.link(address)
+	l, err := s.connectionTo(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.o.CallTimeout)
 	defer cancel()
-	w, err := l.client.Exchange(ctx, s.digest(time.Now()), grpc.MaxCallRecvMsgSize(maxExchangeBytes))
+	w, err := l.client.Exchange(ctx, s.buildDigest(time.Now()), grpc.MaxCallRecvMsgSize(maxExchangeBytes))
 	if err != nil {
 		return eris.Wrap(ErrUnreachable, err.Error())
 	}
 	now := time.Now()
-	s.receive(now, digestFromWire(now, w))
+	s.handleDigest(now, digestFromWire(now, w))
 	return nil
 }
 
 // fetch gets a manifest from an address and checks that it is the one asked
 // for, or a later one.
 func (s *Service) fetch(ctx context.Context, address string, r neighbour.Revision) (Accepted, error) {
-	l, err := s.link(address)
+	l, err := s.connectionTo(address)
 	if err != nil {
 		return Accepted{}, err
 	}
-	ctx, cancel := context.WithTimeout(ctx, s.o.LoadTimeout)
+	ctx, cancel := context.WithTimeout(ctx, s.o.FetchTimeout)
 	defer cancel()
 	reply, err := l.client.Fetch(ctx, &peerpb.FetchRequest{Revision: revisionToWire(r)}, grpc.MaxCallRecvMsgSize(maxFetchBytes))
 	if err != nil {
@@ -116,5 +116,5 @@
 		Manifest: reply.GetManifest(),
 		Proof:    reply.GetProof(),
 	}
-	return a, a.check(r)
+	return a, a.verify(r)
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -11,13 +11,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// digest makes this daemon's next digest. Ages are sent in place of times,
+// buildDigest makes this daemon's next buildDigest. Ages are sent in place of times,
 // since the daemons' clocks differ.
-func (s *Service) digest(now time.Time) *peerpb.Digest {
+func (s *Service) buildDigest(now time.Time) *peerpb.Digest {
 	local := s.o.LocalDigest(now)
 	d := &peerpb.Digest{
 		Daemon:   s.o.Self.ID,
-		Life:     s.o.Life,
+		Life:     s.o.Incarnation,
 		Sequence: s.sequence.Add(1),
 		Accepted: revisionToWire(local.Accepted),
 	}
@@ -33,7 +33,7 @@
 			AgeMs:       uint32(age.Milliseconds()),
 		})
 	}
-	s.size.Store(int64(proto.Size(d)))
+	s.digestBytes.Store(int64(proto.Size(d)))
 	return d
 }
 
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -29,15 +29,15 @@
 func TestHerdRestartWithLogDown(t *testing.T) {
 	nodes := cluster(t, 9, 3, nil)
 	for _, n := range nodes {
-		if _, err := n.service.Bootstrap(context.Background()); !errors.Is(err, ErrNoState) {
+		if _, err := n.service.Bootstrap(context.Background()); !errors.Is(err, ErrNoManifest) {
 			t.Errorf("%s: error %v, want ErrNoState", n.daemon.ID, err)
 		}
 	}
 	// The log comes back for one of them.
-	if err := nodes[4].take(manifestAt(1, "one")); err != nil {
+	if err := nodes[4].accept(manifestAt(1, "one")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[4].service.Announce()
+	nodes[4].service.AnnounceManifest()
 	for _, n := range nodes {
 		n.waitFor(t, 1)
 	}
@@ -53,10 +53,10 @@
 			n.service.Close()
 		}
 	}
-	if err := nodes[1].take(manifestAt(5, "five")); err != nil {
+	if err := nodes[1].accept(manifestAt(5, "five")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[1].service.Announce()
+	nodes[1].service.AnnounceManifest()
 	for i, n := range nodes {
 		if i%3 != 0 {
 			n.waitFor(t, 5)
@@ -71,10 +71,10 @@
 		list := o.Daemons()
 		o.Daemons = func() []ports.Daemon { return list[:3] }
 	})
-	if err := nodes[0].take(manifestAt(2, "two")); err != nil {
+	if err := nodes[0].accept(manifestAt(2, "two")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[0].service.Announce()
+	nodes[0].service.AnnounceManifest()
 	nodes[3].waitFor(t, 2)
 }
 
@@ -83,7 +83,7 @@
 func TestEarlierRevisionIsNotFollowed(t *testing.T) {
 	nodes := cluster(t, 3, 1, nil)
 	for i, n := range nodes {
-		if err := n.take(manifestAt(ports.Offset(10+i), "text")); err != nil {
+		if err := n.accept(manifestAt(ports.Offset(10+i), "text")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -103,12 +103,12 @@
 			o.FetchManifest = func(context.Context, neighbour.Revision) (Accepted, error) {
 				close(asked)
 				<-announced
-				return Accepted{}, errEarlier
+				return Accepted{}, errNotLater
 			}
 		}
 	})
 	for _, n := range nodes[1:] {
-		if err := n.take(manifestAt(4, "four")); err != nil {
+		if err := n.accept(manifestAt(4, "four")); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -129,7 +129,7 @@
 func TestServedCallsAreBounded(t *testing.T) {
 	s, err := New(Options{
 		Self:        ports.Daemon{ID: "a"},
-		LocalDigest: func(time.Time) Local { return Local{} },
+		LocalDigest: func(time.Time) LocalState { return LocalState{} },
 		FetchManifest: func(context.Context, neighbour.Revision) (Accepted, error) {
 			return Accepted{Manifest: make([]byte, neighbour.MaxManifestBytes+1)}, nil
 		},
@@ -161,7 +161,7 @@
 		t.Fatal(err)
 	}
 	defer inner.Close()
-	l := &boundedListener{Listener: inner, most: 1}
+	l := &limitListener{Listener: inner, maxOpen: 1}
 	accepted := make(chan net.Conn)
 	go func() {
 		for {
@@ -262,9 +262,9 @@
 func TestMutualTLS(t *testing.T) {
 	good := newAuthority(t)
 	for _, c := range []struct {
-		name  string
-		files func(dir string) *TLSFiles
-		talks bool
+		name     string
+		files    func(dir string) *TLSFiles
+		accepted bool
 	}{
 		{"daemon", func(dir string) *TLSFiles { return good.write(dir, "merlindock") }, true},
 		{"other authority", func(dir string) *TLSFiles { return newAuthority(t).write(dir, "merlindock") }, false},
@@ -278,7 +278,7 @@
 				}
 			})
 			err := nodes[1].service.exchange(context.Background(), nodes[0].daemon.PeerAddress)
-			if (err == nil) != c.talks {
+			if (err == nil) != c.accepted {
 				t.Errorf("error %v", err)
 			}
 		})
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -16,42 +16,42 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// MaxNoticeDaemons is the number of listed daemons above which no notices are
+// MaxAnnouncementDaemons is the number of listed daemons above which no notices are
 // sent: each goes to all others, so that their bytes grow with the number of
 // daemons, and with many daemons few of them meet the same cold document.
-const MaxNoticeDaemons = 16
+const MaxAnnouncementDaemons = 16
 
-// maxNoticeTokens bounds the work that one notice may claim.
-const maxNoticeTokens = 1 << 20
+// maxAnnouncementTokens bounds the work that one notice may claim.
+const maxAnnouncementTokens = 1 << 20
 
-// maxNoticeAge bounds how long ago a notice may have been made.
-const maxNoticeAge = 5 * time.Second
+// maxAnnouncementAge bounds how long ago a notice may have been made.
+const maxAnnouncementAge = 5 * time.Second
 
-// Notify sends notices to all other listed daemons and returns how many were
+// AnnouncePlacements sends notices to all other listed daemons and returns how many were
 // told. It does not wait for them: a notice that is late is of no use, and one
 // that is lost only costs what the notice would have saved.
-func (s *Service) Notify(now time.Time, notices []placement.Notice) int {
+func (s *Service) AnnouncePlacements(now time.Time, notices []placement.Notice) int {
 	list := s.o.Daemons()
-	if len(notices) == 0 || len(list) > MaxNoticeDaemons {
+	if len(notices) == 0 || len(list) > MaxAnnouncementDaemons {
 		return 0
 	}
-	message := noticesToWire(now, s.o.Self.ID, notices)
-	told := 0
+	message := announcementsToWire(now, s.o.Self.ID, notices)
+	sent := 0
 	for _, d := range list {
 		if d.ID == s.o.Self.ID || d.State == fleet.VMLeaving || !s.exchanges.TryAcquire(1) {
 			continue
 		}
-		told++
+		sent++
 		s.tasks.Go(func() {
 			defer s.exchanges.Release(1)
-			s.notify(d, message)
+			s.announceTo(d, message)
 		})
 	}
-	return told
+	return sent
 }
 
-func (s *Service) notify(d ports.Daemon, message *peerpb.Notices) {
-	l, err := s.link(d.PeerAddress)
+func (s *Service) announceTo(d ports.Daemon, message *peerpb.Notices) {
+	l, err := s.connectionTo(d.PeerAddress)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, s.o.CallTimeout)
 		defer cancel()
@@ -67,11 +67,11 @@
 	if len(w.GetNotices()) > placement.MaxNotices || len(w.GetDaemon()) > neighbour.MaxDaemonID {
 		return nil, status.Error(codes.InvalidArgument, "too many notices or too long a name")
 	}
-	h.service.o.Notified(w.GetDaemon(), noticesFromWire(time.Now(), w.GetNotices()))
+	h.service.o.OnPlacementAnnouncements(w.GetDaemon(), announcementsFromWire(time.Now(), w.GetNotices()))
 	return &peerpb.NotifyReply{}, nil
 }
 
-func noticesToWire(now time.Time, daemon string, notices []placement.Notice) *peerpb.Notices {
+func announcementsToWire(now time.Time, daemon string, notices []placement.Notice) *peerpb.Notices {
 	w := &peerpb.Notices{Daemon: daemon}
 	for i := range notices {
 		n := &notices[i]
@@ -91,20 +91,20 @@
 	return w
 }
 
-// noticesFromWire leaves out what is outside the bounds.
-func noticesFromWire(now time.Time, list []*peerpb.Notice) []placement.Notice {
+// announcementsFromWire leaves out what is outside the bounds.
+func announcementsFromWire(now time.Time, list []*peerpb.Notice) []placement.Notice {
 	var notices []placement.Notice
 	for _, p := range list {
 		age := time.Duration(p.GetAgeMs()) * time.Millisecond
-		whole := p.GetLost() || len(p.GetKey()) == prefix.KeySize
-		if !whole || age > maxNoticeAge || len(p.GetEndpoint()) > neighbour.MaxEndpointID {
+		complete := p.GetLost() || len(p.GetKey()) == prefix.KeySize
+		if !complete || age > maxAnnouncementAge || len(p.GetEndpoint()) > neighbour.MaxEndpointID {
 			continue
 		}
 		n := placement.Notice{
 			Endpoint:    fleet.EndpointID(p.GetEndpoint()),
 			Incarnation: fleet.Incarnation(p.GetIncarnation()),
 			Lost:        p.GetLost(),
-			Tokens:      int(min(p.GetTokens(), maxNoticeTokens)),
+			Tokens:      int(min(p.GetTokens(), maxAnnouncementTokens)),
 			Priority:    contract.Priority(min(p.GetPriority(), uint32(contract.PriorityCount-1))),
 			At:          now.Add(-age),
 		}
--- a/peer/notify_test.go
+++ b/peer/notify_test.go
@@ -17,7 +17,7 @@
 		{Key: prefix.Key{1, 2}, Endpoint: "r1", Incarnation: 7, Tokens: 9, Priority: 2, At: sent.Add(-30 * time.Millisecond)},
 		{Endpoint: "r2", Incarnation: 8, Lost: true, At: sent},
 	}
-	got := noticesFromWire(sent, noticesToWire(sent, "d1", notices).GetNotices())
+	got := announcementsFromWire(sent, announcementsToWire(sent, "d1", notices).GetNotices())
 	if diff := cmp.Diff(notices, got); diff != "" {
 		t.Error(diff)
 	}
@@ -34,7 +34,7 @@
 		{Endpoint: "r1", Key: make([]byte, prefix.KeySize), AgeMs: 3_600_000},
 		{Endpoint: string(make([]byte, 1000)), Lost: true},
 	}
-	if got := noticesFromWire(now, list); len(got) != 0 {
+	if got := announcementsFromWire(now, list); len(got) != 0 {
 		t.Errorf("taken: %+v", got)
 	}
 }
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -27,8 +27,8 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Local is what a daemon tells its neighbours at one moment.
-type Local struct {
+// LocalState is what a daemon tells its neighbours at one moment.
+type LocalState struct {
 	Accepted  neighbour.Revision
 	Endpoints []fleet.Evidence // by the own clock, see fleet.Membership.News
 	Usage     []byte
@@ -45,39 +45,39 @@
 // goroutines at once.
 type Options struct {
 	Self ports.Daemon
-	// Life is the start of this process in Unix nanoseconds.
-	Life uint64
+	// Incarnation is the start of this process in Unix nanoseconds.
+	Incarnation uint64
 	// Daemons returns the newest list of daemons. An empty one is taken as
 	// failed and the neighbours stay.
 	Daemons func() []ports.Daemon
 	// LocalDigest returns what to tell the neighbours.
-	LocalDigest func(now time.Time) Local
-	// Heard takes the evidence and use that a neighbour told; times are by this
+	LocalDigest func(now time.Time) LocalState
+	// OnDigest takes the evidence and use that a neighbour told; times are by this
 	// daemon's clock.
-	Heard func(now time.Time, d neighbour.Digest)
-	// Notified takes another daemon's notices; times are by this daemon's
+	OnDigest func(now time.Time, d neighbour.Digest)
+	// OnPlacementAnnouncements takes another daemon's notices; times are by this daemon's
 	// clock. May be nil.
-	Notified func(from string, notices []placement.Notice)
-	// Relayed takes a message that another daemon sent by Relay. May be nil.
-	Relayed func(from string, data []byte)
+	OnPlacementAnnouncements func(from string, notices []placement.Notice)
+	// OnMessage takes a message that another daemon sent by Relay. May be nil.
+	OnMessage func(from string, data []byte)
 	// FetchManifest returns the accepted manifest of the given revision, for a
 	// neighbour. It may return a later one.
 	FetchManifest func(ctx context.Context, r neighbour.Revision) (Accepted, error)
-	// Await tells whether a revision that a neighbour has is, after a moment, in
+	// AwaitRevision tells whether a revision that a neighbour has is, after a moment, in
 	// force here without being fetched. May be nil.
-	Await func(ctx context.Context, r neighbour.Revision) bool
+	AwaitRevision func(ctx context.Context, r neighbour.Revision) bool
 	// Merge checks the proof of a later manifest and brings it into force. It
 	// must refuse what does not follow the daemon's own state.
 	Merge func(ctx context.Context, from string, a Accepted) error
 	// Observe takes events for logs and metrics. May be nil.
 	Observe func(Event)
 
-	TLS         *TLSFiles // nil: plain text, for tests and trials
-	Neighbours  neighbour.Options
-	Interval    time.Duration // between exchanges with a neighbour, at the least
-	Budget      float64       // bytes a second for exchanges, see neighbour.Interval
-	CallTimeout time.Duration // of an exchange
-	LoadTimeout time.Duration // of a fetch
+	TLS          *TLSFiles // nil: plain text, for tests and trials
+	Neighbours   neighbour.Options
+	Interval     time.Duration // between exchanges with a neighbour, at the least
+	Budget       float64       // bytes a second for exchanges, see neighbour.Interval
+	CallTimeout  time.Duration // of an exchange
+	FetchTimeout time.Duration // of a fetch
 	// Dial opens connections; nil: TCP.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
 	// Seed is for the jitter of the interval.
@@ -86,24 +86,24 @@
 
 // Defaults and bounds.
 const (
-	DefaultInterval    = time.Second
-	DefaultCallTimeout = 800 * time.Millisecond
-	DefaultLoadTimeout = 2 * time.Second
-	// jitter is the share of the interval by which it is varied, so that
+	DefaultInterval     = time.Second
+	DefaultCallTimeout  = 800 * time.Millisecond
+	DefaultFetchTimeout = 2 * time.Second
+	// intervalJitter is the share of the interval by which it is varied, so that
 	// daemons that started together do not stay in step.
-	jitter = 0.2
-
-	// newsPause is the least time between two rounds of news of endpoints.
-	newsPause = time.Second
-
-	maxExchangeBytes = 32 << 10
-	maxFetchBytes    = neighbour.MaxManifestBytes + neighbour.MaxProofBytes + 1<<10
-	maxExchanges     = 64 // served at once
-	maxFetches       = 4  // served at once; each may hold a whole manifest
-	maxStreams       = 16 // on one connection
-	maxConnections   = 256
-	maxHolders       = 3  // asked for one revision, one after the other
-	maxOutgoing      = 16 // exchanges opened at once
+	intervalJitter = 0.2
+
+	// minEvidenceInterval is the least time between two rounds of news of endpoints.
+	minEvidenceInterval = time.Second
+
+	maxExchangeBytes        = 32 << 10
+	maxFetchBytes           = neighbour.MaxManifestBytes + neighbour.MaxProofBytes + 1<<10
+	maxExchanges            = 64 // served at once
+	maxFetches              = 4  // served at once; each may hold a whole manifest
+	maxStreamsPerConnection = 16 // on one connection
+	maxConnections          = 256
+	maxFetchAttempts        = 3  // asked for one revision, one after the other
+	maxOutgoing             = 16 // exchanges opened at once
 )
 
 // EventKind names what happened.
@@ -115,7 +115,7 @@
 	EventDropped     EventKind = "dropped"     // a digest did not count
 	EventConflict    EventKind = "conflict"    // another manifest at the same offset
 	EventFetched     EventKind = "fetched"     // a later manifest is in force
-	EventRefused     EventKind = "refused"     // a fetched manifest was not taken
+	EventRejected    EventKind = "refused"     // a fetched manifest was not taken
 )
 
 // Event is something worth a log line or a metric.
@@ -127,10 +127,10 @@
 
 // Errors of the package, for errors.Is.
 var (
-	// ErrForged says that a manifest is not the one of its revision.
-	ErrForged = errors.New("peer: manifest does not have the digest of its revision")
-	// ErrNoState says that no neighbour could give an accepted manifest.
-	ErrNoState = errors.New("peer: no neighbour has an accepted manifest")
+	// ErrDigestMismatch says that a manifest is not the one of its revision.
+	ErrDigestMismatch = errors.New("peer: manifest does not have the digest of its revision")
+	// ErrNoManifest says that no neighbour could give an accepted manifest.
+	ErrNoManifest = errors.New("peer: no neighbour has an accepted manifest")
 	// ErrUnreachable says that a neighbour gave no answer.
 	ErrUnreachable = errors.New("peer: neighbour unreachable")
 	// ErrUnlisted says that the list of daemons has no address for a sender.
@@ -139,45 +139,45 @@
 
 // Service talks to the neighbours and serves them.
 type Service struct {
-	o         Options
-	sequence  atomic.Uint64
-	size      atomic.Int64 // of the last digest made, in bytes
-	exchanges *semaphore.Weighted
-	fetches   *semaphore.Weighted
-	news      chan struct{} // a manifest is in force
-	endpoints chan struct{} // news of endpoints are there
-	dialling  []grpc.DialOption
-	tasks     sync.WaitGroup
-	ctx       context.Context // ends when the service closes
-	close     context.CancelFunc
-
-	mu         sync.Mutex
-	rand       *rand.Rand
-	table      *neighbour.Table
-	neighbours []ports.Daemon
-	links      map[string]*link // by address
-	fetching   map[neighbour.Revision]bool
+	o               Options
+	sequence        atomic.Uint64
+	digestBytes     atomic.Int64 // of the last digest made, in bytes
+	exchanges       *semaphore.Weighted
+	fetches         *semaphore.Weighted
+	manifestChanged chan struct{} // a manifest is in force
+	evidenceChanged chan struct{} // news of endpoints are there
+	dialOptions     []grpc.DialOption
+	tasks           sync.WaitGroup
+	ctx             context.Context // ends when the service closes
+	close           context.CancelFunc
+
+	mu          sync.Mutex
+	rand        *rand.Rand
+	table       *neighbour.Table
+	neighbours  []ports.Daemon
+	connections map[string]*connection // by address
+	fetching    map[neighbour.Revision]bool
 }
 
 // New returns a service that is not yet running. The caller must Close it.
 func New(o Options) (*Service, error) {
 	o = o.withDefaults()
 	s := &Service{
-		o:         o,
-		exchanges: semaphore.NewWeighted(maxExchanges),
-		fetches:   semaphore.NewWeighted(maxFetches),
-		news:      make(chan struct{}, 1),
-		endpoints: make(chan struct{}, 1),
-		rand:      rand.New(rand.NewPCG(o.Seed, o.Life)),
-		table:     neighbour.NewTable(o.Self.ID),
-		links:     map[string]*link{},
-		fetching:  map[neighbour.Revision]bool{},
+		o:               o,
+		exchanges:       semaphore.NewWeighted(maxExchanges),
+		fetches:         semaphore.NewWeighted(maxFetches),
+		manifestChanged: make(chan struct{}, 1),
+		evidenceChanged: make(chan struct{}, 1),
+		rand:            rand.New(rand.NewPCG(o.Seed, o.Incarnation)),
+		table:           neighbour.NewTable(o.Self.ID),
+		connections:     map[string]*connection{},
+		fetching:        map[neighbour.Revision]bool{},
 	}
 	options, err := dialOptions(o)
 	if err != nil {
 		return nil, err
 	}
-	s.dialling = options
+	s.dialOptions = options
 	s.ctx, s.close = context.WithCancel(context.Background())
 	return s, nil
 }
@@ -192,20 +192,20 @@
 	if o.CallTimeout <= 0 {
 		o.CallTimeout = DefaultCallTimeout
 	}
-	if o.LoadTimeout <= 0 {
-		o.LoadTimeout = DefaultLoadTimeout
+	if o.FetchTimeout <= 0 {
+		o.FetchTimeout = DefaultFetchTimeout
 	}
 	if o.Observe == nil {
 		o.Observe = func(Event) {}
 	}
-	if o.Heard == nil {
-		o.Heard = func(time.Time, neighbour.Digest) {}
+	if o.OnDigest == nil {
+		o.OnDigest = func(time.Time, neighbour.Digest) {}
 	}
-	if o.Notified == nil {
-		o.Notified = func(string, []placement.Notice) {}
+	if o.OnPlacementAnnouncements == nil {
+		o.OnPlacementAnnouncements = func(string, []placement.Notice) {}
 	}
-	if o.Life == 0 {
-		o.Life = uint64(time.Now().UnixNano())
+	if o.Incarnation == 0 {
+		o.Incarnation = uint64(time.Now().UnixNano())
 	}
 	return o
 }
@@ -215,8 +215,8 @@
 	s.close()
 	s.tasks.Wait()
 	s.mu.Lock()
-	links := s.links
-	s.links = map[string]*link{}
+	links := s.connections
+	s.connections = map[string]*connection{}
 	s.mu.Unlock()
 	for _, l := range links {
 		l.close()
@@ -237,17 +237,17 @@
 	return append([]ports.Daemon(nil), s.neighbours...)
 }
 
-// check tells whether a is the manifest that its revision names and one that
+// verify tells whether a is the manifest that its revision names and one that
 // answers a call for want.
-func (a Accepted) check(want neighbour.Revision) error {
+func (a Accepted) verify(want neighbour.Revision) error {
 	if sha256.Sum256(a.Manifest) != a.Revision.Digest {
-		return ErrForged
+		return ErrDigestMismatch
 	}
 	if a.Revision.Offset < want.Offset {
-		return fmt.Errorf("%w: offset %d in place of %d", ErrForged, a.Revision.Offset, want.Offset)
+		return fmt.Errorf("%w: offset %d in place of %d", ErrDigestMismatch, a.Revision.Offset, want.Offset)
 	}
 	if a.Revision.Offset == want.Offset && a.Revision.Digest != want.Digest {
-		return ErrForged
+		return ErrDigestMismatch
 	}
 	return nil
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -29,13 +29,13 @@
 	heard    []neighbour.Digest
 }
 
-var errEarlier = errors.New("not later than the own")
+var errNotLater = errors.New("not later than the own")
 
-func (n *node) take(a Accepted) error {
+func (n *node) accept(a Accepted) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.Revision.Offset <= n.accepted.Revision.Offset {
-		return errEarlier
+		return errNotLater
 	}
 	n.accepted = a
 	close(n.changed)
@@ -108,11 +108,11 @@
 	return Options{
 		Self:    n.daemon,
 		Daemons: func() []ports.Daemon { return list },
-		LocalDigest: func(time.Time) Local {
+		LocalDigest: func(time.Time) LocalState {
 			a, _ := n.state()
-			return Local{Accepted: a.Revision}
+			return LocalState{Accepted: a.Revision}
 		},
-		Heard: func(_ time.Time, d neighbour.Digest) {
+		OnDigest: func(_ time.Time, d neighbour.Digest) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
 			n.heard = append(n.heard, d)
@@ -121,7 +121,7 @@
 			a, _ := n.state()
 			return a, nil
 		},
-		Merge: func(_ context.Context, _ string, a Accepted) error { return n.take(a) },
+		Merge: func(_ context.Context, _ string, a Accepted) error { return n.accept(a) },
 		Observe: func(e Event) {
 			select {
 			case n.events <- e:
@@ -159,10 +159,10 @@
 	nodes := cluster(t, 9, 3, nil)
 	for offset := ports.Offset(1); offset <= 3; offset++ {
 		from := nodes[int(offset)%len(nodes)]
-		if err := from.take(manifestAt(offset, fmt.Sprint("manifest ", offset))); err != nil {
+		if err := from.accept(manifestAt(offset, fmt.Sprint("manifest ", offset))); err != nil {
 			t.Fatal(err)
 		}
-		from.service.Announce()
+		from.service.AnnounceManifest()
 		for _, n := range nodes {
 			n.waitFor(t, offset)
 		}
@@ -177,15 +177,15 @@
 	heard := make(chan int, 9)
 	nodes := cluster(t, 9, 3, func(i int, o *Options) {
 		o.Interval = time.Hour
-		o.LocalDigest = func(now time.Time) Local {
+		o.LocalDigest = func(now time.Time) LocalState {
 			if !known[i].Load() {
-				return Local{}
+				return LocalState{}
 			}
-			return Local{Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 1, Draining: true, At: now}}}
+			return LocalState{Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 1, Draining: true, At: now}}}
 		}
-		o.Heard = func(_ time.Time, d neighbour.Digest) {
+		o.OnDigest = func(_ time.Time, d neighbour.Digest) {
 			if len(d.Endpoints) == 1 && known[i].CompareAndSwap(false, true) {
-				services[i].Load().AnnounceNews()
+				services[i].Load().AnnounceEvidence()
 				heard <- i
 			}
 		}
@@ -194,7 +194,7 @@
 		services[i].Store(n.service)
 	}
 	known[4].Store(true)
-	nodes[4].service.AnnounceNews()
+	nodes[4].service.AnnounceEvidence()
 	for range 8 {
 		<-heard
 	}
@@ -205,10 +205,10 @@
 func TestBootstrapFromNeighbours(t *testing.T) {
 	nodes := cluster(t, 3, 3, nil)
 	ctx := context.Background()
-	if _, err := nodes[0].service.Bootstrap(ctx); !errors.Is(err, ErrNoState) {
+	if _, err := nodes[0].service.Bootstrap(ctx); !errors.Is(err, ErrNoManifest) {
 		t.Errorf("error %v, want ErrNoState", err)
 	}
-	if err := nodes[1].take(manifestAt(7, "seven")); err != nil {
+	if err := nodes[1].accept(manifestAt(7, "seven")); err != nil {
 		t.Fatal(err)
 	}
 	// The background exchange may have brought it before; both ways will do.
@@ -229,18 +229,18 @@
 			}
 		}
 	})
-	if err := nodes[0].take(manifestAt(3, "three")); err != nil {
+	if err := nodes[0].accept(manifestAt(3, "three")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[0].service.Announce()
+	nodes[0].service.AnnounceManifest()
 	nodes[1].waitFor(t, 3)
-	if err := nodes[1].take(manifestAt(9, "nine")); err != nil {
+	if err := nodes[1].accept(manifestAt(9, "nine")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[1].service.Announce()
+	nodes[1].service.AnnounceManifest()
 	for e := range nodes[0].events {
-		if e.Kind == EventRefused {
-			if !errors.Is(e.Err, ErrForged) {
+		if e.Kind == EventRejected {
+			if !errors.Is(e.Err, ErrDigestMismatch) {
 				t.Errorf("refused with %v, want ErrForged", e.Err)
 			}
 			break
@@ -255,9 +255,9 @@
 // ages in place of times.
 func TestDigestCrossesTheWire(t *testing.T) {
 	s := &Service{o: Options{
-		Self: ports.Daemon{ID: "a"}, Life: 5,
-		LocalDigest: func(now time.Time) Local {
-			return Local{
+		Self: ports.Daemon{ID: "a"}, Incarnation: 5,
+		LocalDigest: func(now time.Time) LocalState {
+			return LocalState{
 				Accepted:  neighbour.Revision{Offset: 4, Digest: [32]byte{1}},
 				Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 9, Draining: true, At: now.Add(-2 * time.Second)}},
 				Usage:     []byte("use"),
@@ -266,7 +266,7 @@
 	}}
 	sent := time.Unix(1000, 0)
 	received := time.Unix(5000, 0)
-	d := digestFromWire(received, s.digest(sent))
+	d := digestFromWire(received, s.buildDigest(sent))
 	want := fleet.Evidence{Endpoint: "r1", Incarnation: 9, Draining: true, At: received.Add(-2 * time.Second)}
 	if len(d.Endpoints) != 1 || d.Endpoints[0] != want {
 		t.Errorf("endpoints %v", d.Endpoints)
@@ -274,7 +274,7 @@
 	if d.Accepted.Offset != 4 || d.Accepted.Digest != [32]byte{1} || string(d.Usage) != "use" || d.Sequence != 1 || d.Incarnation != 5 {
 		t.Errorf("digest %+v", d)
 	}
-	short := s.digest(sent)
+	short := s.buildDigest(sent)
 	short.Accepted.Digest = []byte{1, 2}
 	table := neighbour.NewTable("b")
 	if v := table.Receive(received, neighbour.Revision{}, digestFromWire(received, short)); v.Reason != neighbour.DropInvalid {
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -13,15 +13,15 @@
 // maxMessageBytes bounds one message of Relay.
 const maxMessageBytes = 1400
 
-// Relay sends a message to the daemon at the address and does not wait for it. It may
+// SendMessage sends a message to the daemon at the address and does not wait for it. It may
 // be lost: its senders repeat what matters.
-func (s *Service) Relay(address string, data []byte) {
+func (s *Service) SendMessage(address string, data []byte) {
 	if len(data) > maxMessageBytes || !s.exchanges.TryAcquire(1) {
 		return
 	}
 	s.tasks.Go(func() {
 		defer s.exchanges.Release(1)
-		l, err := s.link(address)
+		l, err := s.connectionTo(address)
 		if err == nil {
 			ctx, cancel := context.WithTimeout(s.ctx, s.o.CallTimeout)
 			defer cancel()
@@ -38,8 +38,8 @@
 	if len(w.GetData()) > maxMessageBytes || len(w.GetDaemon()) > neighbour.MaxDaemonID {
 		return nil, status.Error(codes.InvalidArgument, "too long a message or name")
 	}
-	if take := h.service.o.Relayed; take != nil {
-		take(w.GetDaemon(), w.GetData())
+	if onMessage := h.service.o.OnMessage; onMessage != nil {
+		onMessage(w.GetDaemon(), w.GetData())
 	}
 	return &peerpb.RelayReply{}, nil
 }
--- a/peer/run.go
+++ b/peer/run.go
@@ -18,56 +18,56 @@
 // neighbours that do not answer, which after the loss of a zone is most of the
 // time, and a manifest would lose a timeout at each daemon on its way.
 func (s *Service) Run(ctx context.Context) error {
-	s.choose()
+	s.updateNeighbours()
 	var g errgroup.Group
-	g.Go(func() error { return s.spread(ctx) })
-	g.Go(func() error { return s.spreadNews(ctx) })
-	g.Go(func() error { return s.beat(ctx) })
+	g.Go(func() error { return s.spreadManifests(ctx) })
+	g.Go(func() error { return s.spreadEvidence(ctx) })
+	g.Go(func() error { return s.exchangePeriodically(ctx) })
 	return g.Wait()
 }
 
-// beat opens the regular exchanges.
-func (s *Service) beat(ctx context.Context) error {
+// exchangePeriodically opens the regular exchanges.
+func (s *Service) exchangePeriodically(ctx context.Context) error {
 	for {
-		timer := time.NewTimer(s.pause())
+		timer := time.NewTimer(s.jitteredInterval())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
 		case <-timer.C:
-			s.choose()
-			s.round(ctx, s.due())
+			s.updateNeighbours()
+			s.exchangeWith(ctx, s.neighboursToContact())
 		}
 	}
 }
 
-// spread tells the neighbours of an announced manifest.
-func (s *Service) spread(ctx context.Context) error {
+// spreadManifests tells the neighbours of an announced manifest.
+func (s *Service) spreadManifests(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.news:
-			s.round(ctx, s.behind())
+		case <-s.manifestChanged:
+			s.exchangeWith(ctx, s.neighboursBehind())
 		}
 	}
 }
 
-// spreadNews tells the neighbours of announced news of endpoints, the first at
+// spreadEvidence tells the neighbours of announced news of endpoints, the first at
 // once and then what has come together during a pause. The loss of a zone brings
 // hundreds of news within a second; without the pause, which keeps to the
 // budget as the regular rounds do, each would cost an exchange with each
 // neighbour.
-func (s *Service) spreadNews(ctx context.Context) error {
+func (s *Service) spreadEvidence(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.endpoints:
+		case <-s.evidenceChanged:
 		}
-		s.round(ctx, s.Neighbours())
+		s.exchangeWith(ctx, s.Neighbours())
 		s.mu.Lock()
-		pause := max(newsPause, s.interval())
+		pause := max(minEvidenceInterval, s.interval())
 		s.mu.Unlock()
 		timer := time.NewTimer(pause)
 		select {
@@ -79,21 +79,21 @@
 	}
 }
 
-// AnnounceNews tells the neighbours soon that an endpoint leaves or has
+// AnnounceEvidence tells the neighbours soon that an endpoint leaves or has
 // restarted. A daemon of a large fleet asks each endpoint only now and then; by
 // the news it knows of a leaving one as soon as any daemon does.
-func (s *Service) AnnounceNews() {
+func (s *Service) AnnounceEvidence() {
 	select {
-	case s.endpoints <- struct{}{}:
+	case s.evidenceChanged <- struct{}{}:
 	default: // already about to
 	}
 }
 
-// Announce tells the neighbours at once that another manifest is in force, so
+// AnnounceManifest tells the neighbours at once that another manifest is in force, so
 // that daemons cut off from the log have it within seconds.
-func (s *Service) Announce() {
+func (s *Service) AnnounceManifest() {
 	select {
-	case s.news <- struct{}{}:
+	case s.manifestChanged <- struct{}{}:
 	default: // already about to
 	}
 }
@@ -101,20 +101,20 @@
 // interval is the time between exchanges that the budget allows for. The caller
 // holds mu.
 func (s *Service) interval() time.Duration {
-	return neighbour.Interval(s.o.Interval, len(s.neighbours), int(s.size.Load()), s.o.Budget)
+	return neighbour.Interval(s.o.Interval, len(s.neighbours), int(s.digestBytes.Load()), s.o.Budget)
 }
 
-// pause is the interval with jitter.
-func (s *Service) pause() time.Duration {
+// jitteredInterval is the interval with jitter.
+func (s *Service) jitteredInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := 1 + jitter*(2*s.rand.Float64()-1)
+	share := 1 + intervalJitter*(2*s.rand.Float64()-1)
 	return time.Duration(share * float64(s.interval()))
 }
 
-// choose computes the neighbours from the newest list and closes connections
+// updateNeighbours computes the neighbours from the newest list and closes connections
 // to daemons that are no neighbours any more.
-func (s *Service) choose() {
+func (s *Service) updateNeighbours() {
 	list := s.o.Daemons()
 	if len(list) == 0 {
 		return
@@ -122,11 +122,11 @@
 	chosen := neighbour.Choose(s.o.Self, list, s.o.Neighbours)
 	s.mu.Lock()
 	s.neighbours = chosen
-	var unused []*link
-	for address, l := range s.links {
+	var unused []*connection
+	for address, l := range s.connections {
 		if !slices.ContainsFunc(list, func(d ports.Daemon) bool { return d.PeerAddress == address }) {
 			unused = append(unused, l)
-			delete(s.links, address)
+			delete(s.connections, address)
 		}
 	}
 	s.mu.Unlock()
@@ -135,8 +135,8 @@
 	}
 }
 
-// due returns the neighbours to open an exchange with.
-func (s *Service) due() []ports.Daemon {
+// neighboursToContact returns the neighbours to open an exchange with.
+func (s *Service) neighboursToContact() []ports.Daemon {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -150,9 +150,9 @@
 	return out
 }
 
-// behind returns the neighbours that are not known to have the accepted
+// neighboursBehind returns the neighbours that are not known to have the accepted
 // revision.
-func (s *Service) behind() []ports.Daemon {
+func (s *Service) neighboursBehind() []ports.Daemon {
 	own := s.o.LocalDigest(time.Now()).Accepted
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +169,8 @@
 	return out
 }
 
-// round exchanges digests with the given daemons, a bounded number at once.
-func (s *Service) round(ctx context.Context, daemons []ports.Daemon) {
+// exchangeWith exchanges digests with the given daemons, a bounded number at once.
+func (s *Service) exchangeWith(ctx context.Context, daemons []ports.Daemon) {
 	var g errgroup.Group
 	g.SetLimit(maxOutgoing)
 	for _, d := range daemons {
@@ -184,8 +184,8 @@
 	_ = g.Wait() // errors were observed one by one
 }
 
-// fetchSoon fetches a later revision in the background, once at a time.
-func (s *Service) fetchSoon(daemon string, r neighbour.Revision) {
+// fetchInBackground fetches a later revision in the background, once at a time.
+func (s *Service) fetchInBackground(daemon string, r neighbour.Revision) {
 	s.mu.Lock()
 	busy := s.fetching[r] || len(s.fetching) >= maxFetches || s.ctx.Err() != nil
 	if !busy {
@@ -198,12 +198,12 @@
 	}
 	go func() {
 		defer s.tasks.Done()
-		done := s.o.Await != nil && s.o.Await(s.ctx, r) || s.fetchFromAny(daemon, r)
+		done := s.o.AwaitRevision != nil && s.o.AwaitRevision(s.ctx, r) || s.fetchFromAny(daemon, r)
 		s.mu.Lock()
 		delete(s.fetching, r)
 		s.mu.Unlock()
 		if done {
-			s.Announce()
+			s.AnnounceManifest()
 		}
 	}()
 }
@@ -213,13 +213,13 @@
 // only once: waiting for their next regular exchange could take longer than
 // the seconds in which a manifest is to be in force.
 func (s *Service) fetchFromAny(daemon string, r neighbour.Revision) bool {
-	for range maxHolders {
+	for range maxFetchAttempts {
 		err := s.fetchAndMerge(s.ctx, daemon, r)
 		if err == nil {
 			s.o.Observe(Event{EventFetched, daemon, nil})
 			return true
 		}
-		s.o.Observe(Event{EventRefused, daemon, err})
+		s.o.Observe(Event{EventRejected, daemon, err})
 		s.mu.Lock()
 		now := time.Now()
 		s.table.RecordFetchFailure(now, daemon, r)
@@ -252,21 +252,21 @@
 // ErrNoState when none of them has one; the daemon can then only answer that
 // requests were not run.
 func (s *Service) Bootstrap(ctx context.Context) (Accepted, error) {
-	s.choose()
-	s.round(ctx, s.Neighbours())
-	for _, sender := range s.latest() {
+	s.updateNeighbours()
+	s.exchangeWith(ctx, s.Neighbours())
+	for _, sender := range s.sendersByRevision() {
 		a, err := s.bootstrapFrom(ctx, sender)
 		if err == nil {
-			s.Announce()
+			s.AnnounceManifest()
 			return a, nil
 		}
-		s.o.Observe(Event{EventRefused, sender.Daemon, err})
+		s.o.Observe(Event{EventRejected, sender.Daemon, err})
 	}
-	return Accepted{}, ErrNoState
+	return Accepted{}, ErrNoManifest
 }
 
-// latest returns the senders that have accepted something, the latest first.
-func (s *Service) latest() []neighbour.Sender {
+// sendersByRevision returns the senders that have accepted something, the sendersByRevision first.
+func (s *Service) sendersByRevision() []neighbour.Sender {
 	senders := s.Senders()
 	senders = slices.DeleteFunc(senders, func(x neighbour.Sender) bool { return x.Accepted.Offset == 0 })
 	slices.SortFunc(senders, func(a, b neighbour.Sender) int {
--- a/peer/server.go
+++ b/peer/server.go
@@ -18,16 +18,16 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// window is the size of gRPC's flow-control windows, in bytes. A fixed one also
+// flowControlWindow is the size of gRPC's flow-control windows, in bytes. A fixed one also
 // turns off the pings by which gRPC would measure the path, which would cost
 // as many bytes as the digests.
-const window = 64 << 10
+const flowControlWindow = 64 << 10
 
 // Times of a served connection.
 const (
-	idleAfter    = time.Minute
-	setupTimeout = 3 * time.Second
-	stopTimeout  = 2 * time.Second
+	idleTimeout         = time.Minute
+	setupTimeout        = 3 * time.Second
+	gracefulStopTimeout = 2 * time.Second
 )
 
 // Serve answers neighbours on l until ctx ends, then closes l.
@@ -40,11 +40,11 @@
 		grpc.Creds(creds),
 		grpc.MaxRecvMsgSize(maxExchangeBytes),
 		grpc.MaxSendMsgSize(maxFetchBytes),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxConcurrentStreams(maxStreamsPerConnection),
 		grpc.ConnectionTimeout(setupTimeout),
-		grpc.InitialWindowSize(window),
-		grpc.InitialConnWindowSize(window),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleAfter}),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
 	)
 	peerpb.RegisterPeerServer(server, &handler{service: s})
 	stopped := make(chan struct{})
@@ -52,7 +52,7 @@
 		defer close(stopped)
 		stopServer(server)
 	})
-	err = server.Serve(&boundedListener{Listener: l, most: maxConnections})
+	err = server.Serve(&limitListener{Listener: l, maxOpen: maxConnections})
 	if !stop() {
 		<-stopped
 		return nil
@@ -63,7 +63,7 @@
 
 // stopServer lets open calls end, but not for long.
 func stopServer(server *grpc.Server) {
-	timer := time.AfterFunc(stopTimeout, server.Stop)
+	timer := time.AfterFunc(gracefulStopTimeout, server.Stop)
 	defer timer.Stop()
 	server.GracefulStop()
 }
@@ -93,8 +93,8 @@
 	}
 	defer s.exchanges.Release(1)
 	now := time.Now()
-	s.receive(now, digestFromWire(now, w))
-	return s.digest(now), nil
+	s.handleDigest(now, digestFromWire(now, w))
+	return s.buildDigest(now), nil
 }
 
 // Fetch gives an accepted manifest.
@@ -118,8 +118,8 @@
 	}, nil
 }
 
-// receive judges a digest and does what the verdict asks for.
-func (s *Service) receive(now time.Time, d neighbour.Digest) {
+// handleDigest judges a digest and does what the verdict asks for.
+func (s *Service) handleDigest(now time.Time, d neighbour.Digest) {
 	own := s.o.LocalDigest(now).Accepted
 	s.mu.Lock()
 	v := s.table.Receive(now, own, d)
@@ -132,7 +132,7 @@
 		s.o.Observe(Event{EventConflict, d.Daemon, nil})
 	}
 	if v.Fetch {
-		s.fetchSoon(d.Daemon, d.Accepted)
+		s.fetchInBackground(d.Daemon, d.Accepted)
 	}
-	s.o.Heard(now, d)
+	s.o.OnDigest(now, d)
 }
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -22,20 +22,20 @@
 	// replaced and have no names of their own, so it is the same for all.
 	Name string
 
-	mu      sync.Mutex
-	checked time.Time
-	changed [3]time.Time // modification times of the files in use
-	current *material
+	mu        sync.Mutex
+	lastCheck time.Time
+	changed   [3]time.Time // modification times of the files in use
+	current   *keyMaterial
 }
 
-// material is what the files held.
-type material struct {
+// keyMaterial is what the files held.
+type keyMaterial struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 }
 
-// recheckAfter bounds how often the files are looked at.
-const recheckAfter = time.Second
+// tlsRecheckInterval bounds how often the files are looked at.
+const tlsRecheckInterval = time.Second
 
 // ErrNoAuthority says that the authority's file holds no certificate.
 var ErrNoAuthority = errors.New("peer: authority file holds no certificate")
@@ -95,14 +95,14 @@
 // load returns what the files hold, read again when one of them has changed. A
 // half-written set, such as a new key beside the old certificate, keeps the one
 // in use: a failed renewal must not cut the daemon off.
-func (f *TLSFiles) load(now time.Time) (*material, error) {
+func (f *TLSFiles) load(now time.Time) (*keyMaterial, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.current != nil && now.Sub(f.checked) < recheckAfter {
+	if f.current != nil && now.Sub(f.lastCheck) < tlsRecheckInterval {
 		return f.current, nil
 	}
-	f.checked = now
-	changed, err := f.times()
+	f.lastCheck = now
+	changed, err := f.modTimes()
 	if err == nil && f.current != nil && changed == f.changed {
 		return f.current, nil
 	}
@@ -115,7 +115,7 @@
 	return nil, err
 }
 
-func (f *TLSFiles) times() (out [3]time.Time, err error) {
+func (f *TLSFiles) modTimes() (out [3]time.Time, err error) {
 	for i, name := range []string{f.Certificate, f.Key, f.Authority} {
 		info, err := os.Stat(name)
 		if err != nil {
@@ -139,6 +139,6 @@
 	if !roots.AppendCertsFromPEM(pem) {
 		return ErrNoAuthority
 	}
-	f.current, f.changed = &material{certificate, roots}, changed
+	f.current, f.changed = &keyMaterial{certificate, roots}, changed
 	return nil
 }
