--- a/peer/client.go
+++ b/peer/client.go
@@ -21,14 +21,14 @@
 	client peerpb.PeerClient
 }
 
-func (l *connection) close() {
+func (c *connection) close() {
 	// Close fails only for a connection that is closed already.
-	_ = l.conn.Close()
+	_ = c.conn.Close()
 }
 
-// reconnectParams is how gRPC opens a lost connection again. Its own default waits up to
-// two minutes, so that a restarted neighbour would learn of a new manifest
-// long after the promised seconds; this keeps the wait below them.
+// reconnectParams sets gRPC's reconnect backoff. With its default of up to two minutes, a
+// restarted neighbour would receive a new manifest long after the few seconds within
+// which it has to be in force.
 var reconnectParams = grpc.ConnectParams{
 	Backoff: backoff.Config{
 		BaseDelay:  100 * time.Millisecond,
@@ -65,31 +65,31 @@
 	return options, nil
 }
 
-// connectionTo returns the connection to an address, which gRPC opens when it is used.
+// connectionTo returns the connection to an address. gRPC opens it on first use.
 func (s *Service) connectionTo(address string) (*connection, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l, known := s.connections[address]; known {
-		return l, nil
+	if c, known := s.connections[address]; known {
+		return c, nil
 	}
 	conn, err := grpc.NewClient("passthrough:///"+address, s.dialOptions...)
 	if err != nil {
 		return nil, eris.Wrapf(err, "peer: address %s", address)
 	}
-	l := &connection{conn, peerpb.NewPeerClient(conn)}
-	s.connections[address] = l
-	return l, nil
+	c := &connection{conn, peerpb.NewPeerClient(conn)}
+	s.connections[address] = c
+	return c, nil
 }
 
-// exchange gives the own digest to a neighbour and takes its digest.
+// exchange sends the own digest to a neighbour and handles the digest received in return.
 func (s *Service) exchange(ctx context.Context, address string) error {
-	l, err := s.connectionTo(address)
+	c, err := s.connectionTo(address)
 	if err != nil {
 		return err
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.o.CallTimeout)
 	defer cancel()
-	w, err := l.client.Exchange(ctx, s.buildDigest(time.Now()), grpc.MaxCallRecvMsgSize(maxExchangeBytes))
+	w, err := c.client.Exchange(ctx, s.buildDigest(time.Now()), grpc.MaxCallRecvMsgSize(maxExchangeBytes))
 	if err != nil {
 		return eris.Wrap(ErrUnreachable, err.Error())
 	}
@@ -98,16 +98,16 @@
 	return nil
 }
 
-// fetch gets a manifest from an address and checks that it is the one asked
-// for, or a later one.
+// fetch fetches a manifest from an address and checks that it is the one requested or a
+// later one.
 func (s *Service) fetch(ctx context.Context, address string, r neighbour.Revision) (Accepted, error) {
-	l, err := s.connectionTo(address)
+	c, err := s.connectionTo(address)
 	if err != nil {
 		return Accepted{}, err
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.o.FetchTimeout)
 	defer cancel()
-	reply, err := l.client.Fetch(ctx, &peerpb.FetchRequest{Revision: revisionToWire(r)}, grpc.MaxCallRecvMsgSize(maxFetchBytes))
+	reply, err := c.client.Fetch(ctx, &peerpb.FetchRequest{Revision: revisionToWire(r)}, grpc.MaxCallRecvMsgSize(maxFetchBytes))
 	if err != nil {
 		return Accepted{}, eris.Wrap(ErrUnreachable, err.Error())
 	}
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -11,8 +11,8 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// buildDigest makes this daemon's next buildDigest. Ages are sent in place of times,
-// since the daemons' clocks differ.
+// buildDigest builds this daemon's next digest. It contains ages instead of times, since
+// the daemons' clocks differ.
 func (s *Service) buildDigest(now time.Time) *peerpb.Digest {
 	local := s.o.LocalDigest(now)
 	d := &peerpb.Digest{
@@ -37,7 +37,7 @@
 	return d
 }
 
-// digestFromWire reads a digest; times are by the clock of now.
+// digestFromWire converts a digest. Ages are converted to times relative to now.
 func digestFromWire(now time.Time, w *peerpb.Digest) neighbour.Digest {
 	d := neighbour.Digest{
 		Daemon:      w.GetDaemon(),
@@ -64,8 +64,8 @@
 	return &peerpb.Revision{Offset: int64(r.Offset), Digest: r.Digest[:]}
 }
 
-// revisionFromWire reads a revision. One with a digest of another length is
-// read as offset -1, which no digest may carry.
+// revisionFromWire converts a revision. A digest of the wrong length yields offset -1,
+// which neighbour.Table rejects as invalid.
 func revisionFromWire(w *peerpb.Revision) neighbour.Revision {
 	if w == nil {
 		return neighbour.Revision{}
--- a/peer/failure_test.go
+++ b/peer/failure_test.go
@@ -24,16 +24,16 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// All daemons are restarted at once while the log is down. None has a state to
-// give, and each must say so rather than wait for the others for ever.
-func TestHerdRestartWithLogDown(t *testing.T) {
+// Guards against daemons that wait for each other for ever when all are restarted at once
+// while the log is unavailable and none has a manifest.
+func TestBootstrapFailsWhenAllRestart(t *testing.T) {
 	nodes := cluster(t, 9, 3, nil)
 	for _, n := range nodes {
 		if _, err := n.service.Bootstrap(context.Background()); !errors.Is(err, ErrNoManifest) {
-			t.Errorf("%s: error %v, want ErrNoState", n.daemon.ID, err)
+			t.Errorf("%s: error %v, want ErrNoManifest", n.daemon.ID, err)
 		}
 	}
-	// The log comes back for one of them.
+	// One of them can read the log again.
 	if err := nodes[4].accept(manifestAt(1, "one")); err != nil {
 		t.Fatal(err)
 	}
@@ -43,9 +43,9 @@
 	}
 }
 
-// A zone's daemons stop without a word and the list goes on naming them. The
-// others must not wait for them when a manifest is accepted.
-func TestManifestSpreadsWithoutAZone(t *testing.T) {
+// Guards against a manifest that is delayed by the daemons of a lost zone, which the list
+// still contains.
+func TestManifestSpreadsWithoutZone(t *testing.T) {
 	nodes := cluster(t, 9, 3, nil)
 	for i, n := range nodes {
 		if i%3 == 0 {
@@ -64,8 +64,8 @@
 	}
 }
 
-// A daemon is replaced and the list does not yet name it, so that no neighbour
-// opens exchanges with it. It has to ask for itself.
+// Guards against a replaced daemon that gets no manifest because it is not in the list yet
+// and no neighbour opens exchanges with it: it has to open them itself.
 func TestUnlistedDaemonCatchesUp(t *testing.T) {
 	nodes := cluster(t, 4, 2, func(_ int, o *Options) {
 		list := o.Daemons()
@@ -78,9 +78,9 @@
 	nodes[3].waitFor(t, 2)
 }
 
-// A neighbour that was cut off comes back with an earlier manifest. It must get
-// the later one and nobody may follow it back.
-func TestEarlierRevisionIsNotFollowed(t *testing.T) {
+// Guards against a return to an earlier manifest, which a neighbour still has that was
+// disconnected. It must get the later one.
+func TestEarlierRevisionIsNotFetched(t *testing.T) {
 	nodes := cluster(t, 3, 1, nil)
 	for i, n := range nodes {
 		if err := n.accept(manifestAt(ports.Offset(10+i), "text")); err != nil {
@@ -92,10 +92,10 @@
 	}
 }
 
-// Two neighbours announce a manifest, and the one that is asked for it dies. The
-// other's announcement came while the first was being asked and will not come
-// again for an hour.
-func TestFetchGoesOnWithAnotherHolder(t *testing.T) {
+// Guards against a manifest that is not fetched because the first daemon that announced it
+// fails, while the announcement of the second one arrived during that fetch and is not
+// repeated before the next periodic exchange.
+func TestFetchRetriesWithAnotherHolder(t *testing.T) {
 	asked, announced := make(chan struct{}), make(chan struct{})
 	nodes := cluster(t, 3, 1, func(i int, o *Options) {
 		o.Interval = time.Hour
@@ -124,9 +124,9 @@
 	nodes[0].waitFor(t, 4)
 }
 
-// The callee's state is asked for by more callers than it serves at once. It
-// refuses some instead of holding a whole manifest for each.
-func TestServedCallsAreBounded(t *testing.T) {
+// Guards against unbounded memory if many daemons fetch at once: calls beyond the limit are
+// refused, since each may hold a complete manifest.
+func TestConcurrentCallsAreBounded(t *testing.T) {
 	s, err := New(Options{
 		Self:        ports.Daemon{ID: "a"},
 		LocalDigest: func(time.Time) LocalState { return LocalState{} },
@@ -153,8 +153,8 @@
 	}
 }
 
-// Someone opens connections without end. Those beyond the bound are closed, and
-// a place is free again when another one ends.
+// Guards against an unbounded number of connections. Those beyond the limit are closed, and
+// closing an accepted one allows another.
 func TestConnectionsAreBounded(t *testing.T) {
 	inner, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -184,7 +184,7 @@
 	second := dial()
 	defer second.Close()
 	if _, err := second.Read(make([]byte, 1)); err == nil {
-		t.Error("a connection beyond the bound is served")
+		t.Error("a connection beyond the limit is served")
 	}
 	first.Close()
 	first.Close()
@@ -217,7 +217,7 @@
 	return key
 }
 
-// write puts a new certificate for the name, its key and the authority into dir.
+// write writes a new certificate for the name, its key and the authority to dir.
 func (a *authority) write(dir, name string) *TLSFiles {
 	key := newKey(a.t)
 	leaf := &x509.Certificate{
@@ -256,9 +256,8 @@
 	}
 }
 
-// Someone on the network of the daemons has a certificate of another authority,
-// or one of this authority for another purpose. It must not be able to push a
-// manifest or to read one.
+// Guards against access to manifests by a process on the daemons' network that has a
+// certificate of another authority, or one of this authority for another purpose.
 func TestMutualTLS(t *testing.T) {
 	good := newAuthority(t)
 	for _, c := range []struct {
@@ -285,10 +284,9 @@
 	}
 }
 
-// Certificates are renewed while the daemon runs, and a renewal may be caught
-// half done. The daemon takes the new ones when they are whole and goes on with
-// the old ones until then.
-func TestTLSFilesAreReadAgain(t *testing.T) {
+// Guards against a daemon that is disconnected while its certificates are being renewed: it
+// uses the old files until the new ones are complete and consistent.
+func TestTLSFilesAreReloaded(t *testing.T) {
 	a, dir := newAuthority(t), t.TempDir()
 	f := a.write(dir, "merlindock")
 	now := time.Now()
--- a/peer/listener.go
+++ b/peer/listener.go
@@ -6,16 +6,16 @@
 	"sync/atomic"
 )
 
-// limitListener closes connections beyond a number. A fault or an attack
-// that opens connections without end would otherwise take the daemon's file
-// descriptors, seen as refused callers.
+// limitListener closes connections beyond maxOpen. Otherwise a fault or an attack that
+// opens connections without limit would exhaust the daemon's file descriptors, and
+// requests of callers would be refused.
 type limitListener struct {
 	net.Listener
 	maxOpen int64
 	open    atomic.Int64
 }
 
-// Accept returns the next connection within the bound.
+// Accept returns the next connection within the limit.
 func (l *limitListener) Accept() (net.Conn, error) {
 	for {
 		conn, err := l.Listener.Accept()
@@ -30,7 +30,7 @@
 	}
 }
 
-// limitConn gives its place back when it is closed.
+// limitConn is a connection that is no longer counted once it is closed.
 type limitConn struct {
 	net.Conn
 	listener *limitListener
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -16,26 +16,26 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// MaxAnnouncementDaemons is the number of listed daemons above which no notices are
-// sent: each goes to all others, so that their bytes grow with the number of
-// daemons, and with many daemons few of them meet the same cold document.
+// MaxAnnouncementDaemons is the number of listed daemons above which no placement
+// announcements are sent: each goes to all other daemons, so the traffic grows with their
+// number, and with many daemons few of them receive the same uncached document.
 const MaxAnnouncementDaemons = 16
 
-// maxAnnouncementTokens bounds the work that one notice may claim.
+// maxAnnouncementTokens limits the tokens of one announcement.
 const maxAnnouncementTokens = 1 << 20
 
-// maxAnnouncementAge bounds how long ago a notice may have been made.
+// maxAnnouncementAge is the age above which an announcement is ignored.
 const maxAnnouncementAge = 5 * time.Second
 
-// AnnouncePlacements sends notices to all other listed daemons and returns how many were
-// told. It does not wait for them: a notice that is late is of no use, and one
-// that is lost only costs what the notice would have saved.
-func (s *Service) AnnouncePlacements(now time.Time, notices []placement.Notice) int {
+// AnnouncePlacements sends placement announcements to all other listed daemons and returns
+// to how many. It does not wait for delivery: a late announcement is of no use, and a lost
+// one costs no more than its saving.
+func (s *Service) AnnouncePlacements(now time.Time, announcements []placement.Notice) int {
 	list := s.o.Daemons()
-	if len(notices) == 0 || len(list) > MaxAnnouncementDaemons {
+	if len(announcements) == 0 || len(list) > MaxAnnouncementDaemons {
 		return 0
 	}
-	message := announcementsToWire(now, s.o.Self.ID, notices)
+	message := announcementsToWire(now, s.o.Self.ID, announcements)
 	sent := 0
 	for _, d := range list {
 		if d.ID == s.o.Self.ID || d.State == fleet.VMLeaving || !s.exchanges.TryAcquire(1) {
@@ -51,30 +51,30 @@
 }
 
 func (s *Service) announceTo(d ports.Daemon, message *peerpb.Notices) {
-	l, err := s.connectionTo(d.PeerAddress)
+	c, err := s.connectionTo(d.PeerAddress)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, s.o.CallTimeout)
 		defer cancel()
-		_, err = l.client.Notify(ctx, message)
+		_, err = c.client.Notify(ctx, message)
 	}
 	if err != nil {
 		s.o.Observe(Event{EventUnreachable, d.ID, err})
 	}
 }
 
-// Notify takes another daemon's notices.
+// Notify handles the placement announcements of another daemon.
 func (h *handler) Notify(_ context.Context, w *peerpb.Notices) (*peerpb.NotifyReply, error) {
 	if len(w.GetNotices()) > placement.MaxNotices || len(w.GetDaemon()) > neighbour.MaxDaemonID {
-		return nil, status.Error(codes.InvalidArgument, "too many notices or too long a name")
+		return nil, status.Error(codes.InvalidArgument, "too many announcements or daemon ID too long")
 	}
 	h.service.o.OnPlacementAnnouncements(w.GetDaemon(), announcementsFromWire(time.Now(), w.GetNotices()))
 	return &peerpb.NotifyReply{}, nil
 }
 
-func announcementsToWire(now time.Time, daemon string, notices []placement.Notice) *peerpb.Notices {
+func announcementsToWire(now time.Time, daemon string, announcements []placement.Notice) *peerpb.Notices {
 	w := &peerpb.Notices{Daemon: daemon}
-	for i := range notices {
-		n := &notices[i]
+	for i := range announcements {
+		n := &announcements[i]
 		p := &peerpb.Notice{
 			Endpoint:    string(n.Endpoint),
 			Incarnation: uint64(n.Incarnation),
@@ -91,9 +91,9 @@
 	return w
 }
 
-// announcementsFromWire leaves out what is outside the bounds.
+// announcementsFromWire converts announcements and leaves out those outside the limits.
 func announcementsFromWire(now time.Time, list []*peerpb.Notice) []placement.Notice {
-	var notices []placement.Notice
+	var announcements []placement.Notice
 	for _, p := range list {
 		age := time.Duration(p.GetAgeMs()) * time.Millisecond
 		complete := p.GetLost() || len(p.GetKey()) == prefix.KeySize
@@ -109,7 +109,7 @@
 			At:          now.Add(-age),
 		}
 		copy(n.Key[:], p.GetKey())
-		notices = append(notices, n)
+		announcements = append(announcements, n)
 	}
-	return notices
+	return announcements
 }
--- a/peer/notify_test.go
+++ b/peer/notify_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-func TestNoticesKeepTheirAgeOnTheWay(t *testing.T) {
+func TestAnnouncementsRoundTrip(t *testing.T) {
 	sent := time.Unix(1000, 0)
 	notices := []placement.Notice{
 		{Key: prefix.Key{1, 2}, Endpoint: "r1", Incarnation: 7, Tokens: 9, Priority: 2, At: sent.Add(-30 * time.Millisecond)},
@@ -23,10 +23,10 @@
 	}
 }
 
-// A daemon of another release, or a faulty one, sends notices without a whole
-// key or from long ago. Taken over, they would send requests to a cache that
-// does not hold their prefix.
-func TestNoticesOutsideTheBoundsAreLeftOut(t *testing.T) {
+// Guards against announcements with an incomplete key or from long ago, sent by a daemon
+// of another release or a faulty one: requests would be placed on a cache that does not
+// hold their prefix.
+func TestInvalidAnnouncementsAreDropped(t *testing.T) {
 	now := time.Unix(1000, 0)
 	list := []*peerpb.Notice{
 		{Endpoint: "r1", Key: []byte{1}},
--- a/peer/peer.go
+++ b/peer/peer.go
@@ -1,10 +1,10 @@
-// Package peer carries digests and accepted manifests between neighbouring
+// Package peer exchanges digests, accepted manifests and small messages with other
 // daemons over gRPC.
 //
-// What a digest means is decided in package neighbour; this package moves the
-// bytes, with deadlines, size limits, bounded concurrency and mutual TLS.
-// A Service has one lock, over its table of senders and its connections; no
-// callback is called and no message is sent while it is held.
+// Digests are evaluated by package neighbour; this package implements the transport, with
+// deadlines, size limits, bounded concurrency and mutual TLS. A Service has one lock, for
+// its table of senders and its connections. No callback is called and no message is sent
+// while it is held.
 package peer
 
 import (
@@ -27,125 +27,126 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// LocalState is what a daemon tells its neighbours at one moment.
+// LocalState is the state that a daemon reports to its neighbours.
 type LocalState struct {
 	Accepted  neighbour.Revision
-	Endpoints []fleet.Evidence // by the own clock, see fleet.Membership.News
+	Endpoints []fleet.Evidence // by the own clock, see fleet.Membership.RecentEvidence
 	Usage     []byte
 }
 
 // Accepted is an accepted manifest with the proof of its acceptance.
 type Accepted struct {
 	Revision neighbour.Revision
-	Manifest []byte // as it stands in the log
+	Manifest []byte // as written in the log
 	Proof    []byte // see package ledger
 }
 
-// Options holds what a Service needs. The callbacks may be called by several
-// goroutines at once.
+// Options configures a Service. The callbacks may be called concurrently.
 type Options struct {
 	Self ports.Daemon
-	// Incarnation is the start of this process in Unix nanoseconds.
+	// Incarnation is the start of this process in Unix nanoseconds; zero: the call of New.
 	Incarnation uint64
-	// Daemons returns the newest list of daemons. An empty one is taken as
-	// failed and the neighbours stay.
+	// Daemons returns the newest list of daemons. An empty list is taken for a failure:
+	// the neighbours are kept.
 	Daemons func() []ports.Daemon
-	// LocalDigest returns what to tell the neighbours.
+	// LocalDigest returns the state to report to the neighbours.
 	LocalDigest func(now time.Time) LocalState
-	// OnDigest takes the evidence and use that a neighbour told; times are by this
-	// daemon's clock.
-	OnDigest func(now time.Time, d neighbour.Digest)
-	// OnPlacementAnnouncements takes another daemon's notices; times are by this daemon's
+	// OnDigest receives the valid digests of neighbours, with times by this daemon's
 	// clock. May be nil.
+	OnDigest func(now time.Time, d neighbour.Digest)
+	// OnPlacementAnnouncements receives the placement announcements of another daemon, with
+	// times by this daemon's clock. May be nil.
 	OnPlacementAnnouncements func(from string, notices []placement.Notice)
-	// OnMessage takes a message that another daemon sent by Relay. May be nil.
+	// OnMessage receives the messages that other daemons send with SendMessage. May be nil.
 	OnMessage func(from string, data []byte)
-	// FetchManifest returns the accepted manifest of the given revision, for a
-	// neighbour. It may return a later one.
+	// FetchManifest returns the accepted manifest of the given revision or a later one, for
+	// a neighbour.
 	FetchManifest func(ctx context.Context, r neighbour.Revision) (Accepted, error)
-	// AwaitRevision tells whether a revision that a neighbour has is, after a moment, in
-	// force here without being fetched. May be nil.
+	// AwaitRevision waits briefly for a revision that a neighbour has, and reports whether
+	// it is in force here without having been fetched. May be nil.
 	AwaitRevision func(ctx context.Context, r neighbour.Revision) bool
-	// Merge checks the proof of a later manifest and brings it into force. It
-	// must refuse what does not follow the daemon's own state.
+	// Merge checks the proof of a later manifest and puts it into force. It must reject a
+	// manifest that does not follow the daemon's own state.
 	Merge func(ctx context.Context, from string, a Accepted) error
-	// Observe takes events for logs and metrics. May be nil.
+	// Observe receives events for logs and metrics. May be nil.
 	Observe func(Event)
 
-	TLS          *TLSFiles // nil: plain text, for tests and trials
+	TLS          *TLSFiles // nil: no encryption, for tests and trials
 	Neighbours   neighbour.Options
-	Interval     time.Duration // between exchanges with a neighbour, at the least
-	Budget       float64       // bytes a second for exchanges, see neighbour.Interval
+	Interval     time.Duration // minimum time between exchanges with a neighbour
+	Budget       float64       // bytes per second for exchanges, see neighbour.Interval
 	CallTimeout  time.Duration // of an exchange
 	FetchTimeout time.Duration // of a fetch
-	// Dial opens connections; nil: TCP.
+	// Dial opens connections. May be nil: TCP is used.
 	Dial func(ctx context.Context, address string) (net.Conn, error)
-	// Seed is for the jitter of the interval.
+	// Seed seeds the jitter of the interval.
 	Seed uint64
 }
 
-// Defaults and bounds.
+// Defaults and limits.
 const (
 	DefaultInterval     = time.Second
 	DefaultCallTimeout  = 800 * time.Millisecond
 	DefaultFetchTimeout = 2 * time.Second
-	// intervalJitter is the share of the interval by which it is varied, so that
-	// daemons that started together do not stay in step.
+	// intervalJitter is the fraction by which the interval is varied in both directions, so
+	// that daemons that started together do not stay synchronised.
 	intervalJitter = 0.2
 
-	// minEvidenceInterval is the least time between two rounds of news of endpoints.
+	// minEvidenceInterval is the minimum time between two announcements of endpoint
+	// evidence.
 	minEvidenceInterval = time.Second
 
 	maxExchangeBytes        = 32 << 10
 	maxFetchBytes           = neighbour.MaxManifestBytes + neighbour.MaxProofBytes + 1<<10
 	maxExchanges            = 64 // served at once
-	maxFetches              = 4  // served at once; each may hold a whole manifest
+	maxFetches              = 4  // served at once; each may hold a complete manifest
 	maxStreamsPerConnection = 16 // on one connection
 	maxConnections          = 256
-	maxFetchAttempts        = 3  // asked for one revision, one after the other
+	maxFetchAttempts        = 3  // fetches of one revision, one after the other
 	maxOutgoing             = 16 // exchanges opened at once
 )
 
-// EventKind names what happened.
+// EventKind is the kind of an Event.
 type EventKind string
 
-// The kinds of Event.
+// Kinds of Event.
 const (
 	EventUnreachable EventKind = "unreachable" // no answer from a neighbour
-	EventDropped     EventKind = "dropped"     // a digest did not count
+	EventDropped     EventKind = "dropped"     // a digest was dropped
 	EventConflict    EventKind = "conflict"    // another manifest at the same offset
 	EventFetched     EventKind = "fetched"     // a later manifest is in force
-	EventRejected    EventKind = "refused"     // a fetched manifest was not taken
+	EventRejected    EventKind = "refused"     // a fetch failed or its manifest was rejected
 )
 
-// Event is something worth a log line or a metric.
+// Event is an event for logs and metrics.
 type Event struct {
 	Kind   EventKind
 	Daemon string
 	Err    error
 }
 
-// Errors of the package, for errors.Is.
+// Errors of the package.
 var (
-	// ErrDigestMismatch says that a manifest is not the one of its revision.
+	// ErrDigestMismatch is returned for a manifest that is not the one of its revision, or
+	// not the one requested.
 	ErrDigestMismatch = errors.New("peer: manifest does not have the digest of its revision")
-	// ErrNoManifest says that no neighbour could give an accepted manifest.
+	// ErrNoManifest is returned if no accepted manifest could be fetched from a neighbour.
 	ErrNoManifest = errors.New("peer: no neighbour has an accepted manifest")
-	// ErrUnreachable says that a neighbour gave no answer.
+	// ErrUnreachable is returned if a call to a neighbour failed.
 	ErrUnreachable = errors.New("peer: neighbour unreachable")
-	// ErrUnlisted says that the list of daemons has no address for a sender.
+	// ErrUnlisted is returned if the list of daemons has no address for a sender.
 	ErrUnlisted = errors.New("peer: daemon is not listed")
 )
 
-// Service talks to the neighbours and serves them.
+// Service is the client and the server of the peer protocol. Create it with New.
 type Service struct {
 	o               Options
 	sequence        atomic.Uint64
-	digestBytes     atomic.Int64 // of the last digest made, in bytes
+	digestBytes     atomic.Int64 // size of the last digest built, in bytes
 	exchanges       *semaphore.Weighted
 	fetches         *semaphore.Weighted
-	manifestChanged chan struct{} // a manifest is in force
-	evidenceChanged chan struct{} // news of endpoints are there
+	manifestChanged chan struct{} // signals another manifest in force
+	evidenceChanged chan struct{} // signals changed evidence on endpoints
 	dialOptions     []grpc.DialOption
 	tasks           sync.WaitGroup
 	ctx             context.Context // ends when the service closes
@@ -159,7 +160,7 @@
 	fetching    map[neighbour.Revision]bool
 }
 
-// New returns a service that is not yet running. The caller must Close it.
+// New returns a Service that is not running yet. The caller must Close it.
 func New(o Options) (*Service, error) {
 	o = o.withDefaults()
 	s := &Service{
@@ -210,41 +211,41 @@
 	return o
 }
 
-// Close ends all exchanges and closes the connections to neighbours.
+// Close ends all calls and closes the connections to other daemons.
 func (s *Service) Close() {
 	s.close()
 	s.tasks.Wait()
 	s.mu.Lock()
-	links := s.connections
+	connections := s.connections
 	s.connections = map[string]*connection{}
 	s.mu.Unlock()
-	for _, l := range links {
-		l.close()
+	for _, c := range connections {
+		c.close()
 	}
 }
 
-// Senders returns what is known of the daemons heard, for the dump.
+// Senders returns the state of the daemons from which digests were received, for the dump.
 func (s *Service) Senders() []neighbour.Sender {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.table.Senders()
 }
 
-// Neighbours returns the present neighbours.
+// Neighbours returns the current neighbours.
 func (s *Service) Neighbours() []ports.Daemon {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return append([]ports.Daemon(nil), s.neighbours...)
 }
 
-// verify tells whether a is the manifest that its revision names and one that
-// answers a call for want.
+// verify checks that the manifest has the digest of its revision, and that the revision is
+// want or a later one.
 func (a Accepted) verify(want neighbour.Revision) error {
 	if sha256.Sum256(a.Manifest) != a.Revision.Digest {
 		return ErrDigestMismatch
 	}
 	if a.Revision.Offset < want.Offset {
-		return fmt.Errorf("%w: offset %d in place of %d", ErrDigestMismatch, a.Revision.Offset, want.Offset)
+		return fmt.Errorf("%w: offset %d instead of %d", ErrDigestMismatch, a.Revision.Offset, want.Offset)
 	}
 	if a.Revision.Offset == want.Offset && a.Revision.Digest != want.Digest {
 		return ErrDigestMismatch
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,7 +16,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// node is a daemon that holds one accepted manifest and nothing else.
+// node is a daemon that holds one accepted manifest and no other state.
 type node struct {
 	daemon   ports.Daemon
 	service  *Service
@@ -26,7 +26,7 @@
 	mu       sync.Mutex
 	accepted Accepted
 	changed  chan struct{} // closed and replaced on each change
-	heard    []neighbour.Digest
+	digests  []neighbour.Digest
 }
 
 var errNotLater = errors.New("not later than the own")
@@ -49,8 +49,8 @@
 	return n.accepted, n.changed
 }
 
-// waitFor returns when the node has the offset, and fails after a limit that
-// no healthy run comes near.
+// waitFor returns when the node has the offset. It fails the test after a time limit that
+// is far above that of a passing run.
 func (n *node) waitFor(t *testing.T, offset ports.Offset) {
 	t.Helper()
 	limit := time.After(20 * time.Second)
@@ -115,7 +115,7 @@
 		OnDigest: func(_ time.Time, d neighbour.Digest) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.heard = append(n.heard, d)
+			n.digests = append(n.digests, d)
 		},
 		FetchManifest: func(context.Context, neighbour.Revision) (Accepted, error) {
 			a, _ := n.state()
@@ -128,7 +128,7 @@
 			default:
 			}
 		},
-		// Machines under load are slow; the test's verdict must not hang on it.
+		// Generous, so that the test does not fail on a busy machine.
 		CallTimeout: 5 * time.Second,
 		Interval:    200 * time.Millisecond,
 	}
@@ -152,10 +152,9 @@
 	})
 }
 
-// The log is down for all daemons but one, which reads a new manifest. The
-// others must have it from their neighbours, or callers would meet the old
-// configuration on most daemons.
-func TestManifestReachesDaemonsCutOffFromTheLog(t *testing.T) {
+// Guards against daemons that keep the old configuration while only one daemon can read the
+// log: the others must get a new manifest from their neighbours.
+func TestManifestReachesDaemonsWithoutLog(t *testing.T) {
 	nodes := cluster(t, 9, 3, nil)
 	for offset := ports.Offset(1); offset <= 3; offset++ {
 		from := nodes[int(offset)%len(nodes)]
@@ -169,12 +168,12 @@
 	}
 }
 
-// An endpoint begins to leave and one daemon of nine meets it. The others must not
-// send it work until their regular exchange, which may be seconds away.
-func TestNewsOfEndpointsPassOnAtOnce(t *testing.T) {
+// Guards against requests to a draining endpoint by the daemons that did not observe the
+// draining themselves: they must not have to wait for their next periodic exchange.
+func TestEvidenceIsSpreadAtOnce(t *testing.T) {
 	known := make([]atomic.Bool, 9)
 	services := make([]atomic.Pointer[Service], 9)
-	heard := make(chan int, 9)
+	received := make(chan int, 9)
 	nodes := cluster(t, 9, 3, func(i int, o *Options) {
 		o.Interval = time.Hour
 		o.LocalDigest = func(now time.Time) LocalState {
@@ -186,7 +185,7 @@
 		o.OnDigest = func(_ time.Time, d neighbour.Digest) {
 			if len(d.Endpoints) == 1 && known[i].CompareAndSwap(false, true) {
 				services[i].Load().AnnounceEvidence()
-				heard <- i
+				received <- i
 			}
 		}
 	})
@@ -196,32 +195,31 @@
 	known[4].Store(true)
 	nodes[4].service.AnnounceEvidence()
 	for range 8 {
-		<-heard
+		<-received
 	}
 }
 
-// A daemon starts while the log is down. With a neighbour's state it serves at
-// once; without any it must say so and not invent an empty configuration.
+// Guards against a daemon that starts with an empty configuration while the log is
+// unavailable: it must use a neighbour's manifest, or return an error if there is none.
 func TestBootstrapFromNeighbours(t *testing.T) {
 	nodes := cluster(t, 3, 3, nil)
 	ctx := context.Background()
 	if _, err := nodes[0].service.Bootstrap(ctx); !errors.Is(err, ErrNoManifest) {
-		t.Errorf("error %v, want ErrNoState", err)
+		t.Errorf("error %v, want ErrNoManifest", err)
 	}
 	if err := nodes[1].accept(manifestAt(7, "seven")); err != nil {
 		t.Fatal(err)
 	}
-	// The background exchange may have brought it before; both ways will do.
+	// A periodic exchange may have fetched it before; both are correct.
 	if a, err := nodes[0].service.Bootstrap(ctx); err == nil && a.Revision.Offset != 7 {
 		t.Errorf("offset %d, want 7", a.Revision.Offset)
 	}
 	nodes[0].waitFor(t, 7)
 }
 
-// A neighbour, or someone who has its certificate, claims a later manifest and
-// sends bytes that are not the ones it claimed. A daemon that took them would
-// serve a configuration that no operator published.
-func TestForgedManifestIsRefused(t *testing.T) {
+// Guards against a configuration that no operator published: a neighbour, or someone with
+// its certificate, announces a later manifest and sends other bytes.
+func TestForgedManifestIsRejected(t *testing.T) {
 	nodes := cluster(t, 2, 1, func(i int, o *Options) {
 		if i == 1 {
 			o.FetchManifest = func(_ context.Context, r neighbour.Revision) (Accepted, error) {
@@ -241,7 +239,7 @@
 	for e := range nodes[0].events {
 		if e.Kind == EventRejected {
 			if !errors.Is(e.Err, ErrDigestMismatch) {
-				t.Errorf("refused with %v, want ErrForged", e.Err)
+				t.Errorf("rejected with %v, want ErrDigestMismatch", e.Err)
 			}
 			break
 		}
@@ -251,9 +249,8 @@
 	}
 }
 
-// Evidence of a leaving endpoint and organisations' use cross unharmed, with
-// ages in place of times.
-func TestDigestCrossesTheWire(t *testing.T) {
+// Evidence and usage are transmitted unchanged, with ages instead of times.
+func TestDigestRoundTrip(t *testing.T) {
 	s := &Service{o: Options{
 		Self: ports.Daemon{ID: "a"}, Incarnation: 5,
 		LocalDigest: func(now time.Time) LocalState {
@@ -278,6 +275,6 @@
 	short.Accepted.Digest = []byte{1, 2}
 	table := neighbour.NewTable("b")
 	if v := table.Receive(received, neighbour.Revision{}, digestFromWire(received, short)); v.Reason != neighbour.DropInvalid {
-		t.Errorf("a digest of two bytes was judged %+v", v)
+		t.Errorf("verdict on a revision with a digest of two bytes: %+v", v)
 	}
 }
--- a/peer/run.go
+++ b/peer/run.go
@@ -11,12 +11,12 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Run exchanges digests with the neighbours until ctx ends. Each neighbour is
-// told at once when Announce is called.
+// Run exchanges digests with the neighbours until ctx ends: at intervals, and at once after
+// AnnounceManifest and AnnounceEvidence.
 //
-// News go their own way beside the regular rounds: a round waits for
-// neighbours that do not answer, which after the loss of a zone is most of the
-// time, and a manifest would lose a timeout at each daemon on its way.
+// Announcements are independent of the periodic exchanges, since these wait for neighbours
+// that do not answer. After the loss of a zone that is most of the time, and a manifest
+// would be delayed by a timeout at each hop.
 func (s *Service) Run(ctx context.Context) error {
 	s.updateNeighbours()
 	var g errgroup.Group
@@ -26,7 +26,7 @@
 	return g.Wait()
 }
 
-// exchangePeriodically opens the regular exchanges.
+// exchangePeriodically updates the neighbours and opens the periodic exchanges.
 func (s *Service) exchangePeriodically(ctx context.Context) error {
 	for {
 		timer := time.NewTimer(s.jitteredInterval())
@@ -41,7 +41,8 @@
 	}
 }
 
-// spreadManifests tells the neighbours of an announced manifest.
+// spreadManifests exchanges digests after each AnnounceManifest with the neighbours that do
+// not have the manifest.
 func (s *Service) spreadManifests(ctx context.Context) error {
 	for {
 		select {
@@ -53,11 +54,11 @@
 	}
 }
 
-// spreadEvidence tells the neighbours of announced news of endpoints, the first at
-// once and then what has come together during a pause. The loss of a zone brings
-// hundreds of news within a second; without the pause, which keeps to the
-// budget as the regular rounds do, each would cost an exchange with each
-// neighbour.
+// spreadEvidence exchanges digests with all neighbours after AnnounceEvidence, at once for
+// the first call, and then once per interval for all further calls. The loss of a zone
+// changes the evidence on hundreds of endpoints within a second; without the interval,
+// which respects the budget as the periodic exchanges do, each change would cost an
+// exchange with each neighbour.
 func (s *Service) spreadEvidence(ctx context.Context) error {
 	for {
 		select {
@@ -79,32 +80,31 @@
 	}
 }
 
-// AnnounceEvidence tells the neighbours soon that an endpoint leaves or has
-// restarted. A daemon of a large fleet asks each endpoint only now and then; by
-// the news it knows of a leaving one as soon as any daemon does.
+// AnnounceEvidence makes the service send a digest to the neighbours soon, as an endpoint is
+// leaving or has restarted. A daemon of a large fleet probes each endpoint only
+// occasionally; by this it knows of a leaving endpoint as soon as any daemon does.
 func (s *Service) AnnounceEvidence() {
 	select {
 	case s.evidenceChanged <- struct{}{}:
-	default: // already about to
+	default: // already signalled
 	}
 }
 
-// AnnounceManifest tells the neighbours at once that another manifest is in force, so
-// that daemons cut off from the log have it within seconds.
+// AnnounceManifest makes the service report to the neighbours at once that another manifest
+// is in force, so that daemons that cannot read the log have it within seconds.
 func (s *Service) AnnounceManifest() {
 	select {
 	case s.manifestChanged <- struct{}{}:
-	default: // already about to
+	default: // already signalled
 	}
 }
 
-// interval is the time between exchanges that the budget allows for. The caller
-// holds mu.
+// interval returns the time between exchanges according to the budget. The caller holds mu.
 func (s *Service) interval() time.Duration {
 	return neighbour.Interval(s.o.Interval, len(s.neighbours), int(s.digestBytes.Load()), s.o.Budget)
 }
 
-// jitteredInterval is the interval with jitter.
+// jitteredInterval returns the interval with jitter applied.
 func (s *Service) jitteredInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -112,8 +112,8 @@
 	return time.Duration(share * float64(s.interval()))
 }
 
-// updateNeighbours computes the neighbours from the newest list and closes connections
-// to daemons that are no neighbours any more.
+// updateNeighbours computes the neighbours from the newest list and closes the connections
+// to daemons that are no longer listed.
 func (s *Service) updateNeighbours() {
 	list := s.o.Daemons()
 	if len(list) == 0 {
@@ -123,19 +123,19 @@
 	s.mu.Lock()
 	s.neighbours = chosen
 	var unused []*connection
-	for address, l := range s.connections {
+	for address, c := range s.connections {
 		if !slices.ContainsFunc(list, func(d ports.Daemon) bool { return d.PeerAddress == address }) {
-			unused = append(unused, l)
+			unused = append(unused, c)
 			delete(s.connections, address)
 		}
 	}
 	s.mu.Unlock()
-	for _, l := range unused {
-		l.close()
+	for _, c := range unused {
+		c.close()
 	}
 }
 
-// neighboursToContact returns the neighbours to open an exchange with.
+// neighboursToContact returns the neighbours with which to open a periodic exchange.
 func (s *Service) neighboursToContact() []ports.Daemon {
 	now := time.Now()
 	s.mu.Lock()
@@ -150,8 +150,8 @@
 	return out
 }
 
-// neighboursBehind returns the neighbours that are not known to have the accepted
-// revision.
+// neighboursBehind returns the neighbours whose last digest does not contain the accepted
+// revision or a later one.
 func (s *Service) neighboursBehind() []ports.Daemon {
 	own := s.o.LocalDigest(time.Now()).Accepted
 	s.mu.Lock()
@@ -169,7 +169,7 @@
 	return out
 }
 
-// exchangeWith exchanges digests with the given daemons, a bounded number at once.
+// exchangeWith exchanges digests with the given daemons, up to maxOutgoing at once.
 func (s *Service) exchangeWith(ctx context.Context, daemons []ports.Daemon) {
 	var g errgroup.Group
 	g.SetLimit(maxOutgoing)
@@ -181,10 +181,11 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // errors were observed one by one
+	_ = g.Wait() // errors were passed to Observe
 }
 
-// fetchInBackground fetches a later revision in the background, once at a time.
+// fetchInBackground fetches a later revision in the background, unless it is being fetched
+// already or maxFetches fetches are in progress.
 func (s *Service) fetchInBackground(daemon string, r neighbour.Revision) {
 	s.mu.Lock()
 	busy := s.fetching[r] || len(s.fetching) >= maxFetches || s.ctx.Err() != nil
@@ -208,10 +209,10 @@
 	}()
 }
 
-// fetchFromAny fetches a revision from the daemon that announced it or, if that
-// fails, from others that have announced it meanwhile. Their announcements come
-// only once: waiting for their next regular exchange could take longer than
-// the seconds in which a manifest is to be in force.
+// fetchFromAny fetches a revision from the daemon that announced it or, if that fails, from
+// others that have announced it in the meantime. They announce it once only, and waiting
+// for their next periodic exchange could exceed the seconds within which a manifest has to
+// be in force.
 func (s *Service) fetchFromAny(daemon string, r neighbour.Revision) bool {
 	for range maxFetchAttempts {
 		err := s.fetchAndMerge(s.ctx, daemon, r)
@@ -233,7 +234,7 @@
 	return false
 }
 
-// fetchAndMerge brings a neighbour's revision into force.
+// fetchAndMerge fetches a revision from a daemon and puts it into force.
 func (s *Service) fetchAndMerge(ctx context.Context, daemon string, r neighbour.Revision) error {
 	list := s.o.Daemons()
 	at := slices.IndexFunc(list, func(d ports.Daemon) bool { return d.ID == daemon })
@@ -247,10 +248,9 @@
 	return s.o.Merge(ctx, daemon, a)
 }
 
-// Bootstrap asks the neighbours for the latest accepted manifest and brings it
-// into force, for a daemon that starts while the log is down. It returns
-// ErrNoState when none of them has one; the daemon can then only answer that
-// requests were not run.
+// Bootstrap fetches the latest accepted manifest from the neighbours and puts it into force,
+// for a daemon that starts while the log is unavailable. It returns ErrNoManifest if none
+// of them has one; the daemon can then only answer that requests were not run.
 func (s *Service) Bootstrap(ctx context.Context) (Accepted, error) {
 	s.updateNeighbours()
 	s.exchangeWith(ctx, s.Neighbours())
@@ -265,7 +265,7 @@
 	return Accepted{}, ErrNoManifest
 }
 
-// sendersByRevision returns the senders that have accepted something, the sendersByRevision first.
+// sendersByRevision returns the senders that have accepted a manifest, latest first.
 func (s *Service) sendersByRevision() []neighbour.Sender {
 	senders := s.Senders()
 	senders = slices.DeleteFunc(senders, func(x neighbour.Sender) bool { return x.Accepted.Offset == 0 })
--- a/peer/server.go
+++ b/peer/server.go
@@ -18,19 +18,19 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// flowControlWindow is the size of gRPC's flow-control windows, in bytes. A fixed one also
-// turns off the pings by which gRPC would measure the path, which would cost
+// flowControlWindow is the size of gRPC's flow-control windows, in bytes. A fixed size also
+// disables the pings by which gRPC estimates the bandwidth-delay product; they would take
 // as many bytes as the digests.
 const flowControlWindow = 64 << 10
 
-// Times of a served connection.
+// Timeouts of the server.
 const (
 	idleTimeout         = time.Minute
 	setupTimeout        = 3 * time.Second
 	gracefulStopTimeout = 2 * time.Second
 )
 
-// Serve answers neighbours on l until ctx ends, then closes l.
+// Serve serves other daemons on l until ctx ends, then closes l.
 func (s *Service) Serve(ctx context.Context, l net.Listener) error {
 	creds, err := serverCredentials(s.o.TLS)
 	if err != nil {
@@ -61,7 +61,7 @@
 	return eris.Wrap(err, "peer: serve")
 }
 
-// stopServer lets open calls end, but not for long.
+// stopServer stops the server gracefully, or forcibly after gracefulStopTimeout.
 func stopServer(server *grpc.Server) {
 	timer := time.AfterFunc(gracefulStopTimeout, server.Stop)
 	defer timer.Stop()
@@ -79,13 +79,13 @@
 	return credentials.NewTLS(config), nil
 }
 
-// handler is the served side of a Service.
+// handler implements the gRPC server of a Service.
 type handler struct {
 	peerpb.UnimplementedPeerServer
 	service *Service
 }
 
-// Exchange takes a neighbour's digest and gives the own.
+// Exchange handles a neighbour's digest and returns the own one.
 func (h *handler) Exchange(_ context.Context, w *peerpb.Digest) (*peerpb.Digest, error) {
 	s := h.service
 	if !s.exchanges.TryAcquire(1) {
@@ -97,7 +97,7 @@
 	return s.buildDigest(now), nil
 }
 
-// Fetch gives an accepted manifest.
+// Fetch returns an accepted manifest.
 func (h *handler) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s := h.service
 	if !s.fetches.TryAcquire(1) {
@@ -118,7 +118,7 @@
 	}, nil
 }
 
-// handleDigest judges a digest and does what the verdict asks for.
+// handleDigest evaluates a digest and acts on the verdict.
 func (s *Service) handleDigest(now time.Time, d neighbour.Digest) {
 	own := s.o.LocalDigest(now).Accepted
 	s.mu.Lock()
--- a/peer/tls.go
+++ b/peer/tls.go
@@ -11,15 +11,15 @@
 	"github.com/rotisserie/eris"
 )
 
-// TLSFiles names the PEM files for mutual TLS between daemons. They are read
-// again when they change, so that certificates can be renewed without a
-// restart. A Service uses one value of it for both directions.
+// TLSFiles names the PEM files for mutual TLS between daemons. They are read again when
+// they change, so that certificates can be renewed without a restart. A Service uses the
+// same value for both directions.
 type TLSFiles struct {
-	Certificate string // the daemon's own, with any intermediates
+	Certificate string // of the daemon, with any intermediate certificates
 	Key         string
-	Authority   string // that signs the daemons' certificates
-	// Name is a DNS name that each daemon's certificate must have. VMs are
-	// replaced and have no names of their own, so it is the same for all.
+	Authority   string // certificates that sign those of the daemons
+	// Name is a DNS name that the certificate of each daemon must have. It is the same for
+	// all, since VMs are replaced and have no names of their own.
 	Name string
 
 	mu        sync.Mutex
@@ -28,21 +28,20 @@
 	current   *keyMaterial
 }
 
-// keyMaterial is what the files held.
+// keyMaterial holds the parsed contents of the files.
 type keyMaterial struct {
 	certificate tls.Certificate
 	roots       *x509.CertPool
 }
 
-// tlsRecheckInterval bounds how often the files are looked at.
+// tlsRecheckInterval is the minimum time between checks of the files' modification times.
 const tlsRecheckInterval = time.Second
 
-// ErrNoAuthority says that the authority's file holds no certificate.
+// ErrNoAuthority is returned if the authority's file contains no certificate.
 var ErrNoAuthority = errors.New("peer: authority file holds no certificate")
 
-// config returns the settings for both directions. The standard check of the
-// server's name is replaced by verify, which uses the newest authority on
-// each handshake.
+// config returns the TLS configuration for both directions. The standard verification of
+// the server is replaced by verify, which uses the newest authority on each handshake.
 func (f *TLSFiles) config() (*tls.Config, error) {
 	if _, err := f.load(time.Now()); err != nil {
 		return nil, err
@@ -70,14 +69,14 @@
 	return &m.certificate, nil
 }
 
-// verify checks the other side's chain against the authority, and its name.
+// verify checks the other side's certificate chain against the authority, and its name.
 func (f *TLSFiles) verify(state tls.ConnectionState) error {
 	m, err := f.load(time.Now())
 	if err != nil {
 		return err
 	}
 	if len(state.PeerCertificates) == 0 {
-		return errors.New("peer: no certificate given")
+		return errors.New("peer: no certificate presented")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
@@ -92,9 +91,9 @@
 	return err
 }
 
-// load returns what the files hold, read again when one of them has changed. A
-// half-written set, such as a new key beside the old certificate, keeps the one
-// in use: a failed renewal must not cut the daemon off.
+// load returns the contents of the files, read again if one of them has changed. If they
+// are inconsistent, such as a new key with the old certificate, those in use are kept: a
+// failed renewal must not disconnect the daemon.
 func (f *TLSFiles) load(now time.Time) (*keyMaterial, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,11 +128,11 @@
 func (f *TLSFiles) read(changed [3]time.Time) error {
 	certificate, err := tls.LoadX509KeyPair(f.Certificate, f.Key)
 	if err != nil {
-		return eris.Wrap(err, "peer: certificate and key")
+		return eris.Wrap(err, "peer: load certificate and key")
 	}
 	pem, err := os.ReadFile(f.Authority)
 	if err != nil {
-		return eris.Wrap(err, "peer: authority")
+		return eris.Wrap(err, "peer: read authority file")
 	}
 	roots := x509.NewCertPool()
 	if !roots.AppendCertsFromPEM(pem) {
