--- a/router/state.go
+++ b/router/state.go
@@ -63,7 +63,7 @@
 	batch  *placement.View // while a batch is under way
 }
 
-// Join implements roster.View.
+// Join implements roster.PlacementSink.
 func (c *viewChanges) Join(pool string, e fleet.Endpoint) {
 	if c.batch != nil {
 		c.batch.Join(pool, e)
@@ -72,7 +72,7 @@
 	c.shared.Join(pool, e)
 }
 
-// Leave implements roster.View.
+// Leave implements roster.PlacementSink.
 func (c *viewChanges) Leave(pool string, id fleet.EndpointID) {
 	if c.batch != nil {
 		c.batch.Leave(pool, id)
@@ -81,7 +81,7 @@
 	c.shared.Leave(pool, id)
 }
 
-// SetGate implements roster.View.
+// SetGate implements roster.PlacementSink.
 func (c *viewChanges) SetGate(id fleet.EndpointID, g placement.Gate) {
 	if c.batch != nil {
 		c.batch.SetGate(id, g)
