--- a/directory/changes_test.go
+++ b/directory/changes_test.go
@@ -38,7 +38,7 @@
 		}
 	}
 	for service, all := range lapsed {
-		if len(all) < 2 || len(all)*minLapsedDivisor <= len(live[service])+len(all) {
+		if len(all) < 2 || len(all)*outageDivisor <= len(live[service])+len(all) {
 			continue
 		}
 		for _, e := range all {
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -85,9 +85,9 @@
 	// lapseWindow is the time within which removed entries are attributed to one outage
 	// of the store, in which leases expire, rather than to endpoints that left.
 	lapseWindow = 3 * time.Second
-	// minLapsedDivisor sets the fraction of a service's ready entries that must be removed
+	// outageDivisor sets the fraction of a service's ready entries that must be removed
 	// within lapseWindow to count as an outage: more than one in three.
-	minLapsedDivisor = 3
+	outageDivisor = 3
 	// removedRetention is how long a removed endpoint is kept.
 	removedRetention = time.Minute
 )
@@ -109,7 +109,7 @@
 // service holds the counts of one service that outages are detected by.
 type service struct {
 	live   int         // number of ready endpoints
-	lapsed []*Endpoint // removed within lapseTogether while they were ready
+	lapsed []*Endpoint // removed within lapseWindow while they were ready
 }
 
 // New returns an empty Directory. An endpoint whose entry lapsed together with others
@@ -228,14 +228,14 @@
 // is for snapshots: the records of the removals may have been lost together with the
 // store's history.
 func (d *Directory) Retain(now, since time.Time, present map[string]bool) []string {
-	var gone []string
+	var removed []string
 	for id := range d.byID {
 		if !present[id] && d.Remove(now, since, id) {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
 // ObserveVersion records the weight version that an answer of this incarnation named,
@@ -331,7 +331,7 @@
 	}
 	clear(s.lapsed[len(kept):])
 	s.lapsed = kept
-	outage := len(kept) > 1 && len(kept)*minLapsedDivisor > s.live+len(kept)
+	outage := len(kept) > 1 && len(kept)*outageDivisor > s.live+len(kept)
 	for _, e := range kept {
 		usable := outage && now.Sub(e.earliestRemoval) < grace
 		if usable != e.usable {
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -22,8 +22,8 @@
 }
 
 // hasEnded reports whether i is known as an earlier incarnation of the endpoint.
-func (w *reportState) hasEnded(i Incarnation) bool {
-	for _, p := range w.endedIncarnations {
+func (s *reportState) hasEnded(i Incarnation) bool {
+	for _, p := range s.endedIncarnations {
 		if p == i {
 			return true
 		}
@@ -32,34 +32,34 @@
 }
 
 // apply replaces the evidence by e, which the caller must have found to be newer.
-func (w *reportState) apply(now time.Time, e Evidence) {
+func (s *reportState) apply(now time.Time, e Evidence) {
 	if e.Incarnation == 0 {
-		e.Incarnation = w.Incarnation
+		e.Incarnation = s.Incarnation
 	}
-	if e.Incarnation != w.Incarnation {
-		w.removeEnded(e.Incarnation)
-		if w.Incarnation != 0 {
-			w.endedIncarnations = append(w.endedIncarnations, w.Incarnation)
+	if e.Incarnation != s.Incarnation {
+		s.removeEnded(e.Incarnation)
+		if s.Incarnation != 0 {
+			s.endedIncarnations = append(s.endedIncarnations, s.Incarnation)
 		}
-		if len(w.endedIncarnations) > maxEndedIncarnations {
-			w.endedIncarnations = w.endedIncarnations[1:]
+		if len(s.endedIncarnations) > maxEndedIncarnations {
+			s.endedIncarnations = s.endedIncarnations[1:]
 		}
 	}
-	first := w.Incarnation == 0
-	if e.Draining != w.Draining || !first && e.Incarnation != w.Incarnation {
-		w.lastChange = now
+	first := s.Incarnation == 0
+	if e.Draining != s.Draining || !first && e.Incarnation != s.Incarnation {
+		s.lastChange = now
 	}
-	w.Evidence = e
+	s.Evidence = e
 }
 
 // removeEnded removes i from the ended incarnations, as the endpoint has reported it as
 // its present one.
-func (w *reportState) removeEnded(i Incarnation) {
-	kept := w.endedIncarnations[:0]
-	for _, p := range w.endedIncarnations {
+func (s *reportState) removeEnded(i Incarnation) {
+	kept := s.endedIncarnations[:0]
+	for _, p := range s.endedIncarnations {
 		if p != i {
 			kept = append(kept, p)
 		}
 	}
-	w.endedIncarnations = kept
+	s.endedIncarnations = kept
 }
--- a/fleet/membership.go
+++ b/fleet/membership.go
@@ -336,7 +336,8 @@
 	return m.doubtful(now, r)
 }
 
-// doubtful reports whether the endpoint refused a connection or left a probe unanswered.
+// doubtful reports whether the endpoint refused a connection within RefusedFor or left a
+// probe unanswered for SilentAfter.
 func (m *Membership) doubtful(now time.Time, r *member) bool {
 	if now.Before(r.refusedUntil) {
 		return true
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -21,7 +21,8 @@
 // number, and with many daemons few of them receive the same uncached document.
 const MaxAnnouncementDaemons = 16
 
-// maxAnnouncementTokens limits the tokens of one announcement.
+// maxAnnouncementTokens limits the tokens of one announcement; larger values are reduced
+// to it.
 const maxAnnouncementTokens = 1 << 20
 
 // maxAnnouncementAge is the age above which an announcement is ignored.
--- a/peer/run.go
+++ b/peer/run.go
@@ -108,8 +108,8 @@
 func (s *Service) jitteredInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := 1 + intervalJitter*(2*s.rand.Float64()-1)
-	return time.Duration(share * float64(s.interval()))
+	factor := 1 + intervalJitter*(2*s.rand.Float64()-1)
+	return time.Duration(factor * float64(s.interval()))
 }
 
 // updateNeighbours computes the neighbours from the newest list and closes the connections
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -62,9 +62,9 @@
 
 // Put adds or updates an endpoint, see directory.Directory.Put.
 func (r *Roster) Put(e directory.Entry) directory.PutResult {
-	news := r.directory.Put(e)
-	r.markChanged(news == directory.RoutingChanged)
-	return news
+	result := r.directory.Put(e)
+	r.markChanged(result == directory.RoutingChanged)
+	return result
 }
 
 // Remove marks an entry as removed, see directory.Directory.Remove.
@@ -74,9 +74,9 @@
 
 // Retain removes all entries whose ID is not present and returns their IDs.
 func (r *Roster) Retain(now, since time.Time, present map[string]bool) []string {
-	gone := r.directory.Retain(now, since, present)
-	r.markChanged(len(gone) > 0)
-	return gone
+	removed := r.directory.Retain(now, since, present)
+	r.markChanged(len(removed) > 0)
+	return removed
 }
 
 func (r *Roster) markChanged(changed bool) bool {
@@ -107,9 +107,9 @@
 	r.usable[e.Key] = e
 	member := fleet.Endpoint{ID: e.Key, Zone: e.Zone, Class: e.Service, Address: e.Address, State: fleet.VMLive}
 	r.health.List(now, member)
-	out := r.Unusable(now, e.Key)
-	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, out, r.limited[e.Key])
-	if out {
+	unusable := r.Unusable(now, e.Key)
+	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, unusable, r.limited[e.Key])
+	if unusable {
 		r.closeGate(e.Key)
 	}
 }
@@ -133,9 +133,9 @@
 		r.recheckBuf = append(r.recheckBuf, key)
 	}
 	for _, key := range r.recheckBuf {
-		out := r.Unusable(now, key)
-		r.pools.SetOut(key, out)
-		if out {
+		unusable := r.Unusable(now, key)
+		r.pools.SetOut(key, unusable)
+		if unusable {
 			r.closeGate(key)
 		} else {
 			delete(r.gated, key)
