--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -22,8 +22,8 @@
 	return d
 }
 
-// usable counts the usable endpoints at the given time after epoch.
-func usable(d *Directory, at time.Duration) int {
+// countUsable counts the usable endpoints at the given time after epoch.
+func countUsable(d *Directory, at time.Duration) int {
 	d.Changes(epoch.Add(at))
 	n := 0
 	for _, e := range d.byID {
@@ -48,7 +48,7 @@
 func TestRemovedEndpointIsUnusable(t *testing.T) {
 	d := withEntries(6)
 	d.Remove(epoch, epoch, "e0")
-	if got := usable(d, 0); got != 5 {
+	if got := countUsable(d, 0); got != 5 {
 		t.Errorf("%d usable", got)
 	}
 }
@@ -57,8 +57,8 @@
 	d := withEntries(2)
 	e := entry("e0", 1)
 	e.State = Draining
-	if d.Put(e) != RoutingChanged || usable(d, 0) != 1 {
-		t.Errorf("%d usable", usable(d, 0))
+	if d.Put(e) != RoutingChanged || countUsable(d, 0) != 1 {
+		t.Errorf("%d usable", countUsable(d, 0))
 	}
 }
 
@@ -70,11 +70,11 @@
 	for i := range 6 {
 		d.Remove(epoch, epoch, fmt.Sprint("e", i))
 	}
-	if got := usable(d, time.Second); got != 6 {
+	if got := countUsable(d, time.Second); got != 6 {
 		t.Errorf("%d usable after a second", got)
 	}
 	d.Put(entry("e3", 1))
-	if got := usable(d, 2*time.Second); got != 1 {
+	if got := countUsable(d, 2*time.Second); got != 1 {
 		t.Errorf("%d usable after two seconds", got)
 	}
 }
@@ -125,10 +125,10 @@
 	read := epoch.Add(900 * time.Millisecond)
 	d.Remove(read, epoch, "e0")
 	d.Remove(read.Add(100*time.Millisecond), epoch, "e1")
-	if got := usable(d, 1400*time.Millisecond); got != 4 {
+	if got := countUsable(d, 1400*time.Millisecond); got != 4 {
 		t.Errorf("%d usable at 1.4 s", got)
 	}
-	if got := usable(d, testGrace); got != 2 {
+	if got := countUsable(d, testGrace); got != 2 {
 		t.Errorf("%d usable at the end of the grace", got)
 	}
 }
@@ -141,7 +141,7 @@
 	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 2 {
 		t.Errorf("%v are gone", gone)
 	}
-	if got := usable(d, testGrace); got != 1 {
+	if got := countUsable(d, testGrace); got != 1 {
 		t.Errorf("%d usable", got)
 	}
 	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 0 {
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -119,7 +119,7 @@
 	confirmed     time.Duration     // when the store last had no further records
 	everConfirmed bool              // confirmed is set
 	detached      bool              // see Answer.Detached
-	progress      time.Duration     // when a part of the topic was last received
+	lastProgress  time.Duration     // when a part of the topic was last received
 	updated       chan struct{}     // closed and replaced on each update
 }
 
@@ -129,12 +129,12 @@
 	return &Feed{keyed: keyed, latest: map[string]Record{}, updated: make(chan struct{})}
 }
 
-// Progress records that a part of the topic was received at the given time of the boot
-// clock.
-func (f *Feed) Progress(at time.Duration) {
+// RecordProgress records that a part of the topic was received at the given time of the
+// boot clock.
+func (f *Feed) RecordProgress(at time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.progress = max(f.progress, at)
+	f.lastProgress = max(f.lastProgress, at)
 }
 
 // SetDetached records whether the latest read was answered by a daemon that may read
@@ -234,7 +234,7 @@
 		if q.Stamp == 0 {
 			fresh = f.confirmed > began-q.Age
 		}
-		now, updated, progress := clock(), f.updated, f.progress
+		now, updated, progress := clock(), f.updated, f.lastProgress
 		got.Age, got.Waited, got.Detached = now-f.confirmed, now-began, f.detached
 		f.mu.Unlock()
 		switch {
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -13,8 +13,8 @@
 
 func record(offset int64) Record { return Record{Key: "k", Value: []byte("v"), Offset: offset} }
 
-// fixed returns a clock that always reads d.
-func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// fixedClock returns a clock that always reads d.
+func fixedClock(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
 // read runs a query; ok is false if the feed cannot answer it.
 func read(f *Feed, ctx context.Context, clock func() time.Duration, q Query) (got Answer, ok bool) {
@@ -28,7 +28,7 @@
 func TestAnswerAgeCountsFromConfirmation(t *testing.T) {
 	f := New(true)
 	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: 10 * time.Second})
-	got, ok := read(f, t.Context(), fixed(14*time.Second), Query{From: -1})
+	got, ok := read(f, t.Context(), fixedClock(14*time.Second), Query{From: -1})
 	if !ok || !got.Snapshot || len(got.Records) != 1 || got.Next != 1 || got.Age != 4*time.Second {
 		t.Errorf("%+v, %v", got, ok)
 	}
@@ -40,7 +40,7 @@
 	f := New(true)
 	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: time.Second})
 	f.Add(Batch{From: 1, Records: []Record{record(1)}, Next: 2, Confirmed: 5 * time.Second})
-	if got, ok := read(f, t.Context(), fixed(5*time.Second), Query{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
+	if got, ok := read(f, t.Context(), fixedClock(5*time.Second), Query{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
@@ -60,29 +60,29 @@
 	}
 	for _, keyed := range []bool{false, true} {
 		f := New(keyed)
-		if _, ok := read(f, t.Context(), fixed(0), Query{}); ok {
+		if _, ok := read(f, t.Context(), fixedClock(0), Query{}); ok {
 			t.Error("an empty feed answers")
 		}
 		f.Add(part(5, 6))
 		for from, want := range map[int64]bool{4: keyed, 5: true, 6: true, 7: true} {
-			got, ok := read(f, t.Context(), fixed(0), Query{From: from})
+			got, ok := read(f, t.Context(), fixedClock(0), Query{From: from})
 			if ok != want || ok && (got.Next < from || got.Snapshot != (from == 4) || len(got.Records) != int(max(0, 6-max(from, 5)))) {
 				t.Errorf("keyed %v, from %d: %+v, %v", keyed, from, got, ok)
 			}
 		}
 		f.Add(part(9, 10))
-		if got, ok := read(f, t.Context(), fixed(0), Query{From: 6}); ok != keyed || got.Snapshot != keyed {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: 6}); ok != keyed || got.Snapshot != keyed {
 			t.Error("a gap was read over")
 		}
 		for i := int64(10); i < most+50; i++ {
 			f.Add(part(i, i+1))
 		}
-		if got, ok := read(f, t.Context(), fixed(0), Query{From: 9}); ok != keyed || got.Snapshot != keyed {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: 9}); ok != keyed || got.Snapshot != keyed {
 			t.Error("records that were dropped are passed over")
 		}
 		// Two reads that overlap add each record once.
 		f.Add(part(most, most+51))
-		if got, ok := read(f, t.Context(), fixed(0), Query{From: most + 48}); !ok || len(got.Records) != 3 {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: most + 48}); !ok || len(got.Records) != 3 {
 			t.Errorf("%d records after an overlap", len(got.Records))
 		}
 	}
@@ -101,7 +101,7 @@
 				time.Sleep(100 * time.Millisecond) // virtual
 				f.Add(b)
 			}()
-			got, ok := read(f, context.Background(), fixed(2), Query{From: 3, MaxWait: time.Second, Stamp: 1})
+			got, ok := read(f, context.Background(), fixedClock(2), Query{From: 3, MaxWait: time.Second, Stamp: 1})
 			if !ok || len(got.Records) != len(b.Records) || time.Since(began) != 100*time.Millisecond {
 				t.Errorf("%s: %+v, %v after %v", name, got, ok, time.Since(began))
 			}
@@ -109,8 +109,8 @@
 	}
 }
 
-// many returns a feed with the given number of keys, each with a value of size bytes.
-func many(keys, size int) *Feed {
+// withKeys returns a feed with the given number of keys, each with a value of size bytes.
+func withKeys(keys, size int) *Feed {
 	f := New(true)
 	b := Batch{Snapshot: true, Next: int64(keys), Complete: true, Confirmed: time.Second}
 	for i := range keys {
@@ -120,13 +120,13 @@
 	return f
 }
 
-// pages reads a snapshot page by page, calls at after each page but the last, and returns
+// readPages reads a snapshot page by page, calls at after each page but the last, and returns
 // the records by key and the number of pages.
-func pages(t *testing.T, f *Feed, at func(page int)) (keys map[string]Record, n int) {
+func readPages(t *testing.T, f *Feed, at func(page int)) (keys map[string]Record, n int) {
 	t.Helper()
 	keys = map[string]Record{}
 	for after := ""; ; n++ {
-		got, err := f.Read(t.Context(), fixed(time.Second), Query{From: -1, After: after})
+		got, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: -1, After: after})
 		if err != nil || !got.Snapshot {
 			t.Fatalf("page %d: %+v, %v", n, got, err)
 		}
@@ -145,12 +145,12 @@
 // over a link of 20 Mbit/s than the timeout of an answer, and each retry began anew.
 func TestSnapshotIsPaged(t *testing.T) {
 	const keys, size = 10_003, 270
-	f := many(keys, size)
-	got, n := pages(t, f, func(int) {})
+	f := withKeys(keys, size)
+	got, n := readPages(t, f, func(int) {})
 	if len(got) != keys || n < keys*size/maxPageBytes || n > 2*keys*size/maxPageBytes {
 		t.Errorf("%d keys in %d pages", len(got), n)
 	}
-	large, n := pages(t, many(3, 4*maxPageBytes), func(int) {})
+	large, n := readPages(t, withKeys(3, 4*maxPageBytes), func(int) {})
 	if len(large) != 3 || n != 3 {
 		t.Errorf("%d keys in %d pages that each have a record over the size of a page", len(large), n)
 	}
@@ -159,24 +159,24 @@
 // Guards against keys that are added or removed between two pages and that the reader
 // then misses, or keeps.
 func TestChangesBetweenPagesAreReadFromNext(t *testing.T) {
-	f := many(5000, 100)
+	f := withKeys(5000, 100)
 	next := int64(5000)
 	change := func(key, value string) {
 		f.Add(Batch{From: next, Records: []Record{{Key: key, Value: []byte(value), Offset: next}}, Next: next + 1, Complete: true, Confirmed: time.Second})
 		next++
 	}
-	first, err := f.Read(t.Context(), fixed(time.Second), Query{From: -1})
+	first, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: -1})
 	if err != nil || !first.More {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	got, _ := pages(t, f, func(n int) {
+	got, _ := readPages(t, f, func(n int) {
 		if n == 0 {
 			change("k000000", "")      // on a page already read
 			change("k000000a", "come") // sorts into a page already read
 			change("k004999", "")      // on a page still to be read
 		}
 	})
-	after, err := f.Read(t.Context(), fixed(time.Second), Query{From: first.Next})
+	after, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: first.Next})
 	if err != nil || after.Snapshot {
 		t.Fatalf("%+v, %v", after, err)
 	}
@@ -203,7 +203,7 @@
 	f.Add(b)
 	n := 0
 	for from := int64(0); ; {
-		got, err := f.Read(t.Context(), fixed(2*time.Second), Query{From: from, Stamp: int64(time.Second)})
+		got, err := f.Read(t.Context(), fixedClock(2*time.Second), Query{From: from, Stamp: int64(time.Second)})
 		if err != nil || got.Snapshot || len(got.Records) == 0 || got.Records[0].Offset != from {
 			t.Fatalf("from %d: %+v, %v", from, got, err)
 		}
@@ -222,9 +222,9 @@
 // still reading the topic: the error has to report the progress made.
 func TestUnknownErrorReportsProgress(t *testing.T) {
 	f := New(true)
-	f.Progress(3 * time.Second)
+	f.RecordProgress(3 * time.Second)
 	var unknown *UnknownError
-	if _, err := f.Read(t.Context(), fixed(5*time.Second), Query{From: -1}); !errors.As(err, &unknown) || unknown.SinceProgress != 2*time.Second {
+	if _, err := f.Read(t.Context(), fixedClock(5*time.Second), Query{From: -1}); !errors.As(err, &unknown) || unknown.SinceProgress != 2*time.Second {
 		t.Errorf("%v", err)
 	}
 }
@@ -303,7 +303,7 @@
 		f.SetDetached(true)
 		began := time.Now()
 		ask := func(anything bool) (Answer, time.Duration) {
-			got, err := f.Read(t.Context(), fixed(time.Second), Query{From: 3, MaxWait: time.Minute, Stamp: int64(time.Second), AcceptDetached: anything})
+			got, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: 3, MaxWait: time.Minute, Stamp: int64(time.Second), AcceptDetached: anything})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -11,7 +11,7 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func at(d time.Duration) time.Time { return epoch.Add(d) }
+func afterEpoch(d time.Duration) time.Time { return epoch.Add(d) }
 
 // runners returns a list of count live runners in three zones.
 func runners(count int) []Endpoint {
@@ -59,9 +59,9 @@
 // endpoint's own answers show it, and requests would be cut off when the VM stops.
 func TestDrainingEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
-	drainsAt := at(10 * time.Second)
-	for now := at(0); now.Before(drainsAt.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
+	m.SetList(afterEpoch(0), runners(18))
+	drainsAt := afterEpoch(10 * time.Second)
+	for now := afterEpoch(0); now.Before(drainsAt.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		m.SetList(now, nil)
 		probe(m, now, func(id EndpointID) (Load, bool) {
 			return Load{At: now, Incarnation: 1, Draining: id == "runner-03" && !now.Before(drainsAt)}, true
@@ -80,9 +80,9 @@
 // unavailable: they would hang until their deadline.
 func TestSilentEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
-	stopsAt := at(5 * time.Second)
-	for now := at(0); now.Before(at(12 * time.Second)); now = now.Add(100 * time.Millisecond) {
+	m.SetList(afterEpoch(0), runners(18))
+	stopsAt := afterEpoch(5 * time.Second)
+	for now := afterEpoch(0); now.Before(afterEpoch(12 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		probe(m, now, func(id EndpointID) (Load, bool) {
 			return Load{At: now, Incarnation: 1}, id != "runner-03" || now.Before(stopsAt)
 		})
@@ -97,8 +97,8 @@
 func TestIncompleteListKeepsEndpoints(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	full := runners(18)
-	m.SetList(at(0), full)
-	for now := at(0); now.Before(at(5 * time.Minute)); now = now.Add(500 * time.Millisecond) {
+	m.SetList(afterEpoch(0), full)
+	for now := afterEpoch(0); now.Before(afterEpoch(5 * time.Minute)); now = now.Add(500 * time.Millisecond) {
 		list := full
 		switch phase := int(now.Sub(epoch)/time.Minute) % 3; phase {
 		case 1:
@@ -118,9 +118,9 @@
 // list and does not answer is removed.
 func TestMissingSilentEndpointIsRemoved(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
+	m.SetList(afterEpoch(0), runners(18))
 	var gone []Change
-	for now := at(0); now.Before(at(time.Minute)); now = now.Add(500 * time.Millisecond) {
+	for now := afterEpoch(0); now.Before(afterEpoch(time.Minute)); now = now.Add(500 * time.Millisecond) {
 		gone = append(gone, m.SetList(now, runners(17))...)
 		probe(m, now, func(id EndpointID) (Load, bool) { return Load{At: now, Incarnation: 1}, id != "runner-17" })
 	}
@@ -136,20 +136,20 @@
 // the restart: requests would be placed according to a cache that no longer exists.
 func TestLateReportOfEndedIncarnationIsIgnored(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(3))
-	m.ApplyReport(at(1*time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	changes := m.ApplyReport(at(5*time.Second), "runner-00", Load{At: at(5 * time.Second), Incarnation: 2})
+	m.SetList(afterEpoch(0), runners(3))
+	m.ApplyReport(afterEpoch(1*time.Second), "runner-00", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	changes := m.ApplyReport(afterEpoch(5*time.Second), "runner-00", Load{At: afterEpoch(5 * time.Second), Incarnation: 2})
 	if !slices.Equal(kinds(changes), []ChangeKind{ChangeRestarted}) {
 		t.Errorf("changes %v", changes)
 	}
-	if c := m.ApplyReport(at(6*time.Second), "runner-00", Load{At: at(2 * time.Second), Incarnation: 1}); len(c) > 0 {
+	if c := m.ApplyReport(afterEpoch(6*time.Second), "runner-00", Load{At: afterEpoch(2 * time.Second), Incarnation: 1}); len(c) > 0 {
 		t.Errorf("a late answer brought %v", c)
 	}
-	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(20 * time.Second)}}
-	if c := m.ApplyNeighbourEvidence(at(20*time.Second), late); len(c) > 0 {
+	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(20 * time.Second)}}
+	if c := m.ApplyNeighbourEvidence(afterEpoch(20*time.Second), late); len(c) > 0 {
 		t.Errorf("late evidence of a neighbour brought %v", c)
 	}
-	if got := m.All(at(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
+	if got := m.All(afterEpoch(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
 		t.Errorf("member %+v", got)
 	}
 }
@@ -158,27 +158,27 @@
 // contacted for a while, although a neighbour has evidence of the draining.
 func TestNeighbourEvidenceOfDraining(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(3))
-	m.ApplyReport(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
-	m.ApplyReport(at(9800*time.Millisecond), "runner-00", Load{At: at(9800 * time.Millisecond), Incarnation: 1})
-	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: at(10 * time.Second)}})
-	if got := m.All(at(10 * time.Second))[0].Incarnation; got != 1 {
+	m.SetList(afterEpoch(0), runners(3))
+	m.ApplyReport(afterEpoch(0), "runner-00", Load{At: afterEpoch(0), Incarnation: 1})
+	m.ApplyReport(afterEpoch(9800*time.Millisecond), "runner-00", Load{At: afterEpoch(9800 * time.Millisecond), Incarnation: 1})
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: afterEpoch(10 * time.Second)}})
+	if got := m.All(afterEpoch(10 * time.Second))[0].Incarnation; got != 1 {
 		t.Errorf("incarnation %d on evidence that may be older than the own", got)
 	}
-	m.ApplyNeighbourEvidence(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(9700 * time.Millisecond)}})
-	if !slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(9700 * time.Millisecond)}})
+	if !slices.Contains(usable(m, afterEpoch(10*time.Second)), "runner-00") {
 		t.Error("unusable on older evidence")
 	}
-	evidence := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(10 * time.Second)}}
-	m.ApplyNeighbourEvidence(at(10*time.Second), evidence)
-	if slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
+	evidence := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(10 * time.Second)}}
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), evidence)
+	if slices.Contains(usable(m, afterEpoch(10*time.Second)), "runner-00") {
 		t.Error("usable although a neighbour has evidence of draining")
 	}
-	if got := m.RecentEvidence(at(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
+	if got := m.RecentEvidence(afterEpoch(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
 		t.Errorf("passed on %v", got)
 	}
-	m.ApplyReport(at(12*time.Second), "runner-00", Load{At: at(12 * time.Second), Incarnation: 1})
-	if !slices.Contains(usable(m, at(12*time.Second)), "runner-00") {
+	m.ApplyReport(afterEpoch(12*time.Second), "runner-00", Load{At: afterEpoch(12 * time.Second), Incarnation: 1})
+	if !slices.Contains(usable(m, afterEpoch(12*time.Second)), "runner-00") {
 		t.Error("a report to this daemon is ignored")
 	}
 }
@@ -190,9 +190,9 @@
 	list := runners(3)
 	leaving := runners(3)
 	leaving[1].State = VMLeaving
-	m.SetList(at(0), list)
+	m.SetList(afterEpoch(0), list)
 	for i := 1; i < 60; i++ {
-		now := at(time.Duration(i) * time.Second)
+		now := afterEpoch(time.Duration(i) * time.Second)
 		if i%3 == 0 {
 			m.SetList(now, list)
 		} else {
@@ -204,7 +204,7 @@
 	}
 	var changes []Change
 	for i := 60; i < 75; i++ {
-		changes = append(changes, m.SetList(at(time.Duration(i)*time.Second), list)...)
+		changes = append(changes, m.SetList(afterEpoch(time.Duration(i)*time.Second), list)...)
 	}
 	if !slices.Equal(kinds(changes), []ChangeKind{ChangeReturned}) {
 		t.Errorf("changes %v, want one return", changes)
@@ -216,13 +216,13 @@
 func TestMovedEndpointLosesIncarnation(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	list := runners(2)
-	m.SetList(at(0), list)
-	m.ApplyReport(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
+	m.SetList(afterEpoch(0), list)
+	m.ApplyReport(afterEpoch(0), "runner-00", Load{At: afterEpoch(0), Incarnation: 1})
 	list[0].Address = "10.9.9.9:80"
-	if c := m.SetList(at(time.Second), list); !slices.Equal(kinds(c), []ChangeKind{ChangeMoved}) {
+	if c := m.SetList(afterEpoch(time.Second), list); !slices.Equal(kinds(c), []ChangeKind{ChangeMoved}) {
 		t.Errorf("changes %v", c)
 	}
-	if got := m.All(at(time.Second))[0].Incarnation; got != 0 {
+	if got := m.All(afterEpoch(time.Second))[0].Incarnation; got != 0 {
 		t.Errorf("incarnation %d kept over a move", got)
 	}
 }
@@ -231,17 +231,17 @@
 // runner appears to be down: some may still be reachable.
 func TestDoubtfulEndpointsUsedBelowMinTriedFraction(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
+	m.SetList(afterEpoch(0), runners(18))
 	for _, e := range runners(18) {
-		m.RecordRefusal(at(time.Second), e.ID)
+		m.RecordRefusal(afterEpoch(time.Second), e.ID)
 	}
-	if got := len(usable(m, at(time.Second))); got != 18 {
+	if got := len(usable(m, afterEpoch(time.Second))); got != 18 {
 		t.Errorf("%d usable with all refused, want all tried", got)
 	}
-	m.ApplyReport(at(time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	m.ApplyReport(at(time.Second), "runner-03", Load{At: at(time.Second), Incarnation: 1})
-	m.ApplyReport(at(time.Second), "runner-06", Load{At: at(time.Second), Incarnation: 1})
-	for _, e := range m.Usable(at(time.Second)) {
+	m.ApplyReport(afterEpoch(time.Second), "runner-00", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	m.ApplyReport(afterEpoch(time.Second), "runner-03", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	m.ApplyReport(afterEpoch(time.Second), "runner-06", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	for _, e := range m.Usable(afterEpoch(time.Second)) {
 		if e.Zone == "zone-0" && e.Doubtful {
 			t.Errorf("%s is tried although its zone has enough that answer", e.ID)
 		}
--- a/router/follow.go
+++ b/router/follow.go
@@ -81,7 +81,7 @@
 		from, after = -1, f.pageAfter(true)
 	}
 	got, confirmed, ok := f.sub.read(ctx, from, after)
-	f.feed().Progress(f.sub.progress)
+	f.feed().RecordProgress(f.sub.progress)
 	f.feed().SetDetached(f.sub.detached)
 	f.relayed = ok
 	switch {
@@ -110,7 +110,7 @@
 			return progress{}, err
 		}
 		f.answered()
-		f.feed().Progress(f.r.clock())
+		f.feed().RecordProgress(f.r.clock())
 		return f.takePage(after, sent, page), nil
 	}
 	call, cancel := context.WithTimeout(ctx, wait+answerTime)
--- a/router/orders.go
+++ b/router/orders.go
@@ -98,7 +98,7 @@
 	from := l.lease.Next()
 	l.mu.Unlock()
 	got, confirmed, ok := l.sub.read(ctx, from, "")
-	l.r.feeds[TopicLease].Progress(l.sub.progress)
+	l.r.feeds[TopicLease].RecordProgress(l.sub.progress)
 	l.r.feeds[TopicLease].SetDetached(l.sub.detached)
 	if ok {
 		var records [][]byte
