--- a/daemon/news.go
+++ b/daemon/news.go
@@ -11,7 +11,7 @@
 func (v *fleetView) news(now time.Time) []fleet.Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.News(now, newsWithin, newsLimit)
+	return v.members.RecentEvidence(now, newsWithin, newsLimit)
 }
 
 // notify tells the other daemons where cold prefixes went, so that the next
@@ -21,7 +21,7 @@
 	if v.daemon.o.NoNotices {
 		return
 	}
-	if v.daemon.peers.Notify(v.now(), notices) > 0 {
+	if v.daemon.peers.AnnouncePlacements(v.now(), notices) > 0 {
 		v.daemon.metrics.Scope.Counter("notices_sent").Inc(int64(len(notices)))
 	}
 }
@@ -36,5 +36,5 @@
 func (v *fleetView) hearsay(now time.Time, es []fleet.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told(v.members.Hearsay(now, es))
+	v.told(v.members.ApplyNeighbourEvidence(now, es))
 }
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory folds the entries that endpoints register in the platform's
-// store to the endpoints that may be given work.
+// Package directory derives the endpoints that may receive requests from the entries
+// that endpoints register in the platform's metadata store.
 //
-// An entry may be late, may vanish with the store's leases while its endpoint
-// lives, and may come from a writer that does not know the format. The package
-// does no I/O and reads no clock. A Directory is not safe for concurrent use.
+// An entry may arrive late, may disappear with an expired lease while its endpoint is
+// still running, and may have been written by a process that does not know the format.
+// The package does no I/O and reads no clock. A Directory is not safe for concurrent use.
 package directory
 
 import (
@@ -16,152 +16,155 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// State is what an endpoint says of itself.
+// State is the state that an endpoint reports in its entry.
 type State uint8
 
-// The states.
+// States of an endpoint.
 const (
 	Ready State = iota
 	Draining
 )
 
-// Entry is what one endpoint registered.
+// Entry is the registration of one endpoint.
 type Entry struct {
-	ID      string // chosen by the endpoint, the same after some restarts
-	Born    int64  // start of the process, Unix milliseconds; 0: not told
+	ID      string // chosen by the endpoint; some keep it over a restart
+	Born    int64  // start of the process, Unix milliseconds; 0: not reported
 	Service string
 	Address string // IP:port
 	Zone    fleet.ZoneID
 	Slots   int
 	State   State
 	Models  map[string]int64 // weight version by model
-	Orders  int64            // orders that the process has accepted
+	Orders  int64            // number of orders that the process has accepted
 }
 
-// SaysAs tells whether the entry says the same as another but for the orders, which
-// change with no consequence for where work may go.
-func (e Entry) SaysAs(other Entry) bool {
+// EqualExceptOrders reports whether the entries are equal apart from the number of accepted
+// orders, which has no effect on routing.
+func (e Entry) EqualExceptOrders(other Entry) bool {
 	return e.ID == other.ID && e.Born == other.Born && e.Service == other.Service && e.Address == other.Address &&
 		e.Zone == other.Zone && e.Slots == other.Slots && e.State == other.State && maps.Equal(e.Models, other.Models)
 }
 
-// Endpoint is one life of an endpoint with what is known of it.
+// Endpoint is one incarnation of an endpoint with the state derived from its entry.
 type Endpoint struct {
 	Entry
-	Key     fleet.EndpointID // differs between two lives under one ID
-	Gone    bool             // its entry was removed
-	Removed time.Time        // when that was read
-	left    time.Time        // the earliest moment at which it may have been removed
-	// Versions are the newest weight versions seen of this life, from its entry
-	// or its answers. A life never goes back to older weights. They may be shared and
-	// are replaced as a whole.
+	Key             fleet.EndpointID // differs between incarnations with the same ID
+	Removed         bool             // its entry was removed
+	RemovedAt       time.Time        // when this daemon read of the removal
+	earliestRemoval time.Time        // the earliest time at which it may have been removed
+	// Versions holds the highest weight version seen of each model, in the entry or in
+	// answers. An incarnation never returns to older weights. The map may be shared
+	// between endpoints: it is replaced, never modified.
 	Versions map[string]int64
 
-	usable   bool     // as Changes last told
-	touched  bool     // it is in Directory.touched
-	replaced bool     // another life has its id
-	lapsedIn *service // whose lapsed entries it is among; nil: none's
+	usable        bool     // as last returned by Changes
+	changed       bool     // it is in Directory.changed
+	replaced      bool     // another incarnation has its ID
+	lapsedService *service // the service that lists it in lapsed, or nil
 }
 
-// News is what an entry says beyond the one before it.
-type News uint8
+// PutResult says how an entry differs from the previous one of the same endpoint.
+type PutResult uint8
 
-// The kinds of news.
+// Results of Put.
 const (
-	Repeat News = iota // nothing but the count of orders
-	Detail             // something that does not decide where work may go
-	Changed
+	HeartbeatOnly  PutResult = iota // nothing but the number of orders
+	DetailChanged                   // fields without effect on routing
+	RoutingChanged                  // fields that decide where requests may go
 )
 
-// Change is an endpoint that may be given work from now on, may not any more, or
-// differs from what was told of it.
+// Change is an endpoint that has become usable or unusable, or is usable and differs
+// from what Changes returned before.
 type Change struct {
 	Endpoint *Endpoint
 	Usable   bool
 }
 
-// Times of the fold.
+// Parameters for removed entries.
 const (
-	// lapseTogether is the time within which entries that vanish are taken to
-	// have lapsed by one outage of the store rather than left one by one.
-	lapseTogether = 3 * time.Second
-	// lapsePart is the part of a service's entries that has to vanish together.
-	lapsePart = 3
-	// forgetAfter is how long an endpoint that is gone is remembered.
-	forgetAfter = time.Minute
+	// lapseWindow is the time within which removed entries are attributed to one outage
+	// of the store, in which leases expire, rather than to endpoints that left.
+	lapseWindow = 3 * time.Second
+	// outageDivisor sets the fraction of a service's ready entries that must be removed
+	// within lapseWindow to count as an outage: more than one in three.
+	outageDivisor = 3
+	// removedRetention is how long a removed endpoint is kept.
+	removedRetention = time.Minute
 )
 
-// Directory holds the endpoints. Make it with New.
+// Directory holds the endpoints by ID. Create it with New.
 //
-// One change costs the same however many endpoints there are: Changes looks at what
-// was touched and at entries that lapsed lately, never at all endpoints.
+// The cost of a change does not depend on the number of endpoints: Changes looks at the
+// endpoints that changed and at entries that lapsed recently, never at all endpoints.
 type Directory struct {
-	byID     map[string]*Endpoint
-	shared   shared
-	grace    time.Duration
-	services map[string]*service
-	serving  map[string]map[int64]int // engines that are listed and ready, by model and version
-	touched  []*Endpoint
-	removed  []*Endpoint // in the order of Removed
+	byID          map[string]*Endpoint
+	interned      interner
+	grace         time.Duration
+	services      map[string]*service
+	readyVersions map[string]map[int64]int // number of ready engines, by model and version
+	changed       []*Endpoint
+	removed       []*Endpoint // in the order of RemovedAt
 }
 
-// service is what the fold needs to know of the endpoints of one service.
+// service holds the counts of one service that outages are detected by.
 type service struct {
-	live   int         // listed and ready
-	lapsed []*Endpoint // removed within lapseTogether while they were ready
+	live   int         // number of ready endpoints
+	lapsed []*Endpoint // removed within lapseWindow while they were ready
 }
 
-// New returns an empty Directory. An endpoint whose entry lapsed together with
-// others still counts for the grace after the earliest moment at which it may
-// have left. Endpoints that live are back about two seconds after the store; one
-// that left must get no work past the bound on leaving, so the grace lies below
-// that bound.
+// New returns an empty Directory. An endpoint whose entry lapsed together with others
+// stays usable for the grace period, which starts at the earliest time at which it may
+// have left. Running endpoints register again about two seconds after the store is
+// back. An endpoint that really left must get no requests after the time allowed for
+// leaving, so the grace period must be shorter than that.
 func New(grace time.Duration) *Directory {
 	return &Directory{
-		byID: map[string]*Endpoint{}, grace: grace, services: map[string]*service{}, serving: map[string]map[int64]int{},
+		byID: map[string]*Endpoint{}, grace: grace, services: map[string]*service{}, readyVersions: map[string]map[int64]int{},
 	}
 }
 
-// Key names one life of an endpoint.
+// Key returns the ID of one incarnation of an endpoint: its own ID with the start of
+// the process.
 func Key(id string, born int64) fleet.EndpointID {
 	return fleet.EndpointID(id + "@" + strconv.FormatInt(born, 36))
 }
 
-// Put takes an entry.
-func (d *Directory) Put(e Entry) News {
+// Put adds or updates the endpoint of an entry and returns how the entry differs from
+// the previous one.
+func (d *Directory) Put(e Entry) PutResult {
 	old := d.byID[e.ID]
-	if old != nil && !old.Gone && old.SaysAs(e) {
+	if old != nil && !old.Removed && old.EqualExceptOrders(e) {
 		old.Orders = e.Orders
-		return Repeat
+		return HeartbeatOnly
 	}
-	d.shared.share(&e)
+	d.interned.intern(&e)
 	if key := Key(e.ID, e.Born); old == nil || old.Key != key {
 		if old != nil {
 			d.uncount(old)
 			old.replaced = true
-			d.touch(old)
+			d.markChanged(old)
 		}
 		next := &Endpoint{Entry: e, Key: key, Versions: e.Models}
 		d.byID[e.ID] = next
 		d.count(next)
-		d.touch(next)
-		return Changed
+		d.markChanged(next)
+		return RoutingChanged
 	}
-	changed := old.Gone || old.State != e.State || old.Service != e.Service ||
-		old.Address != e.Address || behind(old.Versions, e.Models)
+	changed := old.Removed || old.State != e.State || old.Service != e.Service ||
+		old.Address != e.Address || hasNewer(old.Versions, e.Models)
 	d.uncount(old)
-	old.Entry, old.Gone = e, false
-	old.Versions = newest(old.Versions, e.Models)
+	old.Entry, old.Removed = e, false
+	old.Versions = mergeNewest(old.Versions, e.Models)
 	d.count(old)
-	d.touch(old)
+	d.markChanged(old)
 	if changed {
-		return Changed
+		return RoutingChanged
 	}
-	return Detail
+	return DetailChanged
 }
 
-// listed tells whether the endpoint's entry is there and says that it is ready.
-func (e *Endpoint) listed() bool { return !e.Gone && !e.replaced && e.State == Ready }
+// ready reports whether the endpoint's entry is present, current and in state Ready.
+func (e *Endpoint) ready() bool { return !e.Removed && !e.replaced && e.State == Ready }
 
 func (d *Directory) serviceOf(e *Endpoint) *service {
 	s := d.services[e.Service]
@@ -172,22 +175,22 @@
 	return s
 }
 
-// count adds a listed endpoint to the sums of its service and models.
-func (d *Directory) count(e *Endpoint) { d.add(e, 1) }
+// count adds a ready endpoint to the counts of its service and models.
+func (d *Directory) count(e *Endpoint) { d.addToCounts(e, 1) }
 
-// uncount takes it out again. Call it before the endpoint changes.
-func (d *Directory) uncount(e *Endpoint) { d.add(e, -1) }
+// uncount removes it from them. Call it before modifying the endpoint.
+func (d *Directory) uncount(e *Endpoint) { d.addToCounts(e, -1) }
 
-func (d *Directory) add(e *Endpoint, n int) {
-	if !e.listed() {
+func (d *Directory) addToCounts(e *Endpoint, n int) {
+	if !e.ready() {
 		return
 	}
 	d.serviceOf(e).live += n
 	for model, v := range e.Versions {
-		versions := d.serving[model]
+		versions := d.readyVersions[model]
 		if versions == nil {
 			versions = map[int64]int{}
-			d.serving[model] = versions
+			d.readyVersions[model] = versions
 		}
 		if versions[v] += n; versions[v] == 0 {
 			delete(versions, v)
@@ -195,65 +198,67 @@
 	}
 }
 
-func (d *Directory) touch(e *Endpoint) {
-	if !e.touched {
-		e.touched = true
-		d.touched = append(d.touched, e)
+func (d *Directory) markChanged(e *Endpoint) {
+	if !e.changed {
+		e.changed = true
+		d.changed = append(d.changed, e)
 	}
 }
 
-// Remove takes that the entry of the id is gone, or can't be read any more. since
-// is the earliest moment at which that may have happened: a list that is read
-// every second tells of it up to a second late.
+// Remove marks the endpoint's entry as removed, or as no longer readable. since is the
+// earliest time at which that may have happened: a list that is read every second shows
+// a removal up to a second late. It returns false if there is no such entry.
 func (d *Directory) Remove(now, since time.Time, id string) bool {
 	e := d.byID[id]
-	if e == nil || e.Gone {
+	if e == nil || e.Removed {
 		return false
 	}
 	d.uncount(e)
-	e.Gone, e.Removed, e.left = true, now, since
+	e.Removed, e.RemovedAt, e.earliestRemoval = true, now, since
 	d.removed = append(d.removed, e)
-	if s := d.serviceOf(e); e.State == Ready && e.lapsedIn != s {
-		e.lapsedIn = s
+	if s := d.serviceOf(e); e.State == Ready && e.lapsedService != s {
+		e.lapsedService = s
 		s.lapsed = append(s.lapsed, e)
 	}
-	d.touch(e)
+	d.markChanged(e)
 	return true
 }
 
-// Retain takes the ids of all entries there are, and returns those that are gone.
-// The removals may have been lost together with the store's history.
+// Retain removes all entries whose ID is not present and returns their IDs, sorted. It
+// is for snapshots: the records of the removals may have been lost together with the
+// store's history.
 func (d *Directory) Retain(now, since time.Time, present map[string]bool) []string {
-	var gone []string
+	var removed []string
 	for id := range d.byID {
 		if !present[id] && d.Remove(now, since, id) {
-			gone = append(gone, id)
+			removed = append(removed, id)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(removed)
+	return removed
 }
 
-// Learn takes the weight version that an answer of this life named.
-func (d *Directory) Learn(key fleet.EndpointID, id, model string, version int64) bool {
+// ObserveVersion records the weight version that an answer of this incarnation named,
+// and reports whether it is higher than the known one.
+func (d *Directory) ObserveVersion(key fleet.EndpointID, id, model string, version int64) bool {
 	e := d.byID[id]
 	if e == nil || e.Key != key || e.Versions[model] >= version {
 		return false
 	}
 	d.uncount(e)
-	e.Versions = newest(e.Versions, map[string]int64{model: version})
+	e.Versions = mergeNewest(e.Versions, map[string]int64{model: version})
 	d.count(e)
-	d.touch(e)
+	d.markChanged(e)
 	return true
 }
 
-// Find returns the present life of the endpoint with the id.
+// Find returns the current incarnation of the endpoint with the ID, or nil.
 func (d *Directory) Find(id string) *Endpoint { return d.byID[id] }
 
-// Behind tells whether an engine that is listed and ready has the model with weights
-// older than the version.
-func (d *Directory) Behind(model string, version int64) bool {
-	for v, n := range d.serving[model] {
+// HasOlderVersion reports whether a ready engine has the model with weights older than
+// the version.
+func (d *Directory) HasOlderVersion(model string, version int64) bool {
+	for v, n := range d.readyVersions[model] {
 		if n > 0 && v < version {
 			return true
 		}
@@ -261,60 +266,61 @@
 	return false
 }
 
-// Expire forgets endpoints that have long been gone, so that the table stays
-// bounded by the endpoints of the last minute.
+// Expire drops endpoints that were removed more than a minute ago, so that replaced
+// endpoints do not accumulate.
 func (d *Directory) Expire(now time.Time) {
-	for len(d.removed) > 0 && now.Sub(d.removed[0].Removed) > forgetAfter {
+	for len(d.removed) > 0 && now.Sub(d.removed[0].RemovedAt) > removedRetention {
 		e := d.removed[0]
 		d.removed = d.removed[1:]
-		if e.Gone && d.byID[e.ID] == e && now.Sub(e.Removed) > forgetAfter {
+		if e.Removed && d.byID[e.ID] == e && now.Sub(e.RemovedAt) > removedRetention {
 			delete(d.byID, e.ID)
 		}
 	}
 }
 
-// Changes returns what changed since it was called last, with time as well. Call it
-// after each change of the directory, and on a tick.
+// Changes returns what changed since the last call, including changes by the passing of
+// time. Call it after each modification of the directory, and periodically.
 //
-// An entry that vanishes alone means that its endpoint left. When many of a
-// service vanish at once, the store's leases ran out in an outage: nobody left,
-// and to believe it would refuse all work until the entries are back.
+// An entry that is removed alone means that its endpoint left. If many entries of a
+// service are removed at once, the store's leases expired in an outage and the endpoints
+// are still running; dropping them would refuse all requests until they have registered
+// again.
 func (d *Directory) Changes(now time.Time) []Change {
 	var out []Change
 	for _, s := range d.services {
 		if len(s.lapsed) > 0 {
-			out = s.judge(now, d.grace, out)
+			out = s.updateLapsed(now, d.grace, out)
 		}
 	}
-	for _, e := range d.touched {
-		e.touched = false
-		if e.Gone && !e.replaced && e.State == Ready && now.Sub(e.Removed) < lapseTogether {
-			continue // judged above, with the others that lapsed
+	for _, e := range d.changed {
+		e.changed = false
+		if e.Removed && !e.replaced && e.State == Ready && now.Sub(e.RemovedAt) < lapseWindow {
+			continue // handled by updateLapsed
 		}
-		was := e.usable
-		e.usable = e.listed()
-		if was || e.usable {
+		wasUsable := e.usable
+		e.usable = e.ready()
+		if wasUsable || e.usable {
 			out = append(out, Change{Endpoint: e, Usable: e.usable})
 		}
 	}
-	d.touched = d.touched[:0]
+	d.changed = d.changed[:0]
 	return out
 }
 
-// judge decides which of the entries that vanished lately still count, and adds the
-// endpoints for which that changed.
-func (s *service) judge(now time.Time, grace time.Duration, out []Change) []Change {
+// updateLapsed determines which of the recently lapsed entries are still usable, and
+// appends the endpoints for which that changed.
+func (s *service) updateLapsed(now time.Time, grace time.Duration, out []Change) []Change {
 	kept := s.lapsed[:0]
 	for _, e := range s.lapsed {
-		if e.lapsedIn != s {
-			continue // its entry named another service meanwhile
+		if e.lapsedService != s {
+			continue // its entry has named another service since
 		}
-		if !e.Gone || e.replaced || e.State != Ready {
-			e.lapsedIn = nil // it is back, or another life has its id
+		if !e.Removed || e.replaced || e.State != Ready {
+			e.lapsedService = nil // registered again, or replaced by another incarnation
 			continue
 		}
-		if now.Sub(e.Removed) >= lapseTogether {
-			e.lapsedIn = nil
+		if now.Sub(e.RemovedAt) >= lapseWindow {
+			e.lapsedService = nil
 			if e.usable {
 				e.usable = false
 				out = append(out, Change{Endpoint: e})
@@ -325,9 +331,9 @@
 	}
 	clear(s.lapsed[len(kept):])
 	s.lapsed = kept
-	together := len(kept) > 1 && len(kept)*lapsePart > s.live+len(kept)
+	outage := len(kept) > 1 && len(kept)*outageDivisor > s.live+len(kept)
 	for _, e := range kept {
-		usable := together && now.Sub(e.left) < grace
+		usable := outage && now.Sub(e.earliestRemoval) < grace
 		if usable != e.usable {
 			e.usable = usable
 			out = append(out, Change{Endpoint: e, Usable: usable})
@@ -336,11 +342,11 @@
 	return out
 }
 
-// Ready lists every endpoint that is listed and ready and has the model, by key.
+// Ready returns the ready endpoints that have the model, sorted by key.
 func (d *Directory) Ready(model string) []*Endpoint {
 	var out []*Endpoint
 	for _, e := range d.byID {
-		if _, serves := e.Versions[model]; serves && e.listed() {
+		if _, serves := e.Versions[model]; serves && e.ready() {
 			out = append(out, e)
 		}
 	}
@@ -348,20 +354,21 @@
 	return out
 }
 
-// newest merges versions, without a change to either map.
-func newest(known, said map[string]int64) map[string]int64 {
-	if !behind(known, said) {
+// mergeNewest returns the highest version of each model. It modifies neither map.
+func mergeNewest(known, reported map[string]int64) map[string]int64 {
+	if !hasNewer(known, reported) {
 		return known
 	}
 	out := maps.Clone(known)
-	for model, v := range said {
+	for model, v := range reported {
 		out[model] = max(out[model], v)
 	}
 	return out
 }
 
-func behind(known, said map[string]int64) bool {
-	for model, v := range said {
+// hasNewer reports whether reported has a model that is not known, or a higher version.
+func hasNewer(known, reported map[string]int64) bool {
+	for model, v := range reported {
 		if has, known := known[model]; !known || v > has {
 			return true
 		}
--- a/feed/feed_test.go
+++ b/feed/feed_test.go
@@ -13,46 +13,46 @@
 
 func record(offset int64) Record { return Record{Key: "k", Value: []byte("v"), Offset: offset} }
 
-// fixed is a clock that stands at a time.
-func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
+// fixedClock returns a clock that always reads d.
+func fixedClock(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-// read puts a question; ok is false if the feed knows too little.
-func read(f *Feed, ctx context.Context, clock func() time.Duration, q Question) (got Answer, ok bool) {
+// read runs a query; ok is false if the feed cannot answer it.
+func read(f *Feed, ctx context.Context, clock func() time.Duration, q Query) (got Answer, ok bool) {
 	got, err := f.Read(ctx, clock, q)
 	return got, err == nil
 }
 
-// A neighbour passes on what it read four seconds ago. Whoever believes keys for
-// five seconds must count those four, or a key that was taken away is served for
-// twice the bound.
-func TestFeedTellsHowOldItIs(t *testing.T) {
+// Guards against an age that starts at zero with each daemon in between: a neighbour
+// passes on what it read four seconds ago, and a client that accepts keys for five
+// seconds would serve a revoked key for nearly twice that.
+func TestAnswerAgeCountsFromConfirmation(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Records: []Record{record(0)}, Next: 1, Whole: true, Confirmed: 10 * time.Second})
-	got, ok := read(f, t.Context(), fixed(14*time.Second), Question{From: -1})
-	if !ok || !got.All || len(got.Records) != 1 || got.Next != 1 || got.Age != 4*time.Second {
+	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: 10 * time.Second})
+	got, ok := read(f, t.Context(), fixedClock(14*time.Second), Query{From: -1})
+	if !ok || !got.Snapshot || len(got.Records) != 1 || got.Next != 1 || got.Age != 4*time.Second {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
 
-// A daemon has read only a part of what the store holds. Its readers would take keys
-// for confirmed though the record that takes them away comes with the next part.
-func TestAPartConfirmsNothing(t *testing.T) {
+// Guards against a confirmation by a batch that is not the last: readers would take a
+// key for valid although the record that revokes it comes with the next batch.
+func TestIncompleteBatchDoesNotConfirm(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Records: []Record{record(0)}, Next: 1, Whole: true, Confirmed: time.Second})
+	f.Add(Batch{Snapshot: true, Records: []Record{record(0)}, Next: 1, Complete: true, Confirmed: time.Second})
 	f.Add(Batch{From: 1, Records: []Record{record(1)}, Next: 2, Confirmed: 5 * time.Second})
-	if got, ok := read(f, t.Context(), fixed(5*time.Second), Question{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
+	if got, ok := read(f, t.Context(), fixedClock(5*time.Second), Query{From: 1}); !ok || got.Age != 4*time.Second || len(got.Records) != 1 {
 		t.Errorf("%+v, %v", got, ok)
 	}
 }
 
-// A reader is behind what the feed still holds, or ahead of it. It would miss
-// records, such as a configuration, if it read on here; and if it were sent to the
-// store for being ahead, all readers of a daemon would go there as soon as one
-// record reached them another way.
-func TestFeedNeverSkipsRecords(t *testing.T) {
-	const most = keptRecords + keptRecords/slackPart // records are dropped past it
+// Guards against readers that miss records, such as a configuration, because they are
+// behind the kept history. Readers that are ahead of the feed must be served too: if
+// they were sent to the store, all readers of a daemon would turn there as soon as a
+// record reached them by another path.
+func TestReadNeverSkipsRecords(t *testing.T) {
+	const most = maxKeptRecords + maxKeptRecords/trimSlackDivisor // records kept before a trim
 	part := func(from, next int64) Batch {
-		b := Batch{From: from, Next: next, Whole: true}
+		b := Batch{From: from, Next: next, Complete: true}
 		for i := from; i < next; i++ {
 			b.Records = append(b.Records, record(i))
 		}
@@ -60,48 +60,48 @@
 	}
 	for _, keyed := range []bool{false, true} {
 		f := New(keyed)
-		if _, ok := read(f, t.Context(), fixed(0), Question{}); ok {
+		if _, ok := read(f, t.Context(), fixedClock(0), Query{}); ok {
 			t.Error("an empty feed answers")
 		}
 		f.Add(part(5, 6))
 		for from, want := range map[int64]bool{4: keyed, 5: true, 6: true, 7: true} {
-			got, ok := read(f, t.Context(), fixed(0), Question{From: from})
-			if ok != want || ok && (got.Next < from || got.All != (from == 4) || len(got.Records) != int(max(0, 6-max(from, 5)))) {
+			got, ok := read(f, t.Context(), fixedClock(0), Query{From: from})
+			if ok != want || ok && (got.Next < from || got.Snapshot != (from == 4) || len(got.Records) != int(max(0, 6-max(from, 5)))) {
 				t.Errorf("keyed %v, from %d: %+v, %v", keyed, from, got, ok)
 			}
 		}
 		f.Add(part(9, 10))
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: 6}); ok != keyed || got.All != keyed {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: 6}); ok != keyed || got.Snapshot != keyed {
 			t.Error("a gap was read over")
 		}
 		for i := int64(10); i < most+50; i++ {
 			f.Add(part(i, i+1))
 		}
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: 9}); ok != keyed || got.All != keyed {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: 9}); ok != keyed || got.Snapshot != keyed {
 			t.Error("records that were dropped are passed over")
 		}
 		// Two reads that overlap add each record once.
 		f.Add(part(most, most+51))
-		if got, ok := read(f, t.Context(), fixed(0), Question{From: most + 48}); !ok || len(got.Records) != 3 {
+		if got, ok := read(f, t.Context(), fixedClock(0), Query{From: most + 48}); !ok || len(got.Records) != 3 {
 			t.Errorf("%d records after an overlap", len(got.Records))
 		}
 	}
 }
 
-func TestFeedWakesItsReaders(t *testing.T) {
+func TestAddWakesWaitingReaders(t *testing.T) {
 	for name, b := range map[string]Batch{
 		"a record":       {From: 3, Records: []Record{record(3)}, Next: 4},
-		"a confirmation": {From: 3, Next: 3, Whole: true, Confirmed: 2},
+		"a confirmation": {From: 3, Next: 3, Complete: true, Confirmed: 2},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			f := New(true)
-			f.Add(Batch{Next: 3, Whole: true, Confirmed: 1})
+			f.Add(Batch{Next: 3, Complete: true, Confirmed: 1})
 			began := time.Now()
 			go func() {
 				time.Sleep(100 * time.Millisecond) // virtual
 				f.Add(b)
 			}()
-			got, ok := read(f, context.Background(), fixed(2), Question{From: 3, Hold: time.Second, Stamp: 1})
+			got, ok := read(f, context.Background(), fixedClock(2), Query{From: 3, MaxWait: time.Second, Stamp: 1})
 			if !ok || len(got.Records) != len(b.Records) || time.Since(began) != 100*time.Millisecond {
 				t.Errorf("%s: %+v, %v after %v", name, got, ok, time.Since(began))
 			}
@@ -109,10 +109,10 @@
 	}
 }
 
-// many is a feed of a number of keys with values of a size.
-func many(keys, size int) *Feed {
+// withKeys returns a feed with the given number of keys, each with a value of size bytes.
+func withKeys(keys, size int) *Feed {
 	f := New(true)
-	b := Batch{All: true, Next: int64(keys), Whole: true, Confirmed: time.Second}
+	b := Batch{Snapshot: true, Next: int64(keys), Complete: true, Confirmed: time.Second}
 	for i := range keys {
 		b.Records = append(b.Records, Record{Key: fmt.Sprintf("k%06d", i), Value: make([]byte, size), Offset: int64(i)})
 	}
@@ -120,13 +120,14 @@
 	return f
 }
 
-// pages reads everything page by page, and returns the keys and the pages.
-func pages(t *testing.T, f *Feed, at func(page int)) (keys map[string]Record, n int) {
+// readPages reads a snapshot page by page, calls at after each page but the last, and returns
+// the records by key and the number of pages.
+func readPages(t *testing.T, f *Feed, at func(page int)) (keys map[string]Record, n int) {
 	t.Helper()
 	keys = map[string]Record{}
 	for after := ""; ; n++ {
-		got, err := f.Read(t.Context(), fixed(time.Second), Question{From: -1, After: after})
-		if err != nil || !got.All {
+		got, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: -1, After: after})
+		if err != nil || !got.Snapshot {
 			t.Fatalf("page %d: %+v, %v", n, got, err)
 		}
 		for _, r := range got.Records {
@@ -140,43 +141,43 @@
 	}
 }
 
-// Guards against a list that goes as one answer: over a link of 20 Mbit/s the one of ten
-// thousand endpoints took longer than any answer may, and each try began anew.
-func TestEverythingGoesInPages(t *testing.T) {
+// Guards against a snapshot in a single answer: with ten thousand endpoints it took longer
+// over a link of 20 Mbit/s than the timeout of an answer, and each retry began anew.
+func TestSnapshotIsPaged(t *testing.T) {
 	const keys, size = 10_003, 270
-	f := many(keys, size)
-	got, n := pages(t, f, func(int) {})
-	if len(got) != keys || n < keys*size/pageBytes || n > 2*keys*size/pageBytes {
+	f := withKeys(keys, size)
+	got, n := readPages(t, f, func(int) {})
+	if len(got) != keys || n < keys*size/maxPageBytes || n > 2*keys*size/maxPageBytes {
 		t.Errorf("%d keys in %d pages", len(got), n)
 	}
-	large, n := pages(t, many(3, 4*pageBytes), func(int) {})
+	large, n := readPages(t, withKeys(3, 4*maxPageBytes), func(int) {})
 	if len(large) != 3 || n != 3 {
 		t.Errorf("%d keys in %d pages that each have a record over the size of a page", len(large), n)
 	}
 }
 
-// Guards against keys that come or go between two pages and are missed, or kept, by
-// those who read the pages.
-func TestChangesBetweenPagesAreReadAfterwards(t *testing.T) {
-	f := many(5000, 100)
+// Guards against keys that are added or removed between two pages and that the reader
+// then misses, or keeps.
+func TestChangesBetweenPagesAreReadFromNext(t *testing.T) {
+	f := withKeys(5000, 100)
 	next := int64(5000)
 	change := func(key, value string) {
-		f.Add(Batch{From: next, Records: []Record{{Key: key, Value: []byte(value), Offset: next}}, Next: next + 1, Whole: true, Confirmed: time.Second})
+		f.Add(Batch{From: next, Records: []Record{{Key: key, Value: []byte(value), Offset: next}}, Next: next + 1, Complete: true, Confirmed: time.Second})
 		next++
 	}
-	first, err := f.Read(t.Context(), fixed(time.Second), Question{From: -1})
+	first, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: -1})
 	if err != nil || !first.More {
 		t.Fatalf("%+v, %v", first, err)
 	}
-	got, _ := pages(t, f, func(n int) {
+	got, _ := readPages(t, f, func(n int) {
 		if n == 0 {
-			change("k000000", "")      // told already
-			change("k000000a", "come") // among what was told
-			change("k004999", "")      // not told yet
+			change("k000000", "")      // on a page already read
+			change("k000000a", "come") // sorts into a page already read
+			change("k004999", "")      // on a page still to be read
 		}
 	})
-	after, err := f.Read(t.Context(), fixed(time.Second), Question{From: first.Next})
-	if err != nil || after.All {
+	after, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: first.Next})
+	if err != nil || after.Snapshot {
 		t.Fatalf("%+v, %v", after, err)
 	}
 	for _, r := range after.Records {
@@ -190,11 +191,11 @@
 	}
 }
 
-// Guards against an answer with thousands of changes that holds up a small link.
-func TestManyChangesGoInParts(t *testing.T) {
+// Guards against a single answer with thousands of changes, which would block a slow link.
+func TestManyChangesAreSplit(t *testing.T) {
 	f := New(true)
-	f.Add(Batch{All: true, Whole: true, Confirmed: time.Second})
-	b := Batch{Whole: true, Confirmed: 2 * time.Second}
+	f.Add(Batch{Snapshot: true, Complete: true, Confirmed: time.Second})
+	b := Batch{Complete: true, Confirmed: 2 * time.Second}
 	for i := range int64(1000) {
 		b.Records = append(b.Records, Record{Key: fmt.Sprint("k", i), Value: make([]byte, 270), Offset: i})
 	}
@@ -202,8 +203,8 @@
 	f.Add(b)
 	n := 0
 	for from := int64(0); ; {
-		got, err := f.Read(t.Context(), fixed(2*time.Second), Question{From: from, Stamp: int64(time.Second)})
-		if err != nil || got.All || len(got.Records) == 0 || got.Records[0].Offset != from {
+		got, err := f.Read(t.Context(), fixedClock(2*time.Second), Query{From: from, Stamp: int64(time.Second)})
+		if err != nil || got.Snapshot || len(got.Records) == 0 || got.Records[0].Offset != from {
 			t.Fatalf("from %d: %+v, %v", from, got, err)
 		}
 		n += len(got.Records)
@@ -217,18 +218,18 @@
 	}
 }
 
-// Guards against a daemon that turns to the store while the one that it reads through is
-// still reading: it has to be told how that goes on.
-func TestFeedThatKnowsNothingTellsOfItsProgress(t *testing.T) {
+// Guards against a daemon that turns to the store while the daemon that it reads through is
+// still reading the topic: the error has to report the progress made.
+func TestUnknownErrorReportsProgress(t *testing.T) {
 	f := New(true)
-	f.Progress(3 * time.Second)
+	f.RecordProgress(3 * time.Second)
 	var unknown *UnknownError
-	if _, err := f.Read(t.Context(), fixed(5*time.Second), Question{From: -1}); !errors.As(err, &unknown) || unknown.Quiet != 2*time.Second {
+	if _, err := f.Read(t.Context(), fixedClock(5*time.Second), Query{From: -1}); !errors.As(err, &unknown) || unknown.SinceProgress != 2*time.Second {
 		t.Errorf("%v", err)
 	}
 }
 
-func TestAnswerSurvivesTheWire(t *testing.T) {
+func TestAnswerRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		record := rapid.Custom(func(t *rapid.T) Record {
 			return Record{
@@ -237,9 +238,9 @@
 			}
 		})
 		a := Answer{
-			Records: rapid.SliceOfN(record, 0, 20).Draw(t, "records"), All: rapid.Bool().Draw(t, "all"), More: rapid.Bool().Draw(t, "more"), Detached: rapid.Bool().Draw(t, "detached"),
+			Records: rapid.SliceOfN(record, 0, 20).Draw(t, "records"), Snapshot: rapid.Bool().Draw(t, "all"), More: rapid.Bool().Draw(t, "more"), Detached: rapid.Bool().Draw(t, "detached"),
 			Next: rapid.Int64().Draw(t, "next"), Age: time.Duration(rapid.Int64().Draw(t, "age")),
-			Held: time.Duration(rapid.Int64().Draw(t, "held")), Stamp: rapid.Int64().Draw(t, "stamp"),
+			Waited: time.Duration(rapid.Int64().Draw(t, "held")), Stamp: rapid.Int64().Draw(t, "stamp"),
 		}
 		got, err := Decode(a.Append(nil))
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(a) {
@@ -249,11 +250,11 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	a := Answer{Records: []Record{record(3), {Key: "x", Offset: 9}}, All: true, Next: 10, Stamp: 4}
+	a := Answer{Records: []Record{record(3), {Key: "x", Offset: 9}}, Snapshot: true, Next: 10, Stamp: 4}
 	f.Add(a.Append(nil))
-	long := Answer{Records: []Record{{Key: "y", Value: make([]byte, 2*compressFrom)}}}
+	long := Answer{Records: []Record{{Key: "y", Value: make([]byte, 2*minCompressedBytes)}}}
 	f.Add(long.Append(nil))
-	f.Add([]byte{formVersion, flagCompressed, 0xff, 0xff, 0xff, 0xff, 0x7f})
+	f.Add([]byte{formatVersion, flagCompressed, 0xff, 0xff, 0xff, 0xff, 0x7f})
 	f.Fuzz(func(t *testing.T, data []byte) {
 		got, err := Decode(data)
 		if err != nil {
@@ -265,9 +266,9 @@
 	})
 }
 
-func BenchmarkPageOnTheWire(b *testing.B) {
+func BenchmarkPageEncoding(b *testing.B) {
 	f := New(true)
-	all := Batch{All: true, Whole: true, Confirmed: time.Second}
+	all := Batch{Snapshot: true, Complete: true, Confirmed: time.Second}
 	for i := range 10_003 {
 		value := fmt.Sprintf(`{"service":"models","address":"10.%d.%d.%d:8265","zone":"zone-%d","version":1,"slots":12,"state":"ready","coldLeftMs":0,"seq":%d,"models":[{"name":"m0","version":1}],"born":%d}`,
 			i%5, i/250, i%250, i%5, i*7, 1_800_000_000_000+i*31)
@@ -293,16 +294,16 @@
 	b.ReportMetric(float64(n)/float64(b.N), "pages/list")
 }
 
-// Guards against two daemons that wait for each other's news: one that has lost the
-// store hears from those that read through it, and must not keep them waiting.
-func TestDetachedFeedKeepsNobodyWaiting(t *testing.T) {
+// Guards against two daemons that wait for each other's updates: one that has lost the
+// store reads from those that read through it, and must answer them at once.
+func TestDetachedFeedAnswersWithoutWaiting(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := New(true)
-		f.Add(Batch{Next: 3, Whole: true, Confirmed: time.Second})
+		f.Add(Batch{Next: 3, Complete: true, Confirmed: time.Second})
 		f.SetDetached(true)
 		began := time.Now()
 		ask := func(anything bool) (Answer, time.Duration) {
-			got, err := f.Read(t.Context(), fixed(time.Second), Question{From: 3, Hold: time.Minute, Stamp: int64(time.Second), Any: anything})
+			got, err := f.Read(t.Context(), fixedClock(time.Second), Query{From: 3, MaxWait: time.Minute, Stamp: int64(time.Second), AcceptDetached: anything})
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/fleet/evidence.go
+++ b/fleet/evidence.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// Evidence is what an endpoint last said of itself, as one daemon heard it.
-// Daemons pass it on in their digests.
+// Evidence is the state that an endpoint last reported to some daemon. Daemons pass it
+// on in their digests.
 type Evidence struct {
 	Endpoint    EndpointID
 	Incarnation Incarnation
 	Draining    bool
-	At          time.Time // by the holder's own clock
+	At          time.Time // time of the report, by the clock of the daemon that holds the Evidence
 }
 
-// maxPast bounds the incarnations remembered as ended for one endpoint.
-const maxPast = 4
+// maxEndedIncarnations limits the ended incarnations that are kept for one endpoint.
+const maxEndedIncarnations = 4
 
-// word is what is known of an endpoint from the endpoint itself.
-type word struct {
+// reportState is the latest evidence on an endpoint, with its ended incarnations.
+type reportState struct {
 	Evidence
-	past    []Incarnation // ended lives, oldest first
-	changed time.Time     // when Incarnation or Draining last changed
+	endedIncarnations []Incarnation // oldest first
+	lastChange        time.Time     // when Incarnation or Draining last changed
 }
 
-// ended tells whether i was the endpoint's life before the present one.
-func (w *word) ended(i Incarnation) bool {
-	for _, p := range w.past {
+// hasEnded reports whether i is known as an earlier incarnation of the endpoint.
+func (s *reportState) hasEnded(i Incarnation) bool {
+	for _, p := range s.endedIncarnations {
 		if p == i {
 			return true
 		}
@@ -31,34 +31,35 @@
 	return false
 }
 
-// take adopts e, which the caller found to be newer.
-func (w *word) take(now time.Time, e Evidence) {
+// apply replaces the evidence by e, which the caller must have found to be newer.
+func (s *reportState) apply(now time.Time, e Evidence) {
 	if e.Incarnation == 0 {
-		e.Incarnation = w.Incarnation
+		e.Incarnation = s.Incarnation
 	}
-	if e.Incarnation != w.Incarnation {
-		w.forget(e.Incarnation)
-		if w.Incarnation != 0 {
-			w.past = append(w.past, w.Incarnation)
+	if e.Incarnation != s.Incarnation {
+		s.removeEnded(e.Incarnation)
+		if s.Incarnation != 0 {
+			s.endedIncarnations = append(s.endedIncarnations, s.Incarnation)
 		}
-		if len(w.past) > maxPast {
-			w.past = w.past[1:]
+		if len(s.endedIncarnations) > maxEndedIncarnations {
+			s.endedIncarnations = s.endedIncarnations[1:]
 		}
 	}
-	first := w.Incarnation == 0
-	if e.Draining != w.Draining || !first && e.Incarnation != w.Incarnation {
-		w.changed = now
+	first := s.Incarnation == 0
+	if e.Draining != s.Draining || !first && e.Incarnation != s.Incarnation {
+		s.lastChange = now
 	}
-	w.Evidence = e
+	s.Evidence = e
 }
 
-// forget removes i from the ended lives: the endpoint itself has spoken as i.
-func (w *word) forget(i Incarnation) {
-	kept := w.past[:0]
-	for _, p := range w.past {
+// removeEnded removes i from the ended incarnations, as the endpoint has reported it as
+// its present one.
+func (s *reportState) removeEnded(i Incarnation) {
+	kept := s.endedIncarnations[:0]
+	for _, p := range s.endedIncarnations {
 		if p != i {
 			kept = append(kept, p)
 		}
 	}
-	w.past = kept
+	s.endedIncarnations = kept
 }
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -11,9 +11,9 @@
 
 var epoch = time.Unix(1_700_000_000, 0)
 
-func at(d time.Duration) time.Time { return epoch.Add(d) }
+func afterEpoch(d time.Duration) time.Time { return epoch.Add(d) }
 
-// runners makes a list of count live runners over three zones.
+// runners returns a list of count live runners in three zones.
 func runners(count int) []Endpoint {
 	list := make([]Endpoint, 0, count)
 	for i := range count {
@@ -45,60 +45,60 @@
 	return out
 }
 
-// probe asks every endpoint that is due and lets answer say which reply.
+// probe probes every endpoint that is due and applies the reports that answer returns.
 func probe(m *Membership, now time.Time, answer func(id EndpointID) (Load, bool)) {
 	for _, e := range m.Probes(now, 100) {
-		m.Asked(now, e.ID)
+		m.RecordProbe(now, e.ID)
 		if l, ok := answer(e.ID); ok {
-			m.Reported(now, e.ID, l)
+			m.ApplyReport(now, e.ID, l)
 		}
 	}
 }
 
-// The list is down from the start, and a runner begins to drain. Only its own
-// answers can tell; work sent to it later would be cut when the VM goes.
-func TestLeavingEndpointGetsNoWorkWithListDown(t *testing.T) {
+// Guards against requests to a draining endpoint while the list is unavailable: only the
+// endpoint's own answers show it, and requests would be cut off when the VM stops.
+func TestDrainingEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
-	leaves := at(10 * time.Second)
-	for now := at(0); now.Before(leaves.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
+	m.SetList(afterEpoch(0), runners(18))
+	drainsAt := afterEpoch(10 * time.Second)
+	for now := afterEpoch(0); now.Before(drainsAt.Add(10 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		m.SetList(now, nil)
 		probe(m, now, func(id EndpointID) (Load, bool) {
-			return Load{At: now, Incarnation: 1, Draining: id == "runner-03" && !now.Before(leaves)}, true
+			return Load{At: now, Incarnation: 1, Draining: id == "runner-03" && !now.Before(drainsAt)}, true
 		})
-		works := slices.Contains(usable(m, now), "runner-03")
-		if now.After(leaves.Add(3*time.Second)) && works {
-			t.Fatalf("gets work %v after it began to leave", now.Sub(leaves))
+		isUsable := slices.Contains(usable(m, now), "runner-03")
+		if now.After(drainsAt.Add(3*time.Second)) && isUsable {
+			t.Fatalf("usable %v after it began to drain", now.Sub(drainsAt))
 		}
-		if now.Before(leaves) && !works {
-			t.Fatalf("gets no work at %v although it is not leaving", now.Sub(epoch))
+		if now.Before(drainsAt) && !isUsable {
+			t.Fatalf("unusable at %v although it is not draining", now.Sub(epoch))
 		}
 	}
 }
 
-// A VM is taken away without a word while the list is down. Requests sent to
-// it would hang until their deadline.
-func TestSilentEndpointGetsNoWorkWithListDown(t *testing.T) {
+// Guards against requests to a VM that was removed without draining while the list is
+// unavailable: they would hang until their deadline.
+func TestSilentEndpointIsUnusableWithoutList(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
-	dies := at(5 * time.Second)
-	for now := at(0); now.Before(at(12 * time.Second)); now = now.Add(100 * time.Millisecond) {
+	m.SetList(afterEpoch(0), runners(18))
+	stopsAt := afterEpoch(5 * time.Second)
+	for now := afterEpoch(0); now.Before(afterEpoch(12 * time.Second)); now = now.Add(100 * time.Millisecond) {
 		probe(m, now, func(id EndpointID) (Load, bool) {
-			return Load{At: now, Incarnation: 1}, id != "runner-03" || now.Before(dies)
+			return Load{At: now, Incarnation: 1}, id != "runner-03" || now.Before(stopsAt)
 		})
-		if now.After(dies.Add(3*time.Second)) && slices.Contains(usable(m, now), "runner-03") {
-			t.Fatalf("gets work %v after it fell silent", now.Sub(dies))
+		if now.After(stopsAt.Add(3*time.Second)) && slices.Contains(usable(m, now), "runner-03") {
+			t.Fatalf("usable %v after it fell silent", now.Sub(stopsAt))
 		}
 	}
 }
 
-// The list's own store loses rows, answers with nothing, and comes back. No
-// caller may notice, since the runners still answer.
-func TestForgetfulListEmptiesNothing(t *testing.T) {
+// Guards against endpoints being dropped because the list loses rows or is empty for a
+// while, although they still answer.
+func TestIncompleteListKeepsEndpoints(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	full := runners(18)
-	m.SetList(at(0), full)
-	for now := at(0); now.Before(at(5 * time.Minute)); now = now.Add(500 * time.Millisecond) {
+	m.SetList(afterEpoch(0), full)
+	for now := afterEpoch(0); now.Before(afterEpoch(5 * time.Minute)); now = now.Add(500 * time.Millisecond) {
 		list := full
 		switch phase := int(now.Sub(epoch)/time.Minute) % 3; phase {
 		case 1:
@@ -114,17 +114,17 @@
 	}
 }
 
-// A VM is really gone: the list goes without it and it answers nothing. It must
-// leave the table too, or the table grows with every replacement.
-func TestGoneEndpointIsForgotten(t *testing.T) {
+// Guards against a table that grows with every replaced VM: one that is missing from the
+// list and does not answer is removed.
+func TestMissingSilentEndpointIsRemoved(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
+	m.SetList(afterEpoch(0), runners(18))
 	var gone []Change
-	for now := at(0); now.Before(at(time.Minute)); now = now.Add(500 * time.Millisecond) {
+	for now := afterEpoch(0); now.Before(afterEpoch(time.Minute)); now = now.Add(500 * time.Millisecond) {
 		gone = append(gone, m.SetList(now, runners(17))...)
 		probe(m, now, func(id EndpointID) (Load, bool) { return Load{At: now, Incarnation: 1}, id != "runner-17" })
 	}
-	if want := []Change{{ChangeGone, "runner-17", 0}}; !slices.Equal(gone, want) {
+	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(gone, want) {
 		t.Errorf("changes %v, want %v", gone, want)
 	}
 	if m.Len() != 17 {
@@ -132,126 +132,125 @@
 	}
 }
 
-// A runner crashes and comes back empty under the same address. A late answer of
-// its first life must not bring that life back, or requests would be placed by
-// a cache that is gone.
-func TestLateWordOfAnEndedLife(t *testing.T) {
+// Guards against late answers of a crashed runner that revive its old incarnation after
+// the restart: requests would be placed according to a cache that no longer exists.
+func TestLateReportOfEndedIncarnationIsIgnored(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(3))
-	m.Reported(at(1*time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	changes := m.Reported(at(5*time.Second), "runner-00", Load{At: at(5 * time.Second), Incarnation: 2})
+	m.SetList(afterEpoch(0), runners(3))
+	m.ApplyReport(afterEpoch(1*time.Second), "runner-00", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	changes := m.ApplyReport(afterEpoch(5*time.Second), "runner-00", Load{At: afterEpoch(5 * time.Second), Incarnation: 2})
 	if !slices.Equal(kinds(changes), []ChangeKind{ChangeRestarted}) {
 		t.Errorf("changes %v", changes)
 	}
-	if c := m.Reported(at(6*time.Second), "runner-00", Load{At: at(2 * time.Second), Incarnation: 1}); len(c) > 0 {
+	if c := m.ApplyReport(afterEpoch(6*time.Second), "runner-00", Load{At: afterEpoch(2 * time.Second), Incarnation: 1}); len(c) > 0 {
 		t.Errorf("a late answer brought %v", c)
 	}
-	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(20 * time.Second)}}
-	if c := m.Hearsay(at(20*time.Second), late); len(c) > 0 {
-		t.Errorf("a neighbour's late word brought %v", c)
+	late := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(20 * time.Second)}}
+	if c := m.ApplyNeighbourEvidence(afterEpoch(20*time.Second), late); len(c) > 0 {
+		t.Errorf("late evidence of a neighbour brought %v", c)
 	}
-	if got := m.All(at(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
+	if got := m.All(afterEpoch(20 * time.Second))[0]; got.Incarnation != 2 || got.Leaving {
 		t.Errorf("member %+v", got)
 	}
 }
 
-// A neighbour met a leaving runner that this daemon has not asked for a while.
-// Its word spares this daemon's callers a refused attempt.
-func TestNeighboursWordOfALeavingEndpoint(t *testing.T) {
+// Guards against a rejected attempt at a draining runner that this daemon has not
+// contacted for a while, although a neighbour has evidence of the draining.
+func TestNeighbourEvidenceOfDraining(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(3))
-	m.Reported(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
-	m.Reported(at(9800*time.Millisecond), "runner-00", Load{At: at(9800 * time.Millisecond), Incarnation: 1})
-	m.Hearsay(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: at(10 * time.Second)}})
-	if got := m.All(at(10 * time.Second))[0].Incarnation; got != 1 {
-		t.Errorf("incarnation %d on a word that may be older than the own", got)
+	m.SetList(afterEpoch(0), runners(3))
+	m.ApplyReport(afterEpoch(0), "runner-00", Load{At: afterEpoch(0), Incarnation: 1})
+	m.ApplyReport(afterEpoch(9800*time.Millisecond), "runner-00", Load{At: afterEpoch(9800 * time.Millisecond), Incarnation: 1})
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 2, At: afterEpoch(10 * time.Second)}})
+	if got := m.All(afterEpoch(10 * time.Second))[0].Incarnation; got != 1 {
+		t.Errorf("incarnation %d on evidence that may be older than the own", got)
 	}
-	m.Hearsay(at(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(9700 * time.Millisecond)}})
-	if !slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
-		t.Error("gets no work on an older word")
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(9700 * time.Millisecond)}})
+	if !slices.Contains(usable(m, afterEpoch(10*time.Second)), "runner-00") {
+		t.Error("unusable on older evidence")
 	}
-	news := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: at(10 * time.Second)}}
-	m.Hearsay(at(10*time.Second), news)
-	if slices.Contains(usable(m, at(10*time.Second)), "runner-00") {
-		t.Error("gets work")
+	evidence := []Evidence{{Endpoint: "runner-00", Incarnation: 1, Draining: true, At: afterEpoch(10 * time.Second)}}
+	m.ApplyNeighbourEvidence(afterEpoch(10*time.Second), evidence)
+	if slices.Contains(usable(m, afterEpoch(10*time.Second)), "runner-00") {
+		t.Error("usable although a neighbour has evidence of draining")
 	}
-	if got := m.News(at(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
+	if got := m.RecentEvidence(afterEpoch(11*time.Second), time.Minute, 10); len(got) != 1 || !got[0].Draining {
 		t.Errorf("passed on %v", got)
 	}
-	m.Reported(at(12*time.Second), "runner-00", Load{At: at(12 * time.Second), Incarnation: 1})
-	if !slices.Contains(usable(m, at(12*time.Second)), "runner-00") {
-		t.Error("the runner's own word does not count")
+	m.ApplyReport(afterEpoch(12*time.Second), "runner-00", Load{At: afterEpoch(12 * time.Second), Incarnation: 1})
+	if !slices.Contains(usable(m, afterEpoch(12*time.Second)), "runner-00") {
+		t.Error("a report to this daemon is ignored")
 	}
 }
 
-// The list is read from replicas that lag differently, so that a leaving VM is
-// live again for one reading. Work sent then would be cut.
-func TestFlappingListDoesNotBringALeavingEndpointBack(t *testing.T) {
+// Guards against requests to a leaving VM that an outdated replica of the list shows as
+// live for one read: they would be cut off.
+func TestFlappingListKeepsEndpointLeaving(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	list := runners(3)
 	leaving := runners(3)
 	leaving[1].State = VMLeaving
-	m.SetList(at(0), list)
+	m.SetList(afterEpoch(0), list)
 	for i := 1; i < 60; i++ {
-		now := at(time.Duration(i) * time.Second)
+		now := afterEpoch(time.Duration(i) * time.Second)
 		if i%3 == 0 {
 			m.SetList(now, list)
 		} else {
 			m.SetList(now, leaving)
 		}
 		if slices.Contains(usable(m, now), "runner-01") {
-			t.Fatalf("gets work at %d s", i)
+			t.Fatalf("usable at %d s", i)
 		}
 	}
 	var changes []Change
 	for i := 60; i < 75; i++ {
-		changes = append(changes, m.SetList(at(time.Duration(i)*time.Second), list)...)
+		changes = append(changes, m.SetList(afterEpoch(time.Duration(i)*time.Second), list)...)
 	}
 	if !slices.Equal(kinds(changes), []ChangeKind{ChangeReturned}) {
 		t.Errorf("changes %v, want one return", changes)
 	}
 }
 
-// A VM is replaced by one with the same name at another address, or comes back
-// as a new life while the list still lags.
-func TestReturnedEndpointIsAnotherLife(t *testing.T) {
+// A VM that was replaced by one with the same name at another address has no known
+// incarnation.
+func TestMovedEndpointLosesIncarnation(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	list := runners(2)
-	m.SetList(at(0), list)
-	m.Reported(at(0), "runner-00", Load{At: at(0), Incarnation: 1})
+	m.SetList(afterEpoch(0), list)
+	m.ApplyReport(afterEpoch(0), "runner-00", Load{At: afterEpoch(0), Incarnation: 1})
 	list[0].Address = "10.9.9.9:80"
-	if c := m.SetList(at(time.Second), list); !slices.Equal(kinds(c), []ChangeKind{ChangeMoved}) {
+	if c := m.SetList(afterEpoch(time.Second), list); !slices.Equal(kinds(c), []ChangeKind{ChangeMoved}) {
 		t.Errorf("changes %v", c)
 	}
-	if got := m.All(at(time.Second))[0].Incarnation; got != 0 {
+	if got := m.All(afterEpoch(time.Second))[0].Incarnation; got != 0 {
 		t.Errorf("incarnation %d kept over a move", got)
 	}
 }
 
-// This daemon's own network fails, so that every runner looks dead. Trying
-// them is better than refusing all: some may be reached.
-func TestFloorOfEndpointsTried(t *testing.T) {
+// Guards against refusing all requests if this daemon's own network fails and every
+// runner appears to be down: some may still be reachable.
+func TestDoubtfulEndpointsUsedBelowMinTriedFraction(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
-	m.SetList(at(0), runners(18))
+	m.SetList(afterEpoch(0), runners(18))
 	for _, e := range runners(18) {
-		m.Refused(at(time.Second), e.ID)
+		m.RecordRefusal(afterEpoch(time.Second), e.ID)
 	}
-	if got := len(usable(m, at(time.Second))); got != 18 {
+	if got := len(usable(m, afterEpoch(time.Second))); got != 18 {
 		t.Errorf("%d usable with all refused, want all tried", got)
 	}
-	m.Reported(at(time.Second), "runner-00", Load{At: at(time.Second), Incarnation: 1})
-	m.Reported(at(time.Second), "runner-03", Load{At: at(time.Second), Incarnation: 1})
-	m.Reported(at(time.Second), "runner-06", Load{At: at(time.Second), Incarnation: 1})
-	for _, e := range m.Usable(at(time.Second)) {
+	m.ApplyReport(afterEpoch(time.Second), "runner-00", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	m.ApplyReport(afterEpoch(time.Second), "runner-03", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	m.ApplyReport(afterEpoch(time.Second), "runner-06", Load{At: afterEpoch(time.Second), Incarnation: 1})
+	for _, e := range m.Usable(afterEpoch(time.Second)) {
 		if e.Zone == "zone-0" && e.Doubtful {
 			t.Errorf("%s is tried although its zone has enough that answer", e.ID)
 		}
 	}
 }
 
-// Whatever lists and words come in whatever order, an endpoint whose newest own
-// word is that it drains gets no work, and the table keeps its bound.
-func TestMembershipUnderAnyOrder(t *testing.T) {
+// For random sequences of lists and reports, an endpoint whose last report says that it
+// is draining is unusable, and the table stays within its limit.
+func TestMembershipInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := NewMembership(MembershipOptions{MaxEndpoints: 8})
 		now := epoch
@@ -270,14 +269,14 @@
 				}
 				m.SetList(now, list)
 			},
-			"word": func(t *rapid.T) {
+			"report": func(t *rapid.T) {
 				id := EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id")))
 				l := Load{At: now, Incarnation: Incarnation(rapid.IntRange(1, 3).Draw(t, "life")), Draining: rapid.Bool().Draw(t, "draining")}
-				m.Reported(now, id, l)
+				m.ApplyReport(now, id, l)
 				draining[id] = l.Draining
 			},
 			"refused": func(t *rapid.T) {
-				m.Refused(now, EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id"))))
+				m.RecordRefusal(now, EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id"))))
 			},
 			"": func(t *rapid.T) {
 				if m.Len() > 8 {
@@ -285,7 +284,7 @@
 				}
 				for _, e := range m.Usable(now) {
 					if e.Incarnation != 0 && draining[e.ID] {
-						t.Fatalf("%s gets work although it drains", e.ID)
+						t.Fatalf("%s is usable although it is draining", e.ID)
 					}
 				}
 			},
--- a/neighbour/choose.go
+++ b/neighbour/choose.go
@@ -1,8 +1,8 @@
-// Package neighbour decides which daemons a daemon talks to, and what it makes
-// of what they say.
+// Package neighbour selects the daemons with which a daemon exchanges digests, and
+// evaluates the digests received.
 //
-// All daemons compute the same graph from the platform's list, so that no
-// message is needed to agree on it. The package does no I/O and reads no clock.
+// All daemons compute the same graph from the platform's list, without exchanging
+// messages to agree on it. The package does no I/O and reads no clock.
 package neighbour
 
 import (
@@ -15,33 +15,32 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Options bounds the graph. Zero fields take the defaults.
+// Options configures the graph. Zero fields take the defaults.
 type Options struct {
-	// ZonePairs is the number of other zones, on each side in the circle of all
-	// zones, with which a zone is linked.
+	// ZonePairs is the number of other zones, on each side in the ring of all zones, with
+	// which a zone is linked.
 	ZonePairs int
 }
 
-// DefaultZonePairs links every zone with every other one up to five zones.
+// DefaultZonePairs links every zone with every other one if there are up to five zones.
 const DefaultZonePairs = 2
 
-// spareRings is the number of rings when there is one zone only, so that the
-// loss of two daemons does not cut the graph.
-const spareRings = 2
+// singleZoneRings is the number of rings in a deployment with one zone. With a single
+// ring, the loss of two daemons could partition the graph.
+const singleZoneRings = 2
 
-// MaxNeighbours is the most neighbours that Choose returns with the default
+// MaxNeighbours is the maximum number of neighbours that Choose returns with the default
 // options: two on the ring of the own zone and two for each linked zone.
 const MaxNeighbours = 2 + 2*2*DefaultZonePairs
 
-// Choose returns the neighbours of self, by id. Daemons that are leaving are
-// no neighbours. Self need not be listed, since the list lags.
+// Choose returns the neighbours of self, sorted by ID. Daemons that are leaving are left
+// out. Self need not be in the list, which lags.
 //
-// The daemons of a zone form a ring, ordered by a hash of their ids, and so
-// do the daemons of each two linked zones; neighbours are those before and
-// after self on each ring. Each zone is thus connected without any other, and
-// any two linked zones without a third, so that the loss of a zone leaves the
-// rest connected before the list shows the loss. Replacing a daemon changes
-// only the neighbours beside it.
+// The daemons of a zone form a ring, ordered by a hash of their IDs, and so do the
+// daemons of each pair of linked zones. The neighbours are the previous and the next
+// daemon on each ring. Each zone is thus connected by itself, and so is each pair of
+// linked zones: after the loss of a zone the others stay connected, even while the list
+// still has its daemons. Replacing a daemon affects only the daemons next to it.
 func Choose(self ports.Daemon, list []ports.Daemon, o Options) []ports.Daemon {
 	if o.ZonePairs <= 0 {
 		o.ZonePairs = DefaultZonePairs
@@ -53,18 +52,18 @@
 
 	rings := 1
 	if len(names) == 1 {
-		rings = spareRings
+		rings = singleZoneRings
 	}
 	for i := range rings {
-		beside(self, ringName(self.Zone, self.Zone, i), own, nil, chosen)
+		addAdjacent(self, ringName(self.Zone, self.Zone, i), own, nil, chosen)
 	}
-	for _, other := range linked(self.Zone, names, o.ZonePairs) {
-		beside(self, ringName(self.Zone, other, 0), own, zones[other], chosen)
+	for _, other := range linkedZones(self.Zone, names, o.ZonePairs) {
+		addAdjacent(self, ringName(self.Zone, other, 0), own, zones[other], chosen)
 	}
-	return sorted(chosen)
+	return sortedByID(chosen)
 }
 
-// byZone groups the daemons that take part, self among them, once each.
+// byZone groups self and the daemons that are not leaving by zone.
 func byZone(self ports.Daemon, list []ports.Daemon) map[fleet.ZoneID][]ports.Daemon {
 	zones := map[fleet.ZoneID][]ports.Daemon{self.Zone: {self}}
 	for _, d := range list {
@@ -84,9 +83,9 @@
 	return names
 }
 
-// linked returns the zones at a distance of up to pairs from z in the circle of
-// names.
-func linked(z fleet.ZoneID, names []fleet.ZoneID, pairs int) []fleet.ZoneID {
+// linkedZones returns the zones at a distance of up to pairs from z on the ring of all
+// zones.
+func linkedZones(z fleet.ZoneID, names []fleet.ZoneID, pairs int) []fleet.ZoneID {
 	at := slices.Index(names, z)
 	n := len(names)
 	var out []fleet.ZoneID
@@ -100,7 +99,7 @@
 	return out
 }
 
-// ringName is the same whichever of the two zones asks.
+// ringName returns the name of the i-th ring of two zones, in either order.
 func ringName(a, b fleet.ZoneID, i int) string {
 	if b < a {
 		a, b = b, a
@@ -108,68 +107,68 @@
 	return string(a) + "\x00" + string(b) + "\x00" + string(rune('0'+i))
 }
 
-// place is a daemon's place on a ring; the id breaks a tie of hashes.
-type place struct {
+// ringPosition is a daemon's position on a ring. The ID breaks ties between hashes.
+type ringPosition struct {
 	hash uint64
 	id   string
 }
 
-func placeOf(ring, id string) place {
-	return place{xxhash.Sum64String(ring + "\x00" + id), id}
+func positionOnRing(ring, id string) ringPosition {
+	return ringPosition{xxhash.Sum64String(ring + "\x00" + id), id}
 }
 
-func (p place) before(q place) bool {
+func (p ringPosition) before(q ringPosition) bool {
 	if p.hash != q.hash {
 		return p.hash < q.hash
 	}
 	return p.id < q.id
 }
 
-// beside adds the daemons right before and right after self on a ring.
-func beside(self ports.Daemon, ring string, as, bs []ports.Daemon, chosen map[string]ports.Daemon) {
-	r := ringSearch{self: placeOf(ring, self.ID)}
+// addAdjacent adds the previous and the next daemon on a ring to chosen.
+func addAdjacent(self ports.Daemon, ring string, as, bs []ports.Daemon, chosen map[string]ports.Daemon) {
+	r := ringSearch{self: positionOnRing(ring, self.ID)}
 	for _, daemons := range [][]ports.Daemon{as, bs} {
 		for _, d := range daemons {
 			if d.ID != self.ID {
-				r.see(d, placeOf(ring, d.ID))
+				r.consider(d, positionOnRing(ring, d.ID))
 			}
 		}
 	}
-	if !r.any {
+	if !r.found {
 		return
 	}
 	chosen[r.next.daemon.ID] = r.next.daemon
 	chosen[r.previous.daemon.ID] = r.previous.daemon
 }
 
-type placed struct {
-	daemon ports.Daemon
-	place  place
+type candidate struct {
+	daemon   ports.Daemon
+	position ringPosition
 }
 
-// ringSearch finds the places next to self in one pass, without sorting.
+// ringSearch finds the positions adjacent to self in one pass, without sorting.
 type ringSearch struct {
-	self           place
-	any            bool
-	next, previous placed
+	self           ringPosition
+	found          bool
+	next, previous candidate
 }
 
-func (r *ringSearch) see(d ports.Daemon, p place) {
-	c := placed{d, p}
-	if !r.any {
-		r.any, r.next, r.previous = true, c, c
+func (r *ringSearch) consider(d ports.Daemon, p ringPosition) {
+	c := candidate{d, p}
+	if !r.found {
+		r.found, r.next, r.previous = true, c, c
 		return
 	}
-	if r.closerAfter(p, r.next.place) {
+	if r.closerAfter(p, r.next.position) {
 		r.next = c
 	}
-	if r.closerAfter(r.previous.place, p) {
+	if r.closerAfter(r.previous.position, p) {
 		r.previous = c
 	}
 }
 
-// closerAfter tells whether p comes before q when walking up from self.
-func (r *ringSearch) closerAfter(p, q place) bool {
+// closerAfter reports whether p precedes q when the ring is followed upwards from self.
+func (r *ringSearch) closerAfter(p, q ringPosition) bool {
 	pWraps, qWraps := p.before(r.self), q.before(r.self)
 	if pWraps != qWraps {
 		return qWraps
@@ -177,7 +176,7 @@
 	return p.before(q)
 }
 
-func sorted(chosen map[string]ports.Daemon) []ports.Daemon {
+func sortedByID(chosen map[string]ports.Daemon) []ports.Daemon {
 	out := make([]ports.Daemon, 0, len(chosen))
 	for _, d := range chosen {
 		out = append(out, d)
@@ -186,8 +185,8 @@
 	return out
 }
 
-// Initiates tells whether a rather than b opens the exchanges between them, so
-// that a link costs one exchange in each interval, not two.
+// Initiates reports whether a, and not b, opens the exchanges between them, so that a
+// link costs one exchange per interval instead of two.
 func Initiates(a, b string) bool {
-	return placeOf("initiates", a).before(placeOf("initiates", b))
+	return positionOnRing("initiates", a).before(positionOnRing("initiates", b))
 }
--- a/peer/convert.go
+++ b/peer/convert.go
@@ -11,13 +11,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// digest makes this daemon's next digest. Ages are sent in place of times,
-// since the daemons' clocks differ.
-func (s *Service) digest(now time.Time) *peerpb.Digest {
+// buildDigest builds this daemon's next digest. It contains ages instead of times, since
+// the daemons' clocks differ.
+func (s *Service) buildDigest(now time.Time) *peerpb.Digest {
 	local := s.o.LocalDigest(now)
 	d := &peerpb.Digest{
 		Daemon:   s.o.Self.ID,
-		Life:     s.o.Life,
+		Life:     s.o.Incarnation,
 		Sequence: s.sequence.Add(1),
 		Accepted: revisionToWire(local.Accepted),
 	}
@@ -33,18 +33,18 @@
 			AgeMs:       uint32(age.Milliseconds()),
 		})
 	}
-	s.size.Store(int64(proto.Size(d)))
+	s.digestBytes.Store(int64(proto.Size(d)))
 	return d
 }
 
-// digestFromWire reads a digest; times are by the clock of now.
+// digestFromWire converts a digest. Ages are converted to times relative to now.
 func digestFromWire(now time.Time, w *peerpb.Digest) neighbour.Digest {
 	d := neighbour.Digest{
-		Daemon:   w.GetDaemon(),
-		Life:     w.GetLife(),
-		Sequence: w.GetSequence(),
-		Accepted: revisionFromWire(w.GetAccepted()),
-		Usage:    w.GetUsage(),
+		Daemon:      w.GetDaemon(),
+		Incarnation: w.GetLife(),
+		Sequence:    w.GetSequence(),
+		Accepted:    revisionFromWire(w.GetAccepted()),
+		Usage:       w.GetUsage(),
 	}
 	for _, e := range w.GetEndpoints() {
 		d.Endpoints = append(d.Endpoints, fleet.Evidence{
@@ -64,8 +64,8 @@
 	return &peerpb.Revision{Offset: int64(r.Offset), Digest: r.Digest[:]}
 }
 
-// revisionFromWire reads a revision. One with a digest of another length is
-// read as offset -1, which no digest may carry.
+// revisionFromWire converts a revision. A digest of the wrong length yields offset -1,
+// which neighbour.Table rejects as invalid.
 func revisionFromWire(w *peerpb.Revision) neighbour.Revision {
 	if w == nil {
 		return neighbour.Revision{}
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -16,65 +16,66 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// MaxNoticeDaemons is the number of listed daemons above which no notices are
-// sent: each goes to all others, so that their bytes grow with the number of
-// daemons, and with many daemons few of them meet the same cold document.
-const MaxNoticeDaemons = 16
+// MaxAnnouncementDaemons is the number of listed daemons above which no placement
+// announcements are sent: each goes to all other daemons, so the traffic grows with their
+// number, and with many daemons few of them receive the same uncached document.
+const MaxAnnouncementDaemons = 16
 
-// maxNoticeTokens bounds the work that one notice may claim.
-const maxNoticeTokens = 1 << 20
+// maxAnnouncementTokens limits the tokens of one announcement; larger values are reduced
+// to it.
+const maxAnnouncementTokens = 1 << 20
 
-// maxNoticeAge bounds how long ago a notice may have been made.
-const maxNoticeAge = 5 * time.Second
+// maxAnnouncementAge is the age above which an announcement is ignored.
+const maxAnnouncementAge = 5 * time.Second
 
-// Notify sends notices to all other listed daemons and returns how many were
-// told. It does not wait for them: a notice that is late is of no use, and one
-// that is lost only costs what the notice would have saved.
-func (s *Service) Notify(now time.Time, notices []placement.Announcement) int {
+// AnnouncePlacements sends placement announcements to all other listed daemons and returns
+// to how many. It does not wait for delivery: a late announcement is of no use, and a lost
+// one costs no more than its saving.
+func (s *Service) AnnouncePlacements(now time.Time, announcements []placement.Announcement) int {
 	list := s.o.Daemons()
-	if len(notices) == 0 || len(list) > MaxNoticeDaemons {
+	if len(announcements) == 0 || len(list) > MaxAnnouncementDaemons {
 		return 0
 	}
-	message := noticesToWire(now, s.o.Self.ID, notices)
-	told := 0
+	message := announcementsToWire(now, s.o.Self.ID, announcements)
+	sent := 0
 	for _, d := range list {
 		if d.ID == s.o.Self.ID || d.State == fleet.VMLeaving || !s.exchanges.TryAcquire(1) {
 			continue
 		}
-		told++
+		sent++
 		s.tasks.Go(func() {
 			defer s.exchanges.Release(1)
-			s.notify(d, message)
+			s.announceTo(d, message)
 		})
 	}
-	return told
+	return sent
 }
 
-func (s *Service) notify(d ports.Daemon, message *peerpb.Notices) {
-	l, err := s.link(d.PeerAddress)
+func (s *Service) announceTo(d ports.Daemon, message *peerpb.Notices) {
+	c, err := s.connectionTo(d.PeerAddress)
 	if err == nil {
 		ctx, cancel := context.WithTimeout(s.ctx, s.o.CallTimeout)
 		defer cancel()
-		_, err = l.client.Notify(ctx, message)
+		_, err = c.client.Notify(ctx, message)
 	}
 	if err != nil {
 		s.o.Observe(Event{EventUnreachable, d.ID, err})
 	}
 }
 
-// Notify takes another daemon's notices.
+// Notify handles the placement announcements of another daemon.
 func (h *handler) Notify(_ context.Context, w *peerpb.Notices) (*peerpb.NotifyReply, error) {
 	if len(w.GetNotices()) > placement.MaxAnnouncements || len(w.GetDaemon()) > neighbour.MaxDaemonID {
-		return nil, status.Error(codes.InvalidArgument, "too many notices or too long a name")
+		return nil, status.Error(codes.InvalidArgument, "too many announcements or daemon ID too long")
 	}
-	h.service.o.Notified(w.GetDaemon(), noticesFromWire(time.Now(), w.GetNotices()))
+	h.service.o.OnPlacementAnnouncements(w.GetDaemon(), announcementsFromWire(time.Now(), w.GetNotices()))
 	return &peerpb.NotifyReply{}, nil
 }
 
-func noticesToWire(now time.Time, daemon string, notices []placement.Announcement) *peerpb.Notices {
+func announcementsToWire(now time.Time, daemon string, announcements []placement.Announcement) *peerpb.Notices {
 	w := &peerpb.Notices{Daemon: daemon}
-	for i := range notices {
-		n := &notices[i]
+	for i := range announcements {
+		n := &announcements[i]
 		p := &peerpb.Notice{
 			Endpoint:    string(n.Endpoint),
 			Incarnation: uint64(n.Incarnation),
@@ -91,25 +92,25 @@
 	return w
 }
 
-// noticesFromWire leaves out what is outside the bounds.
-func noticesFromWire(now time.Time, list []*peerpb.Notice) []placement.Announcement {
-	var notices []placement.Announcement
+// announcementsFromWire converts announcements and leaves out those outside the limits.
+func announcementsFromWire(now time.Time, list []*peerpb.Notice) []placement.Announcement {
+	var announcements []placement.Announcement
 	for _, p := range list {
 		age := time.Duration(p.GetAgeMs()) * time.Millisecond
-		whole := p.GetLost() || len(p.GetKey()) == prefix.KeySize
-		if !whole || age > maxNoticeAge || len(p.GetEndpoint()) > neighbour.MaxEndpointID {
+		complete := p.GetLost() || len(p.GetKey()) == prefix.KeySize
+		if !complete || age > maxAnnouncementAge || len(p.GetEndpoint()) > neighbour.MaxEndpointID {
 			continue
 		}
 		n := placement.Announcement{
 			Endpoint:    fleet.EndpointID(p.GetEndpoint()),
 			Incarnation: fleet.Incarnation(p.GetIncarnation()),
 			CacheLost:   p.GetLost(),
-			Tokens:      int(min(p.GetTokens(), maxNoticeTokens)),
+			Tokens:      int(min(p.GetTokens(), maxAnnouncementTokens)),
 			Priority:    contract.Priority(min(p.GetPriority(), uint32(contract.PriorityCount-1))),
 			At:          now.Add(-age),
 		}
 		copy(n.Key[:], p.GetKey())
-		notices = append(notices, n)
+		announcements = append(announcements, n)
 	}
-	return notices
+	return announcements
 }
--- a/peer/peer_test.go
+++ b/peer/peer_test.go
@@ -16,7 +16,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// node is a daemon that holds one accepted manifest and nothing else.
+// node is a daemon that holds one accepted manifest and no other state.
 type node struct {
 	daemon   ports.Daemon
 	service  *Service
@@ -26,16 +26,16 @@
 	mu       sync.Mutex
 	accepted Accepted
 	changed  chan struct{} // closed and replaced on each change
-	heard    []neighbour.Digest
+	digests  []neighbour.Digest
 }
 
-var errEarlier = errors.New("not later than the own")
+var errNotLater = errors.New("not later than the own")
 
-func (n *node) take(a Accepted) error {
+func (n *node) accept(a Accepted) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.Revision.Offset <= n.accepted.Revision.Offset {
-		return errEarlier
+		return errNotLater
 	}
 	n.accepted = a
 	close(n.changed)
@@ -49,8 +49,8 @@
 	return n.accepted, n.changed
 }
 
-// waitFor returns when the node has the offset, and fails after a limit that
-// no healthy run comes near.
+// waitFor returns when the node has the offset. It fails the test after a time limit that
+// is far above that of a passing run.
 func (n *node) waitFor(t *testing.T, offset ports.Offset) {
 	t.Helper()
 	limit := time.After(20 * time.Second)
@@ -108,27 +108,27 @@
 	return Options{
 		Self:    n.daemon,
 		Daemons: func() []ports.Daemon { return list },
-		LocalDigest: func(time.Time) Local {
+		LocalDigest: func(time.Time) LocalState {
 			a, _ := n.state()
-			return Local{Accepted: a.Revision}
+			return LocalState{Accepted: a.Revision}
 		},
-		Heard: func(_ time.Time, d neighbour.Digest) {
+		OnDigest: func(_ time.Time, d neighbour.Digest) {
 			n.mu.Lock()
 			defer n.mu.Unlock()
-			n.heard = append(n.heard, d)
+			n.digests = append(n.digests, d)
 		},
 		FetchManifest: func(context.Context, neighbour.Revision) (Accepted, error) {
 			a, _ := n.state()
 			return a, nil
 		},
-		Merge: func(_ context.Context, _ string, a Accepted) error { return n.take(a) },
+		Merge: func(_ context.Context, _ string, a Accepted) error { return n.accept(a) },
 		Observe: func(e Event) {
 			select {
 			case n.events <- e:
 			default:
 			}
 		},
-		// Machines under load are slow; the test's verdict must not hang on it.
+		// Generous, so that the test does not fail on a busy machine.
 		CallTimeout: 5 * time.Second,
 		Interval:    200 * time.Millisecond,
 	}
@@ -152,41 +152,40 @@
 	})
 }
 
-// The log is down for all daemons but one, which reads a new manifest. The
-// others must have it from their neighbours, or callers would meet the old
-// configuration on most daemons.
-func TestManifestReachesDaemonsCutOffFromTheLog(t *testing.T) {
+// Guards against daemons that keep the old configuration while only one daemon can read the
+// log: the others must get a new manifest from their neighbours.
+func TestManifestReachesDaemonsWithoutLog(t *testing.T) {
 	nodes := cluster(t, 9, 3, nil)
 	for offset := ports.Offset(1); offset <= 3; offset++ {
 		from := nodes[int(offset)%len(nodes)]
-		if err := from.take(manifestAt(offset, fmt.Sprint("manifest ", offset))); err != nil {
+		if err := from.accept(manifestAt(offset, fmt.Sprint("manifest ", offset))); err != nil {
 			t.Fatal(err)
 		}
-		from.service.Announce()
+		from.service.AnnounceManifest()
 		for _, n := range nodes {
 			n.waitFor(t, offset)
 		}
 	}
 }
 
-// An endpoint begins to leave and one daemon of nine meets it. The others must not
-// send it work until their regular exchange, which may be seconds away.
-func TestNewsOfEndpointsPassOnAtOnce(t *testing.T) {
+// Guards against requests to a draining endpoint by the daemons that did not observe the
+// draining themselves: they must not have to wait for their next periodic exchange.
+func TestEvidenceIsSpreadAtOnce(t *testing.T) {
 	known := make([]atomic.Bool, 9)
 	services := make([]atomic.Pointer[Service], 9)
-	heard := make(chan int, 9)
+	received := make(chan int, 9)
 	nodes := cluster(t, 9, 3, func(i int, o *Options) {
 		o.Interval = time.Hour
-		o.LocalDigest = func(now time.Time) Local {
+		o.LocalDigest = func(now time.Time) LocalState {
 			if !known[i].Load() {
-				return Local{}
+				return LocalState{}
 			}
-			return Local{Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 1, Draining: true, At: now}}}
+			return LocalState{Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 1, Draining: true, At: now}}}
 		}
-		o.Heard = func(_ time.Time, d neighbour.Digest) {
+		o.OnDigest = func(_ time.Time, d neighbour.Digest) {
 			if len(d.Endpoints) == 1 && known[i].CompareAndSwap(false, true) {
-				services[i].Load().AnnounceNews()
-				heard <- i
+				services[i].Load().AnnounceEvidence()
+				received <- i
 			}
 		}
 	})
@@ -194,34 +193,33 @@
 		services[i].Store(n.service)
 	}
 	known[4].Store(true)
-	nodes[4].service.AnnounceNews()
+	nodes[4].service.AnnounceEvidence()
 	for range 8 {
-		<-heard
+		<-received
 	}
 }
 
-// A daemon starts while the log is down. With a neighbour's state it serves at
-// once; without any it must say so and not invent an empty configuration.
+// Guards against a daemon that starts with an empty configuration while the log is
+// unavailable: it must use a neighbour's manifest, or return an error if there is none.
 func TestBootstrapFromNeighbours(t *testing.T) {
 	nodes := cluster(t, 3, 3, nil)
 	ctx := context.Background()
-	if _, err := nodes[0].service.Bootstrap(ctx); !errors.Is(err, ErrNoState) {
-		t.Errorf("error %v, want ErrNoState", err)
+	if _, err := nodes[0].service.Bootstrap(ctx); !errors.Is(err, ErrNoManifest) {
+		t.Errorf("error %v, want ErrNoManifest", err)
 	}
-	if err := nodes[1].take(manifestAt(7, "seven")); err != nil {
+	if err := nodes[1].accept(manifestAt(7, "seven")); err != nil {
 		t.Fatal(err)
 	}
-	// The background exchange may have brought it before; both ways will do.
+	// A periodic exchange may have fetched it before; both are correct.
 	if a, err := nodes[0].service.Bootstrap(ctx); err == nil && a.Revision.Offset != 7 {
 		t.Errorf("offset %d, want 7", a.Revision.Offset)
 	}
 	nodes[0].waitFor(t, 7)
 }
 
-// A neighbour, or someone who has its certificate, claims a later manifest and
-// sends bytes that are not the ones it claimed. A daemon that took them would
-// serve a configuration that no operator published.
-func TestForgedManifestIsRefused(t *testing.T) {
+// Guards against a configuration that no operator published: a neighbour, or someone with
+// its certificate, announces a later manifest and sends other bytes.
+func TestForgedManifestIsRejected(t *testing.T) {
 	nodes := cluster(t, 2, 1, func(i int, o *Options) {
 		if i == 1 {
 			o.FetchManifest = func(_ context.Context, r neighbour.Revision) (Accepted, error) {
@@ -229,19 +227,19 @@
 			}
 		}
 	})
-	if err := nodes[0].take(manifestAt(3, "three")); err != nil {
+	if err := nodes[0].accept(manifestAt(3, "three")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[0].service.Announce()
+	nodes[0].service.AnnounceManifest()
 	nodes[1].waitFor(t, 3)
-	if err := nodes[1].take(manifestAt(9, "nine")); err != nil {
+	if err := nodes[1].accept(manifestAt(9, "nine")); err != nil {
 		t.Fatal(err)
 	}
-	nodes[1].service.Announce()
+	nodes[1].service.AnnounceManifest()
 	for e := range nodes[0].events {
-		if e.Kind == EventRefused {
-			if !errors.Is(e.Err, ErrForged) {
-				t.Errorf("refused with %v, want ErrForged", e.Err)
+		if e.Kind == EventRejected {
+			if !errors.Is(e.Err, ErrDigestMismatch) {
+				t.Errorf("rejected with %v, want ErrDigestMismatch", e.Err)
 			}
 			break
 		}
@@ -251,13 +249,12 @@
 	}
 }
 
-// Evidence of a leaving endpoint and organisations' use cross unharmed, with
-// ages in place of times.
-func TestDigestCrossesTheWire(t *testing.T) {
+// Evidence and usage are transmitted unchanged, with ages instead of times.
+func TestDigestRoundTrip(t *testing.T) {
 	s := &Service{o: Options{
-		Self: ports.Daemon{ID: "a"}, Life: 5,
-		LocalDigest: func(now time.Time) Local {
-			return Local{
+		Self: ports.Daemon{ID: "a"}, Incarnation: 5,
+		LocalDigest: func(now time.Time) LocalState {
+			return LocalState{
 				Accepted:  neighbour.Revision{Offset: 4, Digest: [32]byte{1}},
 				Endpoints: []fleet.Evidence{{Endpoint: "r1", Incarnation: 9, Draining: true, At: now.Add(-2 * time.Second)}},
 				Usage:     []byte("use"),
@@ -266,18 +263,18 @@
 	}}
 	sent := time.Unix(1000, 0)
 	received := time.Unix(5000, 0)
-	d := digestFromWire(received, s.digest(sent))
+	d := digestFromWire(received, s.buildDigest(sent))
 	want := fleet.Evidence{Endpoint: "r1", Incarnation: 9, Draining: true, At: received.Add(-2 * time.Second)}
 	if len(d.Endpoints) != 1 || d.Endpoints[0] != want {
 		t.Errorf("endpoints %v", d.Endpoints)
 	}
-	if d.Accepted.Offset != 4 || d.Accepted.Digest != [32]byte{1} || string(d.Usage) != "use" || d.Sequence != 1 || d.Life != 5 {
+	if d.Accepted.Offset != 4 || d.Accepted.Digest != [32]byte{1} || string(d.Usage) != "use" || d.Sequence != 1 || d.Incarnation != 5 {
 		t.Errorf("digest %+v", d)
 	}
-	short := s.digest(sent)
+	short := s.buildDigest(sent)
 	short.Accepted.Digest = []byte{1, 2}
 	table := neighbour.NewTable("b")
 	if v := table.Receive(received, neighbour.Revision{}, digestFromWire(received, short)); v.Reason != neighbour.DropInvalid {
-		t.Errorf("a digest of two bytes was judged %+v", v)
+		t.Errorf("verdict on a revision with a digest of two bytes: %+v", v)
 	}
 }
--- a/peer/run.go
+++ b/peer/run.go
@@ -11,63 +11,64 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Run exchanges digests with the neighbours until ctx ends. Each neighbour is
-// told at once when Announce is called.
+// Run exchanges digests with the neighbours until ctx ends: at intervals, and at once after
+// AnnounceManifest and AnnounceEvidence.
 //
-// News go their own way beside the regular rounds: a round waits for
-// neighbours that do not answer, which after the loss of a zone is most of the
-// time, and a manifest would lose a timeout at each daemon on its way.
+// Announcements are independent of the periodic exchanges, since these wait for neighbours
+// that do not answer. After the loss of a zone that is most of the time, and a manifest
+// would be delayed by a timeout at each hop.
 func (s *Service) Run(ctx context.Context) error {
-	s.choose()
+	s.updateNeighbours()
 	var g errgroup.Group
-	g.Go(func() error { return s.spread(ctx) })
-	g.Go(func() error { return s.spreadNews(ctx) })
-	g.Go(func() error { return s.beat(ctx) })
+	g.Go(func() error { return s.spreadManifests(ctx) })
+	g.Go(func() error { return s.spreadEvidence(ctx) })
+	g.Go(func() error { return s.exchangePeriodically(ctx) })
 	return g.Wait()
 }
 
-// beat opens the regular exchanges.
-func (s *Service) beat(ctx context.Context) error {
+// exchangePeriodically updates the neighbours and opens the periodic exchanges.
+func (s *Service) exchangePeriodically(ctx context.Context) error {
 	for {
-		timer := time.NewTimer(s.pause())
+		timer := time.NewTimer(s.jitteredInterval())
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
 		case <-timer.C:
-			s.choose()
-			s.round(ctx, s.due())
+			s.updateNeighbours()
+			s.exchangeWith(ctx, s.neighboursToContact())
 		}
 	}
 }
 
-// spread tells the neighbours of an announced manifest.
-func (s *Service) spread(ctx context.Context) error {
+// spreadManifests exchanges digests after each AnnounceManifest with the neighbours that do
+// not have the manifest.
+func (s *Service) spreadManifests(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.news:
-			s.round(ctx, s.behind())
+		case <-s.manifestChanged:
+			s.exchangeWith(ctx, s.neighboursBehind())
 		}
 	}
 }
 
-// spreadNews tells the neighbours of announced news of endpoints, the first at
-// once and then what has come together during a pause. The loss of a zone brings
-// hundreds of news within a second; without the pause, which keeps to the
-// budget as the regular rounds do, each would cost an exchange with each
-// neighbour.
-func (s *Service) spreadNews(ctx context.Context) error {
+// spreadEvidence exchanges digests with all neighbours after AnnounceEvidence, at once for
+// the first call, and then once per interval for all further calls. The loss of a zone
+// changes the evidence on hundreds of endpoints within a second; without the interval,
+// which respects the budget as the periodic exchanges do, each change would cost an
+// exchange with each neighbour.
+func (s *Service) spreadEvidence(ctx context.Context) error {
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-s.endpoints:
+		case <-s.evidenceChanged:
 		}
-		s.round(ctx, s.Neighbours())
+		s.exchangeWith(ctx, s.Neighbours())
 		s.mu.Lock()
-		pause := max(newsPause, s.interval())
+		pause := max(minEvidenceInterval, s.interval())
 		s.mu.Unlock()
 		timer := time.NewTimer(pause)
 		select {
@@ -79,42 +80,41 @@
 	}
 }
 
-// AnnounceNews tells the neighbours soon that an endpoint leaves or has
-// restarted. A daemon of a large fleet asks each endpoint only now and then; by
-// the news it knows of a leaving one as soon as any daemon does.
-func (s *Service) AnnounceNews() {
+// AnnounceEvidence makes the service send a digest to the neighbours soon, as an endpoint is
+// leaving or has restarted. A daemon of a large fleet probes each endpoint only
+// occasionally; by this it knows of a leaving endpoint as soon as any daemon does.
+func (s *Service) AnnounceEvidence() {
 	select {
-	case s.endpoints <- struct{}{}:
-	default: // already about to
+	case s.evidenceChanged <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// Announce tells the neighbours at once that another manifest is in force, so
-// that daemons cut off from the log have it within seconds.
-func (s *Service) Announce() {
+// AnnounceManifest makes the service report to the neighbours at once that another manifest
+// is in force, so that daemons that cannot read the log have it within seconds.
+func (s *Service) AnnounceManifest() {
 	select {
-	case s.news <- struct{}{}:
-	default: // already about to
+	case s.manifestChanged <- struct{}{}:
+	default: // already signalled
 	}
 }
 
-// interval is the time between exchanges that the budget allows for. The caller
-// holds mu.
+// interval returns the time between exchanges according to the budget. The caller holds mu.
 func (s *Service) interval() time.Duration {
-	return neighbour.Interval(s.o.Interval, len(s.neighbours), int(s.size.Load()), s.o.Budget)
+	return neighbour.Interval(s.o.Interval, len(s.neighbours), int(s.digestBytes.Load()), s.o.Budget)
 }
 
-// pause is the interval with jitter.
-func (s *Service) pause() time.Duration {
+// jitteredInterval returns the interval with jitter applied.
+func (s *Service) jitteredInterval() time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	share := 1 + jitter*(2*s.rand.Float64()-1)
-	return time.Duration(share * float64(s.interval()))
+	factor := 1 + intervalJitter*(2*s.rand.Float64()-1)
+	return time.Duration(factor * float64(s.interval()))
 }
 
-// choose computes the neighbours from the newest list and closes connections
-// to daemons that are no neighbours any more.
-func (s *Service) choose() {
+// updateNeighbours computes the neighbours from the newest list and closes the connections
+// to daemons that are no longer listed.
+func (s *Service) updateNeighbours() {
 	list := s.o.Daemons()
 	if len(list) == 0 {
 		return
@@ -122,37 +122,37 @@
 	chosen := neighbour.Choose(s.o.Self, list, s.o.Neighbours)
 	s.mu.Lock()
 	s.neighbours = chosen
-	var unused []*link
-	for address, l := range s.links {
+	var unused []*connection
+	for address, c := range s.connections {
 		if !slices.ContainsFunc(list, func(d ports.Daemon) bool { return d.PeerAddress == address }) {
-			unused = append(unused, l)
-			delete(s.links, address)
+			unused = append(unused, c)
+			delete(s.connections, address)
 		}
 	}
 	s.mu.Unlock()
-	for _, l := range unused {
-		l.close()
+	for _, c := range unused {
+		c.close()
 	}
 }
 
-// due returns the neighbours to open an exchange with.
-func (s *Service) due() []ports.Daemon {
+// neighboursToContact returns the neighbours with which to open a periodic exchange.
+func (s *Service) neighboursToContact() []ports.Daemon {
 	now := time.Now()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []ports.Daemon
 	interval := s.interval()
 	for _, d := range s.neighbours {
-		if s.table.Due(now, d.ID, interval) {
+		if s.table.ShouldInitiate(now, d.ID, interval) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// behind returns the neighbours that are not known to have the accepted
-// revision.
-func (s *Service) behind() []ports.Daemon {
+// neighboursBehind returns the neighbours whose last digest does not contain the accepted
+// revision or a later one.
+func (s *Service) neighboursBehind() []ports.Daemon {
 	own := s.o.LocalDigest(time.Now()).Accepted
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -169,8 +169,8 @@
 	return out
 }
 
-// round exchanges digests with the given daemons, a bounded number at once.
-func (s *Service) round(ctx context.Context, daemons []ports.Daemon) {
+// exchangeWith exchanges digests with the given daemons, up to maxOutgoing at once.
+func (s *Service) exchangeWith(ctx context.Context, daemons []ports.Daemon) {
 	var g errgroup.Group
 	g.SetLimit(maxOutgoing)
 	for _, d := range daemons {
@@ -181,11 +181,12 @@
 			return nil
 		})
 	}
-	_ = g.Wait() // errors were observed one by one
+	_ = g.Wait() // errors were passed to Observe
 }
 
-// fetchSoon fetches a later revision in the background, once at a time.
-func (s *Service) fetchSoon(daemon string, r neighbour.Revision) {
+// fetchInBackground fetches a later revision in the background, unless it is being fetched
+// already or maxFetches fetches are in progress.
+func (s *Service) fetchInBackground(daemon string, r neighbour.Revision) {
 	s.mu.Lock()
 	busy := s.fetching[r] || len(s.fetching) >= maxFetches || s.ctx.Err() != nil
 	if !busy {
@@ -198,31 +199,31 @@
 	}
 	go func() {
 		defer s.tasks.Done()
-		done := s.o.Await != nil && s.o.Await(s.ctx, r) || s.fetchFromAny(daemon, r)
+		done := s.o.AwaitRevision != nil && s.o.AwaitRevision(s.ctx, r) || s.fetchFromAny(daemon, r)
 		s.mu.Lock()
 		delete(s.fetching, r)
 		s.mu.Unlock()
 		if done {
-			s.Announce()
+			s.AnnounceManifest()
 		}
 	}()
 }
 
-// fetchFromAny fetches a revision from the daemon that announced it or, if that
-// fails, from others that have announced it meanwhile. Their announcements come
-// only once: waiting for their next regular exchange could take longer than
-// the seconds in which a manifest is to be in force.
+// fetchFromAny fetches a revision from the daemon that announced it or, if that fails, from
+// others that have announced it in the meantime. They announce it once only, and waiting
+// for their next periodic exchange could exceed the seconds within which a manifest has to
+// be in force.
 func (s *Service) fetchFromAny(daemon string, r neighbour.Revision) bool {
-	for range maxHolders {
+	for range maxFetchAttempts {
 		err := s.fetchAndMerge(s.ctx, daemon, r)
 		if err == nil {
 			s.o.Observe(Event{EventFetched, daemon, nil})
 			return true
 		}
-		s.o.Observe(Event{EventRefused, daemon, err})
+		s.o.Observe(Event{EventRejected, daemon, err})
 		s.mu.Lock()
 		now := time.Now()
-		s.table.FetchFailed(now, daemon, r)
+		s.table.RecordFetchFailure(now, daemon, r)
 		holders := s.table.Holders(now, r)
 		s.mu.Unlock()
 		if len(holders) == 0 || s.ctx.Err() != nil {
@@ -233,7 +234,7 @@
 	return false
 }
 
-// fetchAndMerge brings a neighbour's revision into force.
+// fetchAndMerge fetches a revision from a daemon and puts it into force.
 func (s *Service) fetchAndMerge(ctx context.Context, daemon string, r neighbour.Revision) error {
 	list := s.o.Daemons()
 	at := slices.IndexFunc(list, func(d ports.Daemon) bool { return d.ID == daemon })
@@ -247,26 +248,25 @@
 	return s.o.Merge(ctx, daemon, a)
 }
 
-// Bootstrap asks the neighbours for the latest accepted manifest and brings it
-// into force, for a daemon that starts while the log is down. It returns
-// ErrNoState when none of them has one; the daemon can then only answer that
-// requests were not run.
+// Bootstrap fetches the latest accepted manifest from the neighbours and puts it into force,
+// for a daemon that starts while the log is unavailable. It returns ErrNoManifest if none
+// of them has one; the daemon can then only answer that requests were not run.
 func (s *Service) Bootstrap(ctx context.Context) (Accepted, error) {
-	s.choose()
-	s.round(ctx, s.Neighbours())
-	for _, sender := range s.latest() {
+	s.updateNeighbours()
+	s.exchangeWith(ctx, s.Neighbours())
+	for _, sender := range s.sendersByRevision() {
 		a, err := s.bootstrapFrom(ctx, sender)
 		if err == nil {
-			s.Announce()
+			s.AnnounceManifest()
 			return a, nil
 		}
-		s.o.Observe(Event{EventRefused, sender.Daemon, err})
+		s.o.Observe(Event{EventRejected, sender.Daemon, err})
 	}
-	return Accepted{}, ErrNoState
+	return Accepted{}, ErrNoManifest
 }
 
-// latest returns the senders that have accepted something, the latest first.
-func (s *Service) latest() []neighbour.Sender {
+// sendersByRevision returns the senders that have accepted a manifest, latest first.
+func (s *Service) sendersByRevision() []neighbour.Sender {
 	senders := s.Senders()
 	senders = slices.DeleteFunc(senders, func(x neighbour.Sender) bool { return x.Accepted.Offset == 0 })
 	slices.SortFunc(senders, func(a, b neighbour.Sender) int {
--- a/peer/server.go
+++ b/peer/server.go
@@ -18,19 +18,19 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// window is the size of gRPC's flow-control windows, in bytes. A fixed one also
-// turns off the pings by which gRPC would measure the path, which would cost
+// flowControlWindow is the size of gRPC's flow-control windows, in bytes. A fixed size also
+// disables the pings by which gRPC estimates the bandwidth-delay product; they would take
 // as many bytes as the digests.
-const window = 64 << 10
+const flowControlWindow = 64 << 10
 
-// Times of a served connection.
+// Timeouts of the server.
 const (
-	idleAfter    = time.Minute
-	setupTimeout = 3 * time.Second
-	stopTimeout  = 2 * time.Second
+	idleTimeout         = time.Minute
+	setupTimeout        = 3 * time.Second
+	gracefulStopTimeout = 2 * time.Second
 )
 
-// Serve answers neighbours on l until ctx ends, then closes l.
+// Serve serves other daemons on l until ctx ends, then closes l.
 func (s *Service) Serve(ctx context.Context, l net.Listener) error {
 	creds, err := serverCredentials(s.o.TLS)
 	if err != nil {
@@ -40,11 +40,11 @@
 		grpc.Creds(creds),
 		grpc.MaxRecvMsgSize(maxExchangeBytes),
 		grpc.MaxSendMsgSize(maxFetchBytes),
-		grpc.MaxConcurrentStreams(maxStreams),
+		grpc.MaxConcurrentStreams(maxStreamsPerConnection),
 		grpc.ConnectionTimeout(setupTimeout),
-		grpc.InitialWindowSize(window),
-		grpc.InitialConnWindowSize(window),
-		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleAfter}),
+		grpc.InitialWindowSize(flowControlWindow),
+		grpc.InitialConnWindowSize(flowControlWindow),
+		grpc.KeepaliveParams(keepalive.ServerParameters{MaxConnectionIdle: idleTimeout}),
 	)
 	peerpb.RegisterPeerServer(server, &handler{service: s})
 	stopped := make(chan struct{})
@@ -52,7 +52,7 @@
 		defer close(stopped)
 		stopServer(server)
 	})
-	err = server.Serve(&boundedListener{Listener: l, most: maxConnections})
+	err = server.Serve(&limitListener{Listener: l, maxOpen: maxConnections})
 	if !stop() {
 		<-stopped
 		return nil
@@ -61,9 +61,9 @@
 	return eris.Wrap(err, "peer: serve")
 }
 
-// stopServer lets open calls end, but not for long.
+// stopServer stops the server gracefully, or forcibly after gracefulStopTimeout.
 func stopServer(server *grpc.Server) {
-	timer := time.AfterFunc(stopTimeout, server.Stop)
+	timer := time.AfterFunc(gracefulStopTimeout, server.Stop)
 	defer timer.Stop()
 	server.GracefulStop()
 }
@@ -79,13 +79,13 @@
 	return credentials.NewTLS(config), nil
 }
 
-// handler is the served side of a Service.
+// handler implements the gRPC server of a Service.
 type handler struct {
 	peerpb.UnimplementedPeerServer
 	service *Service
 }
 
-// Exchange takes a neighbour's digest and gives the own.
+// Exchange handles a neighbour's digest and returns the own one.
 func (h *handler) Exchange(_ context.Context, w *peerpb.Digest) (*peerpb.Digest, error) {
 	s := h.service
 	if !s.exchanges.TryAcquire(1) {
@@ -93,11 +93,11 @@
 	}
 	defer s.exchanges.Release(1)
 	now := time.Now()
-	s.receive(now, digestFromWire(now, w))
-	return s.digest(now), nil
+	s.handleDigest(now, digestFromWire(now, w))
+	return s.buildDigest(now), nil
 }
 
-// Fetch gives an accepted manifest.
+// Fetch returns an accepted manifest.
 func (h *handler) Fetch(ctx context.Context, r *peerpb.FetchRequest) (*peerpb.FetchReply, error) {
 	s := h.service
 	if !s.fetches.TryAcquire(1) {
@@ -118,8 +118,8 @@
 	}, nil
 }
 
-// receive judges a digest and does what the verdict asks for.
-func (s *Service) receive(now time.Time, d neighbour.Digest) {
+// handleDigest evaluates a digest and acts on the verdict.
+func (s *Service) handleDigest(now time.Time, d neighbour.Digest) {
 	own := s.o.LocalDigest(now).Accepted
 	s.mu.Lock()
 	v := s.table.Receive(now, own, d)
@@ -132,7 +132,7 @@
 		s.o.Observe(Event{EventConflict, d.Daemon, nil})
 	}
 	if v.Fetch {
-		s.fetchSoon(d.Daemon, d.Accepted)
+		s.fetchInBackground(d.Daemon, d.Accepted)
 	}
-	s.o.Heard(now, d)
+	s.o.OnDigest(now, d)
 }
--- a/readers/readers.go
+++ b/readers/readers.go
@@ -1,16 +1,16 @@
-// Package readers chooses through which other daemon of its zone a daemon reads
-// the metadata store.
+// Package readers selects the daemon of its own zone through which a daemon reads the
+// metadata store.
 //
-// If every daemon read the store itself, the calls would grow with the number of
-// daemons, and if all read through one, that one's link and processor would carry
-// them all: a change of 100 kB takes 2.6 s to reach 64 readers over 20 Mbit/s. So
-// the daemons of a zone form a tree. Their links, processors and a hash of their names
-// give them one order, the first reads the store and each other one reads through an
-// earlier one, as many through each as its link carries. All come to the same tree with
-// no message. Daemons that know of different ones still form no circle, as each reads
-// through earlier ones only.
+// If every daemon read the store itself, the store's load would grow with the number of
+// daemons. If all read through one daemon, its link and processor would carry them all:
+// a change of 100 kB takes 2.6 s to reach 64 readers over 20 Mbit/s. The daemons of a
+// zone therefore form a tree. They are sorted by link, processor and a hash of their
+// names; the first reads the store, and each other one reads through an earlier one,
+// which gets as many readers as its link carries. All daemons compute the same tree
+// without exchanging messages. Daemons with different lists cannot form a cycle as long
+// as they agree on the order, since each reads through earlier ones only.
 //
-// The package does no I/O and reads no clock. A Choice is not safe for concurrent
+// The package does no I/O and reads no clock. A Selector is not safe for concurrent
 // use.
 package readers
 
@@ -23,97 +23,98 @@
 )
 
 const (
-	// Fanout is the most daemons that read through one as long as all answer, if its
-	// link is not known to carry more. A daemon with a link of 20 Mbit/s passes on a
-	// change of 100 kB to as many in 0.3 s.
-	Fanout = 8
-	// mbpsEach is the link that one more reader takes, in Mbit/s, and mostFanout the most
-	// readers of a daemon: when it is lost, all of them turn elsewhere at once.
-	mbpsEach   = 20
-	mostFanout = 24
-	// leaveFor is how long a daemon is passed over that did not answer or knew less
-	// than others; each further time twice as long, up to leaveAtMost. Machines
-	// that are gone for good stay on the list, and each try costs a timeout.
-	leaveFor    = 2 * time.Second
-	leaveAtMost = 16 * time.Second
+	// MinFanout is the number of readers of a daemon whose link is unknown or slow, as
+	// long as all daemons answer. A daemon with a link of 20 Mbit/s passes a change of
+	// 100 kB on to 8 readers in 0.3 s.
+	MinFanout = 8
+	// mbpsPerReader is the bandwidth of the link, in Mbit/s, that allows for one reader.
+	// maxFanout limits the readers of a daemon: if it is lost, all of them turn to other
+	// daemons at once.
+	mbpsPerReader = 20
+	maxFanout     = 24
+	// initialAvoidance is how long a daemon is avoided that did not answer or was behind
+	// others. It doubles with each further failure up to maxAvoidance: lost machines stay
+	// on the list, and each attempt costs a timeout.
+	initialAvoidance = 2 * time.Second
+	maxAvoidance     = 16 * time.Second
 )
 
-// Daemon is a daemon that can be read through.
+// Daemon is a daemon of the zone.
 type Daemon struct {
 	Name    string
 	Address string  // IP:port
-	Mbps    float64 // of its link; 0: not known
-	Cores   float64 // processor that it may use; 0: not known
+	Mbps    float64 // bandwidth of its link in Mbit/s; 0: not known
+	Cores   float64 // processor cores that it may use; 0: not known
 }
 
-// fanout is how many daemons read through this one as long as all answer.
+// fanout returns how many daemons read through this one as long as all answer.
 func (d *Daemon) fanout() int {
-	return max(Fanout, min(int(d.Mbps/mbpsEach), mostFanout))
+	return max(MinFanout, min(int(d.Mbps/mbpsPerReader), maxFanout))
 }
 
-// Choice is one daemon's view of the tree.
-type Choice struct {
-	me    Daemon
-	order []Daemon // of the zone
-	index int      // of this daemon in it
-	place place    // of this daemon in the tree
-	left  map[string]absence
+// Selector holds one daemon's view of the tree. Create it with New.
+type Selector struct {
+	self     Daemon
+	order    []Daemon // the daemons of the zone, in the order of the tree
+	index    int      // of self in order
+	position position // of self in the tree
+	avoided  map[string]avoidance
 }
 
-// place is a daemon's place in the tree.
-type place struct {
-	depth  int // steps from the store
+// position is a daemon's position in the tree.
+type position struct {
+	depth  int // hops from the store: 0 for the daemon that reads it
 	parent int // index of the daemon that it reads through; -1: it reads the store
-	// start and width are the index of the first daemon of the parent's level, and how
-	// many that level has.
+	// start is the index of the first daemon of the parent's level, and width the number
+	// of daemons on that level.
 	start, width int
 }
 
-// absence is a daemon that is passed over.
-type absence struct {
-	until time.Duration
-	span  time.Duration
+// avoidance is the state of a daemon that is avoided after failures.
+type avoidance struct {
+	until   time.Duration
+	backoff time.Duration
 }
 
-// New returns the choice of a daemon that knows of no other yet.
-func New(me Daemon) *Choice {
-	c := &Choice{me: me, left: map[string]absence{}}
-	c.Set(nil)
-	return c
+// New returns the Selector of a daemon without other daemons.
+func New(self Daemon) *Selector {
+	s := &Selector{self: self, avoided: map[string]avoidance{}}
+	s.Set(nil)
+	return s
 }
 
-// Set takes the daemons of the zone. This daemon counts, whether it is among them
-// or not.
-func (c *Choice) Set(zone []Daemon) {
-	c.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == c.me.Name })
-	c.order = append(c.order, c.me)
-	ranks := make(map[string]uint64, len(c.order))
-	for _, d := range c.order {
+// Set replaces the daemons of the zone. This daemon is added if it is not among them.
+func (s *Selector) Set(zone []Daemon) {
+	s.order = slices.DeleteFunc(slices.Clone(zone), func(d Daemon) bool { return d.Name == s.self.Name })
+	s.order = append(s.order, s.self)
+	ranks := make(map[string]uint64, len(s.order))
+	for _, d := range s.order {
 		ranks[d.Name] = rank(d)
 	}
-	slices.SortFunc(c.order, func(a, b Daemon) int {
+	slices.SortFunc(s.order, func(a, b Daemon) int {
 		return cmp.Or(cmp.Compare(b.Mbps, a.Mbps), cmp.Compare(b.Cores, a.Cores), cmp.Compare(ranks[a.Name], ranks[b.Name]), cmp.Compare(a.Name, b.Name))
 	})
-	c.index = slices.IndexFunc(c.order, func(d Daemon) bool { return d.Name == c.me.Name })
-	c.place = placeOf(c.order, c.index)
-	known := make(map[string]absence, len(c.left))
-	for _, d := range c.order {
-		if a, ok := c.left[d.Address]; ok {
+	s.index = slices.IndexFunc(s.order, func(d Daemon) bool { return d.Name == s.self.Name })
+	s.position = positionOf(s.order, s.index)
+	known := make(map[string]avoidance, len(s.avoided))
+	for _, d := range s.order {
+		if a, ok := s.avoided[d.Address]; ok {
 			known[d.Address] = a
 		}
 	}
-	c.left = known
+	s.avoided = known
 }
 
 func rank(d Daemon) uint64 { return hash.Text("reader/" + d.Name) }
 
-// placeOf fills the tree level by level, in order, up to the daemon at the index.
-func placeOf(order []Daemon, index int) place {
+// positionOf computes the position of the daemon at the index by filling the tree level by
+// level, in order.
+func positionOf(order []Daemon, index int) position {
 	if index == 0 {
-		return place{parent: -1}
+		return position{parent: -1}
 	}
-	p := place{depth: 1, width: 1}
-	next, levelEnd := 1, 1 // the first daemon without a parent; the end of the parents' level
+	p := position{depth: 1, width: 1}
+	next, levelEnd := 1, 1 // the first daemon without a parent; the end of the parent's level
 	for parent := 0; ; parent++ {
 		if parent == levelEnd {
 			p.depth++
@@ -127,82 +128,85 @@
 	}
 }
 
-// Before is the number of daemons that come before this one.
-func (c *Choice) Before() int { return c.index }
+// Index returns the number of daemons that precede this one in the order of the tree.
+func (s *Selector) Index() int { return s.index }
 
-// Size is the number of daemons in the zone, this one included.
-func (c *Choice) Size() int { return len(c.order) }
+// Size returns the number of daemons in the zone, including this one.
+func (s *Selector) Size() int { return len(s.order) }
 
-// Candidates lists the daemons to read through, the best first and no more than
-// most: the one that the tree gives, another of that level, and then whoever comes
-// first. It is empty for a daemon that reads the store itself.
-func (c *Choice) Candidates(now time.Duration, most int) []Daemon {
+// Candidates returns up to limit daemons to read through, best first: the parent in the
+// tree, another daemon of the parent's level, then the remaining earlier daemons in
+// order. Avoided daemons are left out. It is empty for a daemon that reads the store
+// itself.
+func (s *Selector) Candidates(now time.Duration, limit int) []Daemon {
 	var out []Daemon
-	for _, i := range c.preferred() {
-		if len(out) == most {
+	for _, i := range s.preferred() {
+		if len(out) == limit {
 			break
 		}
-		if d := c.order[i]; !c.passedOver(now, d) && !slices.Contains(out, d) {
+		if d := s.order[i]; !s.isAvoided(now, d) && !slices.Contains(out, d) {
 			out = append(out, d)
 		}
 	}
 	return out
 }
 
-// preferred lists all earlier daemons by their index, in the order of choice.
-func (c *Choice) preferred() []int {
-	if c.index == 0 {
+// preferred returns the indexes of the earlier daemons, best first. The parent and its
+// substitute occur twice.
+func (s *Selector) preferred() []int {
+	if s.index == 0 {
 		return nil
 	}
-	p := c.place
+	p := s.position
 	out := []int{p.parent}
 	if p.width > 1 {
-		// Those that read through one daemon turn to different ones when it is lost.
-		out = append(out, p.start+(p.parent-p.start+1+c.index%(p.width-1))%p.width)
+		// The readers of a lost daemon turn to different daemons.
+		out = append(out, p.start+(p.parent-p.start+1+s.index%(p.width-1))%p.width)
 	}
-	for i := range c.index {
+	for i := range s.index {
 		out = append(out, i)
 	}
 	return out
 }
 
-// Depth is how many steps this daemon is from the store as long as all answer; 0:
-// it reads the store itself.
-func (c *Choice) Depth() int { return c.place.depth }
+// Depth returns the number of daemons between this one and the store as long as all
+// answer; 0: it reads the store itself.
+func (s *Selector) Depth() int { return s.position.depth }
 
-// Other returns any other daemon of the zone, chosen by a number in [0, 1). It is
-// for a daemon that finds neither a candidate nor the store.
-func (c *Choice) Other(number float64) (Daemon, bool) {
-	others := len(c.order) - 1
+// RandomOther returns another daemon of the zone, chosen by random, a number in [0, 1);
+// false if there is none. It is for a daemon that reaches neither a candidate nor the
+// store.
+func (s *Selector) RandomOther(random float64) (Daemon, bool) {
+	others := len(s.order) - 1
 	if others < 1 {
 		return Daemon{}, false
 	}
-	i := int(number * float64(others))
-	if i >= c.index {
+	i := int(random * float64(others))
+	if i >= s.index {
 		i++
 	}
-	return c.order[i], true
+	return s.order[i], true
 }
 
-func (c *Choice) passedOver(now time.Duration, d Daemon) bool {
-	a, ok := c.left[d.Address]
+func (s *Selector) isAvoided(now time.Duration, d Daemon) bool {
+	a, ok := s.avoided[d.Address]
 	return ok && now < a.until
 }
 
-// Leave passes a daemon over for a while.
-func (c *Choice) Leave(now time.Duration, d Daemon) {
-	a, ok := c.left[d.Address]
+// Avoid excludes a daemon from the candidates for a while, for longer with each call.
+func (s *Selector) Avoid(now time.Duration, d Daemon) {
+	a, ok := s.avoided[d.Address]
 	switch {
 	case ok && now < a.until:
-		return // several reads were under way
+		return // failure of a read that was already in progress
 	case ok:
-		a.span = min(2*a.span, leaveAtMost)
+		a.backoff = min(2*a.backoff, maxAvoidance)
 	default:
-		a.span = leaveFor
+		a.backoff = initialAvoidance
 	}
-	a.until = now + a.span
-	c.left[d.Address] = a
+	a.until = now + a.backoff
+	s.avoided[d.Address] = a
 }
 
-// Served takes that a daemon gave an answer that could be used.
-func (c *Choice) Served(d Daemon) { delete(c.left, d.Address) }
+// RecordAnswer records a usable answer of a daemon, which is then no longer avoided.
+func (s *Selector) RecordAnswer(d Daemon) { delete(s.avoided, d.Address) }
--- a/rollout/bind.go
+++ b/rollout/bind.go
@@ -36,7 +36,7 @@
 		if !classServesModel(m, e.Class, model) {
 			continue
 		}
-		if e.Heard.IsZero() && len(e.Load.Weights) == 0 {
+		if e.LastReport.IsZero() && len(e.Load.Weights) == 0 {
 			unreported = append(unreported, e.Endpoint)
 			continue
 		}
--- a/room/room.go
+++ b/room/room.go
@@ -85,7 +85,7 @@
 	for pause.Tick(ctx, l.period()) == nil {
 		l.mu.Lock()
 		now := l.o.Clock()
-		if now-lastTick >= gossip.Tick-replyTick/2 {
+		if now-lastTick >= gossip.TickInterval-replyTick/2 {
 			lastTick = now
 			l.table.Tick(now)
 		}
@@ -105,7 +105,7 @@
 	if len(l.keys)+len(l.awaiting) > 0 {
 		return replyTick
 	}
-	return gossip.Tick
+	return gossip.TickInterval
 }
 
 // Receive handles a message of another daemon. It returns false for messages of other
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -186,7 +186,7 @@
 	for _, d := range w.all {
 		if d.self == to {
 			for key := range d.state.roster.All() {
-				d.state.roster.Rest(time.Now(), key, time.Minute)
+				d.state.roster.Suspend(time.Now(), key, time.Minute)
 			}
 		} else {
 			asker = d
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -116,7 +116,7 @@
 	me := daemonAddress(i)
 	r.datagrams.write = func(to netip.AddrPort, data []byte) error { return f.carry(me, to, data) }
 	r.state.table.Store(f.table)
-	r.state.operator.Answered(f.clock(), f.clock())
+	r.state.operator.RecordAnswer(f.clock(), f.clock())
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
 	if f.stops[i] != nil {
--- a/router/follow.go
+++ b/router/follow.go
@@ -86,14 +86,14 @@
 		from, after = -1, f.pageAfter(true)
 	}
 	got, confirmed, ok := f.subscription.read(ctx, from, after)
-	f.feed().Progress(f.subscription.progress)
+	f.feed().RecordProgress(f.subscription.progress)
 	f.feed().SetDetached(f.subscription.detached)
 	f.relayed = ok
 	switch {
-	case ok && got.All:
+	case ok && got.Snapshot:
 		return f.applyPage(after, confirmed, Page{Records: got.Records, End: got.Next, More: got.More}), nil
 	case ok:
-		return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: !got.More, Confirmed: confirmed}), nil
+		return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Complete: !got.More, Confirmed: confirmed}), nil
 	case ctx.Err() != nil:
 		return readResult{}, ctx.Err() // the request was cancelled, no neighbour is at fault
 	case f.subscription.storeBackedOff():
@@ -115,7 +115,7 @@
 			return readResult{}, err
 		}
 		f.answered()
-		f.feed().Progress(f.router.clock())
+		f.feed().RecordProgress(f.router.clock())
 		return f.applyPage(after, sent, page), nil
 	}
 	call, cancel := context.WithTimeout(ctx, wait+answerTimeout)
@@ -130,7 +130,7 @@
 		return readResult{}, err
 	}
 	f.answered()
-	return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Whole: got.End <= got.Next, Confirmed: sent}), nil
+	return f.applyBatch(feed.Batch{From: f.next, Records: got.Records, Next: got.Next, Complete: got.End <= got.Next, Confirmed: sent}), nil
 }
 
 // answered records that the store itself answered.
@@ -160,14 +160,14 @@
 // the read.
 func (f *follower) publish(b feed.Batch) readResult {
 	until := f.router.clock()
-	if f.relayed || b.All {
+	if f.relayed || b.Snapshot {
 		until = b.Confirmed
 	}
 	f.knownAt = max(f.knownAt, until)
 	f.feed().Add(b)
 	f.next, f.complete = b.Next, true
 	f.answeredReads++
-	return readResult{more: !b.Whole, newer: b.Whole && f.subscription.confirm(b.Confirmed)}
+	return readResult{more: !b.Complete, newer: b.Complete && f.subscription.confirm(b.Confirmed)}
 }
 
 // undetectedFor returns how long ago a change that a read reveals may have happened. It
@@ -227,7 +227,7 @@
 			continue
 		}
 		if p.newer {
-			r.state.operator.Answered(f.subscription.confirmed, r.clock())
+			r.state.operator.RecordAnswer(f.subscription.confirmed, r.clock())
 		}
 	}
 }
@@ -276,7 +276,7 @@
 			continue
 		}
 		if p.newer {
-			r.state.endpoints.Answered(f.subscription.confirmed, r.clock())
+			r.state.endpoints.RecordAnswer(f.subscription.confirmed, r.clock())
 		}
 		if p.more {
 			continue
@@ -378,10 +378,10 @@
 		return record, true
 	}
 	change := r.state.roster.Put(entry)
-	if change == directory.Changed && !oneOfMany {
+	if change == directory.RoutingChanged && !oneOfMany {
 		r.logEndpointChange(now, &entry, record.Offset)
 	}
-	more := change != directory.Repeat
+	more := change != directory.HeartbeatOnly
 	if !relayed && (more || oneOfMany) {
 		record.Value = entry.Append(nil)
 	}
--- a/router/learn.go
+++ b/router/learn.go
@@ -182,7 +182,7 @@
 	defer p.state.mu.Unlock()
 	full := info.Load != nil && info.Load.Slots > 0 && info.Load.Running >= info.Load.Slots
 	if info.Misplaced || !full {
-		p.state.roster.Rest(now, pl.Target.Key, refusalSuspension)
+		p.state.roster.Suspend(now, pl.Target.Key, refusalSuspension)
 	}
 }
 
@@ -209,11 +209,11 @@
 	if end.Lost && end.Failure == retry.NotSent {
 		// The endpoint accepts no connection at all, so an early retry is unlikely to
 		// succeed.
-		p.state.roster.Rest(now, pl.Target.Key, unreachableSuspension)
+		p.state.roster.Suspend(now, pl.Target.Key, unreachableSuspension)
 	}
 	if end.Lost {
-		p.state.roster.Failed(now, pl.Target.Key)
+		p.state.roster.RecordFailure(now, pl.Target.Key)
 	} else if end.Whole && !end.Error {
-		p.state.roster.Answered(now, pl.Target.Key)
+		p.state.roster.RecordSuccess(now, pl.Target.Key)
 	}
 }
--- a/router/load.go
+++ b/router/load.go
@@ -48,7 +48,7 @@
 		f.onSnapshot(keysOf(l.records))
 	}
 	f.fullRead = nil
-	return f.publish(feed.Batch{From: f.next, All: true, Records: l.records, Next: l.next, Whole: true, Confirmed: l.confirmed})
+	return f.publish(feed.Batch{From: f.next, Snapshot: true, Records: l.records, Next: l.next, Complete: true, Confirmed: l.confirmed})
 }
 
 func keysOf(records []Record) map[string]bool {
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -113,14 +113,14 @@
 	grace      time.Duration             // answer timeout in addition to the wait
 	secondWait time.Duration             // how long the second neighbour may wait
 	// request sends a query to the daemon at an address.
-	request func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error)
+	request func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error)
 	// listed is closed once the list of daemons is known or cannot be read.
 	listed   chan struct{}
 	listOnce sync.Once
 
 	mu        sync.Mutex
 	names     []string // of all daemons that announced themselves
-	choice    *readers.Choice
+	choice    *readers.Selector
 	startedAt time.Duration      // first call of allowReads, boot clock
 	sources   [topicCount]string // names of the neighbours in use, for the log
 }
@@ -140,7 +140,7 @@
 			TopicLease:     maxLeaseAge,
 			TopicDaemons:   maxDaemonsAge,
 		},
-		request: func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
+		request: func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error) {
 			return requestNeighbour(ctx, client, address, t, q)
 		},
 	}
@@ -187,7 +187,7 @@
 	defer n.mu.Unlock()
 	until := max(n.startedAt, progress) + startTimeout
 	if neighbourAnswers {
-		until += time.Duration(n.choice.Before()) * storeBackoffPerDaemon
+		until += time.Duration(n.choice.Index()) * storeBackoffPerDaemon
 	}
 	return n.choice.Depth() > 0 && n.clock() < until
 }
@@ -250,7 +250,7 @@
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	out := n.choice.Candidates(n.clock(), maxRelayNeighbours)
-	if other, ok := n.choice.Other(random); ok && storeLost {
+	if other, ok := n.choice.RandomOther(random); ok && storeLost {
 		out = append(out[:min(1, len(out))], other)
 	}
 	return out
@@ -282,7 +282,7 @@
 func (n *neighbours) avoid(t Topic, d readers.Daemon, why string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.choice.Leave(n.clock(), d)
+	n.choice.Avoid(n.clock(), d)
 	if n.sources[t] == d.Name {
 		n.sources[t] = ""
 		n.log.Info("Stopped reading through a neighbour.", "topic", t.String(), "neighbour", d.Name, "why", why, "age_ms", age.Milliseconds())
@@ -293,7 +293,7 @@
 func (n *neighbours) recordUse(t Topic, d readers.Daemon, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.choice.Served(d)
+	n.choice.RecordAnswer(d)
 	if n.sources[t] != d.Name {
 		n.sources[t] = d.Name
 		n.log.Info("Reading through a neighbour.", "topic", t.String(), "neighbour", d.Name, "age_ms", age.Milliseconds(), "daemons", n.choice.Size())
@@ -311,15 +311,15 @@
 	return fmt.Sprintf("router: neighbour returned status %d", e.Status)
 }
 
-func requestNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Question) (feed.Answer, error) {
+func requestNeighbour(ctx context.Context, client *http.Client, address string, t Topic, q feed.Query) (feed.Answer, error) {
 	query := url.Values{
-		"topic": {strconv.Itoa(int(t))}, "from": {strconv.FormatInt(q.From, 10)}, "hold_ns": {strconv.FormatInt(int64(q.Hold), 10)},
+		"topic": {strconv.Itoa(int(t))}, "from": {strconv.FormatInt(q.From, 10)}, "hold_ns": {strconv.FormatInt(int64(q.MaxWait), 10)},
 		"age_ns": {strconv.FormatInt(int64(q.Age), 10)}, "stamp": {strconv.FormatInt(q.Stamp, 10)},
 	}
 	if q.After != "" {
 		query.Set("after", q.After)
 	}
-	if q.Any {
+	if q.AcceptDetached {
 		query.Set("any", "1")
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+relayPath+"?"+query.Encode(), nil)
@@ -331,7 +331,7 @@
 		return feed.Answer{}, fmt.Errorf("router: neighbour did not answer: %w", err)
 	}
 	defer resp.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(resp.Body, feed.AnswerBytes))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, feed.MaxAnswerBytes))
 	if err != nil {
 		return feed.Answer{}, fmt.Errorf("router: reading a neighbour's answer: %w", err)
 	}
@@ -365,7 +365,7 @@
 	if err != nil {
 		var unknown *feed.UnknownError
 		if errors.As(err, &unknown) {
-			w.Header().Set(quietHeader, strconv.FormatInt(int64(unknown.Quiet), 10))
+			w.Header().Set(quietHeader, strconv.FormatInt(int64(unknown.SinceProgress), 10))
 		}
 		w.WriteHeader(http.StatusGone)
 		return
@@ -376,7 +376,7 @@
 
 // parseRelayedRead parses the query of a relayed read. It returns an error if a value is
 // not a number or out of range.
-func parseRelayedRead(query url.Values) (Topic, feed.Question, error) {
+func parseRelayedRead(query url.Values) (Topic, feed.Query, error) {
 	var failed error
 	number := func(name string) int64 {
 		v, err := strconv.ParseInt(query.Get(name), 10, 64)
@@ -386,12 +386,12 @@
 		return v
 	}
 	topic := number("topic")
-	q := feed.Question{
-		From: number("from"), After: query.Get("after"), Any: query.Get("any") == "1",
-		Hold: time.Duration(number("hold_ns")), Age: time.Duration(number("age_ns")), Stamp: number("stamp"),
+	q := feed.Query{
+		From: number("from"), After: query.Get("after"), AcceptDetached: query.Get("any") == "1",
+		MaxWait: time.Duration(number("hold_ns")), Age: time.Duration(number("age_ns")), Stamp: number("stamp"),
 	}
-	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.Hold > maxRelayWait) {
-		failed = fmt.Errorf("router: relayed read of topic %d with a wait of %v is out of range", topic, q.Hold)
+	if failed == nil && (topic < 0 || topic >= int64(topicCount) || q.MaxWait > maxRelayWait) {
+		failed = fmt.Errorf("router: relayed read of topic %d with a wait of %v is out of range", topic, q.MaxWait)
 	}
 	return Topic(topic), q, failed
 }
--- a/router/orders.go
+++ b/router/orders.go
@@ -101,7 +101,7 @@
 	from := l.lease.NextOffset()
 	l.mu.Unlock()
 	got, confirmed, ok := l.subscription.read(ctx, from, "")
-	l.router.feeds[TopicLease].Progress(l.subscription.progress)
+	l.router.feeds[TopicLease].RecordProgress(l.subscription.progress)
 	l.router.feeds[TopicLease].SetDetached(l.subscription.detached)
 	if ok {
 		var records [][]byte
@@ -168,7 +168,7 @@
 	for i, r := range records {
 		b.Records = append(b.Records, Record{Value: r, Offset: from + int64(i)})
 	}
-	b.Whole = b.Next >= end
+	b.Complete = b.Next >= end
 	l.router.feeds[TopicLease].Add(b)
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -316,7 +316,7 @@
 			// Otherwise neighbours that read through this daemon would find a gap and
 			// all call the store.
 			l.router.feeds[TopicLease].Add(feed.Batch{
-				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Whole: true, Confirmed: sent,
+				From: at, Records: []Record{{Value: record, Offset: at}}, Next: at + 1, Complete: true, Confirmed: sent,
 			})
 		}
 		return l.lease.MayOrder(l.router.clock())
--- a/router/report.go
+++ b/router/report.go
@@ -143,7 +143,7 @@
 // updateGauges updates the metrics for the age of the daemon's data and its distance
 // from the store.
 func (r *Router) updateGauges() {
-	for topic, known := range map[Topic]*freshness.Confirmed{TopicOperator: &r.state.operator, TopicEndpoints: &r.state.endpoints} {
+	for topic, known := range map[Topic]*freshness.Tracker{TopicOperator: &r.state.operator, TopicEndpoints: &r.state.endpoints} {
 		if age, some := known.Age(r.clock()); some {
 			r.metrics.scope.Tagged(map[string]string{"topic": topic.String()}).Gauge("knowledge_age_seconds").Update(age.Seconds())
 		}
--- a/router/router.go
+++ b/router/router.go
@@ -214,7 +214,7 @@
 		return false
 	}
 	_, listed := r.state.endpoints.Age(r.clock())
-	silence, _ := r.state.operator.Silence(r.clock())
+	silence, _ := r.state.operator.SinceAnswer(r.clock())
 	longest := time.Duration(operatorReadFraction*float64(r.options.Settings.RevokeWithin)) + answerTimeout + readinessSlack
 	return listed && silence < longest
 }
--- a/router/state.go
+++ b/router/state.go
@@ -40,8 +40,8 @@
 // state is the daemon's local view of the configuration, endpoints and weight versions.
 type state struct {
 	table     atomic.Pointer[routes.Table]
-	operator  freshness.Confirmed // reads of the operator topic
-	endpoints freshness.Confirmed
+	operator  freshness.Tracker // reads of the operator topic
+	endpoints freshness.Tracker
 	// limited is the set of endpoints that name a limit. It is replaced, never
 	// modified.
 	limited atomic.Pointer[map[fleet.EndpointID]bool]
@@ -66,7 +66,7 @@
 	batch  *placement.View // nil: no batch is under way
 }
 
-// Join implements roster.View.
+// Join implements roster.PlacementSink.
 func (c *viewChanges) Join(pool string, e fleet.Endpoint) {
 	if c.batch != nil {
 		c.batch.Join(pool, e)
@@ -75,7 +75,7 @@
 	c.shared.Join(pool, e)
 }
 
-// Leave implements roster.View.
+// Leave implements roster.PlacementSink.
 func (c *viewChanges) Leave(pool string, id fleet.EndpointID) {
 	if c.batch != nil {
 		c.batch.Leave(pool, id)
@@ -84,7 +84,7 @@
 	c.shared.Leave(pool, id)
 }
 
-// SetAvailability implements roster.View.
+// SetAvailability implements roster.PlacementSink.
 func (c *viewChanges) SetAvailability(id fleet.EndpointID, g placement.Availability) {
 	if c.batch != nil {
 		c.batch.SetAvailability(id, g)
@@ -101,9 +101,9 @@
 	changes := &viewChanges{shared: view}
 	return &state{
 		roster: roster.New(roster.Options{
-			Grace:  time.Duration(lapseGraceFraction * float64(set.DrainWithin)),
-			Health: health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: maxEjection},
-			Part:   initialShortFraction, View: changes,
+			Grace:         time.Duration(lapseGraceFraction * float64(set.DrainWithin)),
+			Health:        health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: maxEjection},
+			ShortFraction: initialShortFraction, Placement: changes,
 		}),
 		named:   map[string]versionHistory{},
 		savedAt: map[prefix.Key]time.Time{},
@@ -151,7 +151,7 @@
 			s.appliedLimited = limited
 			s.roster.SetLimited(*limited)
 		}
-		s.roster.SetPart(s.subpools.shortFraction())
+		s.roster.SetShortFraction(s.subpools.shortFraction())
 		s.roster.Refresh(now)
 	})
 }
@@ -185,10 +185,10 @@
 		}
 		switch {
 		case n.Loading && e.Versions[n.Model] < n.Version:
-			s.roster.Rest(now, key, loadingUpdateLifetime)
+			s.roster.Suspend(now, key, loadingUpdateLifetime)
 		case !n.Loading:
-			s.roster.Wake(key)
-			s.roster.Learn(key, n.Model, n.Version)
+			s.roster.Resume(key)
+			s.roster.ObserveVersion(key, n.Model, n.Version)
 		}
 	}
 	s.refresh(now)
@@ -199,7 +199,7 @@
 func (s *state) hasOutdatedEngine(model string, version int64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.roster.Behind(model, version)
+	return s.roster.HasOlderVersion(model, version)
 }
 
 // engines returns the engines that serve the model, for the rollout plan.
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -162,7 +162,7 @@
 // request sends the query to one neighbour and returns the time at which the store
 // confirmed the answer: the answer was sent at least Held after the request.
 func (s *subscription) request(ctx context.Context, d readers.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
-	q, grace := feed.Question{From: from, After: after, Hold: s.neighbours.secondWait, Any: s.storeLost}, s.neighbours.grace
+	q, grace := feed.Query{From: from, After: after, MaxWait: s.neighbours.secondWait, AcceptDetached: s.storeLost}, s.neighbours.grace
 	age, some := s.age()
 	if some {
 		q.Age = age
@@ -173,11 +173,11 @@
 		q.Age, grace = s.neighbours.maxAnswerAge(s.topic), max(grace, relayPageTimeout)
 	}
 	if first && some {
-		q.Hold = max(s.neighbours.secondWait, min(maxRelayWait, s.neighbours.maxAnswerAge(s.topic)-age))
+		q.MaxWait = max(s.neighbours.secondWait, min(maxRelayWait, s.neighbours.maxAnswerAge(s.topic)-age))
 	}
-	call, cancel := context.WithTimeout(ctx, q.Hold+grace)
+	call, cancel := context.WithTimeout(ctx, q.MaxWait+grace)
 	defer cancel()
 	sent := s.neighbours.clock()
 	got, err := s.neighbours.request(call, d.Address, s.topic, q)
-	return got, sent + got.Held - got.Age, err
+	return got, sent + got.Waited - got.Age, err
 }
