--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -269,7 +269,7 @@
 				}
 				m.SetList(now, list)
 			},
-			"report": func(t *rapid.T) {
+			"word": func(t *rapid.T) {
 				id := EndpointID(fmt.Sprintf("runner-%02d", rapid.IntRange(0, 7).Draw(t, "id")))
 				l := Load{At: now, Incarnation: Incarnation(rapid.IntRange(1, 3).Draw(t, "life")), Draining: rapid.Bool().Draw(t, "draining")}
 				m.ApplyReport(now, id, l)
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -191,7 +191,7 @@
 	for i, s := range c.m.Services {
 		c.id(p.item(i).field("id"), s.ID)
 		c.unique(p.item(i).field("id"), seen, s.ID)
-		c.pathPrefix(p.item(i).field("path_prefix"), i)
+		c.servicePrefix(p.item(i).field("path_prefix"), i)
 		if c.kinds[s.Class] != fleet.KindService {
 			c.faults.add(p.item(i).field("class"), "%q is not a class of kind service", s.Class)
 		}
@@ -202,9 +202,9 @@
 	}
 }
 
-// pathPrefix adds a fault for a path prefix that overlaps with merlindock's own
+// servicePrefix adds a fault for a path prefix that overlaps with merlindock's own
 // paths or with another service, since calls would reach the wrong service.
-func (c *checker) pathPrefix(p *path, i int) {
+func (c *checker) servicePrefix(p *path, i int) {
 	prefix := c.m.Services[i].PathPrefix
 	if len(prefix) < 3 || prefix[0] != '/' || !strings.HasSuffix(prefix, "/") || len(prefix) > MaxIDBytes {
 		c.faults.add(p, "is %q, expected /name/ of at most %d bytes", prefix, MaxIDBytes)
