--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -22,7 +22,7 @@
 		Wait: p.Wait, Cached: p.Cached, LoadAge: p.Age,
 		Prefix: p.Prefix, Fetch: p.Out.FetchFrom, Saved: p.Out.SaveTo != "",
 	})
-	end := End{Left: true}
+	end := AttemptEnd{Left: true}
 	defer func() {
 		// An abort of the handler passes here as well.
 		end.Left = c.r.Context().Err() != nil
@@ -31,25 +31,25 @@
 		if end.mayHaveRun() {
 			c.quota.ran++
 		}
-		c.o.Placer.Ended(p, end)
+		c.o.Placer.AttemptEnded(p, end)
 	}()
 	out := c.out
 	out.Header = c.out.Header.Clone()
 	p.Out.Remaining = time.Until(c.work.Deadline)
 	p.Out.LastEvent = c.events.last
-	c.o.Wire.Outbound(out.Header, &p.Out)
+	c.o.Wire.EncodeRequest(out.Header, &p.Out)
 	a, withdrawn, err := c.sendBy(p, &out)
 	if err != nil {
 		failure := retry.Unknown
 		if errors.Is(err, ErrNotSent) {
 			failure = retry.NotSent
 		}
-		end = End{Failure: failure, Lost: !withdrawn, Withdrawn: withdrawn, Cause: err}
+		end = AttemptEnd{Failure: failure, Lost: !withdrawn, Withdrawn: withdrawn, Cause: err}
 		return false, retry.Attempt{Endpoint: p.Target.Key, Failure: failure}
 	}
 	last := &c.report.Attempts[len(c.report.Attempts)-1]
 	last.Load, last.Limit = a.Info.Load, a.Info.Limit
-	c.o.Placer.Answered(p, &a.Info)
+	c.o.Placer.AnswerStarted(p, &a.Info)
 	end = c.take(a)
 	return end.Whole, retry.Attempt{Endpoint: p.Target.Key, Failure: end.Failure}
 }
@@ -60,7 +60,7 @@
 // The request may still wait in the engine's queue for seconds. Without the
 // withdrawal it would begin on weights that are out of bounds by then. It may also
 // have begun just now, so it counts as one that may have run.
-func (c *call) sendBy(p *Placement, out *Outgoing) (a *Answer, withdrawn bool, err error) {
+func (c *call) sendBy(p *Placement, out *EndpointRequest) (a *Answer, withdrawn bool, err error) {
 	if p.BeginBy.IsZero() {
 		a, err = c.o.Client.Send(c.ctx, p.Target, out)
 		return a, false, err
@@ -80,7 +80,7 @@
 	return a, false, nil
 }
 
-func (c *call) noteAttempt(end *End) {
+func (c *call) noteAttempt(end *AttemptEnd) {
 	r := &c.report.Attempts[len(c.report.Attempts)-1]
 	r.After = time.Since(c.work.Arrived)
 	if end.Lost {
@@ -101,16 +101,16 @@
 }
 
 // take passes the answer on, or tells why it can't be.
-func (c *call) take(a *Answer) End {
+func (c *call) take(a *Answer) AttemptEnd {
 	success := a.Status >= 200 && a.Status < 300
 	switch {
 	case a.Info.NotRun:
 		_, err := io.Copy(io.Discard, io.LimitReader(a.Body, bufferBytes))
 		a.Close(err == nil)
-		return End{NotRun: true, Failure: retry.NotRun}
+		return AttemptEnd{NotRun: true, Failure: retry.NotRun}
 	case success && !a.Info.Signed:
 		a.Close(false)
-		return End{Failure: retry.Unknown, Lost: true}
+		return AttemptEnd{Failure: retry.Unknown, Lost: true}
 	case success && c.work.Route.Kind == routes.Stream:
 		return c.relayStream(a)
 	}
@@ -118,30 +118,30 @@
 }
 
 // relayPlain reads the answer to its end before it passes it on.
-func (c *call) relayPlain(a *Answer, success bool) End {
+func (c *call) relayPlain(a *Answer, success bool) AttemptEnd {
 	body, err := io.ReadAll(io.LimitReader(a.Body, bufferBytes+1))
 	if err == nil && len(body) > bufferBytes {
 		return c.relayLong(a, body)
 	}
 	a.Close(err == nil)
 	if err != nil {
-		return End{Failure: retry.Broken, Lost: true, Cause: err}
+		return AttemptEnd{Failure: retry.Broken, Lost: true, Cause: err}
 	}
 	answer := &whole{status: a.Status, header: a.Header, body: body}
 	if a.Status >= http.StatusInternalServerError && c.retry.Idempotent {
 		// Another endpoint may do better. If nobody does, this is the answer.
 		c.answer = answer
-		return End{Error: true, Failure: retry.Broken}
+		return AttemptEnd{Error: true, Failure: retry.Broken}
 	}
 	if c.begun {
-		return End{Failure: retry.Broken, Error: true}
+		return AttemptEnd{Failure: retry.Broken, Error: true}
 	}
 	c.pass(answer)
-	return End{Whole: true, Error: !success && a.Status >= http.StatusInternalServerError}
+	return AttemptEnd{Whole: true, Error: !success && a.Status >= http.StatusInternalServerError}
 }
 
 // relayLong passes on an answer that is too long to be held.
-func (c *call) relayLong(a *Answer, begin []byte) End {
+func (c *call) relayLong(a *Answer, begin []byte) AttemptEnd {
 	c.begin(a)
 	_, err := c.w.Write(begin)
 	if err == nil {
@@ -149,9 +149,9 @@
 	}
 	a.Close(err == nil)
 	if err != nil {
-		return End{Failure: retry.Broken, Lost: true, Cause: err}
+		return AttemptEnd{Failure: retry.Broken, Lost: true, Cause: err}
 	}
-	return End{Whole: true}
+	return AttemptEnd{Whole: true}
 }
 
 // begin sends the header of an answer that is passed on as it comes.
@@ -167,7 +167,7 @@
 }
 
 // relayStream passes whole events on as they come.
-func (c *call) relayStream(a *Answer) End {
+func (c *call) relayStream(a *Answer) AttemptEnd {
 	c.events.partial = nil
 	buf := make([]byte, relayBuffer)
 	for {
@@ -183,19 +183,19 @@
 			return c.endStream(a)
 		case readErr != nil:
 			a.Close(false)
-			return End{Failure: retry.Broken, Lost: true, Cause: readErr}
+			return AttemptEnd{Failure: retry.Broken, Lost: true, Cause: readErr}
 		}
 	}
 }
 
 // passEvents sends the whole events that the bytes complete.
-func (c *call) passEvents(a *Answer, b []byte) (End, bool) {
+func (c *call) passEvents(a *Answer, b []byte) (AttemptEnd, bool) {
 	out, err := c.events.add(b)
 	if err != nil {
-		return End{Failure: retry.Broken, Lost: true}, false
+		return AttemptEnd{Failure: retry.Broken, Lost: true}, false
 	}
 	if len(out) == 0 {
-		return End{}, true
+		return AttemptEnd{}, true
 	}
 	c.begin(a)
 	if c.report.FirstEvent == 0 {
@@ -206,23 +206,23 @@
 	// than the request may take.
 	_ = c.rc.SetWriteDeadline(c.work.Deadline.Add(passTime))
 	if _, err := c.w.Write(out); err != nil {
-		return End{Failure: retry.CallerLeft}, false
+		return AttemptEnd{Failure: retry.CallerLeft}, false
 	}
 	if err := c.rc.Flush(); err != nil {
-		return End{Failure: retry.CallerLeft}, false
+		return AttemptEnd{Failure: retry.CallerLeft}, false
 	}
-	return End{}, true
+	return AttemptEnd{}, true
 }
 
 // endStream takes the end of the endpoint's answer, which its framing says is
 // complete.
-func (c *call) endStream(a *Answer) End {
+func (c *call) endStream(a *Answer) AttemptEnd {
 	a.Close(true)
 	if rest := c.events.rest(); len(rest) > 0 {
 		// A whole answer ends with a whole event.
-		return End{Failure: retry.Broken, Lost: true}
+		return AttemptEnd{Failure: retry.Broken, Lost: true}
 	}
 	c.begin(a)
 	_ = c.rc.SetWriteDeadline(time.Time{})
-	return End{Whole: true}
+	return AttemptEnd{Whole: true}
 }
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -7,7 +7,7 @@
 	"sync"
 )
 
-// Callers tracks the connections of callers, so that idle ones can be closed
+// CallerConns tracks the connections of callers, so that idle ones can be closed
 // without cutting a request.
 //
 // The HTTP server's own way to close idle connections looks at a state that
@@ -15,7 +15,7 @@
 // the request with it after it was passed on to an endpoint: the caller sees a
 // broken connection and does not know whether its request ran. Here a request
 // and the closing of its connection exclude each other.
-type Callers struct {
+type CallerConns struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
 }
@@ -23,22 +23,22 @@
 // callerConn is one connection of a caller.
 type callerConn struct {
 	net.Conn
-	of      *Callers
+	of      *CallerConns
 	serving bool
 	closed  bool
 }
 
 type callerKey struct{}
 
-// NewCallers returns a tracker without connections.
-func NewCallers() *Callers { return &Callers{open: map[*callerConn]struct{}{}} }
+// NewCallerConns returns a tracker without connections.
+func NewCallerConns() *CallerConns { return &CallerConns{open: map[*callerConn]struct{}{}} }
 
 // Listen wraps a listener so that its connections are tracked.
-func (c *Callers) Listen(l net.Listener) net.Listener { return &callerListener{l, c} }
+func (c *CallerConns) Listen(l net.Listener) net.Listener { return &callerListener{l, c} }
 
 type callerListener struct {
 	net.Listener
-	callers *Callers
+	callers *CallerConns
 }
 
 // Accept implements net.Listener.
@@ -64,13 +64,13 @@
 }
 
 // Context is for http.Server.ConnContext.
-func (c *Callers) Context(ctx context.Context, k net.Conn) context.Context {
+func (c *CallerConns) Context(ctx context.Context, k net.Conn) context.Context {
 	return context.WithValue(ctx, callerKey{}, k)
 }
 
 // begin claims the request's connection. It returns false if the connection has
 // been closed as idle: the request crossed the close and must not be passed on.
-func (c *Callers) begin(ctx context.Context) bool {
+func (c *CallerConns) begin(ctx context.Context) bool {
 	k, ok := ctx.Value(callerKey{}).(*callerConn)
 	if !ok {
 		return true // not served through Listen
@@ -84,7 +84,7 @@
 // State is for http.Server.ConnState. A request ends when the server calls the
 // connection idle and not when its handler returns: the end of the answer is
 // written in between, and a connection closed there would cut it off.
-func (c *Callers) State(k net.Conn, state http.ConnState) {
+func (c *CallerConns) State(k net.Conn, state http.ConnState) {
 	if conn, ok := k.(*callerConn); ok && state == http.StateIdle {
 		c.mu.Lock()
 		conn.serving = false
@@ -94,7 +94,7 @@
 
 // CloseIdle closes the connections that serve no request, and returns how many
 // are left.
-func (c *Callers) CloseIdle() int {
+func (c *CallerConns) CloseIdle() int {
 	c.mu.Lock()
 	var idle []*callerConn
 	for k := range c.open {
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -14,7 +14,7 @@
 // be passed on. Otherwise callers see a broken connection and cannot tell whether
 // their booking was made.
 func TestIdleCloseNeverMeetsARequest(t *testing.T) {
-	callers := NewCallers()
+	callers := NewCallerConns()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -62,7 +62,7 @@
 
 // Client sends requests to endpoints over connections that it keeps.
 type Client struct {
-	wire Wire
+	wire HeaderCodec
 	dial Dial
 
 	mu   sync.Mutex
@@ -71,7 +71,7 @@
 }
 
 // NewClient returns a client without connections. dial is nil for TCP.
-func NewClient(w Wire, dial Dial) *Client {
+func NewClient(w HeaderCodec, dial Dial) *Client {
 	if dial == nil {
 		d := Dialer()
 		dial = d.DialContext
@@ -219,8 +219,8 @@
 	}
 }
 
-// Outgoing is a request as it goes to an endpoint.
-type Outgoing struct {
+// EndpointRequest is a request as it goes to an endpoint.
+type EndpointRequest struct {
 	AttemptID string
 	Method    string
 	URI       string // as the caller sent it
@@ -250,7 +250,7 @@
 // wraps ErrNotSent, or ErrNoAnswer if the endpoint may have run the request.
 // When the context ends, the connection is closed, which most endpoints take
 // as the end of the request.
-func (c *Client) Send(ctx context.Context, t Target, o *Outgoing) (*Answer, error) {
+func (c *Client) Send(ctx context.Context, t Target, o *EndpointRequest) (*Answer, error) {
 	k, err := c.get(ctx, t)
 	if err != nil {
 		return nil, err
@@ -282,7 +282,7 @@
 	}
 }
 
-func (c *Client) write(k *conn, o *Outgoing) *writer {
+func (c *Client) write(k *conn, o *EndpointRequest) *writer {
 	w := &writer{done: make(chan struct{})}
 	send := func() {
 		defer close(w.done)
@@ -296,7 +296,7 @@
 	return w
 }
 
-func writeRequest(to io.Writer, o *Outgoing) error {
+func writeRequest(to io.Writer, o *EndpointRequest) error {
 	var head bytes.Buffer
 	head.WriteString(o.Method + " " + o.URI + " HTTP/1.1\r\nHost: " + o.Host + "\r\n")
 	if err := o.Header.Write(&head); err != nil {
@@ -317,7 +317,7 @@
 // receive reads answers until the one of this attempt. An endpoint may have
 // answered an earlier request on the connection twice; without a look at the
 // id the second one would be taken for this one's.
-func (c *Client) receive(k *conn, o *Outgoing) (*Answer, error) {
+func (c *Client) receive(k *conn, o *EndpointRequest) (*Answer, error) {
 	for range strayAnswers {
 		resp, err := http.ReadResponse(k.r, &http.Request{Method: o.Method}) //nolint:bodyclose // its owner closes the connection
 		if err != nil {
@@ -326,7 +326,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		info := c.wire.Answer(resp.StatusCode, resp.Header)
+		info := c.wire.DecodeAnswer(resp.StatusCode, resp.Header)
 		ours := info.AttemptID == o.AttemptID || (info.AttemptID == "" && info.NotRun)
 		if ours {
 			return &Answer{
--- a/forward/conn_test.go
+++ b/forward/conn_test.go
@@ -15,18 +15,18 @@
 // plainWire reads the headers that these tests use.
 type plainWire struct{}
 
-func (plainWire) Inbound(h http.Header) Inbound {
-	return Inbound{AttemptID: h.Get("Attempt-Id"), LastEvent: NoEvent}
+func (plainWire) DecodeRequest(h http.Header) RequestInfo {
+	return RequestInfo{AttemptID: h.Get("Attempt-Id"), LastEvent: NoEvent}
 }
-func (plainWire) Outbound(http.Header, *Outbound) {}
-func (plainWire) Answer(status int, h http.Header) AnswerInfo {
+func (plainWire) EncodeRequest(http.Header, *RouterInfo) {}
+func (plainWire) DecodeAnswer(status int, h http.Header) AnswerInfo {
 	return AnswerInfo{
 		AttemptID: h.Get("Attempt-Id"), Signed: h.Get("Response-Signature") != "",
 		NotRun: h.Get("Not-Executed") != "" || status == http.StatusMisdirectedRequest, KeepAlive: 5 * time.Second,
 	}
 }
 
-func (plainWire) Refusal(h http.Header, _ string, after time.Duration) {
+func (plainWire) EncodeRefusal(h http.Header, _ string, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", "1")
 	}
@@ -70,8 +70,8 @@
 	_, _ = io.Copy(io.Discard, c)
 }
 
-func outgoing(id string) *Outgoing {
-	return &Outgoing{AttemptID: id, Method: http.MethodPost, URI: "/a//b%2F?c", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("q"), HasBody: true}
+func outgoing(id string) *EndpointRequest {
+	return &EndpointRequest{AttemptID: id, Method: http.MethodPost, URI: "/a//b%2F?c", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("q"), HasBody: true}
 }
 
 func read(t *testing.T, c *Client, target Target, id string) (string, error) {
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -22,8 +22,8 @@
 	// passTime is how much longer than an endpoint the handler waits at the end
 	// of a request, so that the endpoint's own last word still passes.
 	passTime = 60 * time.Millisecond
-	// DefaultPatience bounds requests whose caller names no limit.
-	DefaultPatience = 60 * time.Second
+	// DefaultTimeout bounds requests whose caller names no limit.
+	DefaultTimeout = 60 * time.Second
 	// notYet is when to come back to a daemon that knows no configuration yet.
 	notYet = 500 * time.Millisecond
 	// elsewhere is when to come back if this daemon can't serve but others can.
@@ -41,18 +41,18 @@
 
 // Options are what a Handler needs.
 type Options struct {
-	Wire      Wire
+	Wire      HeaderCodec
 	Client    *Client
 	Placer    Placer
 	Table     func() *routes.Table // nil result: none yet
 	KeysFresh func() bool          // whether keys may be believed
 	KeysAge   func() time.Duration
-	Leaving   func() bool // whether callers should open new connections elsewhere
-	// StopsAt is when the process ends, once the time is over in which callers may
+	Draining  func() bool // whether callers should open new connections elsewhere
+	// ShutdownDeadline is when the process ends, once the time is over in which callers may
 	// still come to it unknowingly. Zero: it goes on.
-	StopsAt func() time.Time
-	Callers *Callers
-	Limiter Limiter // nil: organisations have no rate limits
+	ShutdownDeadline func() time.Time
+	Callers          *CallerConns
+	Limiter          Limiter // nil: organisations have no rate limits
 	// Quarantine is nil if requests are kept from endpoints by nothing.
 	Quarantine quarantine.Gate
 	Report     func(*Report)
@@ -113,9 +113,9 @@
 	r      *http.Request
 	rc     *http.ResponseController
 	ctx    context.Context // ends when the caller leaves or the time is over
-	work   Work
-	in     Inbound
-	out    Outgoing
+	work   PlacementRequest
+	in     RequestInfo
+	out    EndpointRequest
 	retry  retry.Request
 	report Report
 
@@ -139,7 +139,7 @@
 	}
 	c := &call{Handler: h, w: w, r: r, rc: http.NewResponseController(w), ctx: r.Context()}
 	c.work.Arrived = time.Now()
-	c.in = h.o.Wire.Inbound(r.Header)
+	c.in = h.o.Wire.DecodeRequest(r.Header)
 	c.events.last = c.in.LastEvent
 	c.report.ID, c.report.Arrived = c.in.AttemptID, c.work.Arrived
 	defer func() {
@@ -195,7 +195,7 @@
 	if c.quarantined() {
 		return
 	}
-	c.o.Placer.First()
+	c.o.Placer.CountFirstAttempt()
 	c.attempts()
 }
 
@@ -206,7 +206,7 @@
 // process, and its caller could not tell whether it ran. Refused, it goes
 // elsewhere at once.
 func (c *call) outlivesProcess() bool {
-	end := c.o.StopsAt()
+	end := c.o.ShutdownDeadline()
 	return !end.IsZero() && c.work.Deadline.After(end)
 }
 
@@ -271,7 +271,7 @@
 func (c *call) setDeadline() {
 	limit := c.work.Route.Timeout
 	if limit <= 0 {
-		limit = DefaultPatience
+		limit = DefaultTimeout
 	}
 	if c.in.Patience > 0 && c.in.Patience < limit {
 		limit = c.in.Patience
@@ -323,12 +323,12 @@
 			c.left()
 			return
 		}
-		d := c.o.Placer.Failed(&c.retry, failed)
+		d := c.o.Placer.DecideRetry(&c.retry, failed)
 		if !d.Retry {
 			c.giveUp(d)
 			return
 		}
-		c.work.Avoid = c.retry.Excluded()
+		c.work.Excluded = c.retry.Excluded()
 		c.work.Resuming = c.begun
 		if !c.pause(d.After) {
 			return
@@ -398,7 +398,7 @@
 func (c *call) refuse(status int, code string, retryAfter time.Duration) {
 	c.report.Status, c.report.Code, c.report.RetryAfter = status, code, retryAfter
 	h := c.w.Header()
-	c.o.Wire.Refusal(h, c.in.AttemptID, retryAfter)
+	c.o.Wire.EncodeRefusal(h, c.in.AttemptID, retryAfter)
 	c.closeIfLeaving()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	c.w.WriteHeader(status)
@@ -406,7 +406,7 @@
 }
 
 func (c *call) closeIfLeaving() {
-	if c.o.Leaving() {
+	if c.o.Draining() {
 		c.w.Header().Set("Connection", "close")
 	}
 }
--- a/forward/handler_test.go
+++ b/forward/handler_test.go
@@ -22,10 +22,10 @@
 
 	mu     sync.Mutex
 	placed int
-	ends   []End
+	ends   []AttemptEnd
 }
 
-func (p *listPlacer) Place(context.Context, *Work) (Placement, error) {
+func (p *listPlacer) Place(context.Context, *PlacementRequest) (Placement, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.placed == len(p.places) {
@@ -35,20 +35,20 @@
 	return p.places[p.placed-1], nil
 }
 
-func (p *listPlacer) Answered(*Placement, *AnswerInfo) {}
+func (p *listPlacer) AnswerStarted(*Placement, *AnswerInfo) {}
 
-func (p *listPlacer) Ended(_ *Placement, end End) {
+func (p *listPlacer) AttemptEnded(_ *Placement, end AttemptEnd) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.ends = append(p.ends, end)
 }
 
-func (p *listPlacer) Failed(r *retry.Request, a retry.Attempt) retry.Decision {
+func (p *listPlacer) DecideRetry(r *retry.Request, a retry.Attempt) retry.Decision {
 	budget := retry.NewBudget(retry.BudgetOptions{Fraction: 1, Floor: 1, Burst: 10, Debt: 1})
 	return retry.Decide(time.Now(), r, a, budget, rand.New(rand.NewPCG(1, 2)))
 }
 
-func (p *listPlacer) First() {}
+func (p *listPlacer) CountFirstAttempt() {}
 
 // serveOn starts a handler of one stream route with the given placer.
 func serveOn(t *testing.T, p Placer, resumable bool, timeout time.Duration, stops time.Time) *httptest.Server {
@@ -66,12 +66,12 @@
 func serveTable(t *testing.T, table *routes.Table, p Placer, l Limiter, stops time.Time) *httptest.Server {
 	t.Helper()
 	table.Index()
-	callers := NewCallers()
+	callers := NewCallerConns()
 	h := NewHandler(Options{
 		Wire: plainWire{}, Client: NewClient(plainWire{}, nil), Placer: p,
 		Table:     func() *routes.Table { return table },
 		KeysFresh: func() bool { return true }, KeysAge: func() time.Duration { return 0 },
-		Leaving: func() bool { return !stops.IsZero() }, StopsAt: func() time.Time { return stops },
+		Draining: func() bool { return !stops.IsZero() }, ShutdownDeadline: func() time.Time { return stops },
 		Callers: callers, Limiter: l, Report: func(*Report) {},
 	})
 	s := httptest.NewUnstartedServer(h)
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -19,8 +19,8 @@
 	// Admit decides on a request. It may wait for another daemon's word, and
 	// returns an error only if the context ends first.
 	Admit(ctx context.Context, org *routes.Organisation, tokens int) (quota.Verdict, error)
-	// GiveBack returns what a request took that did not run.
-	GiveBack(org *routes.Organisation, tokens int)
+	// Refund returns what a request took that did not run.
+	Refund(org *routes.Organisation, tokens int)
 	// Charge takes what a further run of a request takes.
 	Charge(org *routes.Organisation, tokens int)
 }
@@ -82,6 +82,6 @@
 // settle gives back what was charged for attempts that did not run.
 func (c *call) settle() {
 	for ; c.quota.taken > c.quota.ran; c.quota.taken-- {
-		c.o.Limiter.GiveBack(c.work.Organisation, c.in.QuotaTokens)
+		c.o.Limiter.Refund(c.work.Organisation, c.in.QuotaTokens)
 	}
 }
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -31,8 +31,8 @@
 	return l.verdict, nil
 }
 
-func (l *countingLimiter) GiveBack(*routes.Organisation, int) { l.add(-1) }
-func (l *countingLimiter) Charge(*routes.Organisation, int)   { l.add(1) }
+func (l *countingLimiter) Refund(*routes.Organisation, int) { l.add(-1) }
+func (l *countingLimiter) Charge(*routes.Organisation, int) { l.add(1) }
 
 func (l *countingLimiter) add(n int) {
 	l.mu.Lock()
--- a/forward/placer.go
+++ b/forward/placer.go
@@ -10,17 +10,17 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// Work is a request that wants a place.
-type Work struct {
+// PlacementRequest is a request that wants a place.
+type PlacementRequest struct {
 	Route        *routes.Route
 	Service      *routes.Service
 	Table        *routes.Table
 	Organisation *routes.Organisation // nil on public routes
-	In           *Inbound
+	In           *RequestInfo
 	Fingerprint  quarantine.Fingerprint
 	Arrived      time.Time
 	Deadline     time.Time
-	Avoid        []fleet.EndpointID // tried already
+	Excluded     []fleet.EndpointID // tried already
 	Attempt      int                // from 0
 	Resuming     bool
 }
@@ -29,7 +29,7 @@
 type Placement struct {
 	ID     uint64
 	Target Target
-	Out    Outbound // without the remaining time and the last event
+	Out    RouterInfo // without the remaining time and the last event
 	Reason string
 	Wait   time.Duration // expected until the first token
 	Prefix string        // shared part that decided
@@ -38,11 +38,11 @@
 	// BeginBy is when the request is withdrawn unless its answer has begun. Zero:
 	// it may begin at any time.
 	BeginBy time.Time
-	Notes   Notes // of the placer
+	Notes   PlacerState // of the placer
 }
 
-// Notes are what the placer keeps with a placement for itself.
-type Notes struct {
+// PlacerState are what the placer keeps with a placement for itself.
+type PlacerState struct {
 	Prompt, Engine int       // kinds, by the placer's own numbers
 	Began          time.Time // the answer; zero: it has not
 	// Sole says that the placer places all prompts of the kind.
@@ -66,19 +66,19 @@
 // Placer decides where requests go.
 type Placer interface {
 	// Place chooses and reserves. It returns a *RefusedError.
-	Place(ctx context.Context, w *Work) (Placement, error)
-	// Answered takes the beginning of an answer.
-	Answered(p *Placement, info *AnswerInfo)
-	// Ended takes the end of an attempt. Every Placement gets one.
-	Ended(p *Placement, end End)
-	// Failed decides what follows a failed attempt.
-	Failed(r *retry.Request, a retry.Attempt) retry.Decision
-	// First counts the first attempt of a request.
-	First()
+	Place(ctx context.Context, w *PlacementRequest) (Placement, error)
+	// AnswerStarted takes the beginning of an answer.
+	AnswerStarted(p *Placement, info *AnswerInfo)
+	// AttemptEnded takes the end of an attempt. Every Placement gets one.
+	AttemptEnded(p *Placement, end AttemptEnd)
+	// DecideRetry decides what follows a failed attempt.
+	DecideRetry(r *retry.Request, a retry.Attempt) retry.Decision
+	// CountFirstAttempt counts the first attempt of a request.
+	CountFirstAttempt()
 }
 
-// End is how an attempt ended.
-type End struct {
+// AttemptEnd is how an attempt ended.
+type AttemptEnd struct {
 	Whole   bool // the endpoint answered, whatever it said
 	Error   bool // with a failure of its own
 	NotRun  bool
@@ -91,6 +91,6 @@
 }
 
 // mayHaveRun tells whether the endpoint may have worked on the request.
-func (e *End) mayHaveRun() bool {
+func (e *AttemptEnd) mayHaveRun() bool {
 	return e.Whole || e.Left || !e.NotRun && e.Failure != retry.NotSent
 }
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -28,7 +28,7 @@
 }
 
 // tellQuarantine tells how an attempt ended.
-func (c *call) tellQuarantine(t Target, end *End) {
+func (c *call) tellQuarantine(t Target, end *AttemptEnd) {
 	switch {
 	case c.o.Quarantine == nil || end.NotRun || end.Left:
 	case end.Whole || end.Error:
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -22,8 +22,8 @@
 	NoUrgency = -1
 )
 
-// Inbound is what a caller's headers say.
-type Inbound struct {
+// RequestInfo is what a caller's headers say.
+type RequestInfo struct {
 	AttemptID    string
 	APIKey       string
 	Patience     time.Duration // how long the caller will wait; 0: not told
@@ -36,8 +36,8 @@
 	LastEvent    int64 // the stream goes on behind this event; NoEvent: from the start
 }
 
-// Outbound is what the router itself tells an endpoint.
-type Outbound struct {
+// RouterInfo is what the router itself tells an endpoint.
+type RouterInfo struct {
 	Remaining    time.Duration // after which the endpoint stops work
 	EndpointID   string        // any other endpoint refuses
 	Organisation string
@@ -64,14 +64,14 @@
 	Limit *float64
 }
 
-// Wire knows the names of headers.
-type Wire interface {
-	Inbound(h http.Header) Inbound
-	// Outbound replaces what only the router may set.
-	Outbound(h http.Header, o *Outbound)
-	Answer(status int, h http.Header) AnswerInfo
-	// Refusal marks an answer of the router's own.
-	Refusal(h http.Header, attemptID string, retryAfter time.Duration)
+// HeaderCodec knows the names of headers.
+type HeaderCodec interface {
+	DecodeRequest(h http.Header) RequestInfo
+	// EncodeRequest replaces what only the router may set.
+	EncodeRequest(h http.Header, o *RouterInfo)
+	DecodeAnswer(status int, h http.Header) AnswerInfo
+	// EncodeRefusal marks an answer of the router's own.
+	EncodeRefusal(h http.Header, attemptID string, retryAfter time.Duration)
 }
 
 // Target is an endpoint that a request may be sent to.
--- a/router/caches.go
+++ b/router/caches.go
@@ -248,7 +248,7 @@
 }
 
 // held implements whereabouts.
-func (c *cacheWatch) held(w *forward.Work, salt string) *placement.Held {
+func (c *cacheWatch) held(w *forward.PlacementRequest, salt string) *placement.Held {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
@@ -273,7 +273,7 @@
 // best returns the address of the holder from which most of a prompt's beginning
 // can be fetched, and how many tokens it has. Of equal ones the nearest to the zone
 // is taken, and of those the one with the widest link.
-func (c *cacheWatch) best(w *forward.Work, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
+func (c *cacheWatch) best(w *forward.PlacementRequest, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -137,7 +137,7 @@
 }
 
 // groupOf names the prompts that one dispatcher places.
-func (d *dispatch) groupOf(w *forward.Work) string {
+func (d *dispatch) groupOf(w *forward.PlacementRequest) string {
 	d.s.mu.Lock()
 	engines := d.s.roster.Engines(w.Service.Name, w.In.Model)
 	d.s.mu.Unlock()
@@ -154,7 +154,7 @@
 }
 
 // Place implements forward.Placer.
-func (d *dispatch) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (d *dispatch) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	if w.Service.Engine == nil || w.In.Model == "" {
 		return d.placer.Place(ctx, w)
 	}
@@ -178,10 +178,10 @@
 
 // askFor asks a dispatcher for a place. ok is false if it gave no answer that can be
 // used.
-func (d *dispatch) askFor(ctx context.Context, to Neighbour, w *forward.Work) (p forward.Placement, ok bool, err error) {
+func (d *dispatch) askFor(ctx context.Context, to Neighbour, w *forward.PlacementRequest) (p forward.Placement, ok bool, err error) {
 	m := placeMessage{
 		ID: d.lastID.Add(1), Route: w.Route.Name, Service: w.Service.Name, In: *w.In,
-		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Avoid, Resuming: w.Resuming,
+		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Excluded, Resuming: w.Resuming,
 	}
 	m.In.APIKey = ""
 	m.Loads = d.takeHeard(time.Now())
@@ -213,7 +213,7 @@
 }
 
 // usable takes a dispatcher's answer, if this daemon knows the place as well.
-func (d *dispatch) usable(from Neighbour, w *forward.Work, got *placedMessage) (forward.Placement, bool, error) {
+func (d *dispatch) usable(from Neighbour, w *forward.PlacementRequest, got *placedMessage) (forward.Placement, bool, error) {
 	switch {
 	case got.Refused != nil && (got.Refused.Code == codeNoEndpoint || got.Refused.Code == codeAtLimits):
 		// The dispatcher may be cut off from the endpoints, or from the daemon that parts
@@ -229,8 +229,8 @@
 	if got.LeftMs > 0 {
 		left = min(left, time.Duration(got.LeftMs)*time.Millisecond)
 	}
-	if left <= beginLeast || slices.Contains(w.Avoid, p.Target.Key) {
-		d.post(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.End{Left: true}})
+	if left <= beginLeast || slices.Contains(w.Excluded, p.Target.Key) {
+		d.post(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.AttemptEnd{Left: true}})
 		return forward.Placement{}, false, nil
 	}
 	p.BeginBy = time.Time{}
@@ -246,7 +246,7 @@
 //
 // A dispatcher that has lost the store knows neither new weights nor that an endpoint
 // leaves. By its word alone prompts would begin on weights that are out of use.
-func (d *dispatch) leftAt(w *forward.Work, p *forward.Placement) time.Duration {
+func (d *dispatch) leftAt(w *forward.PlacementRequest, p *forward.Placement) time.Duration {
 	d.s.mu.Lock()
 	defer d.s.mu.Unlock()
 	e := d.s.roster.Find(p.Target.Key)
@@ -263,8 +263,8 @@
 	d.log.Info("Dispatcher gave no answer.", "dispatcher", n.Name, "waited_ms", dispatchTime.Milliseconds())
 }
 
-// Answered implements forward.Placer.
-func (d *dispatch) Answered(p *forward.Placement, info *forward.AnswerInfo) {
+// AnswerStarted implements forward.Placer.
+func (d *dispatch) AnswerStarted(p *forward.Placement, info *forward.AnswerInfo) {
 	if info.Load != nil && p.Out.Version != 0 {
 		d.hear(p.Target.Key, info.Load)
 	}
@@ -274,8 +274,8 @@
 	d.placer.Answered(p, info)
 }
 
-// Ended implements forward.Placer.
-func (d *dispatch) Ended(p *forward.Placement, end forward.End) {
+// AttemptEnded implements forward.Placer.
+func (d *dispatch) AttemptEnded(p *forward.Placement, end forward.AttemptEnd) {
 	if p.Notes.Dispatcher != "" {
 		d.post(p.Notes.Dispatcher, kindEnded, endedMessage{ID: p.ID, End: end})
 	}
@@ -294,6 +294,6 @@
 	}
 	d.mu.Unlock()
 	for _, o := range over {
-		d.placer.Ended(&o.Placement, forward.End{Left: true})
+		d.placer.Ended(&o.Placement, forward.AttemptEnd{Left: true})
 	}
 }
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -24,16 +24,16 @@
 
 // placeMessage asks for a place.
 type placeMessage struct {
-	ID       uint64             `json:"id"`
-	Route    string             `json:"route"`
-	Service  string             `json:"service"`
-	Org      string             `json:"org,omitempty"`
-	Isolated bool               `json:"isolated,omitempty"`
-	In       forward.Inbound    `json:"in"`
-	LeftMs   int64              `json:"left_ms"`
-	Avoid    []fleet.EndpointID `json:"avoid,omitempty"`
-	Resuming bool               `json:"resuming,omitempty"`
-	Loads    []toldLoad         `json:"loads,omitempty"`
+	ID       uint64              `json:"id"`
+	Route    string              `json:"route"`
+	Service  string              `json:"service"`
+	Org      string              `json:"org,omitempty"`
+	Isolated bool                `json:"isolated,omitempty"`
+	In       forward.RequestInfo `json:"in"`
+	LeftMs   int64               `json:"left_ms"`
+	Avoid    []fleet.EndpointID  `json:"avoid,omitempty"`
+	Resuming bool                `json:"resuming,omitempty"`
+	Loads    []toldLoad          `json:"loads,omitempty"`
 }
 
 // toldLoad is what an engine told the sender of its load.
@@ -68,8 +68,8 @@
 
 // endedMessage tells the dispatcher of the end of an attempt.
 type endedMessage struct {
-	ID  uint64      `json:"id"`
-	End forward.End `json:"end"`
+	ID  uint64             `json:"id"`
+	End forward.AttemptEnd `json:"end"`
 }
 
 // post sends a message. It returns false for one that is too long for a datagram.
@@ -146,7 +146,7 @@
 		return
 	}
 	if m.Place != nil {
-		d.post(from, kindEnded, endedMessage{ID: m.ID, End: forward.End{Left: true}})
+		d.post(from, kindEnded, endedMessage{ID: m.ID, End: forward.AttemptEnd{Left: true}})
 	}
 }
 
@@ -193,7 +193,7 @@
 
 // workOf rebuilds a request from the message. It returns false if this daemon's
 // configuration lacks its route.
-func (d *dispatch) workOf(m *placeMessage) (*forward.Work, bool) {
+func (d *dispatch) workOf(m *placeMessage) (*forward.PlacementRequest, bool) {
 	t := d.s.table.Load()
 	if t == nil || t.Services[m.Service] == nil || t.Services[m.Service].Engine == nil {
 		return nil, false
@@ -202,9 +202,9 @@
 	if i < 0 {
 		return nil, false
 	}
-	w := &forward.Work{
+	w := &forward.PlacementRequest{
 		Route: &t.Routes[i], Service: t.Services[m.Service], Table: t, In: &m.In, Arrived: time.Now(),
-		Deadline: time.Now().Add(time.Duration(m.LeftMs) * time.Millisecond), Avoid: m.Avoid, Resuming: m.Resuming,
+		Deadline: time.Now().Add(time.Duration(m.LeftMs) * time.Millisecond), Excluded: m.Avoid, Resuming: m.Resuming,
 	}
 	if m.Org != "" {
 		w.Organisation = &routes.Organisation{Name: m.Org, Isolated: m.Isolated}
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -76,11 +76,11 @@
 }
 
 // work is a long prompt with the given shared part.
-func (w *dispatchWorld) work(d *dispatch, part string) *forward.Work {
+func (w *dispatchWorld) work(d *dispatch, part string) *forward.PlacementRequest {
 	t := d.s.table.Load()
-	return &forward.Work{
+	return &forward.PlacementRequest{
 		Route: &t.Routes[0], Service: t.Services["s"], Table: t, Arrived: time.Now(), Deadline: time.Now().Add(6 * time.Second),
-		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Part{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
+		In: &forward.RequestInfo{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Part{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
 	}
 }
 
@@ -167,8 +167,8 @@
 	w := newDispatchWorld(t, 2, 1)
 	for _, d := range w.all {
 		p := w.place(t, d, "p")
-		d.Answered(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
-		d.Ended(&p, forward.End{Whole: true})
+		d.AnswerStarted(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
+		d.AttemptEnded(&p, forward.AttemptEnd{Whole: true})
 	}
 	for _, d := range w.all {
 		if n := d.s.view.Unread("A@0"); n != 0 || len(d.open) != 0 {
@@ -271,7 +271,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		asker.Answered(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
-		asker.Ended(&p, forward.End{Whole: true})
+		asker.AnswerStarted(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
+		asker.AttemptEnded(&p, forward.AttemptEnd{Whole: true})
 	}
 }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -393,13 +393,15 @@
 // memoryWire names the headers of these tests.
 type memoryWire struct{}
 
-func (memoryWire) Inbound(h http.Header) forward.Inbound {
-	return forward.Inbound{AttemptID: h.Get("Attempt-Id"), APIKey: h.Get("Key"), LastEvent: forward.NoEvent}
+func (memoryWire) DecodeRequest(h http.Header) forward.RequestInfo {
+	return forward.RequestInfo{AttemptID: h.Get("Attempt-Id"), APIKey: h.Get("Key"), LastEvent: forward.NoEvent}
 }
 
-func (memoryWire) Outbound(h http.Header, o *forward.Outbound) { h.Set("Instance", o.EndpointID) }
+func (memoryWire) EncodeRequest(h http.Header, o *forward.RouterInfo) {
+	h.Set("Instance", o.EndpointID)
+}
 
-func (memoryWire) Answer(status int, h http.Header) forward.AnswerInfo {
+func (memoryWire) DecodeAnswer(status int, h http.Header) forward.AnswerInfo {
 	misplaced := status == http.StatusMisdirectedRequest
 	var limit *float64
 	if v, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
@@ -411,7 +413,7 @@
 	}
 }
 
-func (memoryWire) Refusal(h http.Header, _ string, after time.Duration) {
+func (memoryWire) EncodeRefusal(h http.Header, _ string, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
--- a/router/learn.go
+++ b/router/learn.go
@@ -180,7 +180,7 @@
 }
 
 // Ended implements forward.Placer.
-func (p *placer) Ended(pl *forward.Placement, end forward.End) {
+func (p *placer) Ended(pl *forward.Placement, end forward.AttemptEnd) {
 	now := time.Now()
 	p.answered(now, pl.ID, false)
 	if end.Lost && end.Failure == retry.NotSent && pl.Notes.Dispatcher == "" {
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -51,7 +51,7 @@
 	s.lanes.mean = [laneCount]float64{laneShort: 370, laneLong: 17_000}
 	s.view.SetPool("long", []fleet.Endpoint{{ID: "a", Zone: "z", State: fleet.VMLive}})
 	p := newPlacer(s, &Settings{}, nil, BootClock, rand.New(rand.NewPCG(3, 4)))
-	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.Notes{Prompt: int(laneShort), Engine: int(laneLong)}}
+	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.PlacerState{Prompt: int(laneShort), Engine: int(laneLong)}}
 	p.Answered(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
 	d, err := s.view.Weigh(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
 	if err != nil || d.ExpectedWait < 400*time.Millisecond {
--- a/router/moves.go
+++ b/router/moves.go
@@ -18,7 +18,7 @@
 // To read a long shared part again takes the engine's whole time for over 100
 // ms; to fetch it takes 5 to 25 ms. A fetch of what nobody has costs a
 // millisecond, and an engine fetches only what it lacks.
-func (p *placer) moves(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *way, out *forward.Outbound) {
+func (p *placer) moves(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *way, out *forward.RouterInfo) {
 	levels := r.Levels
 	if levels == nil {
 		levels = prefix.Chain(seedOf(w, out.Version), w.In.Parts)
@@ -55,7 +55,7 @@
 
 // enginesKeep tells whether the engines of a model have memory enough to keep what they
 // read for a while, by what the daemon that places all prompts of its group sends them.
-func (p *placer) enginesKeep(now time.Time, w *forward.Work) bool {
+func (p *placer) enginesKeep(now time.Time, w *forward.PlacementRequest) bool {
 	p.s.mu.Lock()
 	engines := p.s.roster.Engines(w.Service.Name, w.In.Model)
 	p.s.mu.Unlock()
@@ -66,7 +66,7 @@
 
 // fetchFrom chooses the source of a prompt's beginning among the holders that tell
 // what they hold. known is false if there is none that helps.
-func (p *placer) fetchFrom(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
+func (p *placer) fetchFrom(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
 	if p.watch == nil || r.Held == nil {
 		return "", false
 	}
@@ -105,7 +105,7 @@
 
 // salt separates cache entries that may never be mixed: those of other weights,
 // and those of an isolated organisation.
-func salt(w *forward.Work, version int64) string {
+func salt(w *forward.PlacementRequest, version int64) string {
 	text := "v" + strconv.FormatInt(version, 10)
 	if w.Organisation != nil && w.Organisation.Isolated {
 		text += "/" + w.Organisation.Name
@@ -113,7 +113,7 @@
 	return text
 }
 
-func seedOf(w *forward.Work, version int64) prefix.Seed {
+func seedOf(w *forward.PlacementRequest, version int64) prefix.Seed {
 	seed := prefix.Seed{Model: w.In.Model, Version: strconv.FormatInt(version, 10)}
 	if w.Organisation != nil && w.Organisation.Isolated {
 		seed.Organisation = contract.OrganisationID(w.Organisation.Name)
--- a/router/placer.go
+++ b/router/placer.go
@@ -83,15 +83,15 @@
 	return p
 }
 
-// First implements forward.Placer.
-func (p *placer) First() {
+// CountFirstAttempt implements forward.Placer.
+func (p *placer) CountFirstAttempt() {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	p.budget.Earn(time.Now())
 }
 
-// Failed implements forward.Placer.
-func (p *placer) Failed(r *retry.Request, a retry.Attempt) retry.Decision {
+// DecideRetry implements forward.Placer.
+func (p *placer) DecideRetry(r *retry.Request, a retry.Attempt) retry.Decision {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return retry.Decide(time.Now(), r, a, p.budget, p.rng)
@@ -99,7 +99,7 @@
 
 // Place implements forward.Placer. While all endpoints are at their limits it waits for
 // other daemons' words for a moment.
-func (p *placer) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (p *placer) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	for waited := 0; ; waited++ {
 		out, err := p.place(ctx, w)
 		var refused *forward.RefusedError
@@ -112,11 +112,11 @@
 	}
 }
 
-func (p *placer) place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (p *placer) place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	now := time.Now()
 	p.s.settle(now)
 	r := placement.Request{
-		Pool: pools.Plain(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
+		Pool: pools.Plain(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Excluded,
 		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 	}
 	if w.Service.Engine != nil && w.In.Model != "" {
@@ -136,17 +136,17 @@
 
 // placeKnown places a long prompt by what is known, without asking engines for their
 // load: this daemon places all of them.
-func (p *placer) placeKnown(now time.Time, w *forward.Work) (forward.Placement, error) {
+func (p *placer) placeKnown(now time.Time, w *forward.PlacementRequest) (forward.Placement, error) {
 	p.s.settle(now)
 	r := placement.Request{
-		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Tokens: w.In.PromptTokens, Avoid: w.Excluded, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 		Sole: true,
 	}
 	return p.placeModel(context.Background(), now, w, &r)
 }
 
 // shared tells where the shared part of a prompt is, for the daemon that places all.
-func (p *placer) shared(now time.Time, w *forward.Work, version int64) (*placement.Held, fleet.EndpointID) {
+func (p *placer) shared(now time.Time, w *forward.PlacementRequest, version int64) (*placement.Held, fleet.EndpointID) {
 	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
 	at := prefix.Affinity(levels)
 	if at < 0 || len(levels) < 2 {
@@ -187,7 +187,7 @@
 }
 
 // sent notes where the shared part of a prompt goes.
-func (p *placer) sent(now time.Time, w *forward.Work, version int64, d *placement.Decision) {
+func (p *placer) sent(now time.Time, w *forward.PlacementRequest, version int64, d *placement.Decision) {
 	levels := prefix.Chain(seedOf(w, version), w.In.Parts)
 	at := prefix.Affinity(levels)
 	if at < 0 || len(levels) < 2 {
@@ -199,7 +199,7 @@
 }
 
 // placeModel places a prompt at an engine of its model.
-func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.Work, r *placement.Request) (forward.Placement, error) {
+func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.PlacementRequest, r *placement.Request) (forward.Placement, error) {
 	v, err := p.versions(w)
 	if err != nil {
 		return forward.Placement{}, err
@@ -243,7 +243,7 @@
 
 // anywhere has the ways lead to any engine, by where the shared part is rather than
 // where its home is.
-func (p *placer) anywhere(now time.Time, w *forward.Work, all []way) {
+func (p *placer) anywhere(now time.Time, w *forward.PlacementRequest, all []way) {
 	for i := range all {
 		at := &all[i]
 		at.levels = func() []prefix.Level { return nil }
@@ -257,7 +257,7 @@
 }
 
 // chooseWay takes the best way to an endpoint that may be tried.
-func (p *placer) chooseWay(now time.Time, w *forward.Work, r *placement.Request, all []way) (weighed, error) {
+func (p *placer) chooseWay(now time.Time, w *forward.PlacementRequest, r *placement.Request, all []way) (weighed, error) {
 	try := *r
 	t := p.tries(r.Avoid, laneOf(w.In.PromptTokens) == laneShort)
 	for t.next() {
@@ -304,14 +304,14 @@
 }
 
 // arrived counts a prompt of this daemon's callers into the split of the engines.
-func (p *placer) arrived(now time.Time, w *forward.Work) {
+func (p *placer) arrived(now time.Time, w *forward.PlacementRequest) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	p.s.lanes.seen(now, laneOf(w.In.PromptTokens), w.In.PromptTokens, w.Service.Engine.Slots)
 }
 
 // versions chooses the weight versions that the request may be bound to.
-func (p *placer) versions(w *forward.Work) (versions, error) {
+func (p *placer) versions(w *forward.PlacementRequest) (versions, error) {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	n := p.s.named[w.In.Model]
@@ -368,14 +368,14 @@
 }
 
 // placed fills in what the endpoint is told.
-func (p *placer) placed(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *way) forward.Placement {
+func (p *placer) placed(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *way) forward.Placement {
 	p.s.mu.Lock()
 	defer p.s.mu.Unlock()
 	e := p.s.roster.Find(d.Endpoint)
 	out := forward.Placement{
 		ID: r.ID, Reason: d.Reason.String(), Wait: d.ExpectedFirst, Cached: d.ExpectedCached, Age: d.LoadAge,
 		Target: forward.Target{Key: e.Key, ID: e.ID, Address: e.Address},
-		Out:    forward.Outbound{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
+		Out:    forward.RouterInfo{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
 	}
 	if w.Organisation != nil {
 		out.Out.Organisation = w.Organisation.Name
@@ -392,7 +392,7 @@
 		reading: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
 	}
 	p.unansweredMu.Unlock()
-	out.Notes = forward.Notes{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Sole}
+	out.Notes = forward.PlacerState{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Sole}
 	out.Out.CacheSalt = salt(w, to.version)
 	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
 	if at := prefix.Affinity(r.Levels); at >= 0 {
--- a/router/quota.go
+++ b/router/quota.go
@@ -141,12 +141,12 @@
 // giveBackLate returns what a request took whose caller left before the verdict.
 func (l *limiter) giveBackLate(org *routes.Organisation, tokens int, later <-chan quota.Verdict) {
 	if v := <-later; v.Admitted {
-		l.GiveBack(org, tokens)
+		l.Refund(org, tokens)
 	}
 }
 
-// GiveBack implements forward.Limiter.
-func (l *limiter) GiveBack(org *routes.Organisation, tokens int) {
+// Refund implements forward.Limiter.
+func (l *limiter) Refund(org *routes.Organisation, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.GiveBack(org.QuotaKey, tokens)
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -212,7 +212,7 @@
 func TestSourceOfABeginning(t *testing.T) {
 	now := time.Hour
 	c := watchOf(t, &now)
-	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Part{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
+	w := &forward.PlacementRequest{In: &forward.RequestInfo{Parts: []prefix.Part{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
 	if h := c.held(w, "v1"); h != nil {
 		t.Errorf("%+v though nobody told anything", h)
--- a/router/router.go
+++ b/router/router.go
@@ -64,7 +64,7 @@
 	CacheFeed CacheFeed // nil: nobody tells of caches
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial    forward.Dial
-	Wire    forward.Wire
+	Wire    forward.HeaderCodec
 	Engines weights.Engines
 	Logs    *logging.Factory
 	Rand    *rand.Rand // seeded
@@ -80,7 +80,7 @@
 	placer  *placer
 	client  *forward.Client
 	front   *http.Server
-	callers *forward.Callers
+	callers *forward.CallerConns
 
 	neighbours *neighbours
 	watch      *cacheWatch
@@ -127,7 +127,7 @@
 		o: o, clock: o.Clock, s: s,
 		placer:  newPlacer(s, &o.Settings, o.Engines, o.Clock, o.Rand),
 		client:  forward.NewClient(o.Wire, o.Dial),
-		callers: forward.NewCallers(),
+		callers: forward.NewCallerConns(),
 		log:     o.Logs.For(logging.PartRouter),
 		metrics: metrics,
 		fold:    fold{most: ordinaryPerSecond}, registered: fold{most: readyPerSecond},
@@ -150,15 +150,15 @@
 	r.front = &http.Server{
 		Handler: forward.NewHandler(forward.Options{
 			Wire: o.Wire, Client: r.client, Placer: r.dispatch,
-			Table:      func() *routes.Table { return s.table.Load() },
-			KeysFresh:  r.keysFresh,
-			KeysAge:    r.keysAge,
-			Leaving:    r.leaving.Load,
-			StopsAt:    r.stopsAt,
-			Callers:    r.callers,
-			Limiter:    r.limits,
-			Quarantine: r.quarantine,
-			Report:     r.report,
+			Table:            func() *routes.Table { return s.table.Load() },
+			KeysFresh:        r.keysFresh,
+			KeysAge:          r.keysAge,
+			Draining:         r.leaving.Load,
+			ShutdownDeadline: r.stopsAt,
+			Callers:          r.callers,
+			Limiter:          r.limits,
+			Quarantine:       r.quarantine,
+			Report:           r.report,
 		}),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
--- a/router/ways.go
+++ b/router/ways.go
@@ -70,7 +70,7 @@
 // idle. Each prompt then goes where it loses least, instead of being late or
 // turned away. An overloaded fleet has no engine that idles, so that shared
 // parts stay at their homes there.
-func ways(w *forward.Work, v versions, in lane, where whereabouts) []way {
+func ways(w *forward.PlacementRequest, v versions, in lane, where whereabouts) []way {
 	once := w.Route != nil && !w.Route.Repeatable()
 	to := func(o otherVersion) func(l lane, loss float64) way {
 		levels, held := levelsOf(w, o.version), heldOf(w, o.version, where)
@@ -102,10 +102,10 @@
 
 // whereabouts tells where the beginning of a prompt is held under a salt; nil: not
 // known.
-type whereabouts func(w *forward.Work, salt string) *placement.Held
+type whereabouts func(w *forward.PlacementRequest, salt string) *placement.Held
 
 // heldOf asks where a prompt's beginning is, once it is needed.
-func heldOf(w *forward.Work, version int64, where whereabouts) func() *placement.Held {
+func heldOf(w *forward.PlacementRequest, version int64, where whereabouts) func() *placement.Held {
 	return sync.OnceValue(func() *placement.Held {
 		if where == nil || len(w.In.Parts) == 0 {
 			return nil
@@ -116,7 +116,7 @@
 
 // levelsOf names the shared beginnings of a prompt under a version. They are worked
 // out when they are first asked for: most prompts need those of one version.
-func levelsOf(w *forward.Work, version int64) func() []prefix.Level {
+func levelsOf(w *forward.PlacementRequest, version int64) func() []prefix.Level {
 	return sync.OnceValue(func() []prefix.Level {
 		return prefix.Chain(seedOf(w, version), w.In.Parts)
 	})
--- a/router/ways_test.go
+++ b/router/ways_test.go
@@ -113,7 +113,7 @@
 // get nothing while it idles.
 func TestLastEngineServesBothLanes(t *testing.T) {
 	short := fakePools{}
-	w := &forward.Work{In: &forward.Inbound{Model: "m"}, Service: &routes.Service{Name: "s"}}
+	w := &forward.PlacementRequest{In: &forward.RequestInfo{Model: "m"}, Service: &routes.Service{Name: "s"}}
 	short[pools.OfModel("s", "m", 3, laneShort)] = time.Second
 	got, err := bestWay(time.Time{}, short, placement.Request{}, ways(w, versions{first: 3}, laneLong, nil), replayTarget)
 	if err != nil || got.pool != pools.OfModel("s", "m", 3, laneShort) {
