--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -11,11 +11,12 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// relayBuffer is what is read from a stream at a time.
-const relayBuffer = 8 << 10
+// relayBufferBytes is the size of the read buffer for streams.
+const relayBufferBytes = 8 << 10
 
-// attempt sends the request to the place. It returns true once the caller has
-// the final answer, and otherwise how the attempt failed.
+// attempt sends the request to the endpoint of the placement and relays its
+// answer. It returns true once the caller has the final answer, and otherwise
+// how the attempt failed.
 func (c *call) attempt(p *Placement) (bool, retry.Attempt) {
 	c.report.Attempts = append(c.report.Attempts, AttemptReport{
 		Endpoint: string(p.Target.Key), Reason: p.Reason, Version: p.Out.Version,
@@ -24,10 +25,11 @@
 	})
 	end := AttemptEnd{Left: true}
 	defer func() {
-		// An abort of the handler passes here as well.
+		// Deferred, so that it also runs when the handler panics with
+		// http.ErrAbortHandler.
 		end.Left = c.r.Context().Err() != nil
-		c.noteAttempt(&end)
-		c.tellQuarantine(p.Target, &end)
+		c.recordResult(&end)
+		c.reportToQuarantine(p.Target, &end)
 		if end.mayHaveRun() {
 			c.quota.ran++
 		}
@@ -35,10 +37,10 @@
 	}()
 	out := c.out
 	out.Header = c.out.Header.Clone()
-	p.Out.Remaining = time.Until(c.work.Deadline)
+	p.Out.Remaining = time.Until(c.req.Deadline)
 	p.Out.LastEvent = c.events.last
 	c.o.Wire.EncodeRequest(out.Header, &p.Out)
-	a, withdrawn, err := c.sendBy(p, &out)
+	a, withdrawn, err := c.sendWithStartDeadline(p, &out)
 	if err != nil {
 		failure := retry.Unknown
 		if errors.Is(err, ErrNotSent) {
@@ -50,17 +52,17 @@
 	last := &c.report.Attempts[len(c.report.Attempts)-1]
 	last.Load, last.Limit = a.Info.Load, a.Info.Limit
 	c.o.Placer.AnswerStarted(p, &a.Info)
-	end = c.take(a)
+	end = c.relayAnswer(a)
 	return end.Whole, retry.Attempt{Endpoint: p.Target.Key, Failure: end.Failure}
 }
 
-// sendBy sends the request, and withdraws it if no answer has begun when the
-// placement's time is over.
+// sendWithStartDeadline sends the request, and withdraws it if no answer has
+// begun by the placement's BeginBy.
 //
-// The request may still wait in the engine's queue for seconds. Without the
-// withdrawal it would begin on weights that are out of bounds by then. It may also
-// have begun just now, so it counts as one that may have run.
-func (c *call) sendBy(p *Placement, out *EndpointRequest) (a *Answer, withdrawn bool, err error) {
+// The request may wait in the engine's queue for seconds. Without the
+// withdrawal it would run on weights whose version is out of bounds by then. It
+// may also have started just before, so it counts as one that may have run.
+func (c *call) sendWithStartDeadline(p *Placement, out *EndpointRequest) (a *Answer, withdrawn bool, err error) {
 	if p.BeginBy.IsZero() {
 		a, err = c.o.Client.Send(c.ctx, p.Target, out)
 		return a, false, err
@@ -74,17 +76,18 @@
 		return nil, withdrawn, err
 	}
 	timer.Stop()
-	// The connection ends with the context, so that it lives as long as the
-	// answer is read.
+	// The end of ctx closes the connection, so it must last until the answer
+	// has been read.
 	context.AfterFunc(c.ctx, cancel)
 	return a, false, nil
 }
 
-func (c *call) noteAttempt(end *AttemptEnd) {
+// recordResult writes the result of the last attempt to the report.
+func (c *call) recordResult(end *AttemptEnd) {
 	r := &c.report.Attempts[len(c.report.Attempts)-1]
-	r.After = time.Since(c.work.Arrived)
+	r.After = time.Since(c.req.Arrived)
 	if end.Lost {
-		r.Lost = lossOf(end.Cause)
+		r.Lost = classifyLoss(end.Cause)
 	}
 	switch {
 	case end.Left:
@@ -100,49 +103,50 @@
 	}
 }
 
-// take passes the answer on, or tells why it can't be.
-func (c *call) take(a *Answer) AttemptEnd {
+// relayAnswer relays the answer to the caller, and returns how the attempt ended.
+func (c *call) relayAnswer(a *Answer) AttemptEnd {
 	success := a.Status >= 200 && a.Status < 300
 	switch {
 	case a.Info.NotRun:
-		_, err := io.Copy(io.Discard, io.LimitReader(a.Body, bufferBytes))
+		_, err := io.Copy(io.Discard, io.LimitReader(a.Body, maxBufferedAnswer))
 		a.Close(err == nil)
 		return AttemptEnd{NotRun: true, Failure: retry.NotRun}
 	case success && !a.Info.Signed:
 		a.Close(false)
 		return AttemptEnd{Failure: retry.Unknown, Lost: true}
-	case success && c.work.Route.Kind == routes.Stream:
+	case success && c.req.Route.Kind == routes.Stream:
 		return c.relayStream(a)
 	}
-	return c.relayPlain(a, success)
+	return c.relayBuffered(a, success)
 }
 
-// relayPlain reads the answer to its end before it passes it on.
-func (c *call) relayPlain(a *Answer, success bool) AttemptEnd {
-	body, err := io.ReadAll(io.LimitReader(a.Body, bufferBytes+1))
-	if err == nil && len(body) > bufferBytes {
-		return c.relayLong(a, body)
+// relayBuffered reads the whole answer before it sends any of it to the caller.
+func (c *call) relayBuffered(a *Answer, success bool) AttemptEnd {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswer+1))
+	if err == nil && len(body) > maxBufferedAnswer {
+		return c.relayUnbuffered(a, body)
 	}
 	a.Close(err == nil)
 	if err != nil {
 		return AttemptEnd{Failure: retry.Broken, Lost: true, Cause: err}
 	}
-	answer := &whole{status: a.Status, header: a.Header, body: body}
+	answer := &bufferedAnswer{status: a.Status, header: a.Header, body: body}
 	if a.Status >= http.StatusInternalServerError && c.retry.Idempotent {
-		// Another endpoint may do better. If nobody does, this is the answer.
+		// Another endpoint may succeed. If none does, the caller gets this answer.
 		c.answer = answer
 		return AttemptEnd{Error: true, Failure: retry.Broken}
 	}
-	if c.begun {
+	if c.headerSent {
 		return AttemptEnd{Failure: retry.Broken, Error: true}
 	}
-	c.pass(answer)
+	c.sendBuffered(answer)
 	return AttemptEnd{Whole: true, Error: !success && a.Status >= http.StatusInternalServerError}
 }
 
-// relayLong passes on an answer that is too long to be held.
-func (c *call) relayLong(a *Answer, begin []byte) AttemptEnd {
-	c.begin(a)
+// relayUnbuffered copies an answer that exceeds maxBufferedAnswer. begin is the
+// part of its body that was already read.
+func (c *call) relayUnbuffered(a *Answer, begin []byte) AttemptEnd {
+	c.sendHeader(a)
 	_, err := c.w.Write(begin)
 	if err == nil {
 		_, err = io.Copy(c.w, a.Body)
@@ -154,26 +158,26 @@
 	return AttemptEnd{Whole: true}
 }
 
-// begin sends the header of an answer that is passed on as it comes.
-func (c *call) begin(a *Answer) {
-	if c.begun {
+// sendHeader sends the header of an unbuffered answer, unless it was sent before.
+func (c *call) sendHeader(a *Answer) {
+	if c.headerSent {
 		return
 	}
-	c.begun = true
+	c.headerSent = true
 	c.report.Status = a.Status
 	copyHeader(c.w.Header(), a.Header)
-	c.closeIfLeaving()
+	c.closeIfDraining()
 	c.w.WriteHeader(a.Status)
 }
 
-// relayStream passes whole events on as they come.
+// relayStream relays a stream event by event.
 func (c *call) relayStream(a *Answer) AttemptEnd {
 	c.events.partial = nil
-	buf := make([]byte, relayBuffer)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, readErr := a.Body.Read(buf)
 		if n > 0 {
-			if end, ok := c.passEvents(a, buf[:n]); !ok {
+			if end, ok := c.relayEvents(a, buf[:n]); !ok {
 				a.Close(false)
 				return end
 			}
@@ -188,8 +192,9 @@
 	}
 }
 
-// passEvents sends the whole events that the bytes complete.
-func (c *call) passEvents(a *Answer, b []byte) (AttemptEnd, bool) {
+// relayEvents sends the caller the events that b completes. It returns false and
+// how the attempt ended if the stream cannot go on.
+func (c *call) relayEvents(a *Answer, b []byte) (AttemptEnd, bool) {
 	out, err := c.events.add(b)
 	if err != nil {
 		return AttemptEnd{Failure: retry.Broken, Lost: true}, false
@@ -197,14 +202,14 @@
 	if len(out) == 0 {
 		return AttemptEnd{}, true
 	}
-	c.begin(a)
+	c.sendHeader(a)
 	if c.report.FirstEvent == 0 {
-		c.report.FirstEvent = time.Since(c.work.Arrived)
+		c.report.FirstEvent = time.Since(c.req.Arrived)
 	}
 	c.retry.Delivered++
-	// A caller that stops reading must not hold the engine's slot for longer
-	// than the request may take.
-	_ = c.rc.SetWriteDeadline(c.work.Deadline.Add(passTime))
+	// A caller that stops reading must not occupy the engine's slot beyond the
+	// request's deadline.
+	_ = c.rc.SetWriteDeadline(c.req.Deadline.Add(answerGrace))
 	if _, err := c.w.Write(out); err != nil {
 		return AttemptEnd{Failure: retry.CallerLeft}, false
 	}
@@ -214,15 +219,14 @@
 	return AttemptEnd{}, true
 }
 
-// endStream takes the end of the endpoint's answer, which its framing says is
-// complete.
+// endStream handles the end of an answer that is complete by its HTTP framing.
 func (c *call) endStream(a *Answer) AttemptEnd {
 	a.Close(true)
-	if rest := c.events.rest(); len(rest) > 0 {
-		// A whole answer ends with a whole event.
+	if rest := c.events.incomplete(); len(rest) > 0 {
+		// A complete answer ends with a complete event.
 		return AttemptEnd{Failure: retry.Broken, Lost: true}
 	}
-	c.begin(a)
+	c.sendHeader(a)
 	_ = c.rc.SetWriteDeadline(time.Time{})
 	return AttemptEnd{Whole: true}
 }
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -8,22 +8,22 @@
 )
 
 // CallerConns tracks the connections of callers, so that idle ones can be closed
-// without cutting a request.
+// without interrupting a request.
 //
-// The HTTP server's own way to close idle connections looks at a state that
-// changes only after a request was read. A connection closed in between takes
-// the request with it after it was passed on to an endpoint: the caller sees a
-// broken connection and does not know whether its request ran. Here a request
-// and the closing of its connection exclude each other.
+// http.Server decides whether a connection is idle by a state that changes only
+// after a request was read. A connection closed in between may carry a request
+// that is forwarded to an endpoint nevertheless: the caller sees a broken
+// connection and does not know whether its request ran. CallerConns makes the
+// start of a request and the closing of its connection mutually exclusive.
 type CallerConns struct {
 	mu   sync.Mutex
 	open map[*callerConn]struct{}
 }
 
-// callerConn is one connection of a caller.
+// callerConn is a connection accepted by a callerListener.
 type callerConn struct {
 	net.Conn
-	of      *CallerConns
+	tracker *CallerConns
 	serving bool
 	closed  bool
 }
@@ -33,7 +33,7 @@
 // NewCallerConns returns a tracker without connections.
 func NewCallerConns() *CallerConns { return &CallerConns{open: map[*callerConn]struct{}{}} }
 
-// Listen wraps a listener so that its connections are tracked.
+// Listen returns a listener that tracks the connections accepted from l.
 func (c *CallerConns) Listen(l net.Listener) net.Listener { return &callerListener{l, c} }
 
 type callerListener struct {
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, err
 	}
-	k := &callerConn{Conn: raw, of: l.callers}
+	k := &callerConn{Conn: raw, tracker: l.callers}
 	l.callers.mu.Lock()
 	l.callers.open[k] = struct{}{}
 	l.callers.mu.Unlock()
@@ -56,21 +56,23 @@
 
 // Close implements net.Conn.
 func (k *callerConn) Close() error {
-	k.of.mu.Lock()
-	delete(k.of.open, k)
+	k.tracker.mu.Lock()
+	delete(k.tracker.open, k)
 	k.closed = true
-	k.of.mu.Unlock()
+	k.tracker.mu.Unlock()
 	return k.Conn.Close()
 }
 
-// Context is for http.Server.ConnContext.
+// Context stores the connection in the context of its requests. Set it as
+// http.Server.ConnContext.
 func (c *CallerConns) Context(ctx context.Context, k net.Conn) context.Context {
 	return context.WithValue(ctx, callerKey{}, k)
 }
 
-// begin claims the request's connection. It returns false if the connection has
-// been closed as idle: the request crossed the close and must not be passed on.
-func (c *CallerConns) begin(ctx context.Context) bool {
+// beginRequest marks the request's connection as serving. It returns false if
+// the connection has been closed as idle in the meantime; the request must not
+// be forwarded then.
+func (c *CallerConns) beginRequest(ctx context.Context) bool {
 	k, ok := ctx.Value(callerKey{}).(*callerConn)
 	if !ok {
 		return true // not served through Listen
@@ -81,9 +83,10 @@
 	return !k.closed
 }
 
-// State is for http.Server.ConnState. A request ends when the server calls the
-// connection idle and not when its handler returns: the end of the answer is
-// written in between, and a connection closed there would cut it off.
+// State marks idle connections as not serving. Set it as http.Server.ConnState.
+// A request ends when the server reports the connection idle and not when its
+// handler returns: the end of the answer is written in between, and closing the
+// connection before that would truncate it.
 func (c *CallerConns) State(k net.Conn, state http.ConnState) {
 	if conn, ok := k.(*callerConn); ok && state == http.StateIdle {
 		c.mu.Lock()
@@ -92,8 +95,8 @@
 	}
 }
 
-// CloseIdle closes the connections that serve no request, and returns how many
-// are left.
+// CloseIdle closes the connections that serve no request, and returns the number
+// of those that remain open.
 func (c *CallerConns) CloseIdle() int {
 	c.mu.Lock()
 	var idle []*callerConn
--- a/forward/callers_test.go
+++ b/forward/callers_test.go
@@ -8,12 +8,11 @@
 	"testing"
 )
 
-// A daemon stops and closes the connections on which nothing happens, while
-// callers send the next request on them. A request that has been passed on to an
-// endpoint must get its answer; one whose connection was closed first must not
-// be passed on. Otherwise callers see a broken connection and cannot tell whether
-// their booking was made.
-func TestIdleCloseNeverMeetsARequest(t *testing.T) {
+// A stopping daemon closes idle connections while callers send further requests on
+// them. A forwarded request must get its answer, and one whose connection was
+// closed first must not be forwarded; otherwise its caller can't know whether it
+// ran.
+func TestCloseIdleDuringRequests(t *testing.T) {
 	callers := NewCallerConns()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -22,7 +21,7 @@
 	var mu sync.Mutex
 	begun, answered := 0, 0
 	server := &http.Server{ConnContext: callers.Context, ConnState: callers.State, Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if !callers.begin(r.Context()) {
+		if !callers.beginRequest(r.Context()) {
 			panic(http.ErrAbortHandler)
 		}
 		mu.Lock()
@@ -56,7 +55,7 @@
 			for range 50 {
 				resp, err := client.Post("http://"+l.Addr().String()+"/", "text/plain", nil)
 				if err != nil {
-					continue // it crossed the close
+					continue // the connection was closed first
 				}
 				if body, err := io.ReadAll(resp.Body); err == nil && string(body) == "done" {
 					mu.Lock()
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -19,48 +19,54 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Times and bounds of connections to endpoints.
+// Timeouts and limits of connections to endpoints.
 const (
-	// dialTimeout is how long a connection may take: endpoints are a few
-	// milliseconds away, and one that does not answer has lost its power.
+	// dialTimeout bounds the set-up of a connection. Endpoints are a few
+	// milliseconds away; one that does not accept in this time is probably
+	// powered off.
 	dialTimeout = 400 * time.Millisecond
-	// unackedTimeout ends a connection whose peer acknowledges nothing. A peer
-	// that lost its power or is behind a partition sends no reset.
+	// unackedTimeout (TCP_USER_TIMEOUT) ends a connection whose peer does not
+	// acknowledge data. A peer that lost power or is behind a network partition
+	// sends no reset.
 	unackedTimeout = 1500 * time.Millisecond
-	// probeAfter is the silence after which the kernel probes the peer.
-	probeAfter = time.Second
-	// reusePart is the part of the endpoint's idle timeout for which a
-	// connection is used again; an endpoint may close it as the next request
-	// is on its way.
-	reusePart = 0.6
-	// reuseDefault holds for endpoints that name no timeout of a whole second.
-	reuseDefault = 300 * time.Millisecond
-	// idlePerEndpoint bounds the connections kept to one endpoint.
-	idlePerEndpoint = 16
-	// strayAnswers bounds the answers of other requests that are skipped
-	// before the one that was waited for.
-	strayAnswers = 4
-	// sendInline is the largest body that is written before the answer is
-	// read. It fits the socket's buffer; a larger one is written meanwhile,
-	// since an endpoint may answer before it has read it.
-	sendInline  = 4 << 10
-	readBuffer  = 4 << 10
-	maxTrailing = 64
+	// keepAliveInterval is the idle time before, and the interval between, TCP
+	// keep-alive probes.
+	keepAliveInterval = time.Second
+	// reuseFraction is the fraction of the endpoint's idle timeout for which a
+	// connection is reused. Close to the timeout, the endpoint may close the
+	// connection while the next request is in transit.
+	reuseFraction = 0.6
+	// defaultReuse is how long a connection is reused if the endpoint states no
+	// idle timeout. Idle timeouts are stated in whole seconds.
+	defaultReuse = 300 * time.Millisecond
+	// maxIdlePerEndpoint bounds the idle connections kept per endpoint.
+	maxIdlePerEndpoint = 16
+	// maxStrayAnswers bounds the responses read for one request: interim
+	// responses, and answers to other requests, are skipped.
+	maxStrayAnswers = 4
+	// maxInlineBody is the largest body that is written before the answer is
+	// read. It fits into the socket buffer. A larger body is written
+	// concurrently, since an endpoint may answer before it has read all of it.
+	maxInlineBody   = 4 << 10
+	readBufferBytes = 4 << 10
+	maxTrailing     = 64
 )
 
 // Errors of an attempt.
 var (
-	// ErrNotSent says that no byte of the request left.
+	// ErrNotSent reports that no byte of the request was sent.
 	ErrNotSent = errors.New("forward: request not sent")
-	// ErrNoAnswer says that the request left and no answer of it came.
-	ErrNoAnswer = errors.New("forward: no answer")
-	errStray    = errors.New("forward: answers of other requests only")
+	// ErrNoAnswer reports that the request was sent, at least in part, and no
+	// answer to it was received.
+	ErrNoAnswer     = errors.New("forward: no answer")
+	errStrayAnswers = errors.New("forward: answers of other requests only")
 )
 
 // Dial opens a connection, as net.Dialer.DialContext does.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Client sends requests to endpoints over connections that it keeps.
+// Client sends requests to endpoints and keeps their connections for reuse. It
+// is safe for concurrent use.
 type Client struct {
 	wire HeaderCodec
 	dial Dial
@@ -70,7 +76,8 @@
 	open map[fleet.EndpointID]int
 }
 
-// NewClient returns a client without connections. dial is nil for TCP.
+// NewClient returns a client without connections. If dial is nil, it uses the
+// dialer returned by Dialer.
 func NewClient(w HeaderCodec, dial Dial) *Client {
 	if dial == nil {
 		d := Dialer()
@@ -82,13 +89,13 @@
 	}
 }
 
-// Dialer returns a dialer whose connections notice a peer that has fallen
-// silent.
+// Dialer returns a TCP dialer whose connections fail soon after the peer stops
+// acknowledging data or keep-alive probes.
 func Dialer() net.Dialer {
 	return net.Dialer{
 		Timeout: dialTimeout,
 		KeepAliveConfig: net.KeepAliveConfig{
-			Enable: true, Idle: probeAfter, Interval: probeAfter, Count: 2,
+			Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: 2,
 		},
 		Control: func(_, _ string, raw syscall.RawConn) error {
 			var err error
@@ -100,16 +107,16 @@
 	}
 }
 
-// conn is one connection to an endpoint.
+// conn is a connection to an endpoint with its read buffer.
 type conn struct {
 	net.Conn
 	key   fleet.EndpointID
 	r     *bufio.Reader
 	used  time.Time
-	reuse time.Duration // how long it may idle
+	reuse time.Duration // idle time after which it is not reused
 }
 
-// Open is the number of connections to the endpoint.
+// Open returns the number of connections to the endpoint, idle or in use.
 func (c *Client) Open(key fleet.EndpointID) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -122,7 +129,7 @@
 		if k == nil {
 			break
 		}
-		if time.Since(k.used) < k.reuse && k.quiet() {
+		if time.Since(k.used) < k.reuse && k.noPendingInput() {
 			return k, nil
 		}
 		c.close(k)
@@ -134,7 +141,7 @@
 	c.mu.Lock()
 	c.open[t.Key]++
 	c.mu.Unlock()
-	return &conn{Conn: raw, key: t.Key, r: bufio.NewReaderSize(raw, readBuffer)}, nil
+	return &conn{Conn: raw, key: t.Key, r: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
 func (c *Client) takeIdle(key fleet.EndpointID) *conn {
@@ -149,9 +156,10 @@
 	return k
 }
 
-// quiet tells whether nothing has come on an idle connection. What has is the
-// end of the connection, or bytes that belong to no request.
-func (k *conn) quiet() bool {
+// noPendingInput reports whether an idle connection has nothing to read. Pending
+// input is either the end of the connection or data that belongs to no request;
+// the connection cannot be reused in both cases.
+func (k *conn) noPendingInput() bool {
 	if k.r.Buffered() > 0 {
 		return false
 	}
@@ -174,7 +182,7 @@
 func (c *Client) put(k *conn) {
 	k.used = time.Now()
 	c.mu.Lock()
-	if len(c.idle[k.key]) < idlePerEndpoint {
+	if len(c.idle[k.key]) < maxIdlePerEndpoint {
 		c.idle[k.key] = append(c.idle[k.key], k)
 		c.mu.Unlock()
 		return
@@ -193,8 +201,8 @@
 	}
 }
 
-// CloseIdle closes connections that have idled too long for another use, and
-// those of endpoints that are gone.
+// CloseIdle closes the connections that have been idle for too long to be reused,
+// and those to endpoints for which known returns false.
 func (c *Client) CloseIdle(known func(fleet.EndpointID) bool) {
 	var old []*conn
 	c.mu.Lock()
@@ -219,37 +227,37 @@
 	}
 }
 
-// EndpointRequest is a request as it goes to an endpoint.
+// EndpointRequest is a request as it is sent to an endpoint.
 type EndpointRequest struct {
 	AttemptID string
 	Method    string
-	URI       string // as the caller sent it
+	URI       string // unchanged from the caller
 	Host      string
 	Header    http.Header
 	Body      []byte
 	HasBody   bool
 }
 
-// Answer is the beginning of an endpoint's answer. Its owner reads Body and
-// calls Close.
+// Answer is an endpoint's answer whose body was not read yet. The caller of Send
+// reads Body and calls Close.
 type Answer struct {
 	Status int
 	Header http.Header
 	Info   AnswerInfo
 	Body   io.Reader
-	Length int64 // -1: not told
+	Length int64 // of the body in bytes; -1: not known
 
 	client *Client
 	conn   *conn
 	resp   *http.Response
-	wrote  *writer
+	write  *requestWrite
 	stop   func() bool
 }
 
-// Send sends the request and waits for the beginning of its answer. The error
-// wraps ErrNotSent, or ErrNoAnswer if the endpoint may have run the request.
-// When the context ends, the connection is closed, which most endpoints take
-// as the end of the request.
+// Send sends the request and waits for the header of its answer. The error wraps
+// ErrNotSent, or ErrNoAnswer if the endpoint may have run the request. When the
+// context ends, the connection is closed, which makes most endpoints cancel the
+// request.
 func (c *Client) Send(ctx context.Context, t Target, o *EndpointRequest) (*Answer, error) {
 	k, err := c.get(ctx, t)
 	if err != nil {
@@ -263,17 +271,18 @@
 		c.close(k)
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
-	a.wrote, a.stop = w, stop
+	a.write, a.stop = w, stop
 	return a, nil
 }
 
-// writer tells when a request has been written.
-type writer struct {
+// requestWrite is a write of a request that may still be in progress. err is
+// valid once done is closed.
+type requestWrite struct {
 	done chan struct{}
 	err  error
 }
 
-func (w *writer) finished() bool {
+func (w *requestWrite) finished() bool {
 	select {
 	case <-w.done:
 		return w.err == nil
@@ -282,13 +291,13 @@
 	}
 }
 
-func (c *Client) write(k *conn, o *EndpointRequest) *writer {
-	w := &writer{done: make(chan struct{})}
+func (c *Client) write(k *conn, o *EndpointRequest) *requestWrite {
+	w := &requestWrite{done: make(chan struct{})}
 	send := func() {
 		defer close(w.done)
 		w.err = writeRequest(k.Conn, o)
 	}
-	if len(o.Body) <= sendInline {
+	if len(o.Body) <= maxInlineBody {
 		send()
 	} else {
 		go send()
@@ -314,11 +323,11 @@
 	return err
 }
 
-// receive reads answers until the one of this attempt. An endpoint may have
-// answered an earlier request on the connection twice; without a look at the
-// id the second one would be taken for this one's.
+// receive reads responses until the one to this attempt. An endpoint may have
+// answered an earlier request on the connection twice; without a comparison of
+// the attempt id, the duplicate would be taken for the answer to this request.
 func (c *Client) receive(k *conn, o *EndpointRequest) (*Answer, error) {
-	for range strayAnswers {
+	for range maxStrayAnswers {
 		resp, err := http.ReadResponse(k.r, &http.Request{Method: o.Method}) //nolint:bodyclose // its owner closes the connection
 		if err != nil {
 			return nil, err
@@ -338,22 +347,22 @@
 			return nil, err
 		}
 	}
-	return nil, errStray
+	return nil, errStrayAnswers
 }
 
-// Close gives the connection back. whole says that the body was read to its
-// end; any other connection can't be used again.
+// Close returns the connection to the pool, or closes it if it can't be reused.
+// whole states that the body was read to its end.
 func (a *Answer) Close(whole bool) {
 	alive := a.stop()
 	framed := a.Length != -1 || chunked(a.resp)
 	reusable := whole && alive && framed && !a.resp.Close
-	if !reusable || !a.wrote.finished() || a.conn.r.Buffered() > 0 {
+	if !reusable || !a.write.finished() || a.conn.r.Buffered() > 0 {
 		a.client.close(a.conn)
 		return
 	}
-	a.conn.reuse = reuseDefault
+	a.conn.reuse = defaultReuse
 	if a.Info.KeepAlive > 0 {
-		a.conn.reuse = time.Duration(reusePart * float64(a.Info.KeepAlive))
+		a.conn.reuse = time.Duration(reuseFraction * float64(a.Info.KeepAlive))
 	}
 	a.client.put(a.conn)
 }
--- a/forward/conn_test.go
+++ b/forward/conn_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// plainWire reads the headers that these tests use.
+// plainWire is a HeaderCodec for the headers that these tests use.
 type plainWire struct{}
 
 func (plainWire) DecodeRequest(h http.Header) RequestInfo {
@@ -32,7 +32,8 @@
 	}
 }
 
-// endpoint answers each request on a connection with the next of the texts.
+// endpoint starts a server that answers the requests of each connection with the
+// given texts in turn. It sends a line on the channel for each request.
 func endpoint(t *testing.T, texts ...string) (Target, <-chan string) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -74,7 +75,7 @@
 	return &EndpointRequest{AttemptID: id, Method: http.MethodPost, URI: "/a//b%2F?c", Host: "h", Header: http.Header{"X": {"1"}}, Body: []byte("q"), HasBody: true}
 }
 
-func read(t *testing.T, c *Client, target Target, id string) (string, error) {
+func sendAndRead(t *testing.T, c *Client, target Target, id string) (string, error) {
 	t.Helper()
 	a, err := c.Send(t.Context(), target, outgoing(id))
 	if err != nil {
@@ -85,17 +86,17 @@
 	return string(body), err
 }
 
-const answered = "HTTP/1.1 200 OK\r\nAttempt-Id: %ID\r\nContent-Length: 5\r\n\r\n%BODY"
+const answerTemplate = "HTTP/1.1 200 OK\r\nAttempt-Id: %ID\r\nContent-Length: 5\r\n\r\n%BODY"
 
-func text(id, body string) string {
-	return strings.NewReplacer("%ID", id, "%BODY", body).Replace(answered)
+func answerText(id, body string) string {
+	return strings.NewReplacer("%ID", id, "%BODY", body).Replace(answerTemplate)
 }
 
-func TestConnectionIsUsedAgainAndBytesAreUnchanged(t *testing.T) {
-	target, seen := endpoint(t, text("a1", "first"), text("a2", "secnd"))
+func TestReusesConnectionAndKeepsRequestBytes(t *testing.T) {
+	target, seen := endpoint(t, answerText("a1", "first"), answerText("a2", "secnd"))
 	c := NewClient(plainWire{}, nil)
 	for i, want := range []string{"first", "secnd"} {
-		got, err := read(t, c, target, []string{"a1", "a2"}[i])
+		got, err := sendAndRead(t, c, target, []string{"a1", "a2"}[i])
 		if err != nil || got != want {
 			t.Errorf("%q, %v", got, err)
 		}
@@ -108,26 +109,26 @@
 	}
 }
 
-// An endpoint answers a request twice, and the second answer comes as the next
-// request is on its way. Without a look at the id that request's caller would
-// get another caller's answer.
-func TestSecondAnswerIsNotGivenToTheNextRequest(t *testing.T) {
-	target, _ := endpoint(t, text("a1", "first"), text("a1", "again")+text("a2", "right"))
+// An endpoint answers a request twice, and the duplicate arrives after the next
+// request was sent. Without a comparison of the attempt ids, the caller of that
+// request would get the answer of another caller.
+func TestSkipsDuplicateAnswer(t *testing.T) {
+	target, _ := endpoint(t, answerText("a1", "first"), answerText("a1", "again")+answerText("a2", "right"))
 	c := NewClient(plainWire{}, nil)
-	if _, err := read(t, c, target, "a1"); err != nil {
+	if _, err := sendAndRead(t, c, target, "a1"); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := read(t, c, target, "a2"); err != nil || got != "right" {
+	if got, err := sendAndRead(t, c, target, "a2"); err != nil || got != "right" {
 		t.Errorf("%q, %v", got, err)
 	}
 }
 
-// The extra answer is already there when the next request is to be sent. The
-// connection must not be used at all.
-func TestConnectionWithStrayBytesIsDropped(t *testing.T) {
-	target, _ := endpoint(t, text("a1", "first")+text("a1", "extra"), text("a2", "wrong"))
+// The duplicate answer has arrived before the next request is sent. The connection
+// must not be reused.
+func TestClosesConnectionWithUnreadBytes(t *testing.T) {
+	target, _ := endpoint(t, answerText("a1", "first")+answerText("a1", "extra"), answerText("a2", "wrong"))
 	c := NewClient(plainWire{}, nil)
-	if _, err := read(t, c, target, "a1"); err != nil {
+	if _, err := sendAndRead(t, c, target, "a1"); err != nil {
 		t.Fatal(err)
 	}
 	if n := c.Open(target.Key); n != 0 {
@@ -135,15 +136,15 @@
 	}
 }
 
-// Nobody listens at the address. The request has not left, and may go elsewhere
-// even if it may run only once.
-func TestRefusedConnectionIsNotSent(t *testing.T) {
+// Nothing listens at the address. The request was not sent, so it may be sent to
+// another endpoint even if it must not run twice.
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	_ = l.Close()
-	_, err = read(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: l.Addr().String()}, "a1")
+	_, err = sendAndRead(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: l.Addr().String()}, "a1")
 	if !errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v", err)
 	}
@@ -171,12 +172,12 @@
 	return l.Addr().String()
 }
 
-// An endpoint takes a request and closes the connection. It may have run it;
-// to say that it has not would let it run twice.
-func TestClosedConnectionIsNoAnswer(t *testing.T) {
+// An endpoint reads a request and closes the connection. It may have run the
+// request, which would run twice if the error were ErrNotSent.
+func TestClosedConnectionReturnsErrNoAnswer(t *testing.T) {
 	for name, reply := range map[string]string{"nothing": "", "half a header": "HTTP/1.1 200 OK\r\nAtt", "no answer at all": "\x00\x01garbage\r\n\r\n"} {
 		t.Run(name, func(t *testing.T) {
-			_, err := read(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: replyOnce(t, reply)}, "a1")
+			_, err := sendAndRead(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: replyOnce(t, reply)}, "a1")
 			if !errors.Is(err, ErrNoAnswer) || errors.Is(err, ErrNotSent) {
 				t.Errorf("error %v", err)
 			}
@@ -184,24 +185,24 @@
 	}
 }
 
-// An endpoint breaks off a body whose length it told, or one in chunks. The
-// reader must see an error and not an end.
-func TestBodyThatBreaksOffIsAnError(t *testing.T) {
+// An endpoint closes the connection within a body with a Content-Length or a
+// chunked one. The reader must get an error and not io.EOF.
+func TestTruncatedBodyReturnsError(t *testing.T) {
 	for name, reply := range map[string]string{
 		"length": "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nContent-Length: 50\r\nConnection: close\r\n\r\nhalf",
 		"chunks": "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nTransfer-Encoding: chunked\r\n\r\n4\r\nhalf\r\n",
 	} {
 		t.Run(name, func(t *testing.T) {
-			if got, err := read(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: replyOnce(t, reply)}, "a1"); err == nil {
-				t.Errorf("taken as whole: %q", got)
+			if got, err := sendAndRead(t, NewClient(plainWire{}, nil), Target{Key: "e", Address: replyOnce(t, reply)}, "a1"); err == nil {
+				t.Errorf("no error for the truncated body %q", got)
 			}
 		})
 	}
 }
 
-// An endpoint answers before it has read a long body and keeps the connection.
-// The next request on it would be read as the rest of that body.
-func TestEarlyAnswerEndsTheConnection(t *testing.T) {
+// An endpoint answers before it has read a long body and keeps the connection
+// open. The next request on it would be read as the rest of that body.
+func TestClosesConnectionAfterEarlyAnswer(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -215,14 +216,14 @@
 		}
 		defer c.Close()
 		if _, err := http.ReadRequest(bufio.NewReader(c)); err == nil {
-			_, _ = io.WriteString(c, text("a1", "early"))
+			_, _ = io.WriteString(c, answerText("a1", "early"))
 		}
 		<-release
 	}()
 	defer close(release)
 	c := NewClient(plainWire{}, nil)
 	o := outgoing("a1")
-	o.Body = make([]byte, 32<<20) // more than the sockets hold
+	o.Body = make([]byte, 32<<20) // more than the socket buffers hold
 	a, err := c.Send(t.Context(), Target{Key: "e", Address: l.Addr().String()}, o)
 	if err != nil {
 		t.Fatal(err)
@@ -236,9 +237,9 @@
 	}
 }
 
-// The caller leaves while the endpoint works. The wait must end at once, and the
-// connection with it, so that the endpoint stops.
-func TestSendEndsWithItsContext(t *testing.T) {
+// The caller disconnects while the endpoint runs the request. Send must return at
+// once and close the connection, so that the endpoint cancels the request.
+func TestSendStopsWithContext(t *testing.T) {
 	target, seen := endpoint(t, "")
 	ctx, cancel := context.WithCancel(t.Context())
 	failed := make(chan error, 1)
--- a/forward/events.go
+++ b/forward/events.go
@@ -6,47 +6,47 @@
 	"strconv"
 )
 
-// maxEventBytes bounds one event of a stream.
+// maxEventBytes bounds the buffered part of an incomplete event.
 const maxEventBytes = 1 << 20
 
 var (
-	eventEnd = []byte("\n\n")
-	idField  = []byte("id:")
-	errLong  = errors.New("forward: event of the stream is too long")
-	errBack  = errors.New("forward: stream goes back to an earlier event")
+	eventEnd        = []byte("\n\n")
+	idField         = []byte("id:")
+	errEventTooLong = errors.New("forward: stream event exceeds the size limit")
+	errEventOrder   = errors.New("forward: stream repeats an earlier event id out of order")
 )
 
-// events cuts a stream into whole events and tells their ids.
+// eventSplitter splits a stream into server-sent events and tracks their ids.
 //
-// An endpoint that dies may stop in the middle of an event. A caller who got
-// the first half of it could not be served the rest by another endpoint, so
-// only whole events are passed on.
-type events struct {
+// An endpoint that fails may stop in the middle of an event. Another endpoint
+// cannot continue within an event, so only complete events are passed on.
+type eventSplitter struct {
 	partial []byte
-	last    int64 // id of the newest whole event; NoEvent: none
+	last    int64 // id of the newest complete event; NoEvent: none
 }
 
-// add takes bytes of the stream and returns those that end whole events which
+// add appends bytes of the stream and returns the events completed by them that
 // the caller does not have yet. The result is valid until the next call.
-func (e *events) add(b []byte) ([]byte, error) {
+func (e *eventSplitter) add(b []byte) ([]byte, error) {
 	e.partial = append(e.partial, b...)
 	end := bytes.LastIndex(e.partial, eventEnd)
 	if end < 0 {
 		if len(e.partial) > maxEventBytes {
-			return nil, errLong
+			return nil, errEventTooLong
 		}
 		return nil, nil
 	}
 	whole := e.partial[:end+len(eventEnd)]
 	rest := append([]byte(nil), e.partial[end+len(eventEnd):]...)
-	out, err := e.fresh(whole)
+	out, err := e.dropDelivered(whole)
 	e.partial = rest
 	return out, err
 }
 
-// fresh drops the events that the caller has already had. An endpoint that
-// takes a stream over may begin a little before the event it was asked for.
-func (e *events) fresh(whole []byte) ([]byte, error) {
+// dropDelivered removes the leading events that the caller already has. An
+// endpoint that resumes a stream may start before the requested event. An old
+// event behind a new one is an error.
+func (e *eventSplitter) dropDelivered(whole []byte) ([]byte, error) {
 	from := 0
 	for at := 0; at < len(whole); {
 		n := bytes.Index(whole[at:], eventEnd) + len(eventEnd)
@@ -54,7 +54,7 @@
 		switch {
 		case !ok:
 		case e.last != NoEvent && id <= e.last && from < at:
-			return nil, errBack
+			return nil, errEventOrder
 		case e.last != NoEvent && id <= e.last:
 			from = at + n
 		default:
@@ -65,9 +65,11 @@
 	return whole[from:], nil
 }
 
-// rest is what stands behind the last whole event.
-func (e *events) rest() []byte { return e.partial }
+// incomplete returns the bytes received after the last complete event.
+func (e *eventSplitter) incomplete() []byte { return e.partial }
 
+// eventID returns the id field of an event, and false if it has none or it is
+// not a number.
 func eventID(event []byte) (int64, bool) {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		if text, ok := bytes.CutPrefix(line, idField); ok {
--- a/forward/events_test.go
+++ b/forward/events_test.go
@@ -7,10 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// A stream comes in pieces of any size. Only whole events may be passed on, each
-// once and in order, also where the endpoint that takes the stream over begins
-// with events that the caller has.
-func TestOnlyWholeNewEventsPass(t *testing.T) {
+// A stream arrives in pieces of any size. Only complete events may be passed on,
+// each once and in order, even if the endpoint that resumes the stream starts with
+// events that the caller has.
+func TestEventSplitterPassesCompleteNewEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(t, "events")
 		had := rapid.IntRange(-1, n).Draw(t, "had")
@@ -23,7 +23,7 @@
 			}
 		}
 		torn := "id: 99\ndata: ha"
-		e := events{last: int64(had)}
+		e := eventSplitter{last: int64(had)}
 		var got strings.Builder
 		rest := all.String() + torn
 		for len(rest) > 0 {
@@ -35,18 +35,18 @@
 			got.Write(out)
 			rest = rest[k:]
 		}
-		if got.String() != want.String() || string(e.rest()) != torn {
-			t.Fatalf("passed %q, rest %q", got.String(), e.rest())
+		if got.String() != want.String() || string(e.incomplete()) != torn {
+			t.Fatalf("passed %q, rest %q", got.String(), e.incomplete())
 		}
 	})
 }
 
-// An endpoint sends an event again in the middle of a stream. To pass it on, or
-// to drop it and go on, would both hide that the stream is out of order.
-func TestStreamThatGoesBackIsBroken(t *testing.T) {
-	e := events{last: NoEvent}
+// An endpoint repeats an event in the middle of a stream. Passing it on or dropping
+// it would hide that the stream is out of order.
+func TestEventSplitterRefusesEarlierEvent(t *testing.T) {
+	e := eventSplitter{last: NoEvent}
 	if _, err := e.add([]byte("id: 5\n\nid: 4\n\n")); err == nil {
-		t.Error("taken")
+		t.Error("no error for an earlier event id")
 	}
 }
 
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -17,48 +17,49 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// Times and bounds of the handler.
+// Timeouts, retry times and limits of the handler.
 const (
-	// passTime is how much longer than an endpoint the handler waits at the end
-	// of a request, so that the endpoint's own last word still passes.
-	passTime = 60 * time.Millisecond
-	// DefaultTimeout bounds requests whose caller names no limit.
+	// answerGrace is how long the handler waits beyond the deadline that it gives
+	// to the endpoint, so that the endpoint's own timeout answer is still relayed.
+	answerGrace = 60 * time.Millisecond
+	// DefaultTimeout bounds requests on routes without a timeout.
 	DefaultTimeout = 60 * time.Second
-	// notYet is when to come back to a daemon that knows no configuration yet.
-	notYet = 500 * time.Millisecond
-	// elsewhere is when to come back if this daemon can't serve but others can.
-	elsewhere = 50 * time.Millisecond
-	// afterFailure is when to come back after attempts that did not run.
-	afterFailure = 100 * time.Millisecond
-	// defaultBodyBytes holds until a configuration names the bound.
+	// retryAfterNoConfig is the Retry-After of a daemon without a configuration.
+	retryAfterNoConfig = 500 * time.Millisecond
+	// retryAfterOtherDaemon is the Retry-After if only this daemon can't serve.
+	retryAfterOtherDaemon = 50 * time.Millisecond
+	// retryAfterFailure is the Retry-After of requests that no endpoint ran.
+	retryAfterFailure = 100 * time.Millisecond
+	// defaultBodyBytes bounds request bodies if the configuration does not.
 	defaultBodyBytes = 4 << 20
-	// bufferBytes is the longest plain answer that is read whole before it is
-	// passed on, so that one that breaks off is never passed on in part.
-	bufferBytes = 512 << 10
-	// statusClientGone marks requests whose caller left, in logs and metrics.
-	statusClientGone = 499
+	// maxBufferedAnswer is the longest non-stream answer that is read completely
+	// before it is relayed, so that a truncated answer never reaches the caller.
+	maxBufferedAnswer = 512 << 10
+	// statusCallerLeft is logged and counted for requests whose caller
+	// disconnected. It is never sent.
+	statusCallerLeft = 499
 )
 
-// Options are what a Handler needs.
+// Options configure a Handler.
 type Options struct {
 	Wire      HeaderCodec
 	Client    *Client
 	Placer    Placer
 	Table     func() *routes.Table // nil result: none yet
-	KeysFresh func() bool          // whether keys may be believed
+	KeysFresh func() bool          // whether API keys were confirmed recently enough
 	KeysAge   func() time.Duration
 	Draining  func() bool // whether callers should open new connections elsewhere
-	// ShutdownDeadline is when the process ends, once the time is over in which callers may
-	// still come to it unknowingly. Zero: it goes on.
+	// ShutdownDeadline returns when the process ends. It is zero until the process
+	// stops and load balancers have had the time to remove it.
 	ShutdownDeadline func() time.Time
 	Callers          *CallerConns
 	Limiter          Limiter // nil: organisations have no rate limits
-	// Quarantine is nil if requests are kept from endpoints by nothing.
+	// Quarantine refuses requests whose endpoints crashed; nil: none are refused.
 	Quarantine quarantine.Gate
 	Report     func(*Report)
 }
 
-// Report is what became of one request.
+// Report describes a request and its result, for logs and metrics.
 type Report struct {
 	ID           string
 	Fingerprint  quarantine.Fingerprint // the zero value: the request was not read
@@ -66,67 +67,67 @@
 	Kind         routes.Kind
 	Organisation string
 	Status       int
-	Code         string // why the router itself answered; empty: the endpoint did
+	Code         string // error code of the router's own answer; empty: the endpoint answered
 	Attempts     []AttemptReport
 	Arrived      time.Time
 	Duration     time.Duration
-	FirstEvent   time.Duration // 0: none
+	FirstEvent   time.Duration // from the arrival; 0: none
 	RetryAfter   time.Duration
 	TableVersion int64
 	KeysAge      time.Duration
 	Deadline     time.Duration
-	Target       time.Duration // objective until the first event; 0: none
+	Target       time.Duration // latency objective for the first event; 0: none
 	Tokens       int           // of the prompt
-	OutputTokens int           // that the caller asks for
-	Refused      *RefusedError // by the placer; nil: it was not
+	OutputTokens int           // maximum requested by the caller
+	Refused      *RefusedError // by the placer; nil: not refused
 	Quota        quota.Verdict // the zero value: the organisation has no rate limit
 }
 
-// AttemptReport is one attempt of a request.
+// AttemptReport describes one attempt of a request.
 type AttemptReport struct {
 	Endpoint string
 	Reason   string
 	Version  int64
-	Wait     time.Duration // expected
+	Wait     time.Duration // expected until the first token
 	LoadAge  time.Duration
 	Cached   int
-	Prefix   string      // shared part that decided the place
-	Fetch    string      // IP:port it was fetched from
-	Saved    bool        // it was sent to the store
-	Load     *fleet.Load // that the answer told; nil: none
-	Limit    *float64    // that the answer named; nil: none
+	Prefix   string      // shared segment that decided the placement
+	Fetch    string      // IP:port that the endpoint fetched the prefix from
+	Saved    bool        // whether the endpoint sent the prefix to the store
+	Load     *fleet.Load // reported with the answer; nil: none
+	Limit    *float64    // reported with the answer; nil: none
 	Result   string
-	Lost     string        // how the connection ended; empty: it did not
+	Lost     string        // how the connection was lost; empty: it was not
 	After    time.Duration // from the request's arrival to the attempt's end
 }
 
-// Handler serves callers.
+// Handler is the http.Handler that forwards the requests of callers.
 type Handler struct{ o Options }
 
 // NewHandler returns a handler with the given options.
 func NewHandler(o Options) *Handler { return &Handler{o: o} }
 
-// call is one request on its way.
+// call is the state of one request.
 type call struct {
 	*Handler
 	w      http.ResponseWriter
 	r      *http.Request
 	rc     *http.ResponseController
-	ctx    context.Context // ends when the caller leaves or the time is over
-	work   PlacementRequest
+	ctx    context.Context // ends when the caller disconnects or after the deadline
+	req    PlacementRequest
 	in     RequestInfo
 	out    EndpointRequest
 	retry  retry.Request
 	report Report
 
-	begun  bool // the answer's header was sent
-	events events
-	answer *whole // an endpoint's own failure, passed on if nothing better comes
-	quota  charge
+	headerSent bool // the answer's header was sent
+	events     eventSplitter
+	answer     *bufferedAnswer // a 5xx answer of an endpoint, sent if no other attempt succeeds
+	quota      quotaCharge
 }
 
-// whole is an answer that was read to its end.
-type whole struct {
+// bufferedAnswer is an answer that was read completely.
+type bufferedAnswer struct {
 	status int
 	header http.Header
 	body   []byte
@@ -134,16 +135,16 @@
 
 // ServeHTTP implements http.Handler.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if !h.o.Callers.begin(r.Context()) {
+	if !h.o.Callers.beginRequest(r.Context()) {
 		panic(http.ErrAbortHandler)
 	}
 	c := &call{Handler: h, w: w, r: r, rc: http.NewResponseController(w), ctx: r.Context()}
-	c.work.Arrived = time.Now()
+	c.req.Arrived = time.Now()
 	c.in = h.o.Wire.DecodeRequest(r.Header)
 	c.events.last = c.in.LastEvent
-	c.report.ID, c.report.Arrived = c.in.AttemptID, c.work.Arrived
+	c.report.ID, c.report.Arrived = c.in.AttemptID, c.req.Arrived
 	defer func() {
-		c.report.Duration = time.Since(c.work.Arrived)
+		c.report.Duration = time.Since(c.req.Arrived)
 		h.o.Report(&c.report)
 	}()
 	c.serve()
@@ -152,7 +153,7 @@
 func (c *call) serve() {
 	t := c.o.Table()
 	if t == nil {
-		c.refuse(http.StatusServiceUnavailable, "no_configuration", notYet)
+		c.refuse(http.StatusServiceUnavailable, "no_configuration", retryAfterNoConfig)
 		return
 	}
 	c.report.TableVersion = t.Version
@@ -163,65 +164,67 @@
 		return
 	}
 	c.report.Route, c.report.Kind = route.Name, route.Kind
-	c.work.Table, c.work.Route = t, route
-	if !c.authenticate() || !c.withinLimit() {
+	c.req.Table, c.req.Route = t, route
+	if !c.authenticate() || !c.withinRateLimit() {
 		return
 	}
-	defer c.settle()
+	defer c.refundNotRun()
 	if !c.readBody() {
 		return
 	}
 	c.setDeadline()
-	ctx, cancel := context.WithDeadline(c.r.Context(), c.work.Deadline.Add(passTime))
+	ctx, cancel := context.WithDeadline(c.r.Context(), c.req.Deadline.Add(answerGrace))
 	defer cancel()
 	c.ctx = ctx
-	c.work.In = &c.in
+	c.req.In = &c.in
 	c.report.Tokens, c.report.OutputTokens = c.in.PromptTokens, c.in.OutputTokens
-	c.work.Service = t.Services[route.Backend(hash.Text(c.in.AttemptID))]
-	if c.work.Service == nil {
-		c.refuse(http.StatusServiceUnavailable, "no_service", afterFailure)
+	c.req.Service = t.Services[route.Backend(hash.Text(c.in.AttemptID))]
+	if c.req.Service == nil {
+		c.refuse(http.StatusServiceUnavailable, "no_service", retryAfterFailure)
 		return
 	}
 	c.retry = retry.Request{
 		Idempotent: route.Repeatable(), Resumable: route.Resumable,
-		Deadline: c.work.Deadline, MaxSent: route.Attempts,
+		Deadline: c.req.Deadline, MaxSent: route.Attempts,
 	}
-	if c.outlivesProcess() {
-		c.refuse(http.StatusServiceUnavailable, "stopping", elsewhere)
+	if c.exceedsShutdown() {
+		c.refuse(http.StatusServiceUnavailable, "stopping", retryAfterOtherDaemon)
 		return
 	}
 	c.prepare()
-	c.identify()
-	if c.quarantined() {
+	c.setFingerprint()
+	if c.refuseQuarantined() {
 		return
 	}
 	c.o.Placer.CountFirstAttempt()
 	c.attempts()
 }
 
-// outlivesProcess tells whether the request may take longer than the process has.
+// exceedsShutdown reports whether the request's deadline lies behind the end of
+// the process.
 //
-// A connection that served a stream while the process was told to stop can bring
-// another request seconds later. If that one were taken, it would be cut with the
-// process, and its caller could not tell whether it ran. Refused, it goes
-// elsewhere at once.
-func (c *call) outlivesProcess() bool {
+// A connection that was serving a stream when the shutdown began can bring
+// another request seconds later. If it were accepted, it would be interrupted by
+// the end of the process, and its caller could not know whether it ran. Refused,
+// it can be sent to another daemon at once.
+func (c *call) exceedsShutdown() bool {
 	end := c.o.ShutdownDeadline()
-	return !end.IsZero() && c.work.Deadline.After(end)
+	return !end.IsZero() && c.req.Deadline.After(end)
 }
 
-// authenticate finds the organisation of the key. It answers and returns false
-// if there is none.
+// authenticate sets the organisation that the API key belongs to. If there is
+// none, it refuses the request and returns false.
 func (c *call) authenticate() bool {
-	t, route := c.work.Table, c.work.Route
+	t, route := c.req.Table, c.req.Route
 	if route.Public || !t.KeysRequired {
 		return true
 	}
 	c.report.KeysAge = c.o.KeysAge()
 	if !c.o.KeysFresh() {
-		// The key may have been taken away meanwhile. Other daemons may know.
+		// The key may have been revoked meanwhile. Another daemon may have a
+		// current list.
 		c.w.Header().Set("Connection", "close")
-		c.refuse(http.StatusServiceUnavailable, "keys_not_confirmed", elsewhere)
+		c.refuse(http.StatusServiceUnavailable, "keys_not_confirmed", retryAfterOtherDaemon)
 		return false
 	}
 	org := t.Organisations[c.in.APIKey]
@@ -229,13 +232,13 @@
 		c.refuse(http.StatusUnauthorized, "key_unknown", 0)
 		return false
 	}
-	c.work.Organisation = org
+	c.req.Organisation = org
 	c.report.Organisation = org.Name
 	return true
 }
 
-// readBody takes the whole request in before it is placed, so that it can be
-// sent again.
+// readBody reads the whole body before the request is placed, so that it can be
+// sent again. If that fails, it refuses the request and returns false.
 func (c *call) readBody() bool {
 	limit := c.bodyLimit()
 	if c.r.ContentLength > limit {
@@ -249,7 +252,7 @@
 		c.refuse(http.StatusRequestEntityTooLarge, "body_too_large", 0)
 		return false
 	case err != nil && c.r.Context().Err() != nil:
-		c.left()
+		c.callerLeft()
 		return false
 	case err != nil:
 		c.refuse(http.StatusBadRequest, "body_unreadable", 0)
@@ -260,28 +263,28 @@
 	return true
 }
 
-// bodyLimit is the longest body in bytes.
+// bodyLimit returns the largest accepted body in bytes.
 func (c *call) bodyLimit() int64 {
-	if limit := c.work.Table.Limits.BodyBytes; limit > 0 {
+	if limit := c.req.Table.Limits.BodyBytes; limit > 0 {
 		return limit
 	}
 	return defaultBodyBytes
 }
 
 func (c *call) setDeadline() {
-	limit := c.work.Route.Timeout
+	limit := c.req.Route.Timeout
 	if limit <= 0 {
 		limit = DefaultTimeout
 	}
 	if c.in.Patience > 0 && c.in.Patience < limit {
 		limit = c.in.Patience
 	}
-	c.work.Deadline = c.work.Arrived.Add(limit)
-	c.report.Deadline, c.report.Target = limit, c.work.Route.Target
+	c.req.Deadline = c.req.Arrived.Add(limit)
+	c.report.Deadline, c.report.Target = limit, c.req.Route.Target
 }
 
-// prepare makes the request that all attempts send, but for the headers that
-// differ.
+// prepare sets the request that all attempts send, apart from the headers set by
+// the HeaderCodec. Hop-by-hop headers are removed.
 func (c *call) prepare() {
 	header := c.r.Header.Clone()
 	for _, names := range header["Connection"] {
@@ -296,31 +299,32 @@
 	c.out.Host, c.out.Header = c.r.Host, header
 }
 
-// identify makes repeats of the request known under any id.
-func (c *call) identify() {
-	c.work.Fingerprint = quarantine.FingerprintOf(c.report.Organisation, c.out.Method, c.out.Host, c.out.URI, c.out.Body)
-	c.report.Fingerprint = c.work.Fingerprint
+// setFingerprint computes the fingerprint by which a repeated request is
+// recognised under any attempt id.
+func (c *call) setFingerprint() {
+	c.req.Fingerprint = quarantine.FingerprintOf(c.report.Organisation, c.out.Method, c.out.Host, c.out.URI, c.out.Body)
+	c.report.Fingerprint = c.req.Fingerprint
 }
 
-// attempts sends the request until it has an answer or is given up.
+// attempts repeats attempts until the caller has an answer or no retry is allowed.
 func (c *call) attempts() {
-	for ; ; c.work.Attempt++ {
-		if !c.mayRepeat() {
+	for ; ; c.req.Attempt++ {
+		if !c.mayRetry() {
 			c.giveUp(retry.Decision{Code: CodeQuarantined})
 			return
 		}
-		p, err := c.o.Placer.Place(c.ctx, &c.work)
+		p, err := c.o.Placer.Place(c.ctx, &c.req)
 		if err != nil {
-			c.unplaced(err)
+			c.answerUnplaced(err)
 			return
 		}
-		c.chargeAgain()
+		c.chargeRetry()
 		done, failed := c.attempt(&p)
 		if done {
 			return
 		}
 		if c.r.Context().Err() != nil {
-			c.left()
+			c.callerLeft()
 			return
 		}
 		d := c.o.Placer.DecideRetry(&c.retry, failed)
@@ -328,8 +332,8 @@
 			c.giveUp(d)
 			return
 		}
-		c.work.Excluded = c.retry.Excluded()
-		c.work.Resuming = c.begun
+		c.req.Excluded = c.retry.Excluded()
+		c.req.Resuming = c.headerSent
 		if !c.pause(d.After) {
 			return
 		}
@@ -348,21 +352,21 @@
 	}
 }
 
-// unplaced gives the final answer of a request that no endpoint takes.
-func (c *call) unplaced(err error) {
+// answerUnplaced sends the final answer to a request that could not be placed.
+func (c *call) answerUnplaced(err error) {
 	var refused *RefusedError
 	if !errors.As(err, &refused) {
-		refused = &RefusedError{Code: err.Error(), RetryAfter: afterFailure}
+		refused = &RefusedError{Code: err.Error(), RetryAfter: retryAfterFailure}
 	}
 	c.report.Refused = refused
 	switch {
 	case c.r.Context().Err() != nil:
-		c.left()
-	case c.begun:
+		c.callerLeft()
+	case c.headerSent:
 		c.report.Code = refused.Code
 		c.abort()
 	case c.answer != nil:
-		c.pass(c.answer)
+		c.sendBuffered(c.answer)
 	case c.mayHaveRun():
 		c.refuse(http.StatusBadGateway, refused.Code, 0)
 	default:
@@ -372,60 +376,60 @@
 
 func (c *call) mayHaveRun() bool { return c.retry.MayHaveRun() }
 
-// giveUp gives the final answer after a failed attempt.
+// giveUp sends the final answer after an attempt that is not retried.
 func (c *call) giveUp(d retry.Decision) {
 	switch {
 	case c.r.Context().Err() != nil:
-		c.left()
-	case c.begun:
+		c.callerLeft()
+	case c.headerSent:
 		c.report.Code = string(d.Code)
-		if time.Now().After(c.work.Deadline) {
+		if time.Now().After(c.req.Deadline) {
 			c.report.Code = string(retry.CodeDeadline)
 		}
 		c.abort()
 	case c.answer != nil:
-		c.pass(c.answer)
-	case c.mayHaveRun() && time.Now().After(c.work.Deadline):
+		c.sendBuffered(c.answer)
+	case c.mayHaveRun() && time.Now().After(c.req.Deadline):
 		c.refuse(http.StatusGatewayTimeout, string(retry.CodeDeadline), 0)
 	case c.mayHaveRun():
 		c.refuse(http.StatusBadGateway, string(d.Code), 0)
 	default:
-		c.refuse(http.StatusServiceUnavailable, string(d.Code), afterFailure)
+		c.refuse(http.StatusServiceUnavailable, string(d.Code), retryAfterFailure)
 	}
 }
 
-// refuse answers in the router's own name.
+// refuse sends an answer of the router's own with the error code as its body.
 func (c *call) refuse(status int, code string, retryAfter time.Duration) {
 	c.report.Status, c.report.Code, c.report.RetryAfter = status, code, retryAfter
 	h := c.w.Header()
 	c.o.Wire.EncodeRefusal(h, c.in.AttemptID, retryAfter)
-	c.closeIfLeaving()
+	c.closeIfDraining()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	c.w.WriteHeader(status)
 	_, _ = io.WriteString(c.w, code+"\n")
 }
 
-func (c *call) closeIfLeaving() {
+func (c *call) closeIfDraining() {
 	if c.o.Draining() {
 		c.w.Header().Set("Connection", "close")
 	}
 }
 
-// left notes that nobody waits any more.
-func (c *call) left() {
-	c.report.Status, c.report.Code = statusClientGone, string(retry.CodeCallerLeft)
+// callerLeft records that the caller disconnected and aborts the handler.
+func (c *call) callerLeft() {
+	c.report.Status, c.report.Code = statusCallerLeft, string(retry.CodeCallerLeft)
 	panic(http.ErrAbortHandler)
 }
 
-// abort ends an answer that has begun so that it can't be taken for a whole
-// one: the connection breaks without the last chunk.
+// abort ends a partly sent answer so that it can't be mistaken for a complete
+// one: the connection closes without the last chunk.
 func (c *call) abort() { panic(http.ErrAbortHandler) }
 
-// pass sends an answer that was read whole.
-func (c *call) pass(a *whole) {
+// sendBuffered sends a buffered answer to the caller.
+func (c *call) sendBuffered(a *bufferedAnswer) {
 	c.report.Status = a.status
 	copyHeader(c.w.Header(), a.header)
-	c.closeIfLeaving()
+	c.closeIfDraining()
 	if c.r.Method != http.MethodHead {
 		c.w.Header().Set("Content-Length", strconv.Itoa(len(a.body)))
 	}
@@ -433,7 +437,7 @@
 	_, _ = c.w.Write(a.body)
 }
 
-// copyHeader copies what concerns the answer and not the connection.
+// copyHeader copies all headers but the hop-by-hop ones.
 func copyHeader(dst, src http.Header) {
 	for name, values := range src {
 		dst[name] = values
@@ -442,7 +446,7 @@
 		dst.Del(name)
 	}
 	if dst.Get("Content-Type") == "" {
-		dst["Content-Type"] = nil // net/http would guess one
+		dst["Content-Type"] = nil // else net/http would detect one
 	}
 	if dst.Get("Date") == "" {
 		dst["Date"] = nil
--- a/forward/handler_test.go
+++ b/forward/handler_test.go
@@ -16,7 +16,7 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// listPlacer places the attempts of a request at a list of endpoints.
+// listPlacer is a Placer that returns the given placements in order.
 type listPlacer struct {
 	places []Placement
 
@@ -50,8 +50,8 @@
 
 func (p *listPlacer) CountFirstAttempt() {}
 
-// serveOn starts a handler of one stream route with the given placer.
-func serveOn(t *testing.T, p Placer, resumable bool, timeout time.Duration, stops time.Time) *httptest.Server {
+// serveStreamRoute starts a server for one stream route with the given placer.
+func serveStreamRoute(t *testing.T, p Placer, resumable bool, timeout time.Duration, stops time.Time) *httptest.Server {
 	t.Helper()
 	table := &routes.Table{
 		Services: map[string]*routes.Service{"s": {Name: "s"}},
@@ -81,7 +81,7 @@
 	return s
 }
 
-// reply is what a caller got.
+// reply is an answer as received by a caller.
 type reply struct {
 	status     int
 	body       string
@@ -106,8 +106,9 @@
 	return reply{resp.StatusCode, string(body), resp.Header.Get("Retry-After"), resp.Close}
 }
 
-// silent takes requests and never answers. It tells when a connection ended.
-func silent(t *testing.T) (Target, <-chan time.Time) {
+// silentEndpoint starts a server that reads requests and never answers. It sends
+// the time at which a connection ended on the channel.
+func silentEndpoint(t *testing.T) (Target, <-chan time.Time) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -131,18 +132,17 @@
 	return Target{Key: "silent@1", ID: "silent", Address: l.Addr().String()}, closed
 }
 
-const streamed = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nResponse-Signature: s\r\nContent-Length: 17\r\n\r\nid: 0\ndata: one\n\n"
+const streamAnswer = "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nResponse-Signature: s\r\nContent-Length: 17\r\n\r\nid: 0\ndata: one\n\n"
 
-// A long prompt waits in its engine's queue, and the bound on the engine's weights
-// comes near. Left there it would begin past the bound, and its caller would get
-// an answer of weights that are out of use. It is withdrawn, so that the engine
-// never begins it, and answered by another one.
-func TestRequestThatHasNotBegunIsWithdrawn(t *testing.T) {
-	first, closed := silent(t)
-	second, _ := endpoint(t, streamed)
+// A long prompt waits in its engine's queue until the engine's weight version is
+// out of bounds. The request must be withdrawn at BeginBy and sent to another
+// endpoint; otherwise it would be answered with outdated weights.
+func TestWithdrawsRequestAtStartDeadline(t *testing.T) {
+	first, closed := silentEndpoint(t)
+	second, _ := endpoint(t, streamAnswer)
 	by := time.Now().Add(100 * time.Millisecond)
 	p := &listPlacer{places: []Placement{{Target: first, BeginBy: by}, {Target: second}}}
-	got := ask(t, serveOn(t, p, true, 10*time.Second, time.Time{}))
+	got := ask(t, serveStreamRoute(t, p, true, 10*time.Second, time.Time{}))
 	if got.status != http.StatusOK || got.body != "id: 0\ndata: one\n\n" {
 		t.Errorf("status %d, body %q", got.status, got.body)
 	}
@@ -152,21 +152,20 @@
 			t.Errorf("withdrawn %v too early", by.Sub(at))
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("the engine still has the request")
+		t.Error("the connection to the engine is still open")
 	}
 	if len(p.ends) != 2 || !p.ends[0].Withdrawn || p.ends[0].Lost || !p.ends[1].Whole {
 		t.Errorf("ended %+v", p.ends)
 	}
 }
 
-// The same with a request that may run only once. It may have begun as it was
-// withdrawn, so it is not sent again, and its caller is not told that it did not
-// run.
-func TestWithdrawnRequestIsNotRunTwice(t *testing.T) {
-	first, _ := silent(t)
-	second, seen := endpoint(t, streamed)
+// A request that must not run twice is withdrawn. It may have started before, so
+// it must not be sent again, and the status must not state that it did not run.
+func TestWithdrawnRequestIsNotRetriedUnlessRepeatable(t *testing.T) {
+	first, _ := silentEndpoint(t)
+	second, seen := endpoint(t, streamAnswer)
 	p := &listPlacer{places: []Placement{{Target: first, BeginBy: time.Now().Add(50 * time.Millisecond)}, {Target: second}}}
-	got := ask(t, serveOn(t, p, false, 10*time.Second, time.Time{}))
+	got := ask(t, serveStreamRoute(t, p, false, 10*time.Second, time.Time{}))
 	if got.status != http.StatusBadGateway {
 		t.Errorf("status %d", got.status)
 	}
@@ -175,9 +174,9 @@
 	}
 }
 
-// An answer that began in time goes on past the bound: its first events are with
-// the caller.
-func TestAnswerThatBeganIsNotWithdrawn(t *testing.T) {
+// An answer that began before BeginBy must continue after it, since the caller
+// already has its first events.
+func TestStartedAnswerPassesStartDeadline(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -192,35 +191,35 @@
 		defer c.Close()
 		_, _ = http.ReadRequest(bufio.NewReader(c))
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nAttempt-Id: a1\r\nResponse-Signature: s\r\nContent-Length: 34\r\n\r\nid: 0\ndata: one\n\n")
-		// The second event comes past the bound. The time is real, as that of sockets
-		// is; a machine that is late only makes the event later, which is the case at hand.
+		// The second event is sent after BeginBy. Sockets need the real clock; a slow
+		// machine only sends the event later, which tests the same case.
 		time.Sleep(time.Until(by.Add(100 * time.Millisecond)))
 		_, _ = io.WriteString(c, "id: 1\ndata: two\n\n")
 	}()
 	p := &listPlacer{places: []Placement{{Target: Target{Key: "e@1", ID: "e", Address: l.Addr().String()}, BeginBy: by}}}
-	got := ask(t, serveOn(t, p, true, 10*time.Second, time.Time{}))
+	got := ask(t, serveStreamRoute(t, p, true, 10*time.Second, time.Time{}))
 	if got.status != http.StatusOK || got.body != "id: 0\ndata: one\n\nid: 1\ndata: two\n\n" {
 		t.Errorf("status %d, body %q", got.status, got.body)
 	}
 }
 
-// A daemon was told to stop 4.5 seconds ago and has 3 seconds left. A connection
-// that was busy until now brings a stream which may take 6 seconds. Taken, it
-// would be cut with the process, and its caller would not know whether it ran. It
-// is refused at once as not run, and the connection ends; a request that can end
-// in time is served.
-func TestRequestThatOutlivesTheProcessIsRefused(t *testing.T) {
+// A daemon that is shutting down ends in 3 s, and a connection that was busy until
+// now brings a stream request which may take 6 s. Accepted, it would be
+// interrupted, and its caller would not know whether it ran. It must be refused
+// as not run and the connection closed; a request with a shorter deadline must be
+// served.
+func TestRefusesRequestBeyondShutdownDeadline(t *testing.T) {
 	stops := time.Now().Add(3 * time.Second)
-	target, seen := endpoint(t, streamed)
+	target, seen := endpoint(t, streamAnswer)
 	refusing := &listPlacer{places: []Placement{{Target: target}}}
-	got := ask(t, serveOn(t, refusing, true, 6*time.Second, stops))
+	got := ask(t, serveStreamRoute(t, refusing, true, 6*time.Second, stops))
 	if got.status != http.StatusServiceUnavailable || got.body != "stopping\n" || got.retryAfter == "" || !got.closes {
 		t.Errorf("got %+v", got)
 	}
 	if len(seen) != 0 || refusing.placed != 0 {
-		t.Error("it was passed on")
+		t.Error("the request was forwarded")
 	}
-	got = ask(t, serveOn(t, refusing, true, time.Second, stops))
+	got = ask(t, serveStreamRoute(t, refusing, true, time.Second, stops))
 	if got.status != http.StatusOK || !got.closes {
 		t.Errorf("short request: %+v", got)
 	}
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -16,7 +16,8 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// countingLimiter admits what it is told to, and counts what is charged.
+// countingLimiter is a Limiter that returns a fixed verdict and counts the charged
+// runs.
 type countingLimiter struct {
 	verdict quota.Verdict
 
@@ -46,10 +47,11 @@
 	return l.charged
 }
 
-const turnedAway = "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
+const notRunAnswer = "HTTP/1.1 503 Service Unavailable\r\nAttempt-Id: a1\r\nNot-Executed: 1\r\nContent-Length: 0\r\n\r\n"
 
-// limited serves one route of an organisation with a rate limit.
-func limited(t *testing.T, p Placer, l Limiter) *httptest.Server {
+// serveLimitedRoute starts a server for one route and one organisation with a rate
+// limit.
+func serveLimitedRoute(t *testing.T, p Placer, l Limiter) *httptest.Server {
 	t.Helper()
 	org := &routes.Organisation{Name: "o", Limit: quota.Limit{PerSecond: 1}}
 	table := &routes.Table{
@@ -63,22 +65,22 @@
 	return serveTable(t, table, p, l, time.Time{})
 }
 
-// A limit counts what endpoints run. If a request that did not run were charged, an
-// organisation would be refused below its limit while engines turn its requests away;
-// if one that ran were given back, it would use more than its limit.
-func TestLimitIsChargedForWhatRan(t *testing.T) {
+// A limit counts the requests that endpoints run. If a request that did not run
+// were charged, an organisation would be refused below its limit while engines
+// refuse its requests; if one that ran were refunded, it would exceed its limit.
+func TestChargesLimitForRunsOnly(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		answers []string
 		status  int
 		charged int
 	}{
-		{"answered", []string{streamed}, http.StatusOK, 1},
+		{"answered", []string{streamAnswer}, http.StatusOK, 1},
 		{"no place", nil, http.StatusServiceUnavailable, 0},
-		{"turned away, then answered", []string{turnedAway, streamed}, http.StatusOK, 1},
-		{"turned away twice", []string{turnedAway, turnedAway}, http.StatusServiceUnavailable, 0},
-		{"broken, then answered", []string{"nonsense\r\n\r\n", streamed}, http.StatusOK, 2},
-		{"broken, then turned away", []string{"nonsense\r\n\r\n", turnedAway}, http.StatusBadGateway, 1},
+		{"turned away, then answered", []string{notRunAnswer, streamAnswer}, http.StatusOK, 1},
+		{"turned away twice", []string{notRunAnswer, notRunAnswer}, http.StatusServiceUnavailable, 0},
+		{"broken, then answered", []string{"nonsense\r\n\r\n", streamAnswer}, http.StatusOK, 2},
+		{"broken, then turned away", []string{"nonsense\r\n\r\n", notRunAnswer}, http.StatusBadGateway, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			p := &listPlacer{}
@@ -88,7 +90,7 @@
 				p.places = append(p.places, Placement{Target: target})
 			}
 			l := &countingLimiter{verdict: quota.Verdict{Admitted: true}}
-			got := ask(t, limited(t, p, l))
+			got := ask(t, serveLimitedRoute(t, p, l))
 			if got.status != c.status || l.runs() != c.charged {
 				t.Errorf("status %d, charged for %d runs; want %d and %d", got.status, l.runs(), c.status, c.charged)
 			}
@@ -96,13 +98,13 @@
 	}
 }
 
-// A caller beyond its organisation's limit sends a long body. It is refused before
-// the body is read and without asking for a place: neither takes anything from
-// callers who are within theirs.
-func TestRequestBeyondTheLimitIsRefusedBeforeItsBody(t *testing.T) {
+// A request beyond its organisation's limit must be refused before its body is read
+// and without a placement, so that it takes no resources from callers within their
+// limits.
+func TestRefusesOverLimitBeforeReadingBody(t *testing.T) {
 	p := &listPlacer{}
 	l := &countingLimiter{verdict: quota.Verdict{RetryAfter: 1500 * time.Millisecond}}
-	s := limited(t, p, l)
+	s := serveLimitedRoute(t, p, l)
 	body, writer := io.Pipe()
 	t.Cleanup(func() { _ = writer.Close() })
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.URL+"/x", body)
@@ -119,16 +121,17 @@
 		t.Errorf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 	}
 	if p.placed > 0 || l.runs() != 0 {
-		t.Errorf("%d places sought, charged for %d runs", p.placed, l.runs())
+		t.Errorf("%d placements, charged for %d runs", p.placed, l.runs())
 	}
 }
 
-// Callers keep a connection and send request after request with bodies while their
-// organisation is at its limit. Each must be refused on its own: a server that leaves a
-// part of a body unread takes it for the next request, or breaks the connection.
-func TestRefusedRequestsKeepTheirConnection(t *testing.T) {
+// A caller sends a series of requests with bodies on one connection while its
+// organisation is at its limit. Each must be refused separately: a server that
+// leaves a part of a body unread parses it as the next request or breaks the
+// connection.
+func TestRefusalKeepsConnectionUsable(t *testing.T) {
 	l := &countingLimiter{verdict: quota.Verdict{RetryAfter: time.Second}}
-	s := limited(t, &listPlacer{}, l)
+	s := serveLimitedRoute(t, &listPlacer{}, l)
 	conns := map[string]bool{}
 	for i := range 20 {
 		req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, s.URL+"/x", strings.NewReader(strings.Repeat("x", 17_000*(i%3))))
@@ -148,6 +151,6 @@
 		}
 	}
 	if len(conns) > 1 {
-		t.Errorf("%d connections for requests one after the other", len(conns))
+		t.Errorf("%d connections for sequential requests", len(conns))
 	}
 }
--- a/forward/loss.go
+++ b/forward/loss.go
@@ -8,18 +8,18 @@
 	"syscall"
 )
 
-// Ways in which a connection to an endpoint ends, for logs.
+// Causes for the loss of a connection to an endpoint, as logged.
 const (
-	lossRefused   = "refused"   // nobody listens there
-	lossReset     = "reset"     // the endpoint, or its kernel, ended it at once
-	lossClosed    = "closed"    // it ended before the answer did
-	lossSilent    = "silent"    // the endpoint's host acknowledged nothing any more
-	lossTimeout   = "timeout"   // the daemon's own time for it was over
-	lossMalformed = "malformed" // what came is no answer
+	lossRefused   = "refused"   // nothing listens at the address
+	lossReset     = "reset"     // reset by the endpoint or its kernel
+	lossClosed    = "closed"    // closed before the end of the answer
+	lossSilent    = "silent"    // the endpoint's host stopped acknowledging
+	lossTimeout   = "timeout"   // closed by this daemon when the context ended
+	lossMalformed = "malformed" // the response can't be parsed or is incomplete
 )
 
-// lossOf names how a connection ended.
-func lossOf(cause error) string {
+// classifyLoss returns how a connection was lost, by the error of the attempt.
+func classifyLoss(cause error) string {
 	var timeout net.Error
 	switch {
 	case errors.Is(cause, os.ErrDeadlineExceeded):
--- a/forward/placer.go
+++ b/forward/placer.go
@@ -10,7 +10,7 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// PlacementRequest is a request that wants a place.
+// PlacementRequest is a request for which an endpoint is to be chosen.
 type PlacementRequest struct {
 	Route        *routes.Route
 	Service      *routes.Service
@@ -20,77 +20,82 @@
 	Fingerprint  quarantine.Fingerprint
 	Arrived      time.Time
 	Deadline     time.Time
-	Excluded     []fleet.EndpointID // tried already
+	Excluded     []fleet.EndpointID // already tried
 	Attempt      int                // from 0
-	Resuming     bool
+	Resuming     bool               // part of the answer was sent by another endpoint
 }
 
-// Placement is where a request goes.
+// Placement is the endpoint chosen for an attempt. It is encoded in messages
+// between daemons.
 type Placement struct {
 	ID     uint64
 	Target Target
 	Out    RouterInfo // without the remaining time and the last event
 	Reason string
 	Wait   time.Duration // expected until the first token
-	Prefix string        // shared part that decided
+	Prefix string        // shared segment that decided the placement
 	Cached int           // prompt tokens expected in the endpoint's cache
-	Age    time.Duration // of what the endpoint last said of its load
+	Age    time.Duration // of the endpoint's last load report
 	// BeginBy is when the request is withdrawn unless its answer has begun. Zero:
-	// it may begin at any time.
+	// no limit.
 	BeginBy time.Time
 	Notes   PlacerState // of the placer
 }
 
-// PlacerState are what the placer keeps with a placement for itself.
+// PlacerState is private data that the placer keeps with a placement.
 type PlacerState struct {
-	Prompt, Engine int       // kinds, by the placer's own numbers
-	Began          time.Time // the answer; zero: it has not
-	// Sole says that the placer places all prompts of the kind.
+	Prompt, Engine int       // subpools of the prompt and the engine, numbered by the placer
+	Began          time.Time // start of the answer; zero: not started
+	// Sole states that the placer places all prompts of the subpool.
 	Sole bool
-	// Dispatcher is the address of the daemon that chose the place, which hears
-	// what became of it; empty: this one.
+	// Dispatcher is the address of the daemon that chose the endpoint and receives
+	// the results of the attempt; empty: this daemon.
 	Dispatcher string
 }
 
-// RefusedError says that no endpoint takes the request now.
+// RefusedError reports that no endpoint can take the request at present.
 type RefusedError struct {
 	Code       string
 	RetryAfter time.Duration
-	Endpoint   string        // the best that was found; empty: none
-	Wait       time.Duration // expected there
-	Age        time.Duration // of what it last said of its load
+	Endpoint   string        // best candidate; empty: none
+	Wait       time.Duration // expected at that endpoint
+	Age        time.Duration // of that endpoint's last load report
 }
 
 func (e *RefusedError) Error() string { return "forward: refused: " + e.Code }
 
-// Placer decides where requests go.
+// Placer chooses the endpoints of requests.
 type Placer interface {
-	// Place chooses and reserves. It returns a *RefusedError.
+	// Place chooses an endpoint and reserves capacity there. It returns a
+	// *RefusedError if there is none.
 	Place(ctx context.Context, w *PlacementRequest) (Placement, error)
-	// AnswerStarted takes the beginning of an answer.
+	// AnswerStarted reports that the header of an answer was received.
 	AnswerStarted(p *Placement, info *AnswerInfo)
-	// AttemptEnded takes the end of an attempt. Every Placement gets one.
+	// AttemptEnded reports the end of an attempt. It is called once for every
+	// Placement.
 	AttemptEnded(p *Placement, end AttemptEnd)
-	// DecideRetry decides what follows a failed attempt.
+	// DecideRetry decides whether a failed attempt is retried.
 	DecideRetry(r *retry.Request, a retry.Attempt) retry.Decision
-	// CountFirstAttempt counts the first attempt of a request.
+	// CountFirstAttempt counts a request towards the retry budget.
 	CountFirstAttempt()
 }
 
-// AttemptEnd is how an attempt ended.
+// AttemptEnd describes how an attempt ended. It is encoded in messages between
+// daemons.
 type AttemptEnd struct {
-	Whole   bool // the endpoint answered, whatever it said
-	Error   bool // with a failure of its own
-	NotRun  bool
+	Whole   bool // the answer was complete, whatever its status
+	Error   bool // the endpoint answered with a server error
+	NotRun  bool // the endpoint reported that it did not run the request
 	Failure retry.Failure
-	Lost    bool  // the connection was refused, lost or fell silent
-	Cause   error `json:"-"` // of the loss; nil: the answer was incomplete though the connection held
-	Left    bool  // the caller did
-	// Withdrawn says that the time was over in which the request had to begin.
+	Lost    bool  // the connection was refused, lost or unresponsive
+	Cause   error `json:"-"` // of the loss; nil: the answer was incomplete on an intact connection
+	Left    bool  // the caller disconnected
+	// Withdrawn states that the answer had not begun by Placement.BeginBy.
 	Withdrawn bool
 }
 
-// mayHaveRun tells whether the endpoint may have worked on the request.
+// mayHaveRun reports whether the endpoint may have run the request, in whole or
+// in part.
 func (e *AttemptEnd) mayHaveRun() bool {
 	return e.Whole || e.Left || !e.NotRun && e.Failure != retry.NotSent
 }
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -6,34 +6,35 @@
 	"github.com/merlindock/merlindock/retry"
 )
 
-// CodeQuarantined is the code of a request that is kept from endpoints, as endpoints
-// that ran it have ended.
+// CodeQuarantined is the error code for a request that is not sent to endpoints
+// because endpoints that ran it crashed.
 const CodeQuarantined = "quarantined"
 
-// quarantined refuses a request that is held. Nothing of it has left for an endpoint.
-func (c *call) quarantined() bool {
+// refuseQuarantined refuses a quarantined request and returns true. It is called
+// before the request is sent to any endpoint.
+func (c *call) refuseQuarantined() bool {
 	if c.o.Quarantine == nil {
 		return false
 	}
-	left, held := c.o.Quarantine.Held(c.work.Fingerprint)
+	left, held := c.o.Quarantine.Held(c.req.Fingerprint)
 	if held {
 		c.refuse(http.StatusServiceUnavailable, CodeQuarantined, left)
 	}
 	return held
 }
 
-// mayRepeat tells whether another endpoint may have the request.
-func (c *call) mayRepeat() bool {
-	return c.work.Attempt == 0 || c.o.Quarantine == nil || c.o.Quarantine.MayRepeat(c.work.Fingerprint)
+// mayRetry reports whether the quarantine allows another attempt.
+func (c *call) mayRetry() bool {
+	return c.req.Attempt == 0 || c.o.Quarantine == nil || c.o.Quarantine.MayRepeat(c.req.Fingerprint)
 }
 
-// tellQuarantine tells how an attempt ended.
-func (c *call) tellQuarantine(t Target, end *AttemptEnd) {
+// reportToQuarantine reports the end of an attempt to the quarantine.
+func (c *call) reportToQuarantine(t Target, end *AttemptEnd) {
 	switch {
 	case c.o.Quarantine == nil || end.NotRun || end.Left:
 	case end.Whole || end.Error:
-		c.o.Quarantine.Answered(c.work.Fingerprint)
-	case end.Lost && end.Failure != retry.NotSent && lossOf(end.Cause) != lossTimeout:
-		c.o.Quarantine.Lost(c.work.Fingerprint, t.Key, t.Address)
+		c.o.Quarantine.Answered(c.req.Fingerprint)
+	case end.Lost && end.Failure != retry.NotSent && classifyLoss(end.Cause) != lossTimeout:
+		c.o.Quarantine.Lost(c.req.Fingerprint, t.Key, t.Address)
 	}
 }
--- a/forward/wire.go
+++ b/forward/wire.go
@@ -1,11 +1,11 @@
-// Package forward carries requests from callers to endpoints and the answers
-// back, byte for byte.
+// Package forward is the reverse proxy between callers and endpoints. Bodies of
+// requests and answers pass unchanged.
 //
-// The handler follows one set of steps for each request: match the route, check
-// the key, place, send, relay, and after a failure decide whether to go on
-// elsewhere or give the final answer at once. The decisions are taken behind
-// the interfaces of Options and in package retry; what headers are called is
-// known to the Wire alone.
+// For each request, the handler matches the route, authenticates the API key,
+// has an endpoint chosen, sends the request and relays the answer. After a
+// failure it either tries another endpoint or sends the final answer. The
+// decisions are made behind the interfaces of Options and in package retry; only
+// the HeaderCodec knows the names of headers.
 package forward
 
 import (
@@ -16,61 +16,65 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// NoEvent and NoUrgency stand for values that are not given.
+// NoEvent and NoUrgency are the values of LastEvent and Urgency if none is given.
 const (
 	NoEvent   = int64(-1)
 	NoUrgency = -1
 )
 
-// RequestInfo is what a caller's headers say.
+// RequestInfo holds the values of a request's headers. It is encoded in messages
+// between daemons.
 type RequestInfo struct {
 	AttemptID    string
 	APIKey       string
-	Patience     time.Duration // how long the caller will wait; 0: not told
+	Patience     time.Duration // timeout of the caller; 0: not given
 	Model        string
 	Parts        []prefix.Part // of the prompt, in order
 	PromptTokens int
 	OutputTokens int   // at most
-	LikelyOutput int   // estimated by the caller; 0: not told
-	QuotaTokens  int   // that rate limits count; negative: not told
-	LastEvent    int64 // the stream goes on behind this event; NoEvent: from the start
+	LikelyOutput int   // estimated by the caller; 0: not given
+	QuotaTokens  int   // counted by rate limits; negative: not given
+	LastEvent    int64 // the stream resumes after this event; NoEvent: from the start
 }
 
-// RouterInfo is what the router itself tells an endpoint.
+// RouterInfo holds the values of the headers that the router sets on a request.
+// It is encoded in messages between daemons.
 type RouterInfo struct {
-	Remaining    time.Duration // after which the endpoint stops work
-	EndpointID   string        // any other endpoint refuses
+	Remaining    time.Duration // until the endpoint stops the request
+	EndpointID   string        // any other endpoint refuses the request
 	Organisation string
-	CacheSalt    string // only entries under the same salt are reused
-	Version      int64  // an engine with other weights refuses; 0: any
-	Urgency      int    // 0 to 9, 0 first
-	FetchFrom    string // IP:port of an engine or store that may hold parts of the prompt
-	SaveTo       string // IP:port of the store that the parts are sent to
+	CacheSalt    string // only cache entries with the same salt are reused
+	Version      int64  // an engine with another weight version refuses; 0: any
+	Urgency      int    // 0 to 9, 0 is the most urgent
+	FetchFrom    string // IP:port of an engine or store that may hold segments of the prompt
+	SaveTo       string // IP:port of the store that the segments are sent to
 	LastEvent    int64
 }
 
-// AnswerInfo is what the headers of an answer say.
+// AnswerInfo holds the values of an answer's headers. It is encoded in messages
+// between daemons.
 type AnswerInfo struct {
 	AttemptID  string
-	Signed     bool // by the endpoint that made it
-	NotRun     bool // the endpoint did no part of the request
-	Misplaced  bool // it is another endpoint, or has other weights
+	Signed     bool // by the endpoint that generated it
+	NotRun     bool // the endpoint ran no part of the request
+	Misplaced  bool // another endpoint answered, or it has another weight version
 	EndpointID string
-	Version    int64       // weights at the start of the answer; 0: not told
-	Load       *fleet.Load // nil: not told
+	Version    int64       // of the weights at the start of the answer; 0: not given
+	Load       *fleet.Load // nil: not given
 	KeepAlive  time.Duration
-	// Limit is how many requests a second the endpoint takes of all daemons
-	// together; nil: it names none.
+	// Limit is how many requests/s the endpoint accepts from all daemons together;
+	// nil: not given.
 	Limit *float64
 }
 
-// HeaderCodec knows the names of headers.
+// HeaderCodec reads and writes the headers of the platform.
 type HeaderCodec interface {
 	DecodeRequest(h http.Header) RequestInfo
-	// EncodeRequest replaces what only the router may set.
+	// EncodeRequest sets the headers in o and removes those of the caller that
+	// only the router may set.
 	EncodeRequest(h http.Header, o *RouterInfo)
 	DecodeAnswer(status int, h http.Header) AnswerInfo
-	// EncodeRefusal marks an answer of the router's own.
+	// EncodeRefusal sets the headers of an answer by the router itself.
 	EncodeRefusal(h http.Header, attemptID string, retryAfter time.Duration)
 }
 
@@ -81,7 +85,7 @@
 	Address string
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers, which are not forwarded.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Transfer-Encoding", "Te", "Trailer", "Upgrade",
 	"Proxy-Authenticate", "Proxy-Authorization", "Content-Length", "Expect",
