--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// lead is the time before the traffic in which daemons meet.
-const lead = 3 * time.Second
+// warmUp is the time before the traffic in which daemons meet.
+const warmUp = 3 * time.Second
 
 // All of an organisation's traffic comes to a few daemons, and seconds later to
 // others. With parts that follow demand, the daemons that it left would still have
 // theirs; it must get its limit wherever it comes.
-func TestLimitFollowsTheTrafficToOtherDaemons(t *testing.T) {
+func TestLimitFollowsTraffic(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 3, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	for _, at := range [][]int{{1, 2, 3, 4}, {40, 41, 42}, {70, 5}} {
-		some := times(traffic, 1)
+		some := scaleTraffic(traffic, 1)
 		for i := range some {
 			some[i].at = at
 		}
 		w.play(6*time.Second, some)
 	}
-	mustLoseFew(t, w)
+	checkWrongRefusals(t, w)
 	w.check()
 }
 
@@ -30,17 +30,17 @@
 // while and reaches the engines. No side knows what the other admits, and together
 // they must stay within the limit, also while organisations send many times their
 // usual.
-func TestCutDaemonsStayWithinTheLimitTogether(t *testing.T) {
+func TestPartitionedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	for seed := range uint64(4) {
 		w := newWorld(t, 10+seed, 73, limits)
-		w.play(lead, nil)
+		w.play(warmUp, nil)
 		w.play(3*time.Second, traffic)
 		apart := func(i int) bool { return (uint64(i)+seed)%5 == 0 }
 		w.cut = func(a, b int) bool { return apart(a) || apart(b) }
-		w.play(8*time.Second, times(traffic, 5))
+		w.play(8*time.Second, scaleTraffic(traffic, 5))
 		w.cut = nil
-		w.play(6*time.Second, times(traffic, 5))
+		w.play(6*time.Second, scaleTraffic(traffic, 5))
 		w.check()
 	}
 }
@@ -48,28 +48,28 @@
 // The daemons fall into two halves that do not hear of each other. Each half finds
 // an owner of its own for each organisation; with the whole limit lent by both, twice
 // the limit would be used.
-func TestTwoHalvesShareTheLimit(t *testing.T) {
+func TestEvenPartitionStaysWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 20, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.cut = func(a, b int) bool { return a%2 != b%2 }
-	w.play(14*time.Second, times(traffic, 6))
+	w.play(14*time.Second, scaleTraffic(traffic, 6))
 	w.cut = nil
-	w.play(8*time.Second, times(traffic, 6))
+	w.play(8*time.Second, scaleTraffic(traffic, 6))
 	w.check()
 }
 
 // Owners are killed one after the other, each at the worst moment: while it lends to
 // organisations at their limit. Whoever follows knows nothing of what was lent.
-func TestKilledOwnersBringNoSecondBurst(t *testing.T) {
+func TestOwnerCrashGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 30, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	for range 6 {
 		owner := w.byAddr[w.nodes[50].node.shards[0].owner.Address]
-		w.play(1500*time.Millisecond, times(traffic, 6))
+		w.play(1500*time.Millisecond, scaleTraffic(traffic, 6))
 		owner.down = true
-		w.play(1500*time.Millisecond, times(traffic, 6))
+		w.play(1500*time.Millisecond, scaleTraffic(traffic, 6))
 		w.restart(owner)
 	}
 	w.check()
@@ -77,10 +77,10 @@
 
 // An owner freezes with questions in its sockets, others take its place, and it wakes
 // and answers. What it lends then must count nowhere.
-func TestFrozenOwnerThatWakesLendsNothingTwice(t *testing.T) {
+func TestPausedOwnerLendsNothingTwice(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 40, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	for range 3 {
 		var frozen []*machine
 		for s := range Shards {
@@ -89,41 +89,41 @@
 				frozen = append(frozen, m)
 			}
 		}
-		w.play(4*time.Second, times(traffic, 4))
+		w.play(4*time.Second, scaleTraffic(traffic, 4))
 		for _, m := range frozen {
-			w.thaw(m)
+			w.resume(m)
 		}
-		w.play(2*time.Second, times(traffic, 4))
+		w.play(2*time.Second, scaleTraffic(traffic, 4))
 	}
 	w.check()
 }
 
 // All daemons are killed at the same moment and start again, twice within a window.
 // Each start must not bring another burst of the limit.
-func TestRestartOfAllBringsNoSecondBurst(t *testing.T) {
+func TestRestartOfAllDaemonsGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 50, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	for range 3 {
-		w.play(2*time.Second, times(traffic, 7))
+		w.play(2*time.Second, scaleTraffic(traffic, 7))
 		for _, m := range w.nodes {
 			w.restart(m)
 		}
 	}
-	w.play(8*time.Second, times(traffic, 7))
+	w.play(8*time.Second, scaleTraffic(traffic, 7))
 	w.check()
-	if h := w.use[traffic[0].key]; h.most() < 0.7*h.limit.PerSecond*window.Seconds() {
-		t.Errorf("after the restarts only %.0f of %.0f units a second were used", h.most()/window.Seconds(), h.limit.PerSecond)
+	if h := w.use[traffic[0].key]; h.peakUse() < 0.7*h.limit.PerSecond*window.Seconds() {
+		t.Errorf("after the restarts only %.0f of %.0f units a second were used", h.peakUse()/window.Seconds(), h.limit.PerSecond)
 	}
 }
 
 // Three quarters more daemons are added while organisations are at their limits. Some
 // hear of it later than others, and count with parts of different sizes.
-func TestAddedDaemonsBringNoMore(t *testing.T) {
+func TestAddedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 60, 73, limits)
-	w.play(lead, nil)
-	w.play(4*time.Second, times(traffic, 5))
+	w.play(warmUp, nil)
+	w.play(4*time.Second, scaleTraffic(traffic, 5))
 	for i := 73; i < 128; i++ {
 		w.add(i)
 		m := w.nodes[i]
@@ -131,20 +131,20 @@
 		m.node.SetLimits(w.now, limits)
 	}
 	for _, m := range w.nodes {
-		w.play(5*time.Millisecond, times(traffic, 5))
+		w.play(5*time.Millisecond, scaleTraffic(traffic, 5))
 		m.node.SetDaemons(w.list())
 	}
-	w.play(8*time.Second, times(traffic, 5))
+	w.play(8*time.Second, scaleTraffic(traffic, 5))
 	w.check()
 }
 
 // A limit is lowered far below its use, and some daemons hear of it two seconds late.
 // From one window after the last has heard of it the lower one must hold; one that is
 // raised or removed must be felt at once.
-func TestChangedLimitsHold(t *testing.T) {
+func TestChangedLimitsTakeEffect(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 70, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.play(3*time.Second, traffic)
 	lower := map[Key]Limit{}
 	for key, l := range limits {
@@ -170,7 +170,7 @@
 		m.node.SetLimits(w.now, nil)
 	}
 	before := w.use[traffic[0].key].refused
-	w.play(2*time.Second, times(traffic, 3))
+	w.play(2*time.Second, scaleTraffic(traffic, 3))
 	if h := w.use[traffic[0].key]; h.refused > before {
 		t.Errorf("%d requests refused by a limit that was removed", h.refused-before)
 	}
@@ -178,40 +178,40 @@
 
 // A twentieth of the messages is lost, some come twice and some a second late. Owners
 // must neither lend twice nor be taken for gone.
-func TestLostLateAndDoubledMessages(t *testing.T) {
+func TestLostDelayedAndDuplicatedMessages(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 80, 73, limits)
 	w.loss, w.double, w.late = 0.05, 0.05, 0.01
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.play(12*time.Second, traffic)
-	mustLoseFew(t, w)
-	w.play(10*time.Second, times(traffic, 5))
+	checkWrongRefusals(t, w)
+	w.play(10*time.Second, scaleTraffic(traffic, 5))
 	w.check()
 }
 
 // The clocks of the daemons are hours apart: only differences of one clock may count.
-func TestClocksOfDaemonsAreNotCompared(t *testing.T) {
+func TestIgnoresClockDifferences(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 90, 73, limits)
 	for i, m := range w.nodes {
 		m.skew = time.Duration(i%7) * time.Hour
 	}
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.play(8*time.Second, traffic)
-	mustLoseFew(t, w)
-	w.play(10*time.Second, times(traffic, 6))
+	checkWrongRefusals(t, w)
+	w.play(10*time.Second, scaleTraffic(traffic, 6))
 	w.check()
 }
 
 // A third of the admitted requests does not run and gives back what it took. The
 // organisation must be able to use that, and others must not.
-func TestGivenBackTokensAreUsedAgain(t *testing.T) {
+func TestRefundedTokensAreReused(t *testing.T) {
 	key := KeyOf("org")
-	n := NewNode(Options{Me: Daemon{Name: "a", Address: "1.1.1.1:1"}, Tolerance: tolerance, Rand: newWorld(t, 1, 1, nil).rng})
-	n.SetDaemons([]Daemon{n.o.Me})
+	n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Tolerance: tolerance, Rand: newWorld(t, 1, 1, nil).rng})
+	n.SetDaemons([]Daemon{n.o.Self})
 	n.SetLimits(0, map[Key]Limit{key: {PerSecond: 1000, Burst: 1000, Unit: Tokens}})
 	now := time.Duration(0)
-	for ; now < lead; now += 100 * time.Millisecond {
+	for ; now < warmUp; now += 100 * time.Millisecond {
 		n.Tick(now)
 	}
 	ran := 0
@@ -227,7 +227,7 @@
 			}
 			return
 		case i%3 == 0:
-			n.GiveBack(key, 500)
+			n.Refund(key, 500)
 		default:
 			ran += 500
 		}
@@ -237,28 +237,28 @@
 
 // A request runs a second time after its first attempt broke off. Both count, so that
 // the next one finds less.
-func TestSecondRunIsCharged(t *testing.T) {
-	a := &account{limit: Limit{PerSecond: 100, Unit: Tokens}, turnsAt: time.Hour}
+func TestChargesSecondRun(t *testing.T) {
+	a := &account{limit: Limit{PerSecond: 100, Unit: Tokens}, expiresAt: time.Hour}
 	a.add(100)
 	n := &Node{accounts: map[Key]*account{1: a}}
 	n.Charge(1, 80)
-	if a.balance() != 20 || a.take(30) {
+	if a.balance() != 20 || a.spend(30) {
 		t.Errorf("%.0f tokens left", a.balance())
 	}
-	n.GiveBack(1, 80)
-	if !a.take(30) {
+	n.Refund(1, 80)
+	if !a.spend(30) {
 		t.Error("what was given back is not there")
 	}
 }
 
 // A daemon without any other has the whole limit: a deployment of one must not refuse
 // what its only daemon owes.
-func TestDaemonAloneHasTheWholeLimit(t *testing.T) {
+func TestSingleDaemonHasWholeLimit(t *testing.T) {
 	limits, traffic := organisations(0.8, 100_000)
 	w := newWorld(t, 100, 1, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.play(20*time.Second, traffic)
-	mustLoseFew(t, w)
+	checkWrongRefusals(t, w)
 	w.check()
 	if w.sent > 0 {
 		t.Errorf("%d messages to nobody", w.sent)
@@ -267,18 +267,18 @@
 
 // A daemon's process stops. The others must turn elsewhere at once, without requests
 // that wait for an answer in vain.
-func TestLeavingOwnerHandsOver(t *testing.T) {
+func TestLeavingOwnerIsReplacedAtOnce(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 110, 73, limits)
-	w.play(lead, nil)
+	w.play(warmUp, nil)
 	w.play(3*time.Second, traffic)
 	for s := range Shards {
-		w.byAddr[w.nodes[50].node.shards[s].owner.Address].node.Leave()
+		w.byAddr[w.nodes[50].node.shards[s].owner.Address].node.StopLending()
 	}
 	w.play(5*time.Second, traffic)
 	for _, h := range w.use {
 		for _, d := range h.waits {
-			if d > firstPatience {
+			if d > replyTimeout {
 				t.Fatalf("a request waited %v", d)
 			}
 		}
--- a/quota/message.go
+++ b/quota/message.go
@@ -9,8 +9,8 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMessage reports a message that no daemon of this release sends.
-var ErrMessage = errors.New("quota: message is malformed")
+// ErrMalformed reports a message that no daemon of this release sends.
+var ErrMalformed = errors.New("quota: message is malformed")
 
 // Kinds of message, with the version of their layout.
 const (
@@ -20,32 +20,32 @@
 
 // Bounds of messages. One fits into a datagram on links of any usual size.
 const (
-	maxEntries  = 32
-	maxUnits    = 1 << 40
-	partUnit    = 1 << 24 // parts are sent in units of one over this
-	usedUnit    = 1000    // use is sent in thousandths of the limit
-	lentUnit    = 1000    // what is lent is sent in thousandths of a unit, rounded down
-	maxHold     = 10 * time.Second
-	maxAgain    = time.Minute
-	MaxDatagram = 1400 // bytes
+	maxEntries    = 32
+	maxUnits      = 1 << 40
+	fractionScale = 1 << 24 // parts are sent in units of one over this
+	usedScale     = 1000    // use is sent in thousandths of the limit
+	lentScale     = 1000    // what is lent is sent in thousandths of a unit, rounded down
+	maxHold       = 10 * time.Second
+	maxAgain      = time.Minute
+	MaxDatagram   = 1400 // bytes
 )
 
 // ask is what a daemon pledges to the owner of a shard and asks of it.
 type ask struct {
-	Nonce   uint64 // of the sender's process
-	Seq     uint64 // grows with each question of the process
-	Shard   int
-	Part    float64       // the sender's part of the limits
-	Hold    time.Duration // for which it is pledged; 0: it is pledged elsewhere
-	Entries []askEntry
+	Nonce    uint64 // of the sender's process
+	Seq      uint64 // grows with each question of the process
+	Shard    int
+	Fraction float64       // the sender's part of the limits
+	Hold     time.Duration // for which it is pledged; 0: it is pledged elsewhere
+	Entries  []askEntry
 }
 
 // askEntry is the question for one organisation, in units of its limit.
 type askEntry struct {
-	Key     Key
-	Need    float64 // of requests that wait
-	Ahead   float64 // of those that probably come next
-	Refused float64 // of those turned away since the last question
+	Key      Key
+	Need     float64 // of requests that wait
+	Ahead    float64 // of those that probably come next
+	Rejected float64 // of those turned away since the last question
 }
 
 // reply is an owner's answer.
@@ -77,13 +77,13 @@
 	b := []byte{kindAsk, byte(a.Shard)}
 	b = binary.LittleEndian.AppendUint64(b, a.Nonce)
 	b = binary.AppendUvarint(b, a.Seq)
-	b = binary.AppendUvarint(b, uint64(a.Part*partUnit))
+	b = binary.AppendUvarint(b, uint64(a.Fraction*fractionScale))
 	b = appendMillis(b, a.Hold)
 	for _, e := range a.Entries[:min(len(a.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
 		b = appendUnits(b, e.Need)
 		b = appendUnits(b, e.Ahead)
-		b = appendUnits(b, e.Refused)
+		b = appendUnits(b, e.Rejected)
 	}
 	return b
 }
@@ -97,10 +97,10 @@
 	b = binary.AppendUvarint(b, r.Seq)
 	for _, e := range r.Entries[:min(len(r.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
-		b = appendUnits(b, math.Floor(e.Lent*lentUnit))
+		b = appendUnits(b, math.Floor(e.Lent*lentScale))
 		b = appendMillis(b, e.Again)
 		b = appendMillis(b, e.Retry)
-		b = appendUnits(b, e.Used*usedUnit)
+		b = appendUnits(b, e.Used*usedScale)
 	}
 	return b
 }
@@ -122,19 +122,19 @@
 func decodeAsk(b []byte) (ask, error) {
 	r := &reader{wire.Reader{Rest: b}}
 	if r.Byte() != kindAsk {
-		return ask{}, ErrMessage
+		return ask{}, ErrMalformed
 	}
 	a := ask{Shard: r.shard(), Nonce: r.Uint64(), Seq: r.Uvarint(math.MaxUint64)}
-	a.Part = float64(r.Uvarint(partUnit)) / partUnit
+	a.Fraction = float64(r.Uvarint(fractionScale)) / fractionScale
 	a.Hold = r.Millis(maxHold)
 	for r.More() {
 		if len(a.Entries) == maxEntries {
-			return ask{}, ErrMessage
+			return ask{}, ErrMalformed
 		}
-		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Ahead: r.units(), Refused: r.units()})
+		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Ahead: r.units(), Rejected: r.units()})
 	}
 	if r.Bad {
-		return ask{}, ErrMessage
+		return ask{}, ErrMalformed
 	}
 	return a, nil
 }
@@ -142,17 +142,17 @@
 func decodeReply(b []byte) (reply, error) {
 	r := &reader{wire.Reader{Rest: b}}
 	if r.Byte() != kindReply {
-		return reply{}, ErrMessage
+		return reply{}, ErrMalformed
 	}
 	out := reply{Shard: r.shard(), Leaving: r.Byte() == 1, Seq: r.Uvarint(math.MaxUint64)}
 	for r.More() {
 		if len(out.Entries) == maxEntries {
-			return reply{}, ErrMessage
+			return reply{}, ErrMalformed
 		}
-		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentUnit, Again: r.Millis(maxAgain), Retry: r.Millis(maxAgain), Used: r.units() / usedUnit})
+		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentScale, Again: r.Millis(maxAgain), Retry: r.Millis(maxAgain), Used: r.units() / usedScale})
 	}
 	if r.Bad {
-		return reply{}, ErrMessage
+		return reply{}, ErrMalformed
 	}
 	return out, nil
 }
--- a/quota/message_test.go
+++ b/quota/message_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-func TestMessagesComeThroughWhole(t *testing.T) {
-	a := ask{Nonce: 7, Seq: 1 << 40, Shard: 3, Part: 1.0 / 64, Hold: pledgeTime, Entries: []askEntry{
-		{Key: 1 << 63, Need: 17_035, Ahead: 1, Refused: 390}, {Key: 2},
+func TestMessagesRoundTrip(t *testing.T) {
+	a := ask{Nonce: 7, Seq: 1 << 40, Shard: 3, Fraction: 1.0 / 64, Hold: pledgeTTL, Entries: []askEntry{
+		{Key: 1 << 63, Need: 17_035, Ahead: 1, Rejected: 390}, {Key: 2},
 	}}
 	if got, err := decodeAsk(a.encode()); err != nil || !reflect.DeepEqual(got, a) {
 		t.Errorf("%+v, %v", got, err)
@@ -24,11 +24,11 @@
 
 // An organisation without requests in a message, and more of them than one datagram
 // carries: the message must stay within a packet.
-func TestLongestMessagesFitIntoADatagram(t *testing.T) {
-	a := ask{Nonce: 1 << 63, Seq: 1 << 63, Part: 1, Hold: maxHold}
+func TestLongestMessagesFitDatagram(t *testing.T) {
+	a := ask{Nonce: 1 << 63, Seq: 1 << 63, Fraction: 1, Hold: maxHold}
 	r := reply{Seq: 1 << 63}
 	for range 2 * maxEntries {
-		a.Entries = append(a.Entries, askEntry{Key: 1 << 63, Need: maxUnits, Ahead: maxUnits, Refused: maxUnits})
+		a.Entries = append(a.Entries, askEntry{Key: 1 << 63, Need: maxUnits, Ahead: maxUnits, Rejected: maxUnits})
 		r.Entries = append(r.Entries, replyEntry{Key: 1 << 63, Lent: maxUnits, Again: maxAgain, Retry: maxAgain, Used: 1e6})
 	}
 	if n, m := len(a.encode()), len(r.encode()); n > MaxDatagram || m > MaxDatagram {
@@ -44,10 +44,10 @@
 	f.Add(r.encode())
 	f.Add([]byte{kindAsk})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n := NewNode(Options{Me: Daemon{Name: "a", Address: "1.1.1.1:1"}, Rand: newWorld(t, 1, 0, nil).rng})
-		n.SetDaemons([]Daemon{n.o.Me, {Name: "b", Address: "2.2.2.2:2"}})
+		n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Rand: newWorld(t, 1, 0, nil).rng})
+		n.SetDaemons([]Daemon{n.o.Self, {Name: "b", Address: "2.2.2.2:2"}})
 		n.SetLimits(0, map[Key]Limit{1: {PerSecond: 10, Burst: 10}})
-		if err := n.Receive(time.Second, "2.2.2.2:2", b); err != nil && !errors.Is(err, ErrMessage) {
+		if err := n.Receive(time.Second, "2.2.2.2:2", b); err != nil && !errors.Is(err, ErrMalformed) {
 			t.Errorf("error %v", err)
 		}
 		if got, err := decodeAsk(b); err == nil {
@@ -60,7 +60,7 @@
 
 // Guards against owners with a small part of a limit, each of which lends a whole request
 // for a part of one.
-func TestPartOfARequestIsNotLentAsAWholeOne(t *testing.T) {
+func TestLentUnitsRoundDown(t *testing.T) {
 	for _, lent := range []float64{0, 0.04, 0.999, 1, 17_000} {
 		r := reply{Seq: 1, Entries: []replyEntry{{Key: 7, Lent: lent}}}
 		got, err := decodeReply(r.encode())
--- a/quota/node.go
+++ b/quota/node.go
@@ -24,7 +24,7 @@
 
 // Options are what a Node needs.
 type Options struct {
-	Me        Daemon
+	Self      Daemon
 	Tolerance Tolerance
 	Nonce     uint64     // drawn anew by each process
 	Rand      *rand.Rand // seeded; spreads the times to come back
@@ -45,27 +45,27 @@
 
 // shard is one daemon's view of a shard.
 type shard struct {
-	keys   []Key    // its organisations with a limit
-	order  []Daemon // in which daemons are asked
-	away   map[string]time.Duration
-	owner  Daemon // that is asked now
-	flight flight // the question that was not answered yet
-	probe  flight // a question to a daemon that did not answer before
-	pledge pledged
-	ledger ledger
-	// misses are the daemons in a row that did not answer.
-	misses int
-}
-
-// pledged is where this daemon's part of the limits is.
-type pledged struct {
+	keys         []Key    // its organisations with a limit
+	order        []Daemon // in which daemons are asked
+	away         map[string]time.Duration
+	owner        Daemon      // that is asked now
+	pendingAsk   inFlightAsk // the question that was not answered yet
+	pendingProbe inFlightAsk // a question to a daemon that did not answer before
+	ownPledge    pledgeState
+	lender       shardOwner
+	// missed are the daemons in a row that did not answer.
+	missed int
+}
+
+// pledgeState is where this daemon's part of the limits is.
+type pledgeState struct {
 	to     string // address
 	until  time.Duration
 	renews time.Duration // when the next message is due
 }
 
-// flight is a question on its way. The zero value is none.
-type flight struct {
+// inFlightAsk is a question on its way. The zero value is none.
+type inFlightAsk struct {
 	seq  uint64
 	to   Daemon
 	sent time.Duration
@@ -77,7 +77,7 @@
 func NewNode(o Options) *Node {
 	n := &Node{o: o, accounts: map[Key]*account{}}
 	for i := range n.shards {
-		n.shards[i] = shard{away: map[string]time.Duration{}, ledger: newLedger(), owner: o.Me, order: []Daemon{o.Me}}
+		n.shards[i] = shard{away: map[string]time.Duration{}, lender: newShardOwner(), owner: o.Self, order: []Daemon{o.Self}}
 	}
 	return n
 }
@@ -85,21 +85,21 @@
 // SetDaemons takes the list of all daemons, this one included.
 func (n *Node) SetDaemons(all []Daemon) {
 	n.daemons = len(all)
-	if !slices.Contains(all, n.o.Me) {
-		all = append(slices.Clone(all), n.o.Me)
+	if !slices.Contains(all, n.o.Self) {
+		all = append(slices.Clone(all), n.o.Self)
 	}
 	for i := range n.shards {
 		s := &n.shards[i]
-		s.order = ordered(i, all)
-		if next := s.choose(n.o.Me); next != s.owner {
-			s.owner, s.flight, s.pledge.renews = next, flight{}, 0
+		s.order = rankDaemons(i, all)
+		if next := s.chooseOwner(n.o.Self); next != s.owner {
+			s.owner, s.pendingAsk, s.ownPledge.renews = next, inFlightAsk{}, 0
 		}
 	}
 }
 
-// ordered puts the daemons into the order in which they are asked in a shard, the
+// rankDaemons puts the daemons into the order in which they are asked in a shard, the
 // same at all daemons.
-func ordered(shard int, all []Daemon) []Daemon {
+func rankDaemons(shard int, all []Daemon) []Daemon {
 	type ranked struct {
 		rank uint64
 		Daemon
@@ -118,10 +118,10 @@
 	return out
 }
 
-// part is this daemon's part of the limits.
-func (n *Node) part() float64 {
+// pledgeFraction is this daemon's pledgeFraction of the limits.
+func (n *Node) pledgeFraction() float64 {
 	if n.daemons == 0 {
-		return 1.0 / unlistedDaemons
+		return 1.0 / assumedDaemons
 	}
 	return 1 / float64(n.daemons)
 }
@@ -141,25 +141,25 @@
 		parts[i][key] = limit
 		a := n.accounts[key]
 		if a == nil {
-			a = &account{key: key, shard: i, demandAt: now, turnsAt: now + grantLife}
+			a = &account{key: key, shard: i, demandAt: now, expiresAt: now + grantTTL}
 			n.accounts[key] = a
 		}
 		a.limit = limit
 	}
 	for key, a := range n.accounts {
 		if _, ok := parts[a.shard][key]; !ok {
-			a.settle(func(waiter) Verdict { return Verdict{Admitted: true} })
+			a.resolveWaiters(func(waiter) Verdict { return Verdict{Admitted: true} })
 			delete(n.accounts, key)
 		}
 	}
 	for i := range n.shards {
 		n.shards[i].keys = slices.Sorted(maps.Keys(parts[i]))
-		n.shards[i].ledger.setLimits(now, parts[i])
+		n.shards[i].lender.setLimits(now, parts[i])
 	}
 }
 
-// settle ends the waiting of all requests.
-func (a *account) settle(verdict func(waiter) Verdict) {
+// resolveWaiters ends the waiting of all requests.
+func (a *account) resolveWaiters(verdict func(waiter) Verdict) {
 	for _, w := range a.waiters {
 		w.done(verdict(w))
 	}
@@ -174,42 +174,42 @@
 	if a == nil {
 		return Verdict{Admitted: true}, true
 	}
-	a.turn(now)
+	a.expireLent(now)
 	cost := a.limit.Cost(tokens)
-	a.seen(now, cost)
+	a.countDemand(now, cost)
 	s := &n.shards[a.shard]
-	if len(a.waiters) == 0 && a.take(cost) {
-		return Verdict{Admitted: true, Owner: s.owner.Name, Age: now - a.word, Used: a.used}, true
+	if len(a.waiters) == 0 && a.spend(cost) {
+		return Verdict{Admitted: true, Owner: s.owner.Name, Age: now - a.updatedAt, Used: a.used}, true
 	}
 	if now < a.deniedUntil {
-		a.refused += cost
-		return n.refusal(now, a, s.owner.Name), true
+		a.rejected += cost
+		return n.rejection(now, a, s.owner.Name), true
 	}
 	a.waiters = append(a.waiters, waiter{cost: cost, since: now, done: done})
-	if s.flight.seq == 0 {
+	if s.pendingAsk.seq == 0 {
 		n.ask(now, a.shard)
 	}
 	return Verdict{}, false
 }
 
-// Holds tells whether the next request of one unit would be admitted at once.
-func (n *Node) Holds(now time.Duration, key Key) bool {
+// CanAdmit tells whether the next request of one unit would be admitted at once.
+func (n *Node) CanAdmit(now time.Duration, key Key) bool {
 	a := n.accounts[key]
 	if a == nil {
 		return true
 	}
-	a.turn(now)
-	return len(a.waiters) == 0 && a.balance() >= 1-rounding
+	a.expireLent(now)
+	return len(a.waiters) == 0 && a.balance() >= 1-roundingError
 }
 
 // Denied tells whether the next request of one unit would be turned away at once.
 func (n *Node) Denied(now time.Duration, key Key) bool {
 	a := n.accounts[key]
-	return a != nil && now < a.deniedUntil && !n.Holds(now, key)
+	return a != nil && now < a.deniedUntil && !n.CanAdmit(now, key)
 }
 
-// GiveBack returns what a request took that did not run.
-func (n *Node) GiveBack(key Key, tokens int) {
+// Refund returns what a request took that did not run.
+func (n *Node) Refund(key Key, tokens int) {
 	if a := n.accounts[key]; a != nil {
 		a.add(a.limit.Cost(tokens))
 	}
@@ -222,37 +222,37 @@
 	}
 }
 
-func (n *Node) refusal(now time.Duration, a *account, owner string) Verdict {
+func (n *Node) rejection(now time.Duration, a *account, owner string) Verdict {
 	spread := 1 + n.o.Rand.Float64()/4
-	after := time.Duration(float64(max(a.retry, a.deniedUntil-now)) * spread)
-	return Verdict{RetryAfter: after, Owner: owner, Age: now - a.word, Used: a.used}
+	after := time.Duration(float64(max(a.retryAfter, a.deniedUntil-now)) * spread)
+	return Verdict{RetryAfter: after, Owner: owner, Age: now - a.updatedAt, Used: a.used}
 }
 
 // ask sends the questions of a shard to its owner, with the pledge.
 func (n *Node) ask(now time.Duration, i int) {
 	s := &n.shards[i]
 	n.seq++
-	q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Part: n.part()}
+	q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Fraction: n.pledgeFraction()}
 	for _, key := range s.keys {
 		a := n.accounts[key]
-		a.turn(now)
+		a.expireLent(now)
 		a.admitWaiting(s.owner.Name)
-		if e, some := a.question(now); some && len(q.Entries) < maxEntries {
+		if e, some := a.buildEntry(now); some && len(q.Entries) < maxEntries {
 			q.Entries = append(q.Entries, e)
 		}
 	}
-	if s.pledge.to == s.owner.Address || s.pledge.until <= now {
-		q.Hold = pledgeTime
-		s.pledge.to, s.pledge.until = s.owner.Address, now+pledgeTime+transit
+	if s.ownPledge.to == s.owner.Address || s.ownPledge.until <= now {
+		q.Hold = pledgeTTL
+		s.ownPledge.to, s.ownPledge.until = s.owner.Address, now+pledgeTTL+maxTransit
 	}
-	s.pledge.renews = min(now+pledgeEvery, s.pledge.until)
-	if s.owner == n.o.Me {
-		if r, ok := s.ledger.answer(now, n.o.Tolerance, n.o.Me.Address, &q); ok {
-			n.replied(now, i, &r)
+	s.ownPledge.renews = min(now+pledgeInterval, s.ownPledge.until)
+	if s.owner == n.o.Self {
+		if r, ok := s.lender.lend(now, n.o.Tolerance, n.o.Self.Address, &q); ok {
+			n.handleReply(now, i, &r)
 		}
 		return
 	}
-	s.flight = flight{seq: n.seq, to: s.owner, sent: now, repeats: s.flight.repeats}
+	s.pendingAsk = inFlightAsk{seq: n.seq, to: s.owner, sent: now, repeats: s.pendingAsk.repeats}
 	n.out = append(n.out, Datagram{To: s.owner.Address, Data: q.encode()})
 }
 
@@ -263,7 +263,7 @@
 		if err != nil {
 			return err
 		}
-		n.answer(now, from, &q)
+		n.handleAsk(now, from, &q)
 		return nil
 	}
 	r, err := decodeReply(data)
@@ -272,36 +272,36 @@
 	}
 	s := &n.shards[r.Shard]
 	switch {
-	case r.Seq == s.flight.seq && from == s.flight.to.Address:
-		s.flight, s.misses = flight{}, 0
-		n.replied(now, r.Shard, &r)
-	case r.Seq == s.probe.seq && from == s.probe.to.Address:
-		n.isBack(now, r.Shard, &r)
+	case r.Seq == s.pendingAsk.seq && from == s.pendingAsk.to.Address:
+		s.pendingAsk, s.missed = inFlightAsk{}, 0
+		n.handleReply(now, r.Shard, &r)
+	case r.Seq == s.pendingProbe.seq && from == s.pendingProbe.to.Address:
+		n.handleProbeReply(now, r.Shard, &r)
 	}
 	// Any other answer is late. What it lends is lost, which errs on the side of
 	// the limit.
 	return nil
 }
 
-func (n *Node) answer(now time.Duration, from string, q *ask) {
+func (n *Node) handleAsk(now time.Duration, from string, q *ask) {
 	s := &n.shards[q.Shard]
 	r := reply{Seq: q.Seq, Shard: q.Shard, Leaving: true}
-	if !n.leaving && n.daemons > 0 && len(s.ledger.buckets) > 0 {
+	if !n.leaving && n.daemons > 0 && len(s.lender.buckets) > 0 {
 		var fresh bool
-		if r, fresh = s.ledger.answer(now, n.o.Tolerance, from, q); !fresh {
+		if r, fresh = s.lender.lend(now, n.o.Tolerance, from, q); !fresh {
 			return
 		}
 	}
 	n.out = append(n.out, Datagram{To: from, Data: r.encode()})
 }
 
-// replied takes the answer of the owner and decides on the requests that waited
+// handleReply takes the answer of the owner and decides on the requests that waited
 // for it.
-func (n *Node) replied(now time.Duration, i int, r *reply) {
+func (n *Node) handleReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
 	if r.Leaving {
-		s.pledge = pledged{}
-		n.passOver(now, i, leavingTime)
+		s.ownPledge = pledgeState{}
+		n.skipOwner(now, i, leavingTTL)
 		return
 	}
 	for _, e := range r.Entries {
@@ -309,14 +309,14 @@
 		if a == nil || a.shard != i {
 			continue
 		}
-		a.turn(now)
+		a.expireLent(now)
 		a.add(e.Lent)
-		a.word, a.used = now, e.Used
-		a.retry, a.deniedUntil = e.Retry, now+e.Again
-		n.decide(now, a, s.owner.Name)
+		a.updatedAt, a.used = now, e.Used
+		a.retryAfter, a.deniedUntil = e.Retry, now+e.Again
+		n.resolveAsked(now, a, s.owner.Name)
 	}
 	for _, key := range s.keys {
-		if len(n.accounts[key].waiters) > 0 && s.flight.seq == 0 {
+		if len(n.accounts[key].waiters) > 0 && s.pendingAsk.seq == 0 {
 			n.ask(now, i)
 			return
 		}
@@ -328,7 +328,7 @@
 	waiting := a.waiters
 	a.waiters = nil
 	for _, w := range waiting {
-		if a.take(w.cost) {
+		if a.spend(w.cost) {
 			w.done(Verdict{Admitted: true, Owner: owner, Used: a.used})
 		} else {
 			a.waiters = append(a.waiters, w)
@@ -336,36 +336,36 @@
 	}
 }
 
-// decide admits the requests that wait for as long as there are tokens. The
+// resolveAsked admits the requests that wait for as long as there are tokens. The
 // others that the question named are turned away: the owner had no more.
-func (n *Node) decide(now time.Duration, a *account, owner string) {
+func (n *Node) resolveAsked(now time.Duration, a *account, owner string) {
 	a.admitWaiting(owner)
 	waiting := a.waiters
 	a.waiters = nil
 	for _, w := range waiting {
 		switch {
 		case w.asked || now < a.deniedUntil:
-			w.done(n.refusal(now, a, owner))
+			w.done(n.rejection(now, a, owner))
 		default:
 			a.waiters = append(a.waiters, w)
 		}
 	}
 }
 
-// passOver leaves the owner for a while and turns to the next. A daemon that had
+// skipOwner leaves the owner for a while and turns to the next. A daemon that had
 // no answer from several is probably cut off, and lends to itself until a probe
 // is answered.
-func (n *Node) passOver(now time.Duration, i int, span time.Duration) {
+func (n *Node) skipOwner(now time.Duration, i int, span time.Duration) {
 	s := &n.shards[i]
 	s.away[s.owner.Address] = now + span
-	s.flight, s.owner = flight{}, s.choose(n.o.Me)
+	s.pendingAsk, s.owner = inFlightAsk{}, s.chooseOwner(n.o.Self)
 	n.ask(now, i)
 }
 
-// choose returns the first daemon that was not passed over, or this one if it
+// chooseOwner returns the first daemon that was not passed over, or this one if it
 // seems to be cut off.
-func (s *shard) choose(me Daemon) Daemon {
-	if s.misses >= missesMost {
+func (s *shard) chooseOwner(me Daemon) Daemon {
+	if s.missed >= maxMissed {
 		return me
 	}
 	for _, next := range s.order {
@@ -376,19 +376,19 @@
 	return me
 }
 
-// isBack takes the answer of a daemon that did not answer before. If it comes
+// handleProbeReply takes the answer of a daemon that did not answer before. If it comes
 // before the present owner in the order, it is asked from now on.
-func (n *Node) isBack(now time.Duration, i int, r *reply) {
+func (n *Node) handleProbeReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
-	d := s.probe.to
-	s.probe = flight{}
+	d := s.pendingProbe.to
+	s.pendingProbe = inFlightAsk{}
 	if r.Leaving {
-		s.away[d.Address] = now + leavingTime
+		s.away[d.Address] = now + leavingTTL
 		return
 	}
 	delete(s.away, d.Address)
-	s.misses = 0
-	if slices.Index(s.order, d) < slices.Index(s.order, s.owner) && s.flight.seq == 0 {
+	s.missed = 0
+	if slices.Index(s.order, d) < slices.Index(s.order, s.owner) && s.pendingAsk.seq == 0 {
 		s.owner = d
 		n.ask(now, i)
 	}
@@ -402,9 +402,9 @@
 		if len(s.keys) == 0 {
 			continue
 		}
-		s.ledger.advance(now, n.o.Tolerance)
+		s.lender.accrue(now, n.o.Tolerance)
 		n.expire(now, i)
-		if s.flight.seq == 0 && now >= s.pledge.renews {
+		if s.pendingAsk.seq == 0 && now >= s.ownPledge.renews {
 			n.ask(now, i)
 		}
 		n.probeAway(now, i)
@@ -414,25 +414,25 @@
 // expire gives up questions and requests that have waited for too long.
 func (n *Node) expire(now time.Duration, i int) {
 	s := &n.shards[i]
-	if f := s.flight; f.seq != 0 {
+	if f := s.pendingAsk; f.seq != 0 {
 		switch waited := now - f.sent; {
-		case f.repeats < repeatsMost && waited >= firstPatience:
-			s.flight.repeats++
+		case f.repeats < maxRepeats && waited >= replyTimeout:
+			s.pendingAsk.repeats++
 			n.ask(now, i)
-		case f.repeats == repeatsMost && waited >= lastPatience:
-			s.misses++
-			n.passOver(now, i, awayTime)
+		case f.repeats == maxRepeats && waited >= finalReplyTimeout:
+			s.missed++
+			n.skipOwner(now, i, unresponsiveTTL)
 		}
 	}
 	for _, key := range s.keys {
 		a := n.accounts[key]
 		kept := a.waiters[:0]
 		for _, w := range a.waiters {
-			if now-w.since < waitMost {
+			if now-w.since < maxWait {
 				kept = append(kept, w)
 				continue
 			}
-			w.done(Verdict{RetryAfter: retryElsewhere, Age: now - a.word, Used: a.used})
+			w.done(Verdict{RetryAfter: retryOtherDaemon, Age: now - a.updatedAt, Used: a.used})
 		}
 		a.waiters = kept
 	}
@@ -443,24 +443,24 @@
 // as well.
 func (n *Node) probeAway(now time.Duration, i int) {
 	s := &n.shards[i]
-	if s.probe.seq != 0 {
-		if now-s.probe.sent < lastPatience {
+	if s.pendingProbe.seq != 0 {
+		if now-s.pendingProbe.sent < finalReplyTimeout {
 			return
 		}
-		s.away[s.probe.to.Address] = now + awayTime
-		s.probe = flight{}
+		s.away[s.pendingProbe.to.Address] = now + unresponsiveTTL
+		s.pendingProbe = inFlightAsk{}
 	}
 	for _, d := range s.order {
-		if d == n.o.Me {
+		if d == n.o.Self {
 			return
 		}
 		until, gone := s.away[d.Address]
-		if gone && now < until || !gone && s.misses < missesMost {
+		if gone && now < until || !gone && s.missed < maxMissed {
 			continue
 		}
 		n.seq++
-		q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Part: n.part()}
-		s.probe = flight{seq: n.seq, to: d, sent: now}
+		q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Fraction: n.pledgeFraction()}
+		s.pendingProbe = inFlightAsk{seq: n.seq, to: d, sent: now}
 		n.out = append(n.out, Datagram{To: d.Address, Data: q.encode()})
 		return
 	}
@@ -469,16 +469,16 @@
 // Waiting tells whether requests wait for an owner's word.
 func (n *Node) Waiting() bool {
 	for i := range n.shards {
-		if n.shards[i].flight.seq != 0 {
+		if n.shards[i].pendingAsk.seq != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Leave has the node lend nothing any more, so that the others turn elsewhere at
+// StopLending has the node lend nothing any more, so that the others turn elsewhere at
 // once.
-func (n *Node) Leave() { n.leaving = true }
+func (n *Node) StopLending() { n.leaving = true }
 
 // Outbox returns what is to be sent and forgets it.
 func (n *Node) Outbox() []Datagram {
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -36,10 +36,10 @@
 
 // Limit is the rate limit of one organisation over all daemons.
 type Limit struct {
-	PerSecond float64 // units/s; 0: no limit
-	Burst     float64 // units that may be used at once after a quiet time
-	Unit      Unit
-	Plain     float64 // units of a request that names no tokens, if Unit is Tokens
+	PerSecond   float64 // units/s; 0: no limit
+	Burst       float64 // units that may be used at once after a quiet time
+	Unit        Unit
+	DefaultCost float64 // units of a request that names no tokens, if Unit is Tokens
 }
 
 // Cost is what one request takes of the limit. tokens is negative if the
@@ -49,7 +49,7 @@
 	case l.Unit == Requests:
 		return 1
 	case tokens < 0:
-		return l.Plain
+		return l.DefaultCost
 	default:
 		return float64(tokens)
 	}
@@ -66,9 +66,9 @@
 // so that one request that is larger than what is left passes.
 func (t Tolerance) overdraft() float64 { return t.Slack / 2 }
 
-// makeUp is the factor by which pledged parts count as more than they are. It
+// compensation is the factor by which pledged parts count as more than they are. It
 // makes up for daemons that are listed and gone.
-func (t Tolerance) makeUp() float64 { return 1 + t.Overage/2 }
+func (t Tolerance) compensation() float64 { return 1 + t.Overage/2 }
 
 // Verdict is the decision on one request.
 type Verdict struct {
@@ -84,46 +84,46 @@
 const (
 	// Shards is the number of parts that organisations are divided into.
 	Shards = 8
-	// pledgeTime is how long a daemon's part stays with an owner that is not
+	// pledgeTTL is how long a daemon's part stays with an owner that is not
 	// heard of any more.
-	pledgeTime = time.Second
-	// pledgeEvery is how often a pledge is renewed.
-	pledgeEvery = 400 * time.Millisecond
-	// transit bounds the way of a message: a pledge ends at its owner by so much
+	pledgeTTL = time.Second
+	// pledgeInterval is how often a pledge is renewed.
+	pledgeInterval = 400 * time.Millisecond
+	// maxTransit bounds the way of a message: a pledge ends at its owner by so much
 	// later than its daemon counts.
-	transit = 200 * time.Millisecond
-	// firstPatience is how long an owner's answer is waited for before the question
+	maxTransit = 200 * time.Millisecond
+	// replyTimeout is how long an owner's answer is waited for before the question
 	// is repeated, repeatsMost how often it is, and lastPatience how long the answer
 	// to the last repetition is waited for. Datagrams are lost now and then.
-	firstPatience = 60 * time.Millisecond
-	repeatsMost   = 2
-	lastPatience  = 100 * time.Millisecond
-	// waitMost bounds how long a request waits for the word of an owner.
-	waitMost = 300 * time.Millisecond
-	// awayTime is how long a daemon that did not answer is passed over.
-	awayTime = 3 * time.Second
-	// missesMost is the number of daemons in a row without an answer after which a
+	replyTimeout      = 60 * time.Millisecond
+	maxRepeats        = 2
+	finalReplyTimeout = 100 * time.Millisecond
+	// maxWait bounds how long a request waits for the word of an owner.
+	maxWait = 300 * time.Millisecond
+	// unresponsiveTTL is how long a daemon that did not answer is passed over.
+	unresponsiveTTL = 3 * time.Second
+	// maxMissed is the number of daemons in a row without an answer after which a
 	// daemon takes itself to be cut off.
-	missesMost = 2
-	// leavingTime is how long one is that said it lends nothing.
-	leavingTime = 2 * time.Second
-	// grantLife is how long lent tokens may be used at least; those left after
+	maxMissed = 2
+	// leavingTTL is how long one is that said it lends nothing.
+	leavingTTL = 2 * time.Second
+	// grantTTL is how long lent tokens may be used at least; those left after
 	// twice as long are void.
-	grantLife = time.Second
-	// lookahead is the time for which an owner with room lends in advance.
-	lookahead = 300 * time.Millisecond
-	// demandMemory is the time over which the demand of an organisation is averaged.
-	demandMemory = time.Second
-	// accrueMost bounds the time for which a limit accrues at once. An owner that
+	grantTTL = time.Second
+	// lendAhead is the time for which an owner with room lends in advance.
+	lendAhead = 300 * time.Millisecond
+	// smoothingTime is the time over which the demand of an organisation is averaged.
+	smoothingTime = time.Second
+	// maxAccrual bounds the time for which a limit accrues at once. An owner that
 	// stood still lent nothing meanwhile, and others did in its place.
-	accrueMost = 300 * time.Millisecond
+	maxAccrual = 300 * time.Millisecond
 	// denialStep spreads the questions of daemons that were denied.
 	denialStep = 500 * time.Microsecond
-	// retryMost bounds the time to come back that callers are told.
-	retryMost = 5 * time.Second
-	// retryElsewhere is the time to come back after no owner answered: another
+	// maxRetryAfter bounds the time to come back that callers are told.
+	maxRetryAfter = 5 * time.Second
+	// retryOtherDaemon is the time to come back after no owner answered: another
 	// daemon may reach it.
-	retryElsewhere = 200 * time.Millisecond
-	// unlistedDaemons is the number of daemons assumed as long as none are known.
-	unlistedDaemons = 256
+	retryOtherDaemon = 200 * time.Millisecond
+	// assumedDaemons is the number of daemons assumed as long as none are known.
+	assumedDaemons = 256
 )
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -10,25 +10,25 @@
 // world plays daemons, their messages and callers in virtual time, in steps of a
 // millisecond.
 type world struct {
-	t      testing.TB
-	rng    *rand.Rand
-	now    time.Duration
-	tol    Tolerance
-	limits map[Key]Limit
-	nodes  []*machine
-	byAddr map[string]*machine
-	mail   map[time.Duration][]letter // by time of arrival
-	loss   float64                    // part of the messages
-	double float64
-	late   float64 // part of the messages that come up to a second late
-	cut    func(a, b int) bool
-	use    map[Key]*history
-	bytes  int
-	sent   int
-	parts  *parts // another way to hold the limits; nil: the nodes do
+	t         testing.TB
+	rng       *rand.Rand
+	now       time.Duration
+	tol       Tolerance
+	limits    map[Key]Limit
+	nodes     []*machine
+	byAddr    map[string]*machine
+	inTransit map[time.Duration][]packet // by time of arrival
+	loss      float64                    // part of the messages
+	double    float64
+	late      float64 // part of the messages that come up to a second late
+	cut       func(a, b int) bool
+	use       map[Key]*history
+	bytes     int
+	sent      int
+	fractions *fractionLimiter // another way to hold the limits; nil: the nodes do
 }
 
-type letter struct {
+type packet struct {
 	from string
 	to   string
 	data []byte
@@ -41,21 +41,21 @@
 	node   *Node
 	down   bool
 	frozen bool
-	queue  []letter // that came while it was frozen
+	queue  []packet // that came while it was frozen
 	skew   time.Duration
 }
 
 // history is what came of an organisation's requests.
 type history struct {
-	limit    Limit
-	admitted []use // as they ran
-	level    float64
-	at       time.Duration
-	asked    int
-	owed     int // requests within the limit, by what was used before
-	lost     int // of those, refused
-	refused  int
-	waits    []time.Duration
+	limit          Limit
+	admitted       []use // as they ran
+	level          float64
+	at             time.Duration
+	asked          int
+	withinLimit    int // requests within the limit, by what was used before
+	wronglyRefused int // of those, refused
+	refused        int
+	waits          []time.Duration
 }
 
 type use struct {
@@ -70,7 +70,7 @@
 func newWorld(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *world {
 	w := &world{
 		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*machine{},
-		mail: map[time.Duration][]letter{}, use: map[Key]*history{},
+		inTransit: map[time.Duration][]packet{}, use: map[Key]*history{},
 	}
 	for i := range daemons {
 		w.add(i)
@@ -93,7 +93,7 @@
 }
 
 func (w *world) process(m *machine) *Node {
-	return NewNode(Options{Me: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
+	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
 }
 
 // restart ends the process of a daemon and starts another, which reads the list and
@@ -130,7 +130,7 @@
 			if w.rng.Float64() < w.late {
 				after += time.Duration(w.rng.IntN(1000)) * time.Millisecond
 			}
-			w.mail[w.now+after] = append(w.mail[w.now+after], letter{m.me.Address, d.To, d.Data})
+			w.inTransit[w.now+after] = append(w.inTransit[w.now+after], packet{m.me.Address, d.To, d.Data})
 		}
 	}
 }
@@ -138,7 +138,7 @@
 // step plays one millisecond.
 func (w *world) step() {
 	w.now += time.Millisecond
-	for _, l := range w.mail[w.now] {
+	for _, l := range w.inTransit[w.now] {
 		m := w.byAddr[l.to]
 		switch {
 		case m.down:
@@ -148,9 +148,9 @@
 			w.deliver(m, l)
 		}
 	}
-	delete(w.mail, w.now)
-	if w.parts != nil {
-		w.parts.step(w)
+	delete(w.inTransit, w.now)
+	if w.fractions != nil {
+		w.fractions.step(w)
 		return
 	}
 	for _, m := range w.nodes {
@@ -168,14 +168,14 @@
 	}
 }
 
-func (w *world) deliver(m *machine, l letter) {
+func (w *world) deliver(m *machine, l packet) {
 	if err := m.node.Receive(w.now+m.skew, l.from, l.data); err != nil {
 		w.t.Fatal(err)
 	}
 	w.post(m)
 }
 
-func (w *world) thaw(m *machine) {
+func (w *world) resume(m *machine) {
 	m.frozen = false
 	for _, l := range m.queue {
 		w.deliver(m, l)
@@ -192,8 +192,8 @@
 	h.asked++
 	since := w.now
 	done := func(v Verdict) { h.verdict(w.now, w.now-since, h.limit.Cost(tokens), v) }
-	if w.parts != nil {
-		done(Verdict{Admitted: w.parts.admit(m.index, key, h.limit.Cost(tokens))})
+	if w.fractions != nil {
+		done(Verdict{Admitted: w.fractions.admit(m.index, key, h.limit.Cost(tokens))})
 		return
 	}
 	if v, decided := m.node.Admit(w.now+m.skew, key, tokens, done); decided {
@@ -210,7 +210,7 @@
 	h.waits = append(h.waits, waited)
 	within := h.level >= cost
 	if within {
-		h.owed++
+		h.withinLimit++
 	}
 	if v.Admitted {
 		h.level -= cost
@@ -219,12 +219,12 @@
 	}
 	h.refused++
 	if within {
-		h.lost++
+		h.wronglyRefused++
 	}
 }
 
-// most is the largest use in any window.
-func (h *history) most() float64 {
+// peakUse is the largest use in any window.
+func (h *history) peakUse() float64 {
 	most, sum, from := 0.0, 0.0, 0
 	for i := range h.admitted {
 		sum += h.admitted[i].cost
@@ -237,7 +237,7 @@
 	return most
 }
 
-func bound(l Limit, t Tolerance, span time.Duration) float64 {
+func allowedUse(l Limit, t Tolerance, span time.Duration) float64 {
 	return (l.PerSecond*span.Seconds()+l.Burst)*(1+t.Overage) + t.Slack
 }
 
@@ -245,17 +245,17 @@
 func (w *world) check() {
 	w.t.Helper()
 	for key, h := range w.use {
-		if most, allowed := h.most(), bound(h.limit, w.tol, window); most > allowed {
+		if most, allowed := h.peakUse(), allowedUse(h.limit, w.tol, window); most > allowed {
 			w.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
 		}
 	}
 }
 
-// lost returns the part of the owed requests that were refused.
-func (w *world) lost() (part float64, lost, owed int) {
+// wrongRefusals returns the part of the owed requests that were refused.
+func (w *world) wrongRefusals() (fraction float64, lost, owed int) {
 	for _, h := range w.use {
-		lost += h.lost
-		owed += h.owed
+		lost += h.wronglyRefused
+		owed += h.withinLimit
 	}
 	return float64(lost) / float64(max(owed, 1)), lost, owed
 }
@@ -304,7 +304,7 @@
 	var traffic []demand
 	for i, rate := range rates {
 		key := KeyOf(fmt.Sprintf("org-%d", i))
-		limits[key] = Limit{PerSecond: rate, Burst: rate, Unit: Tokens, Plain: 200}
+		limits[key] = Limit{PerSecond: rate, Burst: rate, Unit: Tokens, DefaultCost: 200}
 		// A long prompt has 17,000 tokens, and six short ones of 390 come with it.
 		long := used * rate / (17_000 + 6*390)
 		traffic = append(traffic, demand{key: key, long: long, short: 6 * long})
@@ -312,7 +312,7 @@
 	return limits, traffic
 }
 
-func times(traffic []demand, x float64) []demand {
+func scaleTraffic(traffic []demand, x float64) []demand {
 	var out []demand
 	for _, d := range traffic {
 		d.long, d.short = d.long*x, d.short*x
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -6,14 +6,14 @@
 	"time"
 )
 
-// bytesEach is what the messages of limits may take of the 3 KB/s that a daemon has for
+// maxBytesPerSecond is what the messages of limits may take of the 3 KB/s that a daemon has for
 // all that it tells others.
-const bytesEach = 3000
+const maxBytesPerSecond = 3000
 
 // A thousand daemons and 333 organisations, at a third of the target's requests: what
 // each daemon sends must stay within its bytes, and no organisation may be refused below
 // its limit.
-func TestMessagesOfAThousandDaemons(t *testing.T) {
+func TestMessageRateOfThousandDaemons(t *testing.T) {
 	t.Parallel()
 	var rates []float64
 	for i := range 333 {
@@ -25,14 +25,14 @@
 	began, before := w.now, w.bytes
 	w.play(time.Second, traffic)
 	each := float64(w.bytes-before) / (w.now - began).Seconds() / 1100
-	mustLoseFew(t, w)
-	if each > bytesEach {
+	checkWrongRefusals(t, w)
+	if each > maxBytesPerSecond {
 		t.Errorf("%.0f bytes a second and daemon", each)
 	}
 }
 
 // The path of nearly all requests: tokens are there.
-func BenchmarkAdmitFarFromTheLimit(b *testing.B) {
+func BenchmarkAdmitFromBalance(b *testing.B) {
 	limits := map[Key]Limit{}
 	for i := range 333 {
 		limits[KeyOf(fmt.Sprint(i))] = Limit{PerSecond: 1e12, Burst: 1e12, Unit: Tokens}
@@ -41,7 +41,7 @@
 	w.play(time.Second, nil)
 	n, key := w.nodes[0].node, KeyOf("7")
 	n.accounts[key].add(1e15)
-	n.accounts[key].turnsAt = time.Hour
+	n.accounts[key].expiresAt = time.Hour
 	done := func(Verdict) {}
 	b.ReportAllocs()
 	for b.Loop() {
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// parts is a way to hold limits without asking anybody: each daemon has a part of the
+// fractionLimiter is a way to hold limits without asking anybody: each daemon has a part of the
 // limit, the same for all or by what it was asked for lately.
-type parts struct {
+type fractionLimiter struct {
 	// byDemand has the parts follow the demand, which all daemons know half a second
 	// late.
 	byDemand bool
@@ -19,8 +19,8 @@
 	known  map[Key][]float64 // demand as it was told last
 }
 
-func newParts(w *world, byDemand, overdraft bool) *parts {
-	p := &parts{byDemand: byDemand, overdraft: overdraft, level: map[Key][]float64{}, demand: map[Key][]float64{}, known: map[Key][]float64{}}
+func newFractionLimiter(w *world, byDemand, overdraft bool) *fractionLimiter {
+	p := &fractionLimiter{byDemand: byDemand, overdraft: overdraft, level: map[Key][]float64{}, demand: map[Key][]float64{}, known: map[Key][]float64{}}
 	for key := range w.limits {
 		p.level[key], p.demand[key], p.known[key] = make([]float64, len(w.nodes)), make([]float64, len(w.nodes)), make([]float64, len(w.nodes))
 	}
@@ -28,18 +28,18 @@
 }
 
 // step accrues a millisecond.
-func (p *parts) step(w *world) {
+func (p *fractionLimiter) step(w *world) {
 	for key, l := range w.limits {
 		sum := 0.0
 		for _, d := range p.known[key] {
 			sum += d
 		}
 		for i := range p.level[key] {
-			part := 1 / float64(len(w.nodes))
+			fraction := 1 / float64(len(w.nodes))
 			if p.byDemand && sum > 0 {
-				part = p.known[key][i] / sum
+				fraction = p.known[key][i] / sum
 			}
-			p.level[key][i] = min(l.Burst*part, p.level[key][i]+l.PerSecond*part/1000)
+			p.level[key][i] = min(l.Burst*fraction, p.level[key][i]+l.PerSecond*fraction/1000)
 			p.demand[key][i] *= 0.999
 		}
 		if w.now%(500*time.Millisecond) == 0 {
@@ -48,7 +48,7 @@
 	}
 }
 
-func (p *parts) admit(i int, key Key, cost float64) bool {
+func (p *fractionLimiter) admit(i int, key Key, cost float64) bool {
 	p.demand[key][i] += cost
 	level := &p.level[key][i]
 	if *level >= cost || p.overdraft && *level > 0 {
@@ -61,37 +61,37 @@
 // The ways to hold a limit of tokens over many daemons, on the same traffic: within the
 // limit, and with three organisations at many times their usual. What is refused below
 // the limit and what is used beyond it speaks for the one that is kept.
-func TestWaysToHoldALimit(t *testing.T) {
+func TestLimitingStrategies(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{73, 295} {
 		limits, traffic := organisations(0.55, sizes...)
-		hot := append(times(traffic[:2], 7.5), times(traffic[8:9], 7.5)...)
+		hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
 		hot = append(hot, traffic[2:8]...)
 		lost, over := map[string]float64{}, map[string]float64{}
-		for name, way := range map[string]func(w *world) *parts{
-			"lent by owners":                func(*world) *parts { return nil },
-			"equal parts":                   func(w *world) *parts { return newParts(w, false, false) },
-			"equal parts and one request":   func(w *world) *parts { return newParts(w, false, true) },
-			"parts by demand":               func(w *world) *parts { return newParts(w, true, false) },
-			"parts by demand and a request": func(w *world) *parts { return newParts(w, true, true) },
+		for name, way := range map[string]func(w *world) *fractionLimiter{
+			"lent by owners":                func(*world) *fractionLimiter { return nil },
+			"equal parts":                   func(w *world) *fractionLimiter { return newFractionLimiter(w, false, false) },
+			"equal parts and one request":   func(w *world) *fractionLimiter { return newFractionLimiter(w, false, true) },
+			"parts by demand":               func(w *world) *fractionLimiter { return newFractionLimiter(w, true, false) },
+			"parts by demand and a request": func(w *world) *fractionLimiter { return newFractionLimiter(w, true, true) },
 		} {
 			w := newWorld(t, 5, daemons, limits)
-			w.parts = way(w)
+			w.fractions = way(w)
 			w.play(time.Second, nil)
 			w.play(5*time.Second, traffic)
-			part, _, _ := w.lost()
+			fraction, _, _ := w.wrongRefusals()
 			w.play(9*time.Second, hot)
 			most := 0.0
 			for _, h := range w.use {
-				most = max(most, h.most()/bound(h.limit, w.tol, window))
+				most = max(most, h.peakUse()/allowedUse(h.limit, w.tol, window))
 			}
-			lost[name], over[name] = part, most
-			t.Logf("%d daemons, %-30s %.4f refused below the limit, %.2f of what is allowed used", daemons, name, part, most)
+			lost[name], over[name] = fraction, most
+			t.Logf("%d daemons, %-30s %.4f refused below the limit, %.2f of what is allowed used", daemons, name, fraction, most)
 		}
-		if lost["lent by owners"] > mostLost || over["lent by owners"] > 1 {
+		if lost["lent by owners"] > maxWrongRefusals || over["lent by owners"] > 1 {
 			t.Errorf("%d daemons: the way that is kept loses %.4f and uses %.2f", daemons, lost["lent by owners"], over["lent by owners"])
 		}
-		if lost["equal parts"] < mostLost && over["equal parts and one request"] < 1 {
+		if lost["equal parts"] < maxWrongRefusals && over["equal parts and one request"] < 1 {
 			t.Error("equal parts would do")
 		}
 	}
--- a/room/room.go
+++ b/room/room.go
@@ -71,7 +71,7 @@
 		o: o, passed: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
 		table: limits.NewTable(limits.Options{Me: o.Me, Rand: draw()}),
 		quota: quota.NewNode(quota.Options{
-			Me: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
+			Self: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
 			Nonce: o.Rand.Uint64(), Rand: draw(),
 		}),
 		keys: map[fleet.EndpointID]quota.Key{}, asked: map[quota.Key]bool{},
@@ -136,7 +136,7 @@
 		}
 	}
 	for _, key := range k.left {
-		k.quota.GiveBack(key, -1)
+		k.quota.Refund(key, -1)
 	}
 	k.left = k.left[:0]
 	for _, d := range k.table.Outbox() {
@@ -188,7 +188,7 @@
 func (k *Keeper) Leave() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.quota.Leave()
+	k.quota.StopLending()
 }
 
 // Answered takes the limit that an answer of the endpoint named; nil: none.
@@ -274,6 +274,6 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if key, limited := k.keys[e]; limited {
-		k.quota.GiveBack(key, -1)
+		k.quota.Refund(key, -1)
 	}
 }
--- a/router/quota.go
+++ b/router/quota.go
@@ -47,7 +47,7 @@
 	return &limiter{
 		clock: clock, log: log, send: send, meters: map[string]*quotaMeters{}, scope: scope,
 		node: quota.NewNode(quota.Options{
-			Me: quota.Daemon{Name: me.Name, Address: me.Address}, Tolerance: set.QuotaTolerance,
+			Self: quota.Daemon{Name: me.Name, Address: me.Address}, Tolerance: set.QuotaTolerance,
 			Nonce: rng.Uint64(), Rand: rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())),
 		}),
 	}
@@ -110,7 +110,7 @@
 func (l *limiter) leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.Leave()
+	l.node.StopLending()
 }
 
 // Admit implements forward.Limiter.
@@ -149,7 +149,7 @@
 func (l *limiter) Refund(org *routes.Organisation, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.GiveBack(org.QuotaKey, tokens)
+	l.node.Refund(org.QuotaKey, tokens)
 }
 
 // Charge implements forward.Limiter.
