--- a/quota/account.go
+++ b/quota/account.go
@@ -5,42 +5,43 @@
 	"time"
 )
 
-// account is what one daemon holds and wants of an organisation's limit.
+// account holds the lent tokens of an organisation at this daemon, its demand and
+// the requests that wait for tokens.
 type account struct {
 	key   Key
 	shard int
 	limit Limit
 
-	// Lent tokens are kept in two generations: those of the present grantLife and
-	// those of the one before it.
+	// Lent tokens are kept in two generations: those of the current period of
+	// grantTTL and those of the one before.
 	current, previous float64
-	expiresAt         time.Duration // when old becomes void and fresh becomes old
+	expiresAt         time.Duration // when previous expires and current becomes previous
 
 	demand   float64 // units/s, smoothed
 	demandAt time.Duration
 	last     float64 // cost of the newest request
 
 	waiters  []waiter
-	rejected float64 // units turned away since the owner was last told
+	rejected float64 // units rejected since the last ask
 
-	deniedUntil time.Duration // no question before
-	retryAfter  time.Duration // that the owner named
-	used        float64       // part of the limit, by the owner's word
-	updatedAt   time.Duration // when the owner last said anything of the account
+	deniedUntil time.Duration // the owner is not asked before
+	retryAfter  time.Duration // given by the owner
+	used        float64       // fraction of the limit, given by the owner
+	updatedAt   time.Duration // when the owner last replied for the account
 }
 
-// waiter is a request that waits for the owner's word.
+// waiter is a request that waits for the owner's reply.
 type waiter struct {
 	cost  float64
 	since time.Duration
-	asked bool // a question names it
+	asked bool // included in an ask
 	done  func(Verdict)
 }
 
-// roundingError is the part of a unit by which sums of units may be off.
+// roundingError is the tolerance in units for rounding errors of sums.
 const roundingError = 1e-3
 
-// expireLent voids lent tokens that were not used in time.
+// expireLent discards lent tokens that were not used in time.
 func (a *account) expireLent(now time.Duration) {
 	switch {
 	case now < a.expiresAt:
@@ -55,7 +56,8 @@
 
 func (a *account) balance() float64 { return a.current + a.previous }
 
-// spend uses lent tokens for a request. It returns false if they do not suffice.
+// spend takes the cost of a request from the lent tokens. It returns false and
+// takes nothing if they do not suffice.
 func (a *account) spend(cost float64) bool {
 	if a.balance() < cost-roundingError {
 		return false
@@ -66,10 +68,10 @@
 	return true
 }
 
-// add takes tokens that were lent, or that a request gives back.
+// add adds lent or refunded tokens. units is negative for a charge.
 func (a *account) add(units float64) { a.current += units }
 
-// countDemand counts a request into the demand.
+// countDemand adds a request to the smoothed demand.
 func (a *account) countDemand(now time.Duration, cost float64) {
 	a.decayDemand(now)
 	a.demand += cost / smoothingTime.Seconds()
@@ -83,8 +85,8 @@
 	}
 }
 
-// buildEntry is what the owner is asked for. It returns false if there is nothing
-// to ask or to tell.
+// buildEntry returns the entry of the account for an ask, and false if there is
+// nothing to ask for or to report. It resets the rejected units.
 func (a *account) buildEntry(now time.Duration) (askEntry, bool) {
 	a.decayDemand(now)
 	e := askEntry{Key: a.key, Rejected: a.rejected}
@@ -93,8 +95,8 @@
 		a.waiters[i].asked = true
 	}
 	e.Need = max(0, e.Need-a.balance())
-	// Tokens are only lent ahead where several requests will use them before they
-	// are void.
+	// Tokens are requested in advance only if several requests will probably use
+	// them before they expire.
 	if ahead := a.demand * lendAhead.Seconds(); ahead >= 2*a.last {
 		e.Ahead = max(0, ahead-max(0, a.balance()))
 	}
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -5,23 +5,24 @@
 	"time"
 )
 
-// bucket is what an owner may lend of one organisation's limit.
+// bucket is the owner's token bucket for one organisation.
 type bucket struct {
 	limit Limit
 	level float64 // units; negative after an overdraft
 	at    time.Duration
-	// promised is the work of callers that were turned away and told when to
-	// come back, in units.
+	// promisedRetries is the cost in units of the rejected requests that are
+	// expected to be retried after their Retry-After.
 	promisedRetries float64
 	lent            float64 // units/s, smoothed
-	denied          int     // questions in the present interval of denialSpan
+	denied          int     // asks denied in the current denialWindow
 	deniedAt        time.Duration
 }
 
-// denialWindow is the time over which the daemons that were denied are counted.
+// denialWindow is the time over which denied asks are counted.
 const denialWindow = 100 * time.Millisecond
 
-// accrue accrues the given fraction of the limit, at most 1.
+// accrue adds the units accrued since the last call at the given fraction of the
+// limit, which is at most 1.
 func (b *bucket) accrue(now time.Duration, fraction float64) {
 	dt := min(now-b.at, maxAccrual).Seconds()
 	if dt <= 0 {
@@ -33,12 +34,12 @@
 	b.lent *= math.Exp(-dt / smoothingTime.Seconds())
 }
 
-// used is the fraction of the limit that was lent lately.
+// used returns the fraction of the limit that was recently lent.
 func (b *bucket) used() float64 { return b.lent / b.limit.PerSecond }
 
-// lend takes units for requests that wait and, if there is room, for those to
-// come. It returns what is lent and, if that is less than needed, when to ask
-// again and when callers may come back.
+// lend takes units for waiting requests and, if units are left, for expected ones.
+// It returns the units lent and, if they are fewer than needed, when to ask again
+// and the Retry-After for callers.
 func (b *bucket) lend(now time.Duration, fraction float64, overdraft float64, e *askEntry) (lent float64, again, retry time.Duration) {
 	b.promisedRetries += e.Rejected
 	defer func() { b.lent += lent / smoothingTime.Seconds() }()
@@ -58,8 +59,8 @@
 	return lent, 0, 0
 }
 
-// askAgain is when a daemon that was denied may ask again: once there is
-// something to lend, and not all of them at once.
+// askAgain returns when a denied daemon may ask again: once there are units to
+// lend, spread over the denied daemons.
 func (b *bucket) askAgain(now time.Duration, fraction float64) time.Duration {
 	if now-b.deniedAt > denialWindow {
 		b.deniedAt, b.denied = now, 0
@@ -68,12 +69,13 @@
 	return min(b.timeToReach(0, fraction)+time.Duration(b.denied)*denialStep, denialWindow)
 }
 
-// retryAfter is when the limit has room for all that were told to come back.
+// retryAfter returns the time until the limit can cover all promised retries.
 func (b *bucket) retryAfter(fraction float64) time.Duration {
 	return min(b.timeToReach(b.promisedRetries, fraction), maxRetryAfter)
 }
 
-// timeToReach is the time in which the level reaches the given one.
+// timeToReach returns the time until the level reaches the given one, at most
+// maxRetryAfter.
 func (b *bucket) timeToReach(level, fraction float64) time.Duration {
 	rate := b.limit.PerSecond * fraction
 	if rate <= 0 {
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// warmUp is the time before the traffic in which daemons meet.
+// warmUp is the simulated time before the traffic, for the first pledges.
 const warmUp = 3 * time.Second
 
-// All of an organisation's traffic comes to a few daemons, and seconds later to
-// others. With parts that follow demand, the daemons that it left would still have
-// theirs; it must get its limit wherever it comes.
+// All traffic of an organisation comes to a few daemons, and seconds later to
+// others. Fractions that follow the demand would stay with the former daemons for a
+// while; the organisation must get its limit at any daemon.
 func TestLimitFollowsTraffic(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 3, 73, limits)
@@ -26,10 +26,9 @@
 	w.check()
 }
 
-// A fifth of the daemons is cut off from the others for 8 s, takes requests all the
-// while and reaches the engines. No side knows what the other admits, and together
-// they must stay within the limit, also while organisations send many times their
-// usual.
+// A fifth of the daemons is isolated for 8 s, but still receives requests and reaches
+// the engines. No side knows what the other admits. Together they must stay within
+// the limit, also while organisations send several times their usual traffic.
 func TestPartitionedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	for seed := range uint64(4) {
@@ -45,9 +44,9 @@
 	}
 }
 
-// The daemons fall into two halves that do not hear of each other. Each half finds
-// an owner of its own for each organisation; with the whole limit lent by both, twice
-// the limit would be used.
+// A network partition divides the daemons into two halves. Each half chooses an owner
+// of its own for each organisation; if both lent the whole limit, twice the limit
+// would be used.
 func TestEvenPartitionStaysWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 20, 73, limits)
@@ -59,8 +58,8 @@
 	w.check()
 }
 
-// Owners are killed one after the other, each at the worst moment: while it lends to
-// organisations at their limit. Whoever follows knows nothing of what was lent.
+// Owners crash one after the other while they lend to organisations at their limit.
+// Their successors do not know what was lent.
 func TestOwnerCrashGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 30, 73, limits)
@@ -75,8 +74,8 @@
 	w.check()
 }
 
-// An owner freezes with questions in its sockets, others take its place, and it wakes
-// and answers. What it lends then must count nowhere.
+// An owner is paused with unread asks in its sockets, others replace it, and it resumes
+// and replies. The units that it then lends must not be used.
 func TestPausedOwnerLendsNothingTwice(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 40, 73, limits)
@@ -98,8 +97,8 @@
 	w.check()
 }
 
-// All daemons are killed at the same moment and start again, twice within a window.
-// Each start must not bring another burst of the limit.
+// All daemons crash at the same time and start again, several times within a window.
+// A start must not grant another burst.
 func TestRestartOfAllDaemonsGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 50, 73, limits)
@@ -117,8 +116,8 @@
 	}
 }
 
-// Three quarters more daemons are added while organisations are at their limits. Some
-// hear of it later than others, and count with parts of different sizes.
+// Three quarters more daemons are added while organisations are at their limits. The
+// lists are updated at different times, so daemons pledge different fractions.
 func TestAddedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 60, 73, limits)
@@ -138,9 +137,9 @@
 	w.check()
 }
 
-// A limit is lowered far below its use, and some daemons hear of it two seconds late.
-// From one window after the last has heard of it the lower one must hold; one that is
-// raised or removed must be felt at once.
+// A limit is lowered far below its use, and some daemons get the change two seconds
+// late. From one window after the last update the lower limit must hold; the removal
+// of a limit must take effect at once.
 func TestChangedLimitsTakeEffect(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 70, 73, limits)
@@ -176,8 +175,8 @@
 	}
 }
 
-// A twentieth of the messages is lost, some come twice and some a second late. Owners
-// must neither lend twice nor be taken for gone.
+// A twentieth of the messages is lost, some are duplicated and some arrive a second
+// late. Owners must neither lend twice nor be considered unresponsive.
 func TestLostDelayedAndDuplicatedMessages(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 80, 73, limits)
@@ -189,7 +188,7 @@
 	w.check()
 }
 
-// The clocks of the daemons are hours apart: only differences of one clock may count.
+// The clocks of the daemons are hours apart. Only differences of one clock may be used.
 func TestIgnoresClockDifferences(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 90, 73, limits)
@@ -203,8 +202,8 @@
 	w.check()
 }
 
-// A third of the admitted requests does not run and gives back what it took. The
-// organisation must be able to use that, and others must not.
+// A third of the admitted requests does not run and is refunded. The organisation must
+// be able to use the refunded units.
 func TestRefundedTokensAreReused(t *testing.T) {
 	key := KeyOf("org")
 	n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Tolerance: tolerance, Rand: newWorld(t, 1, 1, nil).rng})
@@ -235,8 +234,8 @@
 	t.Error("never refused")
 }
 
-// A request runs a second time after its first attempt broke off. Both count, so that
-// the next one finds less.
+// A request runs a second time after its first attempt failed. Both runs must be
+// charged.
 func TestChargesSecondRun(t *testing.T) {
 	a := &account{limit: Limit{PerSecond: 100, Unit: Tokens}, expiresAt: time.Hour}
 	a.add(100)
@@ -247,12 +246,11 @@
 	}
 	n.Refund(1, 80)
 	if !a.spend(30) {
-		t.Error("what was given back is not there")
+		t.Error("the refunded units are missing")
 	}
 }
 
-// A daemon without any other has the whole limit: a deployment of one must not refuse
-// what its only daemon owes.
+// The only daemon of a deployment must have the whole limit.
 func TestSingleDaemonHasWholeLimit(t *testing.T) {
 	limits, traffic := organisations(0.8, 100_000)
 	w := newWorld(t, 100, 1, limits)
@@ -261,12 +259,12 @@
 	checkWrongRefusals(t, w)
 	w.check()
 	if w.sent > 0 {
-		t.Errorf("%d messages to nobody", w.sent)
+		t.Errorf("%d messages sent without other daemons", w.sent)
 	}
 }
 
-// A daemon's process stops. The others must turn elsewhere at once, without requests
-// that wait for an answer in vain.
+// The owners shut down. The other daemons must choose new owners at once, without
+// requests that wait for a timeout.
 func TestLeavingOwnerIsReplacedAtOnce(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 110, 73, limits)
--- a/quota/message.go
+++ b/quota/message.go
@@ -9,59 +9,60 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMalformed reports a message that no daemon of this release sends.
+// ErrMalformed reports a message that is not in the format of this release.
 var ErrMalformed = errors.New("quota: message is malformed")
 
-// Kinds of message, with the version of their layout.
+// Message types. A change of the layout takes a new number.
 const (
 	kindAsk   = 0x11
 	kindReply = 0x13
 )
 
-// Bounds of messages. One fits into a datagram on links of any usual size.
+// Limits of messages. The longest one fits into a datagram at common MTUs.
 const (
 	maxEntries    = 32
 	maxUnits      = 1 << 40
-	fractionScale = 1 << 24 // parts are sent in units of one over this
-	usedScale     = 1000    // use is sent in thousandths of the limit
-	lentScale     = 1000    // what is lent is sent in thousandths of a unit, rounded down
+	fractionScale = 1 << 24 // fractions are encoded as multiples of 1/fractionScale
+	usedScale     = 1000    // use is encoded in thousandths of the limit
+	lentScale     = 1000    // lent units are encoded in thousandths, rounded down
 	maxHold       = 10 * time.Second
 	maxAgain      = time.Minute
 	MaxDatagram   = 1400 // bytes
 )
 
-// ask is what a daemon pledges to the owner of a shard and asks of it.
+// ask is a daemon's request to the owner of a shard. It also pledges the
+// daemon's fraction.
 type ask struct {
 	Nonce    uint64 // of the sender's process
-	Seq      uint64 // grows with each question of the process
+	Seq      uint64 // increases with each ask of the process
 	Shard    int
-	Fraction float64       // the sender's part of the limits
-	Hold     time.Duration // for which it is pledged; 0: it is pledged elsewhere
+	Fraction float64       // the sender's fraction of the limits
+	Hold     time.Duration // duration of the pledge; 0: pledged to another owner
 	Entries  []askEntry
 }
 
-// askEntry is the question for one organisation, in units of its limit.
+// askEntry is the demand of one organisation, in units of its limit.
 type askEntry struct {
 	Key      Key
-	Need     float64 // of requests that wait
-	Ahead    float64 // of those that probably come next
-	Rejected float64 // of those turned away since the last question
+	Need     float64 // of waiting requests
+	Ahead    float64 // of requests expected next
+	Rejected float64 // of requests rejected since the last ask
 }
 
-// reply is an owner's answer.
+// reply is an owner's reply to an ask.
 type reply struct {
-	Seq     uint64 // of the question
+	Seq     uint64 // of the ask
 	Shard   int
-	Leaving bool // the owner lends nothing, and the sender's part is free
+	Leaving bool // the owner lends nothing and releases the sender's pledge
 	Entries []replyEntry
 }
 
 type replyEntry struct {
 	Key   Key
 	Lent  float64
-	Again time.Duration // until the next question; 0: all that was needed is lent
-	Retry time.Duration // for callers
-	Used  float64       // of the limit, lately; see Verdict
+	Again time.Duration // until the next ask; 0: the need is covered
+	Retry time.Duration // Retry-After for callers
+	Used  float64       // see Verdict
 }
 
 func appendUnits(b []byte, v float64) []byte {
@@ -72,7 +73,7 @@
 	return binary.AppendUvarint(b, uint64((d+time.Millisecond-1)/time.Millisecond))
 }
 
-// encode returns the message. Only the first maxEntries are sent.
+// encode returns the message with at most the first maxEntries entries.
 func (a *ask) encode() []byte {
 	b := []byte{kindAsk, byte(a.Shard)}
 	b = binary.LittleEndian.AppendUint64(b, a.Nonce)
@@ -105,7 +106,7 @@
 	return b
 }
 
-// reader reads the fields of a message.
+// reader decodes the fields of a message.
 type reader struct{ wire.Reader }
 
 func (r *reader) units() float64 { return float64(r.Uvarint(maxUnits)) }
--- a/quota/message_test.go
+++ b/quota/message_test.go
@@ -22,8 +22,8 @@
 	}
 }
 
-// An organisation without requests in a message, and more of them than one datagram
-// carries: the message must stay within a packet.
+// Messages with more entries than fit, all of maximum length, must stay within
+// MaxDatagram.
 func TestLongestMessagesFitDatagram(t *testing.T) {
 	a := ask{Nonce: 1 << 63, Seq: 1 << 63, Fraction: 1, Hold: maxHold}
 	r := reply{Seq: 1 << 63}
@@ -36,8 +36,8 @@
 	}
 }
 
-// Anyone on the network can send to the port. Whatever comes must be refused or be a
-// message that can be sent again, and never stop the daemon.
+// Any host on the network can send to the port. Arbitrary data must be refused or
+// decode to a message that encodes to the same value, and never cause a panic.
 func FuzzMessages(f *testing.F) {
 	a, r := ask{Seq: 1, Entries: []askEntry{{Key: 1, Need: 2}}}, reply{Seq: 1, Entries: []replyEntry{{Key: 1, Lent: 2}}}
 	f.Add(a.encode())
@@ -58,8 +58,8 @@
 	})
 }
 
-// Guards against owners with a small part of a limit, each of which lends a whole request
-// for a part of one.
+// Guards against owners with a small fraction of a limit that each round the fraction
+// of a request up to a whole one.
 func TestLentUnitsRoundDown(t *testing.T) {
 	for _, lent := range []float64{0, 0.04, 0.999, 1, 17_000} {
 		r := reply{Seq: 1, Entries: []replyEntry{{Key: 7, Lent: lent}}}
--- a/quota/node.go
+++ b/quota/node.go
@@ -10,34 +10,34 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// Daemon is a daemon of the deployment.
+// Daemon is the name and the address of a daemon of the deployment.
 type Daemon struct {
 	Name    string
-	Address string // where it takes messages, IP:port
+	Address string // IP:port for messages between daemons
 }
 
-// Datagram is a message to another daemon. It may be lost, late or doubled.
+// Datagram is a message to another daemon. It may be lost, delayed or duplicated.
 type Datagram struct {
 	To   string // Daemon.Address
 	Data []byte
 }
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
 	Self      Daemon
 	Tolerance Tolerance
-	Nonce     uint64     // drawn anew by each process
-	Rand      *rand.Rand // seeded; spreads the times to come back
+	Nonce     uint64     // random, new for each process
+	Rand      *rand.Rand // seeded; spreads the Retry-After times
 }
 
-// Node is one daemon's part in holding the limits: it asks the owners for
-// tokens, and is itself an owner for others. It is not safe for concurrent use.
-// What it wants to send is collected until Outbox is called.
+// Node enforces the limits at one daemon: it asks the owners for tokens, and is
+// itself an owner for others. It is not safe for concurrent use. Outgoing
+// messages are collected until Outbox is called.
 type Node struct {
 	o        Options
 	accounts map[Key]*account
 	shards   [Shards]shard
-	daemons  int // listed; 0: none are known yet
+	daemons  int // number of listed daemons; 0: no list yet
 	seq      uint64
 	leaving  bool
 	out      []Datagram
@@ -45,35 +45,35 @@
 
 // shard is one daemon's view of a shard.
 type shard struct {
-	keys         []Key    // its organisations with a limit
-	order        []Daemon // in which daemons are asked
+	keys         []Key    // organisations with a limit
+	order        []Daemon // daemons by rank
 	away         map[string]time.Duration
-	owner        Daemon      // that is asked now
-	pendingAsk   inFlightAsk // the question that was not answered yet
-	pendingProbe inFlightAsk // a question to a daemon that did not answer before
+	owner        Daemon      // currently asked
+	pendingAsk   inFlightAsk // the ask without a reply yet
+	pendingProbe inFlightAsk // an ask to a skipped daemon
 	ownPledge    pledgeState
 	lender       shardOwner
-	// missed are the daemons in a row that did not answer.
+	// missed counts the consecutive daemons that did not reply.
 	missed int
 }
 
-// pledgeState is where this daemon's part of the limits is.
+// pledgeState is this daemon's current pledge of its fraction.
 type pledgeState struct {
 	to     string // address
 	until  time.Duration
-	renews time.Duration // when the next message is due
+	renews time.Duration // when the renewal is due
 }
 
-// inFlightAsk is a question on its way. The zero value is none.
+// inFlightAsk is an ask without a reply yet. The zero value is none.
 type inFlightAsk struct {
 	seq  uint64
 	to   Daemon
 	sent time.Duration
-	// repeats counts the questions before this one that were not answered.
+	// repeats counts the preceding asks without a reply.
 	repeats int
 }
 
-// NewNode returns a Node that knows no limits and no daemons.
+// NewNode returns a Node without limits and without a list of daemons.
 func NewNode(o Options) *Node {
 	n := &Node{o: o, accounts: map[Key]*account{}}
 	for i := range n.shards {
@@ -82,7 +82,7 @@
 	return n
 }
 
-// SetDaemons takes the list of all daemons, this one included.
+// SetDaemons sets the list of all daemons, including this one.
 func (n *Node) SetDaemons(all []Daemon) {
 	n.daemons = len(all)
 	if !slices.Contains(all, n.o.Self) {
@@ -97,8 +97,8 @@
 	}
 }
 
-// rankDaemons puts the daemons into the order in which they are asked in a shard, the
-// same at all daemons.
+// rankDaemons sorts the daemons by their rank for a shard. All daemons with the
+// same list get the same order.
 func rankDaemons(shard int, all []Daemon) []Daemon {
 	type ranked struct {
 		rank uint64
@@ -126,8 +126,7 @@
 	return 1 / float64(n.daemons)
 }
 
-// SetLimits takes the limits in force. Organisations without one are not
-// limited.
+// SetLimits sets the current limits. Organisations without one are not limited.
 func (n *Node) SetLimits(now time.Duration, limits map[Key]Limit) {
 	var parts [Shards]map[Key]Limit
 	for i := range parts {
@@ -158,7 +157,7 @@
 	}
 }
 
-// resolveWaiters ends the waiting of all requests.
+// resolveWaiters passes a verdict to all waiting requests.
 func (a *account) resolveWaiters(verdict func(waiter) Verdict) {
 	for _, w := range a.waiters {
 		w.done(verdict(w))
@@ -166,9 +165,9 @@
 	a.waiters = nil
 }
 
-// Admit decides on a request. tokens is negative if it does not tell them. If
-// an owner has to be asked first, decided is false, and done is called with the
-// verdict, from within this call or a later one to the Node.
+// Admit decides on a request. tokens is negative if the request states no token
+// count. If an owner has to be asked first, decided is false, and done is called
+// with the verdict, from within this call or a later one to the Node.
 func (n *Node) Admit(now time.Duration, key Key, tokens int, done func(Verdict)) (v Verdict, decided bool) {
 	a := n.accounts[key]
 	if a == nil {
@@ -192,7 +191,7 @@
 	return Verdict{}, false
 }
 
-// CanAdmit tells whether the next request of one unit would be admitted at once.
+// CanAdmit reports whether a request of one unit would be admitted at once.
 func (n *Node) CanAdmit(now time.Duration, key Key) bool {
 	a := n.accounts[key]
 	if a == nil {
@@ -202,20 +201,20 @@
 	return len(a.waiters) == 0 && a.balance() >= 1-roundingError
 }
 
-// Denied tells whether the next request of one unit would be turned away at once.
+// Denied reports whether a request of one unit would be rejected at once.
 func (n *Node) Denied(now time.Duration, key Key) bool {
 	a := n.accounts[key]
 	return a != nil && now < a.deniedUntil && !n.CanAdmit(now, key)
 }
 
-// Refund returns what a request took that did not run.
+// Refund returns the units of an admitted request that did not run.
 func (n *Node) Refund(key Key, tokens int) {
 	if a := n.accounts[key]; a != nil {
 		a.add(a.limit.Cost(tokens))
 	}
 }
 
-// Charge takes what a further run of a request takes, whether it is there or not.
+// Charge takes the units of a further run of a request, even if too few are left.
 func (n *Node) Charge(key Key, tokens int) {
 	if a := n.accounts[key]; a != nil {
 		a.add(-a.limit.Cost(tokens))
@@ -228,7 +227,7 @@
 	return Verdict{RetryAfter: after, Owner: owner, Age: now - a.updatedAt, Used: a.used}
 }
 
-// ask sends the questions of a shard to its owner, with the pledge.
+// ask sends the demand of a shard's organisations and the pledge to the owner.
 func (n *Node) ask(now time.Duration, i int) {
 	s := &n.shards[i]
 	n.seq++
@@ -256,7 +255,7 @@
 	n.out = append(n.out, Datagram{To: s.owner.Address, Data: q.encode()})
 }
 
-// Receive takes a message from the given address. The error is ErrMessage.
+// Receive handles a message from the given address. The error is ErrMalformed.
 func (n *Node) Receive(now time.Duration, from string, data []byte) error {
 	if len(data) > 0 && data[0] == kindAsk {
 		q, err := decodeAsk(data)
@@ -278,8 +277,8 @@
 	case r.Seq == s.pendingProbe.seq && from == s.pendingProbe.to.Address:
 		n.handleProbeReply(now, r.Shard, &r)
 	}
-	// Any other answer is late. What it lends is lost, which errs on the side of
-	// the limit.
+	// Any other reply is late. The units that it lends are lost, so that the use
+	// stays below the limit.
 	return nil
 }
 
@@ -295,8 +294,7 @@
 	n.out = append(n.out, Datagram{To: from, Data: r.encode()})
 }
 
-// handleReply takes the answer of the owner and decides on the requests that waited
-// for it.
+// handleReply adds the units lent by the owner and decides on the waiting requests.
 func (n *Node) handleReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
 	if r.Leaving {
@@ -323,7 +321,7 @@
 	}
 }
 
-// admitWaiting admits the requests that wait for which there are tokens.
+// admitWaiting admits the waiting requests that the lent tokens cover.
 func (a *account) admitWaiting(owner string) {
 	waiting := a.waiters
 	a.waiters = nil
@@ -336,8 +334,8 @@
 	}
 }
 
-// resolveAsked admits the requests that wait for as long as there are tokens. The
-// others that the question named are turned away: the owner had no more.
+// resolveAsked admits the waiting requests that the lent tokens cover. Of the
+// others, those that were included in the ask are rejected: the owner had no more.
 func (n *Node) resolveAsked(now time.Duration, a *account, owner string) {
 	a.admitWaiting(owner)
 	waiting := a.waiters
@@ -352,9 +350,9 @@
 	}
 }
 
-// skipOwner leaves the owner for a while and turns to the next. A daemon that had
-// no answer from several is probably cut off, and lends to itself until a probe
-// is answered.
+// skipOwner skips the owner for the given time and asks the next daemon. A daemon
+// without a reply from several others is probably isolated, and lends to itself
+// until a probe is answered.
 func (n *Node) skipOwner(now time.Duration, i int, span time.Duration) {
 	s := &n.shards[i]
 	s.away[s.owner.Address] = now + span
@@ -362,8 +360,8 @@
 	n.ask(now, i)
 }
 
-// chooseOwner returns the first daemon that was not passed over, or this one if it
-// seems to be cut off.
+// chooseOwner returns the first daemon that is not skipped, or this one if it seems
+// to be isolated.
 func (s *shard) chooseOwner(me Daemon) Daemon {
 	if s.missed >= maxMissed {
 		return me
@@ -376,8 +374,8 @@
 	return me
 }
 
-// handleProbeReply takes the answer of a daemon that did not answer before. If it comes
-// before the present owner in the order, it is asked from now on.
+// handleProbeReply handles the reply of a skipped daemon. If it ranks before the
+// current owner, it becomes the owner.
 func (n *Node) handleProbeReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
 	d := s.pendingProbe.to
@@ -394,8 +392,8 @@
 	}
 }
 
-// Tick does what is due with time alone. Call it every 20 ms or so while
-// requests wait, and every 100 ms otherwise.
+// Tick runs the timers: accrual, timeouts, pledges and probes. Call it about every
+// 20 ms while Waiting returns true, and every 100 ms otherwise.
 func (n *Node) Tick(now time.Duration) {
 	for i := range n.shards {
 		s := &n.shards[i]
@@ -411,7 +409,7 @@
 	}
 }
 
-// expire gives up questions and requests that have waited for too long.
+// expire repeats or gives up asks without a reply, and rejects requests after maxWait.
 func (n *Node) expire(now time.Duration, i int) {
 	s := &n.shards[i]
 	if f := s.pendingAsk; f.seq != 0 {
@@ -438,9 +436,8 @@
 	}
 }
 
-// probeAway asks the first daemon that was passed over for long enough whether
-// it is back. A daemon that seems to be cut off asks those that it never asked
-// as well.
+// probeAway sends a probe to the first daemon that was skipped for long enough. A
+// daemon that seems to be isolated also probes those that it never asked.
 func (n *Node) probeAway(now time.Duration, i int) {
 	s := &n.shards[i]
 	if s.pendingProbe.seq != 0 {
@@ -466,7 +463,7 @@
 	}
 }
 
-// Waiting tells whether requests wait for an owner's word.
+// Waiting reports whether an ask has no reply yet.
 func (n *Node) Waiting() bool {
 	for i := range n.shards {
 		if n.shards[i].pendingAsk.seq != 0 {
@@ -476,11 +473,11 @@
 	return false
 }
 
-// StopLending has the node lend nothing any more, so that the others turn elsewhere at
-// once.
+// StopLending makes the node reply to all asks that it is leaving, so that the
+// other daemons choose another owner at once.
 func (n *Node) StopLending() { n.leaving = true }
 
-// Outbox returns what is to be sent and forgets it.
+// Outbox returns the messages to be sent and clears the list.
 func (n *Node) Outbox() []Datagram {
 	out := n.out
 	n.out = nil
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// maxWrongRefusals is the part of the owed requests that may be refused.
+// maxWrongRefusals is the fraction of the requests within the limit that may be rejected.
 const maxWrongRefusals = 1.0 / 200
 
-// sizes are limits in tokens/s as a deployment with a few large organisations has
-// them: the smallest takes less than three long prompts a second.
+// sizes are the limits in tokens/s of a deployment with a few large organisations.
+// The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
 func checkWrongRefusals(t *testing.T, w *world) {
 	t.Helper()
 	fraction, lost, owed := w.wrongRefusals()
-	t.Logf("%d of %d owed requests refused (%.5f); %d messages, %.0f bytes a second and daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
+	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
 	if fraction > maxWrongRefusals {
-		t.Errorf("%d of %d owed requests were refused, allowed is 1 in 200", lost, owed)
+		t.Errorf("%d of %d requests within the limit were rejected, allowed is 1 in 200", lost, owed)
 	}
 }
 
-// A long prompt takes as many tokens as a daemon's equal part of the limit brings in
-// half a minute. With equal parts most of an organisation's long prompts would be
-// refused, though it uses half of its limit.
+// A long prompt costs as many tokens as a daemon's equal fraction of the limit accrues
+// in half a minute. With equal fractions, most long prompts of an organisation would be
+// rejected although it uses only half of its limit.
 func TestAdmitsLongPromptsWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 1, 73, limits)
@@ -33,8 +33,9 @@
 	w.check()
 }
 
-// Three organisations send many times their usual at once. They must get their
-// limit, no more and hardly less, and the others must not feel it.
+// Three organisations send several times their usual traffic at once. They must get at
+// least 95% of their limit and no more than allowed, and no other organisation may be
+// affected.
 func TestOverloadedOrganisationsGetTheirLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	w := newWorld(t, 2, 73, limits)
@@ -47,7 +48,7 @@
 	for _, i := range []int{0, 1, 8} {
 		h := w.use[traffic[i].key]
 		got := h.peakUse() / (h.limit.PerSecond * window.Seconds())
-		t.Logf("organisation %d: %.3f of its limit in the fullest window, %d of %d refused, %d of them owed", i, got, h.refused, h.asked, h.wronglyRefused)
+		t.Logf("organisation %d: %.3f of its limit in the window of peak use, %d of %d rejected, %d of them within the limit", i, got, h.refused, h.asked, h.wronglyRefused)
 		if got < 0.95 {
 			t.Errorf("organisation %d got %.2f of its limit", i, got)
 		}
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -2,31 +2,31 @@
 
 import "time"
 
-// pledge is a daemon's part of the limits, lent to this owner for a while.
+// pledge is the fraction of the limits that a daemon pledged to this owner.
 type pledge struct {
 	nonce    uint64 // of the daemon's process
-	seq      uint64 // of its newest question
+	seq      uint64 // of its newest ask
 	fraction float64
 	until    time.Duration
 }
 
-// shardOwner is the owner's side of one shard.
+// shardOwner is the state of a daemon as the owner of a shard.
 type shardOwner struct {
 	pledges    map[string]pledge // by the daemon's address
 	buckets    map[Key]*bucket
-	pledgedSum float64 // of the parts that are pledged
+	pledgedSum float64 // sum of the pledged fractions
 }
 
 func newShardOwner() shardOwner {
 	return shardOwner{pledges: map[string]pledge{}, buckets: map[Key]*bucket{}}
 }
 
-// lendableFraction is what this owner may lend of the limits.
+// lendableFraction returns the fraction of the limits that this owner may lend.
 func (l *shardOwner) lendableFraction(t Tolerance) float64 {
 	return min(1, l.pledgedSum*t.compensation())
 }
 
-// accrue accrues and drops the pledges that are over.
+// accrue accrues the limits up to now and drops expired pledges.
 func (l *shardOwner) accrue(now time.Duration, t Tolerance) {
 	fraction := l.lendableFraction(t)
 	for _, b := range l.buckets {
@@ -42,8 +42,8 @@
 	}
 }
 
-// setLimits takes the limits of the shard's organisations. A new bucket begins
-// empty: whoever lent before may have lent the burst.
+// setLimits sets the limits of the shard's organisations. A new bucket starts
+// empty, since the previous owner may have lent the burst.
 func (l *shardOwner) setLimits(now time.Duration, limits map[Key]Limit) {
 	for key, limit := range limits {
 		b := l.buckets[key]
@@ -60,8 +60,8 @@
 	}
 }
 
-// lend takes a pledge and lends what the question asks for. It returns false
-// for a question that came twice, or after a newer one.
+// lend records the pledge of an ask and lends what it asks for. It returns false
+// for an ask that is a duplicate or older than the last one.
 func (l *shardOwner) lend(now time.Duration, t Tolerance, from string, q *ask) (reply, bool) {
 	p, known := l.pledges[from]
 	if known && p.nonce == q.Nonce && q.Seq <= p.seq {
@@ -70,8 +70,8 @@
 	l.pledgedSum -= p.fraction
 	p = pledge{nonce: q.Nonce, seq: q.Seq, fraction: q.Fraction, until: now + q.Hold}
 	if q.Hold <= 0 {
-		// The daemon's part is elsewhere. Its number of the question counts all the
-		// same.
+		// The daemon's fraction is pledged to another owner. The entry is kept to
+		// recognise duplicates.
 		p.fraction, p.until = 0, now+pledgeTTL
 	}
 	l.pledgedSum += p.fraction
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -1,16 +1,16 @@
-// Package quota holds organisations to their rate limits over all daemons.
+// Package quota enforces the rate limits of organisations across all daemons.
 //
-// Organisations are divided into shards. In each shard every daemon orders all
-// daemons by a hash, and the first one that answers lends tokens of the shard's
-// organisations to it: the owner. A daemon pledges its part of the limits, one
-// over the number of daemons, to one owner at a time and for a short while. An
-// owner lends no more than the parts that are pledged to it allow. However the
-// daemons are cut off from each other, each part counts at one owner only, so
-// that the sum of what is lent stays within the limit. A daemon that reaches no
-// other is its own owner, with its own part.
+// Organisations are divided into shards. For each shard, every daemon ranks all
+// daemons by a rendezvous hash. The first one that answers is its owner of the
+// shard and lends it tokens of the shard's organisations. A daemon pledges its
+// fraction of the limits, one over the number of daemons, to one owner at a time
+// and for a short time. An owner lends no more than the fractions pledged to it
+// allow. Under any network partition each fraction counts at one owner only, so
+// that all owners together stay within the limit. A daemon that reaches no other
+// is its own owner, with its own fraction.
 //
-// The package does no I/O. Time is a duration of a clock that runs on while the
-// machine is suspended; only differences of one daemon's clock are compared.
+// The package does no I/O. Times are durations of a clock that also advances
+// while the machine is suspended; times of different daemons are never compared.
 package quota
 
 import (
@@ -19,31 +19,31 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// Key names an organisation in messages between daemons.
+// Key identifies an organisation in messages between daemons.
 type Key uint64
 
 // KeyOf returns the key of the organisation with the given name.
 func KeyOf(name string) Key { return Key(hash.Text("quota/" + name)) }
 
-// Unit is what a limit counts.
+// Unit is the unit that a limit counts.
 type Unit uint8
 
 // The units.
 const (
 	Requests Unit = iota
-	Tokens        // of the prompt and, at most, of the answer
+	Tokens        // of the prompt plus the maximum of the answer
 )
 
-// Limit is the rate limit of one organisation over all daemons.
+// Limit is the rate limit of one organisation across all daemons.
 type Limit struct {
 	PerSecond   float64 // units/s; 0: no limit
-	Burst       float64 // units that may be used at once after a quiet time
+	Burst       float64 // units that may be used at once when none were used before
 	Unit        Unit
-	DefaultCost float64 // units of a request that names no tokens, if Unit is Tokens
+	DefaultCost float64 // units of a request without a token count, if Unit is Tokens
 }
 
-// Cost is what one request takes of the limit. tokens is negative if the
-// request does not tell them.
+// Cost returns the units that one request takes. tokens is negative if the
+// request states no token count.
 func (l *Limit) Cost(tokens int) float64 {
 	switch {
 	case l.Unit == Requests:
@@ -55,75 +55,76 @@
 	}
 }
 
-// Tolerance is how far the use of all daemons together may pass a limit in any
-// window: by Overage of it, and by Slack units.
+// Tolerance bounds by how much the use of all daemons together may exceed a
+// limit in any window: by the fraction Overage of the limit plus Slack units.
 type Tolerance struct {
-	Overage float64 // part of the limit
+	Overage float64 // fraction of the limit
 	Slack   float64 // units
 }
 
-// overdraft is how many units an owner of the whole limit may lend beyond it,
-// so that one request that is larger than what is left passes.
+// overdraft returns how many units an owner of the whole limit may lend beyond
+// it, so that a request larger than the remaining units can pass.
 func (t Tolerance) overdraft() float64 { return t.Slack / 2 }
 
-// compensation is the factor by which pledged parts count as more than they are. It
-// makes up for daemons that are listed and gone.
+// compensation returns the factor by which pledged fractions are increased. It
+// compensates for daemons that are listed but not running.
 func (t Tolerance) compensation() float64 { return 1 + t.Overage/2 }
 
-// Verdict is the decision on one request.
+// Verdict is the decision on a request.
 type Verdict struct {
 	Admitted bool
-	// RetryAfter is when the limit probably has room for those turned away.
+	// RetryAfter estimates when the limit has capacity for the rejected requests.
 	RetryAfter time.Duration
-	Owner      string        // name of the daemon whose word decided; empty: none answered
-	Age        time.Duration // of that word
-	Used       float64       // part of the limit that all daemons used lately, by that word
+	Owner      string        // name of the daemon that decided; empty: none answered
+	Age        time.Duration // of that daemon's last reply
+	Used       float64       // fraction of the limit that all daemons used recently, by that reply
 }
 
-// Times and bounds.
+// Timeouts, intervals and limits.
 const (
-	// Shards is the number of parts that organisations are divided into.
+	// Shards is the number of shards that organisations are divided into.
 	Shards = 8
-	// pledgeTTL is how long a daemon's part stays with an owner that is not
-	// heard of any more.
+	// pledgeTTL is how long a daemon's fraction stays pledged to an owner without
+	// a renewal.
 	pledgeTTL = time.Second
-	// pledgeInterval is how often a pledge is renewed.
+	// pledgeInterval is the interval at which a pledge is renewed.
 	pledgeInterval = 400 * time.Millisecond
-	// maxTransit bounds the way of a message: a pledge ends at its owner by so much
-	// later than its daemon counts.
+	// maxTransit bounds the transit time of a message. A pledge may end that much
+	// later at its owner than at the daemon that made it.
 	maxTransit = 200 * time.Millisecond
-	// replyTimeout is how long an owner's answer is waited for before the question
-	// is repeated, repeatsMost how often it is, and lastPatience how long the answer
-	// to the last repetition is waited for. Datagrams are lost now and then.
+	// replyTimeout is the time after which an ask without a reply is repeated,
+	// maxRepeats the number of repetitions, and finalReplyTimeout the timeout of
+	// the last one. The repetitions cover lost datagrams.
 	replyTimeout      = 60 * time.Millisecond
 	maxRepeats        = 2
 	finalReplyTimeout = 100 * time.Millisecond
-	// maxWait bounds how long a request waits for the word of an owner.
+	// maxWait bounds how long a request waits for the reply of an owner.
 	maxWait = 300 * time.Millisecond
-	// unresponsiveTTL is how long a daemon that did not answer is passed over.
+	// unresponsiveTTL is how long a daemon that did not reply is skipped.
 	unresponsiveTTL = 3 * time.Second
-	// maxMissed is the number of daemons in a row without an answer after which a
-	// daemon takes itself to be cut off.
+	// maxMissed is the number of consecutive daemons without a reply after which a
+	// daemon considers itself isolated.
 	maxMissed = 2
-	// leavingTTL is how long one is that said it lends nothing.
+	// leavingTTL is how long a daemon that announced its shutdown is skipped.
 	leavingTTL = 2 * time.Second
-	// grantTTL is how long lent tokens may be used at least; those left after
-	// twice as long are void.
+	// grantTTL is how long lent tokens are valid at least. They expire within
+	// twice that time.
 	grantTTL = time.Second
-	// lendAhead is the time for which an owner with room lends in advance.
+	// lendAhead is the time whose expected demand an owner with spare units lends
+	// in advance.
 	lendAhead = 300 * time.Millisecond
-	// smoothingTime is the time over which the demand of an organisation is averaged.
+	// smoothingTime is the time constant of the smoothed demand and use.
 	smoothingTime = time.Second
-	// maxAccrual bounds the time for which a limit accrues at once. An owner that
-	// stood still lent nothing meanwhile, and others did in its place.
+	// maxAccrual bounds the time for which a limit accrues at once. While an owner
+	// was paused, others lent in its place.
 	maxAccrual = 300 * time.Millisecond
-	// denialStep spreads the questions of daemons that were denied.
+	// denialStep spreads the next asks of daemons that were denied.
 	denialStep = 500 * time.Microsecond
-	// maxRetryAfter bounds the time to come back that callers are told.
+	// maxRetryAfter bounds the Retry-After of rejected requests.
 	maxRetryAfter = 5 * time.Second
-	// retryOtherDaemon is the time to come back after no owner answered: another
-	// daemon may reach it.
+	// retryOtherDaemon is the Retry-After if no owner replied: another daemon may
+	// reach it.
 	retryOtherDaemon = 200 * time.Millisecond
-	// assumedDaemons is the number of daemons assumed as long as none are known.
+	// assumedDaemons is the number of daemons assumed until the list is known.
 	assumedDaemons = 256
 )
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// world plays daemons, their messages and callers in virtual time, in steps of a
-// millisecond.
+// world simulates daemons, their messages and callers in virtual time, in steps of
+// a millisecond.
 type world struct {
 	t         testing.TB
 	rng       *rand.Rand
@@ -18,14 +18,14 @@
 	nodes     []*machine
 	byAddr    map[string]*machine
 	inTransit map[time.Duration][]packet // by time of arrival
-	loss      float64                    // part of the messages
+	loss      float64                    // fraction of the messages
 	double    float64
-	late      float64 // part of the messages that come up to a second late
+	late      float64 // fraction of the messages that arrive up to a second late
 	cut       func(a, b int) bool
 	use       map[Key]*history
 	bytes     int
 	sent      int
-	fractions *fractionLimiter // another way to hold the limits; nil: the nodes do
+	fractions *fractionLimiter // baseline to compare with; nil: the nodes decide
 }
 
 type packet struct {
@@ -34,26 +34,26 @@
 	data []byte
 }
 
-// machine is one daemon.
+// machine is a simulated daemon.
 type machine struct {
 	index  int
 	me     Daemon
 	node   *Node
 	down   bool
 	frozen bool
-	queue  []packet // that came while it was frozen
+	queue  []packet // received while frozen
 	skew   time.Duration
 }
 
-// history is what came of an organisation's requests.
+// history records the requests of an organisation and their verdicts.
 type history struct {
 	limit          Limit
-	admitted       []use // as they ran
+	admitted       []use // in order of time
 	level          float64
 	at             time.Duration
 	asked          int
-	withinLimit    int // requests within the limit, by what was used before
-	wronglyRefused int // of those, refused
+	withinLimit    int // requests within the limit, by the use before them
+	wronglyRefused int // rejected ones among them
 	refused        int
 	waits          []time.Duration
 }
@@ -96,8 +96,8 @@
 	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
 }
 
-// restart ends the process of a daemon and starts another, which reads the list and
-// the limits at once.
+// restart replaces the process of a daemon by a new one, which gets the list and the
+// limits at once.
 func (w *world) restart(m *machine) {
 	m.node, m.queue, m.down = w.process(m), nil, false
 	m.node.SetDaemons(w.list())
@@ -112,7 +112,7 @@
 	return out
 }
 
-// post sends what a daemon wants to send.
+// post sends the outgoing messages of a daemon.
 func (w *world) post(m *machine) {
 	for _, d := range m.node.Outbox() {
 		w.sent++
@@ -135,7 +135,7 @@
 	}
 }
 
-// step plays one millisecond.
+// step advances the simulation by one millisecond.
 func (w *world) step() {
 	w.now += time.Millisecond
 	for _, l := range w.inTransit[w.now] {
@@ -183,7 +183,7 @@
 	m.queue = nil
 }
 
-// request has a caller of an organisation come to a daemon.
+// request sends a request of an organisation to a daemon.
 func (w *world) request(m *machine, key Key, tokens int) {
 	if m.down || m.frozen {
 		return
@@ -202,8 +202,8 @@
 	w.post(m)
 }
 
-// verdict compares the decision with one bucket for all daemons that knows of
-// every request.
+// verdict records a decision and compares it with that of a single token bucket for
+// all requests.
 func (h *history) verdict(now, waited time.Duration, cost float64, v Verdict) {
 	h.level = min(h.limit.Burst, h.level+h.limit.PerSecond*(now-h.at).Seconds())
 	h.at = now
@@ -223,7 +223,7 @@
 	}
 }
 
-// peakUse is the largest use in any window.
+// peakUse returns the largest use in any window.
 func (h *history) peakUse() float64 {
 	most, sum, from := 0.0, 0.0, 0
 	for i := range h.admitted {
@@ -241,7 +241,7 @@
 	return (l.PerSecond*span.Seconds()+l.Burst)*(1+t.Overage) + t.Slack
 }
 
-// check holds the use of all organisations against their limits.
+// check fails the test if an organisation used more than allowed in any window.
 func (w *world) check() {
 	w.t.Helper()
 	for key, h := range w.use {
@@ -251,7 +251,7 @@
 	}
 }
 
-// wrongRefusals returns the part of the owed requests that were refused.
+// wrongRefusals returns the fraction of the requests within the limit that were rejected.
 func (w *world) wrongRefusals() (fraction float64, lost, owed int) {
 	for _, h := range w.use {
 		lost += h.wronglyRefused
@@ -265,11 +265,11 @@
 	key   Key
 	long  float64 // requests/s with a long prompt
 	short float64 // requests/s with a short one
-	// at are the daemons that get the requests; nil: all.
+	// at lists the daemons that receive the requests; nil: all.
 	at []int
 }
 
-// play runs the given time with the traffic.
+// play runs the simulation for the given time with the traffic.
 func (w *world) play(span time.Duration, traffic []demand) {
 	for end := w.now + span; w.now < end; {
 		w.step()
@@ -297,8 +297,8 @@
 // longTokens draws the size of a long prompt, 17,000 tokens on average.
 func longTokens(rng *rand.Rand) int { return 3000 + rng.IntN(28_000) }
 
-// organisations makes limits of the sizes given, in tokens/s, with a burst of a
-// second, and traffic that uses the given part of them.
+// organisations returns limits of the given rates in tokens/s, with a burst of one
+// second, and traffic that uses the given fraction of them.
 func organisations(used float64, rates ...float64) (map[Key]Limit, []demand) {
 	limits := map[Key]Limit{}
 	var traffic []demand
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// maxBytesPerSecond is what the messages of limits may take of the 3 KB/s that a daemon has for
-// all that it tells others.
+// maxBytesPerSecond bounds the messages of one daemon. A daemon may send 3 KB/s for all
+// exchange with others.
 const maxBytesPerSecond = 3000
 
-// A thousand daemons and 333 organisations, at a third of the target's requests: what
-// each daemon sends must stay within its bytes, and no organisation may be refused below
+// With 1100 daemons and 333 organisations at a third of the target request rate, each
+// daemon must stay within maxBytesPerSecond, and no organisation may be rejected below
 // its limit.
 func TestMessageRateOfThousandDaemons(t *testing.T) {
 	t.Parallel()
@@ -27,11 +27,11 @@
 	each := float64(w.bytes-before) / (w.now - began).Seconds() / 1100
 	checkWrongRefusals(t, w)
 	if each > maxBytesPerSecond {
-		t.Errorf("%.0f bytes a second and daemon", each)
+		t.Errorf("%.0f bytes/s per daemon", each)
 	}
 }
 
-// The path of nearly all requests: tokens are there.
+// BenchmarkAdmitFromBalance measures the common case: the lent tokens suffice.
 func BenchmarkAdmitFromBalance(b *testing.B) {
 	limits := map[Key]Limit{}
 	for i := range 333 {
--- a/quota/ways_test.go
+++ b/quota/ways_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// fractionLimiter is a way to hold limits without asking anybody: each daemon has a part of the
-// limit, the same for all or by what it was asked for lately.
+// fractionLimiter is a baseline without owners: each daemon has a fraction of the limit,
+// either equal for all or proportional to its recent demand.
 type fractionLimiter struct {
-	// byDemand has the parts follow the demand, which all daemons know half a second
-	// late.
+	// byDemand makes the fractions follow the demand, which all daemons know with a
+	// delay of half a second.
 	byDemand bool
-	// overdraft admits a request that is larger than what is left.
+	// overdraft admits a request that is larger than the remaining units.
 	overdraft bool
 
 	level  map[Key][]float64
 	demand map[Key][]float64
-	known  map[Key][]float64 // demand as it was told last
+	known  map[Key][]float64 // demand as last exchanged
 }
 
 func newFractionLimiter(w *world, byDemand, overdraft bool) *fractionLimiter {
@@ -27,7 +27,7 @@
 	return p
 }
 
-// step accrues a millisecond.
+// step accrues the limits for one millisecond.
 func (p *fractionLimiter) step(w *world) {
 	for key, l := range w.limits {
 		sum := 0.0
@@ -58,9 +58,9 @@
 	return false
 }
 
-// The ways to hold a limit of tokens over many daemons, on the same traffic: within the
-// limit, and with three organisations at many times their usual. What is refused below
-// the limit and what is used beyond it speaks for the one that is kept.
+// Compares the strategies to enforce a token limit across many daemons on the same
+// traffic: within the limits, and with three organisations at several times their usual
+// traffic. Only lending by owners keeps both wrong refusals and overuse within bounds.
 func TestLimitingStrategies(t *testing.T) {
 	t.Parallel()
 	for _, daemons := range []int{73, 295} {
@@ -89,10 +89,10 @@
 			t.Logf("%d daemons, %-30s %.4f refused below the limit, %.2f of what is allowed used", daemons, name, fraction, most)
 		}
 		if lost["lent by owners"] > maxWrongRefusals || over["lent by owners"] > 1 {
-			t.Errorf("%d daemons: the way that is kept loses %.4f and uses %.2f", daemons, lost["lent by owners"], over["lent by owners"])
+			t.Errorf("%d daemons: lending by owners rejects %.4f below the limit and uses %.2f of what is allowed", daemons, lost["lent by owners"], over["lent by owners"])
 		}
 		if lost["equal parts"] < maxWrongRefusals && over["equal parts and one request"] < 1 {
-			t.Error("equal parts would do")
+			t.Error("equal fractions would suffice")
 		}
 	}
 }
