--- a/quota/node.go
+++ b/quota/node.go
@@ -118,7 +118,7 @@
 	return out
 }
 
-// pledgeFraction is this daemon's pledgeFraction of the limits.
+// pledgeFraction returns this daemon's fraction of the limits.
 func (n *Node) pledgeFraction() float64 {
 	if n.daemons == 0 {
 		return 1.0 / assumedDaemons
