--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -228,7 +228,7 @@
 	}
 	v.reported(e.ID, load)
 	v.healthMu.Lock()
-	v.health.Probed(v.now(), e.ID, load.Incarnation)
+	v.health.RecordProbe(v.now(), e.ID, load.Incarnation)
 	v.healthMu.Unlock()
 }
 
@@ -245,7 +245,7 @@
 	v.mu.Unlock()
 	v.placement.LoadReported(id, l)
 	v.healthMu.Lock()
-	v.health.Report(now, id, l)
+	v.health.UpdateLoad(now, id, l)
 	v.healthMu.Unlock()
 }
 
@@ -255,7 +255,7 @@
 	v.members.Refused(now, id)
 	v.mu.Unlock()
 	v.healthMu.Lock()
-	v.health.Failure(now, id, 0)
+	v.health.RecordFailure(now, id, 0)
 	v.healthMu.Unlock()
 }
 
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -23,7 +23,7 @@
 	daemon *Daemon
 	log    *logging.Logger
 	keeper *logio.LeaseKeeper
-	giver  *orders.Giver
+	giver  *orders.Leader
 }
 
 func newOrderGiver(d *Daemon) *orderGiver {
@@ -39,10 +39,10 @@
 		Want:   d.shutdown.ready,
 	})
 	g.giver = orders.New(orders.Options{
-		Lease:     g.keeper,
-		Situation: d.situation,
-		Dial:      d.o.Dial,
-		Observe:   g.observe,
+		Lease:      g.keeper,
+		FleetState: d.situation,
+		Dial:       d.o.Dial,
+		Observe:    g.observe,
 	})
 	return g
 }
@@ -70,7 +70,7 @@
 		fields = append(fields, "error", e.Err.Error())
 	}
 	switch e.Kind {
-	case orders.EventTaken, orders.EventLost, orders.EventOrder:
+	case orders.EventLeaseAcquired, orders.EventLeaseLost, orders.EventOrder:
 		g.log.Info("Orders to endpoints.", fields...)
 	default:
 		g.log.Debug("Orders to endpoints.", fields...)
@@ -78,14 +78,14 @@
 }
 
 // situation is what this daemon plans orders from.
-func (d *Daemon) situation(now time.Time) orders.Situation {
+func (d *Daemon) situation(now time.Time) orders.FleetState {
 	v := d.manifests.InForce()
 	if v == nil {
-		return orders.Situation{}
+		return orders.FleetState{}
 	}
 	d.fleet.mu.Lock()
 	defer d.fleet.mu.Unlock()
-	return orders.Situation{
+	return orders.FleetState{
 		Manifest:  &v.Manifest,
 		Revision:  v.Revision.Offset,
 		Endpoints: d.fleet.members.All(now),
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -197,7 +197,7 @@
 	switch r.Outcome {
 	case gateway.AttemptAnswered:
 		v.healthMu.Lock()
-		v.health.Success(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
+		v.health.RecordSuccess(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
 	case gateway.AttemptNotSent:
 		v.daemon.room.GiveBack(e)
@@ -206,7 +206,7 @@
 		v.notRun(e, r.Meta)
 	case gateway.AttemptFailed:
 		v.healthMu.Lock()
-		v.health.Failure(now, e, r.Meta.Incarnation)
+		v.health.RecordFailure(now, e, r.Meta.Incarnation)
 		v.healthMu.Unlock()
 	case gateway.AttemptCancelled:
 	}
--- a/forward/quarantine.go
+++ b/forward/quarantine.go
@@ -25,7 +25,7 @@
 
 // mayRetry reports whether the quarantine allows another attempt.
 func (c *call) mayRetry() bool {
-	return c.req.Attempt == 0 || c.o.Quarantine == nil || c.o.Quarantine.MayRepeat(c.req.Fingerprint)
+	return c.req.Attempt == 0 || c.o.Quarantine == nil || c.o.Quarantine.MayRetry(c.req.Fingerprint)
 }
 
 // reportToQuarantine reports the end of an attempt to the quarantine.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -27,7 +27,7 @@
 
 // mayRepeat tells whether another endpoint may have the request after one failed.
 func (c *call) mayRepeat() bool {
-	return c.g.o.Quarantine == nil || c.g.o.Quarantine.MayRepeat(c.fingerprint)
+	return c.g.o.Quarantine == nil || c.g.o.Quarantine.MayRetry(c.fingerprint)
 }
 
 // quarantinedAfter is the refusal of a request that is not sent on.
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -46,7 +46,7 @@
 	// Changed is told of holds that began or ended, and of what there is to keep of
 	// one that began here; nil: holds are not kept outside the daemons. It must not
 	// call back.
-	Changed func(c *quarantine.Change, kept *quarantine.Kept)
+	Changed func(c *quarantine.Change, kept *quarantine.StoredHold)
 }
 
 // Guard keeps requests from endpoints that end whenever they run them. It is safe for
@@ -77,7 +77,7 @@
 	return &Guard{
 		o: o, ctx: ctx, end: end, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
 		refused:  o.Scope.Counter("quarantine_refused"),
-		node:     quarantine.NewNode(quarantine.Options{Me: o.Me, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
+		node:     quarantine.NewNode(quarantine.Options{Self: o.Me, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
 		checking: map[fleet.EndpointID]*endCheck{},
 	}
 }
@@ -121,11 +121,11 @@
 }
 
 func (g *Guard) tell(c *quarantine.Change) {
-	var kept *quarantine.Kept
+	var kept *quarantine.StoredHold
 	if c.Held {
 		g.held.Inc(1)
-		g.o.Log.Warn("Request is held.", "fingerprint", c.Fingerprint.String(), "reason", string(c.Reason), "ended", c.Ends, "left_ms", c.Left.Milliseconds())
-		if k, held := g.node.Keep(g.o.Clock(), c.Fingerprint); held && c.Reason == quarantine.ReasonEnds {
+		g.o.Log.Warn("Request is held.", "fingerprint", c.Fingerprint.String(), "reason", string(c.Reason), "ended", c.Crashed, "left_ms", c.Left.Milliseconds())
+		if k, held := g.node.HoldToStore(g.o.Clock(), c.Fingerprint); held && c.Reason == quarantine.ReasonCrashes {
 			kept = &k
 		}
 	} else {
@@ -138,10 +138,10 @@
 }
 
 // Recall takes a hold that was kept outside the daemons.
-func (g *Guard) Recall(k quarantine.Kept) {
+func (g *Guard) Recall(k quarantine.StoredHold) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.node.Recall(g.o.Clock(), k)
+	g.node.RestoreHold(g.o.Clock(), k)
 	g.post()
 }
 
@@ -163,11 +163,11 @@
 	return hold.Left, held
 }
 
-// MayRepeat tells whether the request may be sent on after it was lost at an endpoint.
-func (g *Guard) MayRepeat(f quarantine.Fingerprint) bool {
+// MayRetry tells whether the request may be sent on after it was lost at an endpoint.
+func (g *Guard) MayRetry(f quarantine.Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.node.MayRepeat(g.o.Clock(), f)
+	return g.node.MayRetry(g.o.Clock(), f)
 }
 
 // Answered takes that an endpoint answered the request whole.
@@ -235,6 +235,6 @@
 // ended takes that an endpoint ended while it ran a request. Call it with mu held.
 func (g *Guard) ended(f quarantine.Fingerprint, key fleet.EndpointID) {
 	g.o.Log.Info("Endpoint ended under a request.", "fingerprint", f.String(), "endpoint", string(key))
-	g.node.Ended(g.o.Clock(), f, key)
+	g.node.EndpointCrashed(g.o.Clock(), f, key)
 	g.post()
 }
--- a/guard/http.go
+++ b/guard/http.go
@@ -28,7 +28,7 @@
 	g.mu.Unlock()
 	out := make([]heldRequest, 0, len(holds))
 	for f, hold := range holds {
-		out = append(out, heldRequest{Fingerprint: f.String(), LeftSeconds: int64(hold.Left.Seconds()), Ends: hold.Ends})
+		out = append(out, heldRequest{Fingerprint: f.String(), LeftSeconds: int64(hold.Left.Seconds()), Ends: hold.Crashes})
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
--- a/health/group.go
+++ b/health/group.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// List takes that the platform lists one endpoint. It is Sync for a shell that is told
+// SetListed takes that the platform lists one endpoint. It is Sync for a shell that is told
 // of changes.
-func (t *Tracker) List(now time.Time, l fleet.Endpoint) {
+func (t *Tracker) SetListed(now time.Time, l fleet.Endpoint) {
 	t.list(now, l)
 	t.keepFloorOf(group{class: l.Class, zone: l.Zone})
 }
@@ -52,8 +52,8 @@
 	delete(t.missed, l.ID)
 }
 
-// Missing takes that the platform does not list an endpoint any more.
-func (t *Tracker) Missing(now time.Time, id fleet.EndpointID) { t.missing(now, id) }
+// SetMissing takes that the platform does not list an endpoint any more.
+func (t *Tracker) SetMissing(now time.Time, id fleet.EndpointID) { t.missing(now, id) }
 
 func (t *Tracker) missing(now time.Time, id fleet.EndpointID) {
 	if e := t.endpoints[id]; e != nil && e.missingAt.IsZero() {
@@ -66,7 +66,7 @@
 // answer. Call it about once a second.
 func (t *Tracker) Expire(now time.Time) {
 	for _, e := range t.missed {
-		if now.Sub(e.missingAt) > t.opts.MissingHold && now.Sub(e.answered) > t.opts.MissingHold {
+		if now.Sub(e.missingAt) > t.opts.MissingGrace && now.Sub(e.answered) > t.opts.MissingGrace {
 			t.remove(e)
 			t.keepFloor(e)
 		}
@@ -190,7 +190,7 @@
 	case e.leaving():
 		return Leaving
 	case e.kept:
-		return Kept
+		return Retained
 	case e.away && now.Before(e.returnAt):
 		return Ejected
 	case e.away && now.Before(e.trialUntil):
@@ -212,7 +212,7 @@
 // is the one most likely to be lost. A trial whose result never comes expires.
 func (t *Tracker) Allow(now time.Time, id fleet.EndpointID, repeatable bool) bool {
 	switch t.Status(now, id) {
-	case Healthy, SlowStart, Kept:
+	case Healthy, SlowStart, Retained:
 		return true
 	case Trial:
 		if repeatable {
@@ -232,7 +232,7 @@
 	case SlowStart:
 		part := float64(now.Sub(t.endpoints[id].startedAt)) / float64(t.opts.SlowStart)
 		return max(part, slowStartWeight)
-	case Healthy, Kept:
+	case Healthy, Retained:
 		return 1
 	case Trial:
 		return slowStartWeight
--- a/health/health.go
+++ b/health/health.go
@@ -38,15 +38,15 @@
 
 // Options set up a Tracker. Zero values mean the defaults.
 type Options struct {
-	Rand        *rand.Rand    // seeded; nil means no jitter
-	Failures    int           // consecutive failures that eject
-	Ejection    time.Duration // first time away, doubled each time
-	MaxEjection time.Duration
-	MaxEjected  float64       // largest part of a class in a zone that may be ejected
-	Trial       time.Duration // time for a trial's result
-	SlowStart   time.Duration // until an endpoint that came back has its whole load
-	SlowFactor  float64       // times its class's median that make an endpoint slow
-	MissingHold time.Duration // how long one that the list leaves out is still tried
+	Rand         *rand.Rand    // seeded; nil means no jitter
+	Failures     int           // consecutive failures that eject
+	Ejection     time.Duration // first time away, doubled each time
+	MaxEjection  time.Duration
+	MaxEjected   float64       // largest part of a class in a zone that may be ejected
+	Trial        time.Duration // time for a trial's result
+	SlowStart    time.Duration // until an endpoint that came back has its whole load
+	SlowFactor   float64       // times its class's median that make an endpoint slow
+	MissingGrace time.Duration // how long one that the list leaves out is still tried
 }
 
 func orDefault[T int | float64 | time.Duration](v, def T) T {
@@ -64,7 +64,7 @@
 	o.Trial = orDefault(o.Trial, DefaultTrial)
 	o.SlowStart = orDefault(o.SlowStart, DefaultSlowStart)
 	o.SlowFactor = orDefault(o.SlowFactor, DefaultSlowFactor)
-	o.MissingHold = orDefault(o.MissingHold, DefaultMissingHold)
+	o.MissingGrace = orDefault(o.MissingGrace, DefaultMissingHold)
 	return o
 }
 
@@ -75,10 +75,10 @@
 const (
 	Healthy Status = iota
 	SlowStart
-	Kept    // would be ejected, but too many of its group are
-	Trial   // one request may find out whether it is back
-	Ejected // not tried
-	Leaving // not tried, by its own word or the platform's
+	Retained // would be ejected, but too many of its group are
+	Trial    // one request may find out whether it is back
+	Ejected  // not tried
+	Leaving  // not tried, by its own word or the platform's
 	statusCount
 )
 
@@ -145,9 +145,9 @@
 	}
 }
 
-// Success tells of an answer. Slowness is the time to the first token over the
+// RecordSuccess tells of an answer. Slowness is the time to the first token over the
 // time that was expected of the endpoint, 0 when it isn't known.
-func (t *Tracker) Success(now time.Time, id fleet.EndpointID, life fleet.Incarnation, slowness float64) {
+func (t *Tracker) RecordSuccess(now time.Time, id fleet.EndpointID, life fleet.Incarnation, slowness float64) {
 	e := t.endpoints[id]
 	if e == nil || !t.sameLife(now, e, life) {
 		return
@@ -168,10 +168,10 @@
 	t.checkOutliers(now)
 }
 
-// Probed tells that the endpoint answered a question of the daemon's own, such
+// RecordProbe tells that the endpoint answered a question of the daemon's own, such
 // as one for its load. That is as good as a trial, for endpoints whose requests
 // may not be sent twice.
-func (t *Tracker) Probed(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
+func (t *Tracker) RecordProbe(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
 	e := t.endpoints[id]
 	if e != nil && t.sameLife(now, e, life) && e.away && !e.kept {
 		t.answeredWhileAway(now, e)
@@ -192,10 +192,10 @@
 	t.keepFloor(e)
 }
 
-// Failure tells of an attempt that the endpoint failed: connection refused or
+// RecordFailure tells of an attempt that the endpoint failed: connection refused or
 // lost, an answer that broke off, an error of its own. Refusals of a full
 // endpoint and errors of the caller are none.
-func (t *Tracker) Failure(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
+func (t *Tracker) RecordFailure(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
 	e := t.endpoints[id]
 	if e == nil || !t.sameLife(now, e, life) {
 		return
@@ -208,8 +208,8 @@
 	}
 }
 
-// Report takes what an endpoint says of itself, in an answer or a load report.
-func (t *Tracker) Report(now time.Time, id fleet.EndpointID, load fleet.Load) {
+// UpdateLoad takes what an endpoint says of itself, in an answer or a load report.
+func (t *Tracker) UpdateLoad(now time.Time, id fleet.EndpointID, load fleet.Load) {
 	e := t.endpoints[id]
 	if e == nil || !t.sameLife(now, e, load.Incarnation) {
 		return
@@ -262,9 +262,9 @@
 	}
 }
 
-// AppendAway appends the endpoints that are ejected, or would be if not too many of
+// AppendEjected appends the endpoints that are ejected, or would be if not too many of
 // their group were: all whose status may change with time or with another's failure.
-func (t *Tracker) AppendAway(to []fleet.EndpointID) []fleet.EndpointID {
+func (t *Tracker) AppendEjected(to []fleet.EndpointID) []fleet.EndpointID {
 	for id := range t.away {
 		to = append(to, id)
 	}
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -47,7 +47,7 @@
 
 func fail(t *Tracker, now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
 	for range DefaultFailures {
-		t.Failure(now, id, life)
+		t.RecordFailure(now, id, life)
 	}
 }
 
@@ -67,7 +67,7 @@
 	if !tr.Allow(now, id, true) || tr.Allow(now, id, true) {
 		t.Error("a trial should be one request")
 	}
-	tr.Failure(now, id, 1)
+	tr.RecordFailure(now, id, 1)
 	if tr.Allow(now.Add(DefaultEjection+time.Millisecond), id, true) {
 		t.Error("the second time away isn't longer")
 	}
@@ -79,7 +79,7 @@
 		t.Error("a trial without a result should expire after its time")
 	}
 	now = now.Add(DefaultTrial)
-	tr.Success(now, id, 2, 0)
+	tr.RecordSuccess(now, id, 2, 0)
 	if w := tr.Weight(now, id); tr.Status(now, id) != SlowStart || w != slowStartWeight {
 		t.Errorf("after the trial: %v, weight %v", tr.Status(now, id), w)
 	}
@@ -101,13 +101,13 @@
 		fail(tr, epoch, id, 1)
 	}
 	now := at(DefaultEjection + time.Second)
-	tr.Probed(at(time.Second), service, 1)
+	tr.RecordProbe(at(time.Second), service, 1)
 	if s := tr.Status(at(time.Second), service); s != Ejected {
 		t.Errorf("a probe within the time away makes it %v", s)
 	}
-	tr.Failure(now, bad, 1)
-	tr.Success(now, good, 1, 0)
-	tr.Probed(now, service, 1)
+	tr.RecordFailure(now, bad, 1)
+	tr.RecordSuccess(now, good, 1, 0)
+	tr.RecordProbe(now, service, 1)
 	for id, want := range map[fleet.EndpointID]Status{bad: Ejected, good: SlowStart, service: SlowStart} {
 		if s := tr.Status(now, id); s != want {
 			t.Errorf("%s is %v, want %v", id, s, want)
@@ -153,9 +153,9 @@
 			life := fleet.Incarnation(rapid.IntRange(0, 3).Draw(t, "life"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				tr.Success(now, list[i].ID, life, rapid.Float64Range(0, 9).Draw(t, "slowness"))
+				tr.RecordSuccess(now, list[i].ID, life, rapid.Float64Range(0, 9).Draw(t, "slowness"))
 			case 1:
-				tr.Report(now, list[i].ID, fleet.Load{Incarnation: life, Draining: rapid.Bool().Draw(t, "draining")})
+				tr.UpdateLoad(now, list[i].ID, fleet.Load{Incarnation: life, Draining: rapid.Bool().Draw(t, "draining")})
 			case 2:
 				list[i].State = rapid.SampledFrom([]fleet.VMState{fleet.VMLive, fleet.VMLeaving}).Draw(t, "state")
 				tr.Sync(now, list)
@@ -198,7 +198,7 @@
 			if i == 3 {
 				slowness = 5
 			}
-			tr.Success(now, e.ID, 1, slowness)
+			tr.RecordSuccess(now, e.ID, 1, slowness)
 		}
 		if tr.Status(now, list[3].ID) == Ejected {
 			return
@@ -212,8 +212,8 @@
 func TestLateFailuresOfFormerLife(t *testing.T) {
 	tr, list := tracker(1, 4)
 	id := list[0].ID
-	tr.Success(epoch, id, 1, 0)
-	tr.Success(at(time.Second), id, 2, 0)
+	tr.RecordSuccess(epoch, id, 1, 0)
+	tr.RecordSuccess(at(time.Second), id, 2, 0)
 	fail(tr, at(2*time.Second), id, 1)
 	if s := tr.Status(at(2*time.Second), id); s != SlowStart {
 		t.Errorf("the new life is %v", s)
@@ -230,7 +230,7 @@
 	tr, list := tracker(1, 4)
 	tr.Sync(at(time.Second), list[:1])
 	for now := time.Second; now < 5*time.Minute; now += 10 * time.Second {
-		tr.Success(at(now), list[1].ID, 1, 0)
+		tr.RecordSuccess(at(now), list[1].ID, 1, 0)
 		tr.Sync(at(now), list[:1])
 	}
 	if !tr.Allow(at(5*time.Minute), list[1].ID, false) {
@@ -239,7 +239,7 @@
 	if s := tr.Status(at(5*time.Minute), list[2].ID); s != Leaving {
 		t.Errorf("one that is gone and silent is %v", s)
 	}
-	tr.Report(at(5*time.Minute), list[1].ID, fleet.Load{Incarnation: 1, Draining: true})
+	tr.UpdateLoad(at(5*time.Minute), list[1].ID, fleet.Load{Incarnation: 1, Draining: true})
 	if tr.Allow(at(5*time.Minute), list[1].ID, false) {
 		t.Error("a draining endpoint gets new work")
 	}
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -70,10 +70,10 @@
 	}
 }
 
-func (f *fleetOf) situation(time.Time) orders.Situation {
+func (f *fleetOf) situation(time.Time) orders.FleetState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return orders.Situation{Manifest: f.manifest, Revision: f.revision, Endpoints: f.members}
+	return orders.FleetState{Manifest: f.manifest, Revision: f.revision, Endpoints: f.members}
 }
 
 // tookOnly tells whether a runner took orders for one version only.
@@ -178,7 +178,7 @@
 
 // give starts the giving of orders under a lease, and returns how to stop it.
 func (f *fleetOf) give(p *path, l orders.Lease, run func(context.Context) error) func() {
-	g := orders.New(orders.Options{Lease: l, Situation: f.situation, Transport: p})
+	g := orders.New(orders.Options{Lease: l, FleetState: f.situation, Transport: p})
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = run(ctx) })
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -74,7 +74,7 @@
 
 // Options are what a Table needs.
 type Options struct {
-	Me   gossip.Peer
+	Self gossip.Peer
 	Rand *rand.Rand // seeded; draws the peers that are told
 }
 
@@ -88,14 +88,14 @@
 
 // NewTable returns a Table that knows no limits.
 func NewTable(o Options) *Table {
-	return &Table{peers: gossip.NewPeers(o.Me, o.Rand), entries: map[fleet.EndpointID]*entry{}}
+	return &Table{peers: gossip.NewPeers(o.Self, o.Rand), entries: map[fleet.EndpointID]*entry{}}
 }
 
 // SetPeers takes the list of all daemons.
 func (t *Table) SetPeers(all []gossip.Peer) { t.peers.Set(all) }
 
-// Answered takes what an answer of the endpoint named; nil: no limit.
-func (t *Table) Answered(now time.Duration, e fleet.EndpointID, limit *float64) {
+// SetFromAnswer takes what an answer of the endpoint named; nil: no limit.
+func (t *Table) SetFromAnswer(now time.Duration, e fleet.EndpointID, limit *float64) {
 	said := none
 	if limit != nil {
 		said = *limit
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -27,7 +27,7 @@
 		peers = append(peers, gossip.Peer{Name: fmt.Sprint("front-", i), Address: fmt.Sprint(i)})
 	}
 	for i := range daemons {
-		table := NewTable(Options{Me: peers[i], Rand: rand.New(rand.NewPCG(uint64(i), 5))})
+		table := NewTable(Options{Self: peers[i], Rand: rand.New(rand.NewPCG(uint64(i), 5))})
 		table.SetPeers(peers)
 		b.all = append(b.all, table)
 	}
@@ -79,7 +79,7 @@
 				said *float64
 				want float64
 			}{{0, &first, first}, {daemons - 1, &second, second}, {daemons / 2, nil, none}} {
-				b.all[step.by].Answered(b.now, "i-1@0", step.said)
+				b.all[step.by].SetFromAnswer(b.now, "i-1@0", step.said)
 				b.pass(2 * time.Second)
 				if n := b.knowing("i-1@0", step.want); n < daemons {
 					t.Errorf("%d of %d daemons keep to %g", n, daemons, step.want)
@@ -97,10 +97,10 @@
 func TestOldLimitDoesNotComeBack(t *testing.T) {
 	b := newTables(t, 9)
 	old, next := 20.0, 2.0
-	b.all[0].Answered(b.now, "i-1@0", &old)
+	b.all[0].SetFromAnswer(b.now, "i-1@0", &old)
 	b.pass(time.Second)
 	b.away["3"] = true
-	b.all[0].Answered(b.now, "i-1@0", &next)
+	b.all[0].SetFromAnswer(b.now, "i-1@0", &next)
 	b.pass(5 * time.Second)
 	delete(b.away, "3")
 	b.pass(5 * time.Second)
@@ -114,7 +114,7 @@
 func TestZeroStillLetsSomeRequestsThrough(t *testing.T) {
 	b := newTables(t, 1)
 	zero := 0.0
-	b.all[0].Answered(b.now, "i-1@0", &zero)
+	b.all[0].SetFromAnswer(b.now, "i-1@0", &zero)
 	if l := b.all[0].Limits()[KeyOf("i-1@0")]; l.PerSecond != least || l.Burst < 1 {
 		t.Errorf("limit %+v", l)
 	}
@@ -126,9 +126,9 @@
 	const daemons = 9
 	b := newTables(t, daemons)
 	limit := 5.0
-	b.all[0].Answered(b.now, "i-1@0", &limit)
+	b.all[0].SetFromAnswer(b.now, "i-1@0", &limit)
 	b.pass(entryTTL / 2)
-	b.all[3].Answered(b.now, "i-1@0", &limit)
+	b.all[3].SetFromAnswer(b.now, "i-1@0", &limit)
 	b.pass(entryTTL * 3 / 4)
 	if n := b.knowing("i-1@0", limit); n < daemons {
 		t.Errorf("%d of %d daemons know a limit that was named again", n, daemons)
@@ -140,7 +140,7 @@
 		}
 	}
 	for i := range 2 * maxEndpoints {
-		b.all[0].Answered(b.now, fleet.EndpointID(fmt.Sprint(i)), &limit)
+		b.all[0].SetFromAnswer(b.now, fleet.EndpointID(fmt.Sprint(i)), &limit)
 		b.all[0].Outbox()
 	}
 	if n := len(b.all[0].entries); n > maxEndpoints {
@@ -152,7 +152,7 @@
 func FuzzReceive(f *testing.F) {
 	f.Add(encode([]update{{"i-1@0", 23.9, time.Second}, {"i-2@0", none, 0}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		b := NewTable(Options{Me: gossip.Peer{Name: "a"}, Rand: rand.New(rand.NewPCG(1, 2))})
+		b := NewTable(Options{Self: gossip.Peer{Name: "a"}, Rand: rand.New(rand.NewPCG(1, 2))})
 		_ = b.Receive(time.Hour, data)
 		b.Tick(time.Hour + time.Second)
 		b.Limits()
--- a/limits/message.go
+++ b/limits/message.go
@@ -10,14 +10,14 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMessage reports a message that no daemon of this release sends.
-var ErrMessage = errors.New("limits: message is malformed")
+// ErrMalformed reports a message that no daemon of this release sends.
+var ErrMalformed = errors.New("limits: message is malformed")
 
 // kindUpdates is the kind of message, with the version of its layout.
 const kindUpdates = 0x41
 
-// Owns tells whether a message is one of this package.
-func Owns(data []byte) bool { return len(data) > 0 && data[0] == kindUpdates }
+// IsMessage tells whether a message is one of this package.
+func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == kindUpdates }
 
 // Bounds of messages. One fits into a datagram on links of any usual size.
 const (
@@ -47,18 +47,18 @@
 func decode(b []byte) ([]update, error) {
 	r := &wire.Reader{Rest: b}
 	if r.Byte() != kindUpdates {
-		return nil, ErrMessage
+		return nil, ErrMalformed
 	}
 	var out []update
 	for r.More() {
 		u := update{endpoint: fleet.EndpointID(r.Text(endpointBytes)), limit: math.Float64frombits(r.Uint64()), age: r.Millis(maxAge)}
 		if math.IsNaN(u.limit) || math.IsInf(u.limit, 0) {
-			return nil, ErrMessage
+			return nil, ErrMalformed
 		}
 		out = append(out, u)
 	}
 	if r.Bad || len(out) > maxUpdates {
-		return nil, ErrMessage
+		return nil, ErrMalformed
 	}
 	return out, nil
 }
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -30,35 +30,35 @@
 // begin looks at the lease and tells whether it is held, and whether it was
 // taken anew since the last call. Each taking starts from nothing: another
 // holder may have given orders between two of them.
-func (g *Giver) begin(now time.Time) (held, taken bool) {
+func (g *Leader) begin(now time.Time) (held, taken bool) {
 	h, ok := g.o.Lease.Holding(now)
 	if !ok {
-		g.end(ErrLapsed)
+		g.end(ErrLeaseExpired)
 		return false, false
 	}
 	if h.Fence == g.tenure.fence {
 		return !g.tenure.lost, false
 	}
-	g.end(ErrLapsed)
+	g.end(ErrLeaseExpired)
 	g.tenure = tenure{fence: h.Fence, since: now.Add(g.o.Rollout.LongestOrder)}
-	g.o.Observe(Event{Kind: EventTaken, Fence: h.Fence})
+	g.o.Observe(Event{Kind: EventLeaseAcquired, Fence: h.Fence})
 	return true, true
 }
 
 // end marks that orders are no longer given under the present fencing number.
-func (g *Giver) end(reason error) {
+func (g *Leader) end(reason error) {
 	if g.tenure.fence == 0 || g.tenure.lost {
 		return
 	}
 	g.tenure.lost = true
-	g.o.Observe(Event{Kind: EventLost, Fence: g.tenure.fence, Err: reason})
+	g.o.Observe(Event{Kind: EventLeaseLost, Fence: g.tenure.fence, Err: reason})
 }
 
 // allowed returns a function that tells whether an order may leave now, with
 // the time that it needs until its answer. It asks the lease anew each time: a
 // holder that was paused must find out that its lease has lapsed at the last
 // moment before the bytes leave. It may be called by any goroutine.
-func (g *Giver) allowed() func() bool {
+func (g *Leader) allowed() func() bool {
 	fence := g.tenure.fence
 	return func() bool {
 		h, ok := g.o.Lease.Holding(time.Now().Add(g.o.SendTimeout))
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -29,8 +29,8 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// Situation is what a daemon knows when it plans.
-type Situation struct {
+// FleetState is what a daemon knows when it plans.
+type FleetState struct {
 	Manifest  *manifest.Manifest // accepted and in force; nil: none yet
 	Revision  ports.Offset
 	Endpoints []fleet.Member
@@ -39,8 +39,8 @@
 // Options holds what a Giver needs. Zero durations take the defaults.
 type Options struct {
 	Lease Lease
-	// Situation is asked anew for each round.
-	Situation func(now time.Time) Situation
+	// FleetState is asked anew for each round.
+	FleetState func(now time.Time) FleetState
 	// Transport sends orders and reads statuses. It must not repeat requests
 	// by itself; nil: one made by NewTransport.
 	Transport http.RoundTripper
@@ -69,8 +69,8 @@
 
 // Errors of the package, for errors.Is.
 var (
-	// ErrLapsed says that the lease ended before an order was sent.
-	ErrLapsed = errors.New("orders: lease has lapsed")
+	// ErrLeaseExpired says that the lease ended before an order was sent.
+	ErrLeaseExpired = errors.New("orders: lease has lapsed")
 	// ErrFenced says that an endpoint has seen a higher fencing number.
 	ErrFenced = errors.New("orders: endpoint has seen a higher fencing number")
 	// ErrStoreBusy says that the weight store is at its limit.
@@ -88,10 +88,10 @@
 
 // The kinds of Event.
 const (
-	EventTaken EventKind = "lease taken"
-	EventLost  EventKind = "lease lost"
-	EventOrder EventKind = "order"       // sent, or tried
-	EventRead  EventKind = "read failed" // of a status
+	EventLeaseAcquired EventKind = "lease taken"
+	EventLeaseLost     EventKind = "lease lost"
+	EventOrder         EventKind = "order"       // sent, or tried
+	EventStatusFailed  EventKind = "read failed" // of a status
 )
 
 // Event is something worth a log line or a metric.
@@ -103,8 +103,8 @@
 	Err      error
 }
 
-// Giver gives orders while it holds the lease.
-type Giver struct {
+// Leader gives orders while it holds the lease.
+type Leader struct {
 	o       Options
 	tenure  tenure
 	planner *rollout.Planner
@@ -120,7 +120,7 @@
 }
 
 // Report returns the newest plan. It may be called by any goroutine.
-func (g *Giver) Report() Report {
+func (g *Leader) Report() Report {
 	if r := g.last.Load(); r != nil {
 		return *r
 	}
@@ -128,9 +128,9 @@
 }
 
 // New returns a giver that does not hold the lease yet.
-func New(o Options) *Giver {
+func New(o Options) *Leader {
 	o = o.withDefaults()
-	return &Giver{
+	return &Leader{
 		o:       o,
 		planner: rollout.NewPlanner(o.Rollout),
 		sender:  sender{transport: o.Transport, sendTimeout: o.SendTimeout, readTimeout: o.ReadTimeout},
@@ -161,7 +161,7 @@
 }
 
 // Run gives orders until ctx ends, then gives the lease up.
-func (g *Giver) Run(ctx context.Context) error {
+func (g *Leader) Run(ctx context.Context) error {
 	ticker := time.NewTicker(g.o.Tick)
 	defer ticker.Stop()
 	defer g.release(ctx)
@@ -176,7 +176,7 @@
 }
 
 // release gives the lease up after the last order has been answered.
-func (g *Giver) release(ctx context.Context) {
+func (g *Leader) release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.o.SendTimeout)
 	defer cancel()
 	g.o.Lease.Release(ctx)
@@ -184,7 +184,7 @@
 
 // Round plans and gives the next orders if the lease is held. Its plan is then
 // in the report.
-func (g *Giver) Round(ctx context.Context) {
+func (g *Leader) Round(ctx context.Context) {
 	held, taken := g.begin(time.Now())
 	if taken {
 		g.planner = rollout.NewPlanner(g.o.Rollout)
@@ -194,7 +194,7 @@
 		return
 	}
 	now := time.Now()
-	s := g.o.Situation(now)
+	s := g.o.FleetState(now)
 	if s.Manifest == nil {
 		return
 	}
@@ -216,11 +216,11 @@
 
 // give sends the orders one by one. The first that shows the lease to be lost
 // ends the round.
-func (g *Giver) give(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
+func (g *Leader) give(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
 	for _, o := range planned {
 		err := g.send(ctx, o, addresses[o.Endpoint])
 		g.o.Observe(Event{Kind: EventOrder, Fence: o.Fence, Endpoint: o.Endpoint, Order: &o, Err: err})
-		if errors.Is(err, ErrFenced) || errors.Is(err, ErrLapsed) {
+		if errors.Is(err, ErrFenced) || errors.Is(err, ErrLeaseExpired) {
 			g.end(err)
 			return
 		}
@@ -228,17 +228,17 @@
 }
 
 // send sends one order and tells the planner what became of it.
-func (g *Giver) send(ctx context.Context, o rollout.Order, address string) error {
+func (g *Leader) send(ctx context.Context, o rollout.Order, address string) error {
 	allowed := g.allowed()
 	if !allowed() {
-		return ErrLapsed
+		return ErrLeaseExpired
 	}
 	g.planner.Sent(time.Now(), o)
 	pause, err := g.sender.order(ctx, o, address, allowed)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		// It stays under way until the endpoint's status settles it.
-	case errors.Is(err, ErrNotSent), errors.Is(err, ErrLapsed):
+	case errors.Is(err, ErrNotSent), errors.Is(err, ErrLeaseExpired):
 		g.planner.NotSent(o)
 	case errors.Is(err, ErrStoreBusy):
 		g.planner.StoreBusy(time.Now(), pause)
@@ -257,7 +257,7 @@
 }
 
 // read reads statuses, a bounded number at once.
-func (g *Giver) read(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
+func (g *Leader) read(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
 	ids = ids[:min(len(ids), maxReadsInRound)]
 	readings := make([]reading, len(ids))
 	var group errgroup.Group
@@ -277,6 +277,6 @@
 			continue
 		}
 		g.planner.ReadFailed(now, id)
-		g.o.Observe(Event{Kind: EventRead, Endpoint: id, Err: readings[i].err})
+		g.o.Observe(Event{Kind: EventStatusFailed, Endpoint: id, Err: readings[i].err})
 	}
 }
--- a/orders/sender.go
+++ b/orders/sender.go
@@ -61,7 +61,7 @@
 func (b *guardedBody) Read(p []byte) (int, error) {
 	if !b.allowed() {
 		b.lapsed.Store(true)
-		return 0, ErrLapsed
+		return 0, ErrLeaseExpired
 	}
 	return b.Reader.Read(p)
 }
@@ -70,7 +70,7 @@
 func (b *guardedBody) WriteTo(w io.Writer) (int64, error) {
 	if !b.allowed() {
 		b.lapsed.Store(true)
-		return 0, ErrLapsed
+		return 0, ErrLeaseExpired
 	}
 	return b.Reader.WriteTo(w)
 }
@@ -106,7 +106,7 @@
 // sendError tells what is known of an order whose sending failed.
 func sendError(err error, body *guardedBody) error {
 	if body.lapsed.Load() {
-		return ErrLapsed
+		return ErrLeaseExpired
 	}
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/orders/sender_test.go
+++ b/orders/sender_test.go
@@ -103,7 +103,7 @@
 		}
 	})
 	_, err := testSender().order(context.Background(), rollout.Order{}, address, func() bool { return false })
-	if !errors.Is(err, ErrLapsed) || whole.Load() != 0 {
+	if !errors.Is(err, ErrLeaseExpired) || whole.Load() != 0 {
 		t.Errorf("error %v and %d whole orders", err, whole.Load())
 	}
 }
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -9,8 +9,8 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMessage reports a message that no daemon of this release sends.
-var ErrMessage = errors.New("quarantine: message is malformed")
+// ErrMalformed reports a message that no daemon of this release sends.
+var ErrMalformed = errors.New("quarantine: message is malformed")
 
 // Kinds of message, with the version of their layout.
 const (
@@ -18,8 +18,8 @@
 	kindHolds  = 0x32 // holds and clearances
 )
 
-// Owns tells whether a message is one of this package.
-func Owns(data []byte) bool {
+// IsMessage tells whether a message is one of this package.
+func IsMessage(data []byte) bool {
 	return len(data) > 0 && (data[0] == kindReport || data[0] == kindHolds)
 }
 
@@ -78,14 +78,14 @@
 func decodeAll[T any](b []byte, kind byte, most int, entry func(*wire.Reader) T) ([]T, error) {
 	r := &wire.Reader{Rest: b}
 	if r.Byte() != kind {
-		return nil, ErrMessage
+		return nil, ErrMalformed
 	}
 	var out []T
 	for r.More() {
 		out = append(out, entry(r))
 	}
 	if r.Bad || len(out) > most {
-		return nil, ErrMessage
+		return nil, ErrMalformed
 	}
 	return out, nil
 }
@@ -103,7 +103,7 @@
 		u := update{fingerprint: Fingerprint(r.Bytes(fingerprintBytes))}
 		state := r.Uvarint(maxRound<<1 | 1)
 		u.round, u.cleared = state>>1, state&1 == 1
-		u.since, u.left = r.Millis(HoldTime+evidenceTime), r.Millis(HoldTime)
+		u.since, u.left = r.Millis(HoldDuration+evidenceTime), r.Millis(HoldDuration)
 		return u
 	})
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -13,7 +13,7 @@
 
 // Options are what a Node needs.
 type Options struct {
-	Me   gossip.Peer
+	Self gossip.Peer
 	Rand *rand.Rand // seeded; draws the daemons that are told
 }
 
@@ -50,7 +50,7 @@
 
 // NewNode returns a Node that knows no other daemons and holds nothing.
 func NewNode(o Options) *Node {
-	return &Node{peers: gossip.NewPeers(o.Me, o.Rand), suspects: newSuspects(), answers: newAnswers(), holds: map[Fingerprint]*hold{}}
+	return &Node{peers: gossip.NewPeers(o.Self, o.Rand), suspects: newSuspects(), answers: newAnswers(), holds: map[Fingerprint]*hold{}}
 }
 
 // SetPeers takes the list of all daemons.
@@ -62,18 +62,18 @@
 	if h == nil || h.cleared || now >= h.until {
 		return Hold{}, false
 	}
-	return Hold{Left: h.until - now, Ends: n.suspects.count(f, now)}, true
+	return Hold{Left: h.until - now, Crashes: n.suspects.count(f, now)}, true
 }
 
-// MayRepeat tells whether this daemon may send the request to another endpoint after
+// MayRetry tells whether this daemon may send the request to another endpoint after
 // it was lost at one.
-func (n *Node) MayRepeat(now time.Duration, f Fingerprint) bool {
+func (n *Node) MayRetry(now time.Duration, f Fingerprint) bool {
 	_, held := n.Held(now, f)
 	return !held && n.suspects.count(f, now) < endsToRepeat
 }
 
-// Ended takes that an endpoint ended while it ran this daemon's request.
-func (n *Node) Ended(now time.Duration, f Fingerprint, e fleet.EndpointID) {
+// EndpointCrashed takes that an endpoint ended while it ran this daemon's request.
+func (n *Node) EndpointCrashed(now time.Duration, f Fingerprint, e fleet.EndpointID) {
 	if n.answers.clears(f, now) || len(e) > endpointBytes {
 		return
 	}
@@ -95,7 +95,7 @@
 		}
 		round = h.round + 1
 	}
-	if n.apply(now, update{fingerprint: f, round: round, since: now - first(ends), left: HoldTime}, ReasonEnds) {
+	if n.apply(now, update{fingerprint: f, round: round, since: now - first(ends), left: HoldDuration}, ReasonCrashes) {
 		n.tell(now, f, gossip.DirectPeers)
 	}
 }
@@ -137,7 +137,7 @@
 	}
 	c := Change{Fingerprint: t.fingerprint, Held: !t.cleared, Reason: why, Left: t.left}
 	for _, e := range n.suspects.ends[t.fingerprint] {
-		c.Ends = append(c.Ends, e.endpoint)
+		c.Crashed = append(c.Crashed, e.endpoint)
 	}
 	n.changes = append(n.changes, c)
 	if t.cleared {
@@ -230,7 +230,7 @@
 func (n *Node) updateOf(now time.Duration, f Fingerprint) update {
 	h := n.holds[f]
 	return update{
-		fingerprint: f, round: h.round, cleared: h.cleared, since: min(now-h.since, HoldTime+evidenceTime), left: max(h.until-now, 0),
+		fingerprint: f, round: h.round, cleared: h.cleared, since: min(now-h.since, HoldDuration+evidenceTime), left: max(h.until-now, 0),
 	}
 }
 
@@ -276,7 +276,7 @@
 // receiveUpdate takes another daemon's word of a hold, and contradicts it if the request was
 // answered here since the first of the ends.
 func (n *Node) receiveUpdate(now time.Duration, t update) {
-	if t.left <= 0 || !n.apply(now, t, ReasonTold) {
+	if t.left <= 0 || !n.apply(now, t, ReasonReceived) {
 		return
 	}
 	if !t.cleared && n.answers.clears(t.fingerprint, now-t.since) {
@@ -284,26 +284,26 @@
 	}
 }
 
-// Kept is a hold as it is kept outside the daemons, for those that start anew.
-type Kept struct {
+// StoredHold is a hold as it is kept outside the daemons, for those that start anew.
+type StoredHold struct {
 	Fingerprint Fingerprint
 	Round       uint64        // of the holds of one request the later round counts
 	Age         time.Duration // of the first of the ends
 	Left        time.Duration
 }
 
-// Keep returns the hold of a request; false if it is not held.
-func (n *Node) Keep(now time.Duration, f Fingerprint) (Kept, bool) {
+// HoldToStore returns the hold of a request; false if it is not held.
+func (n *Node) HoldToStore(now time.Duration, f Fingerprint) (StoredHold, bool) {
 	if _, held := n.Held(now, f); !held {
-		return Kept{}, false
+		return StoredHold{}, false
 	}
 	t := n.updateOf(now, f)
-	return Kept{Fingerprint: f, Round: t.round, Age: t.since, Left: t.left}, true
+	return StoredHold{Fingerprint: f, Round: t.round, Age: t.since, Left: t.left}, true
 }
 
-// Recall takes a hold that was kept. All daemons read it, so it is not passed on.
-func (n *Node) Recall(now time.Duration, k Kept) {
-	n.receiveUpdate(now, update{fingerprint: k.Fingerprint, round: k.Round, since: k.Age, left: min(k.Left, HoldTime)})
+// RestoreHold takes a hold that was kept. All daemons read it, so it is not passed on.
+func (n *Node) RestoreHold(now time.Duration, k StoredHold) {
+	n.receiveUpdate(now, update{fingerprint: k.Fingerprint, round: k.Round, since: k.Age, left: min(k.Left, HoldDuration)})
 	if h := n.holds[k.Fingerprint]; h != nil && !h.cleared {
 		h.relays = 0
 	}
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -14,8 +14,8 @@
 	// endsToRepeat is the number from which a daemon does not send a request to
 	// another endpoint by itself.
 	endsToRepeat = 2
-	// HoldTime is how long a request is held.
-	HoldTime = 10 * time.Minute
+	// HoldDuration is how long a request is held.
+	HoldDuration = 10 * time.Minute
 	// evidenceTime is how long an ended endpoint counts against a request.
 	evidenceTime = 2 * time.Minute
 	// clearTime is how long before an end a whole answer still speaks for a request.
@@ -41,8 +41,8 @@
 
 // Hold is the decision to keep a request from endpoints.
 type Hold struct {
-	Left time.Duration // until it ends
-	Ends int           // endpoints that are known here to have ended; 0: none, another daemon knows
+	Left    time.Duration // until it ends
+	Crashes int           // endpoints that are known here to have ended; 0: none, another daemon knows
 }
 
 // Change is a hold that began or ended, for logs.
@@ -50,7 +50,7 @@
 	Fingerprint Fingerprint
 	Held        bool
 	Reason      Reason
-	Ends        []fleet.EndpointID // that the request ended, as far as they are known here
+	Crashed     []fleet.EndpointID // that the request ended, as far as they are known here
 	Left        time.Duration
 }
 
@@ -59,8 +59,8 @@
 
 // The reasons.
 const (
-	ReasonEnds     Reason = "ended_endpoints" // this daemon owns the fingerprint
-	ReasonTold     Reason = "told"            // by another daemon
+	ReasonCrashes  Reason = "ended_endpoints" // this daemon owns the fingerprint
+	ReasonReceived Reason = "told"            // by another daemon
 	ReasonAnswered Reason = "answered"        // an endpoint gave a whole answer
 	ReasonOperator Reason = "operator"
 	ReasonExpired  Reason = "expired"
@@ -70,9 +70,9 @@
 type Gate interface {
 	// Held tells how long the request is still held; false if it is not.
 	Held(f Fingerprint) (left time.Duration, held bool)
-	// MayRepeat tells whether the request may be sent on after it was lost at an
+	// MayRetry tells whether the request may be sent on after it was lost at an
 	// endpoint.
-	MayRepeat(f Fingerprint) bool
+	MayRetry(f Fingerprint) bool
 	// Lost takes an attempt whose connection ended. The endpoint may have ended too. key
 	// names one life of it.
 	Lost(f Fingerprint, key fleet.EndpointID, address string)
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -47,7 +47,7 @@
 
 // start starts a daemon, or starts it anew without what it knew.
 func (d *deployment) start(i int) {
-	d.nodes[i] = NewNode(Options{Me: d.peers[i], Rand: rand.New(rand.NewPCG(d.rng.Uint64(), 1))})
+	d.nodes[i] = NewNode(Options{Self: d.peers[i], Rand: rand.New(rand.NewPCG(d.rng.Uint64(), 1))})
 	d.nodes[i].SetPeers(d.peers)
 }
 
@@ -95,7 +95,7 @@
 // end has an endpoint end under a request of the daemon.
 func (d *deployment) end(daemon int, f Fingerprint) {
 	d.ends++
-	d.nodes[daemon].Ended(d.now, f, fleet.EndpointID(fmt.Sprint("i-", d.ends, "@0")))
+	d.nodes[daemon].EndpointCrashed(d.now, f, fleet.EndpointID(fmt.Sprint("i-", d.ends, "@0")))
 	d.collect(daemon)
 }
 
@@ -251,7 +251,7 @@
 	f := named("mended")
 	d.crash(f)
 	d.pass(stable)
-	d.pass(HoldTime + time.Second)
+	d.pass(HoldDuration + time.Second)
 	if n := d.holding(f); n > 0 {
 		t.Errorf("%d daemons still hold it", n)
 	}
@@ -263,8 +263,8 @@
 	d := newDeployment(t, 9, 0.05)
 	f := named("once")
 	for i := range d.nodes {
-		d.nodes[i].Ended(d.now, f, "i-1@0")
-		d.nodes[i].Ended(d.now, f, "i-1@0")
+		d.nodes[i].EndpointCrashed(d.now, f, "i-1@0")
+		d.nodes[i].EndpointCrashed(d.now, f, "i-1@0")
 		d.collect(i)
 		d.pass(50 * time.Millisecond)
 	}
@@ -295,7 +295,7 @@
 	for i := range 2 * maxHolds {
 		f := named(fmt.Sprint("held", i))
 		for e := range endsToHold {
-			d.nodes[0].Ended(d.now, f, fleet.EndpointID(fmt.Sprint(e)))
+			d.nodes[0].EndpointCrashed(d.now, f, fleet.EndpointID(fmt.Sprint(e)))
 		}
 		d.nodes[0].Outbox()
 		d.nodes[0].Changes()
@@ -327,7 +327,7 @@
 	f.Add(encodeReports([]report{{named("a"), "i-1@0", time.Second}}))
 	f.Add(encodeHolds([]update{{fingerprint: named("a"), round: 1, left: time.Second}}))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		n := NewNode(Options{Me: gossip.Peer{Name: "a", Address: "a"}, Rand: rand.New(rand.NewPCG(1, 2))})
+		n := NewNode(Options{Self: gossip.Peer{Name: "a", Address: "a"}, Rand: rand.New(rand.NewPCG(1, 2))})
 		n.SetPeers([]gossip.Peer{{Name: "b", Address: "b"}})
 		_ = n.Receive(time.Hour, data)
 		n.Tick(time.Hour + time.Second)
--- a/room/room.go
+++ b/room/room.go
@@ -69,7 +69,7 @@
 	draw := func() *rand.Rand { return rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())) }
 	return &Keeper{
 		o: o, passed: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
-		table: limits.NewTable(limits.Options{Me: o.Me, Rand: draw()}),
+		table: limits.NewTable(limits.Options{Self: o.Me, Rand: draw()}),
 		quota: quota.NewNode(quota.Options{
 			Self: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
 			Nonce: o.Rand.Uint64(), Rand: draw(),
@@ -109,12 +109,12 @@
 
 // Receive takes a message of another daemon. It returns false for other messages.
 func (k *Keeper) Receive(from string, data []byte) bool {
-	if len(data) == 0 || !limits.Owns(data) && data[0] != kindLimitQuota {
+	if len(data) == 0 || !limits.IsMessage(data) && data[0] != kindLimitQuota {
 		return false
 	}
 	var err error
 	k.mu.Lock()
-	if limits.Owns(data) {
+	if limits.IsMessage(data) {
 		err = k.table.Receive(k.o.Clock(), data)
 	} else {
 		err = k.quota.Receive(k.o.Clock(), from, data[1:])
@@ -195,7 +195,7 @@
 func (k *Keeper) Answered(e fleet.EndpointID, limit *float64) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.table.Answered(k.o.Clock(), e, limit)
+	k.table.SetFromAnswer(k.o.Clock(), e, limit)
 	k.post()
 }
 
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -104,7 +104,7 @@
 func (r *Roster) put(now time.Time, e *directory.Endpoint) {
 	r.usable[e.Key] = e
 	member := fleet.Endpoint{ID: e.Key, Zone: e.Zone, Class: e.Service, Address: e.Address, State: fleet.VMLive}
-	r.health.List(now, member)
+	r.health.SetListed(now, member)
 	out := r.Unusable(now, e.Key)
 	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, out, r.limited[e.Key])
 	if out {
@@ -117,13 +117,13 @@
 	delete(r.usable, key)
 	delete(r.gated, key)
 	r.pools.Remove(key)
-	r.health.Missing(now, key)
+	r.health.SetMissing(now, key)
 }
 
 // recheck looks at the endpoints whose state may change with time: those that rest, and
 // those that health has ejected or keeps in spite of that.
 func (r *Roster) recheck(now time.Time) {
-	r.due = r.health.AppendAway(r.due[:0])
+	r.due = r.health.AppendEjected(r.due[:0])
 	for key := range r.resting {
 		r.due = append(r.due, key)
 	}
@@ -188,13 +188,13 @@
 
 // Failed takes an attempt that the endpoint failed.
 func (r *Roster) Failed(now time.Time, key fleet.EndpointID) {
-	r.health.Failure(now, key, 0)
+	r.health.RecordFailure(now, key, 0)
 	r.close(now, key)
 }
 
 // Answered takes a whole answer of the endpoint that is not an error.
 func (r *Roster) Answered(now time.Time, key fleet.EndpointID) {
-	r.health.Success(now, key, 0, 0)
+	r.health.RecordSuccess(now, key, 0, 0)
 	r.close(now, key)
 }
 
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -118,7 +118,7 @@
 }
 
 // changed has a hold written that began here, or dropped if it has ended.
-func (k *holdKeeper) changed(c *quarantine.Change, kept *quarantine.Kept) {
+func (k *holdKeeper) changed(c *quarantine.Change, kept *quarantine.StoredHold) {
 	switch {
 	case !c.Held:
 		k.put(c.Fingerprint, nil)
@@ -159,7 +159,7 @@
 	if kept.Daemon == r.o.Settings.Name && r.keeper != nil {
 		r.keeper.adopt(f, left > 0)
 	}
-	r.quarantine.Recall(quarantine.Kept{
+	r.quarantine.Recall(quarantine.StoredHold{
 		Fingerprint: f, Round: kept.Round, Age: max(0, time.Since(time.UnixMilli(kept.Began))), Left: left,
 	})
 	return true
--- a/router/router.go
+++ b/router/router.go
@@ -274,7 +274,7 @@
 	switch {
 	case r.dispatch.receive(from, data):
 	case r.room.Receive(from, data):
-	case quarantine.Owns(data):
+	case quarantine.IsMessage(data):
 		r.quarantine.Receive(from, data)
 	default:
 		r.limits.receive(from, data)
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -789,7 +789,7 @@
 				t.Errorf("daemon %d holds a request that was cleared", i)
 			}
 		}
-		time.Sleep(quarantine.HoldTime)
+		time.Sleep(quarantine.HoldDuration)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if n := len(w.newest[TopicDaemons]); n > daemons {
