--- a/quarantine/doc.go
+++ b/quarantine/doc.go
@@ -1,14 +1,16 @@
-// Package quarantine keeps requests from endpoints that end whenever they run them.
+// Package quarantine stops the distribution of requests that crash every endpoint
+// that runs them.
 //
-// A request is known by its Fingerprint, whatever its id. A daemon that loses an
-// attempt, and finds that the endpoint has ended, reports both to the owners of the
-// fingerprint, a few daemons chosen by rendezvous hashing. An owner that knows of
-// three ended endpoints holds the request, and daemons pass that on to each other.
+// A request is identified by its Fingerprint, independent of its id. If a daemon
+// loses an attempt and finds that the endpoint has crashed, it reports both to the
+// owners of the fingerprint, a few daemons chosen by rendezvous hashing. An owner
+// that knows of three crashed endpoints holds the request: daemons refuse it. Holds
+// are distributed to all daemons by gossip.
 //
-// Whatever else an endpoint was running when it ended is reported as well. A whole
-// answer of any endpoint clears a request: one that ends every endpoint is never
-// answered. A clearance ends a hold.
+// The other requests that an endpoint was running when it crashed are reported as
+// well. A complete answer by any endpoint clears a request, since one that crashes
+// every endpoint never gets an answer. A clearance ends a hold.
 //
-// The package does no I/O and reads no clock. Times are readings of a clock that
-// does not jump, given as the duration since any fixed moment.
+// The package does no I/O and reads no clock. Times are readings of a monotonic
+// clock, given as the duration since an arbitrary fixed moment.
 package quarantine
--- a/quarantine/fingerprint.go
+++ b/quarantine/fingerprint.go
@@ -6,26 +6,25 @@
 	"encoding/hex"
 )
 
-// fingerprintBytes are enough that nobody can make two requests share one.
+// fingerprintBytes is the length of a fingerprint. 128 bits make collisions infeasible.
 const fingerprintBytes = 16
 
-// Fingerprint names what a request asks for: all repeats of it by the same
-// organisation have the same one, whatever their ids are and whichever daemon they
-// come to.
+// Fingerprint identifies the content of a request. All repeats by the same
+// organisation have the same fingerprint at every daemon, whatever their ids are.
 type Fingerprint [fingerprintBytes]byte
 
-// String returns the digits used in logs and messages.
+// String returns the fingerprint in hexadecimal digits.
 func (f Fingerprint) String() string { return hex.EncodeToString(f[:]) }
 
-// fieldsBytes is room for the fields of most requests beside the body.
+// fieldsBytes is a buffer size that fits the fields of most requests.
 const fieldsBytes = 512
 
 // FingerprintOf returns the fingerprint of a request. organisation is empty if the
-// request needs no key; target is the path with the query, as the caller sent it.
+// route needs no API key; target is the path with the query as sent by the caller.
 func FingerprintOf(organisation, method, host, target string, body []byte) Fingerprint {
 	fields := make([]byte, 0, fieldsBytes)
 	for _, text := range [...]string{organisation, method, host, target} {
-		// Behind its length, so that no two lists of fields give the same bytes.
+		// Length-prefixed, so that different lists of fields never encode equally.
 		fields = binary.LittleEndian.AppendUint32(fields, uint32(len(text)))
 		fields = append(fields, text...)
 	}
--- a/quarantine/fingerprint_test.go
+++ b/quarantine/fingerprint_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// A caller's repeat must be known under another id, and no other caller's request may
-// be taken for it.
-func TestFingerprintNamesTheRequestAndItsOrganisation(t *testing.T) {
+// A repeated request must be recognised under another id, and no request that differs
+// in any field or organisation may have the same fingerprint.
+func TestFingerprintIdentifiesRequestAndOrganisation(t *testing.T) {
 	base := FingerprintOf("org", "POST", "h", "/a?b", []byte("body"))
 	if base != FingerprintOf("org", "POST", "h", "/a?b", []byte("body")) {
 		t.Error("a repeat has another fingerprint")
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -9,43 +9,43 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMalformed reports a message that no daemon of this release sends.
+// ErrMalformed reports a message that is not in the format of this release.
 var ErrMalformed = errors.New("quarantine: message is malformed")
 
-// Kinds of message, with the version of their layout.
+// Message types. A change of the layout takes a new number.
 const (
-	kindReport = 0x31 // ends that requests were present at
+	kindReport = 0x31 // crashes with the requests that were running
 	kindHolds  = 0x32 // holds and clearances
 )
 
-// IsMessage tells whether a message is one of this package.
+// IsMessage reports whether data is a message of this package.
 func IsMessage(data []byte) bool {
 	return len(data) > 0 && (data[0] == kindReport || data[0] == kindHolds)
 }
 
-// Bounds of messages. One fits into a datagram on links of any usual size.
+// Limits of messages. The longest one fits into a datagram at common MTUs.
 const (
-	maxReports = 16
-	maxUpdates = 32
-	syncHolds  = 8 // in one message with what is held
-	maxRound   = 1 << 20
+	maxReports   = 16
+	maxUpdates   = 32
+	maxSyncHolds = 8 // holds per periodic message
+	maxRound     = 1 << 20
 )
 
-// report is an end that a request was present at.
+// report is a crash of an endpoint that was running a request.
 type report struct {
 	fingerprint Fingerprint
 	endpoint    fleet.EndpointID
 	age         time.Duration
 }
 
-// update is a hold as daemons tell each other of it. Of two about one request the later
-// round counts, and within a round that it is cleared.
+// update is a hold or a clearance as exchanged between daemons. Of two updates for the
+// same request the one with the higher round applies, and within a round the clearance.
 type update struct {
 	fingerprint Fingerprint
 	round       uint64
 	cleared     bool
-	since       time.Duration // the first of the ends, as an age
-	left        time.Duration // until it is forgotten
+	crashAge    time.Duration // age of the first crash
+	left        time.Duration // until the entry expires
 }
 
 func encodeReports(all []report) []byte {
@@ -68,13 +68,14 @@
 			state |= 1
 		}
 		b = binary.AppendUvarint(b, state)
-		b = binary.AppendUvarint(b, uint64(t.since/time.Millisecond))
+		b = binary.AppendUvarint(b, uint64(t.crashAge/time.Millisecond))
 		b = binary.AppendUvarint(b, uint64(t.left/time.Millisecond))
 	}
 	return b
 }
 
-// decodeAll reads entries of a message until its end.
+// decodeAll reads the entries of a message with the given type. More than most entries
+// are an error.
 func decodeAll[T any](b []byte, kind byte, most int, entry func(*wire.Reader) T) ([]T, error) {
 	r := &wire.Reader{Rest: b}
 	if r.Byte() != kind {
@@ -93,7 +94,7 @@
 func decodeReports(b []byte) ([]report, error) {
 	return decodeAll(b, kindReport, maxReports, func(r *wire.Reader) report {
 		return report{
-			fingerprint: Fingerprint(r.Bytes(fingerprintBytes)), endpoint: fleet.EndpointID(r.Text(endpointBytes)), age: r.Millis(evidenceTime),
+			fingerprint: Fingerprint(r.Bytes(fingerprintBytes)), endpoint: fleet.EndpointID(r.Text(maxEndpointBytes)), age: r.Millis(crashTTL),
 		}
 	})
 }
@@ -103,7 +104,7 @@
 		u := update{fingerprint: Fingerprint(r.Bytes(fingerprintBytes))}
 		state := r.Uvarint(maxRound<<1 | 1)
 		u.round, u.cleared = state>>1, state&1 == 1
-		u.since, u.left = r.Millis(HoldDuration+evidenceTime), r.Millis(HoldDuration)
+		u.crashAge, u.left = r.Millis(HoldDuration+crashTTL), r.Millis(HoldDuration)
 		return u
 	})
 }
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -11,52 +11,51 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
 	Self gossip.Peer
-	Rand *rand.Rand // seeded; draws the daemons that are told
+	Rand *rand.Rand // seeded; chooses the peers for gossip
 }
 
-// Node is one daemon's part in holding requests. It is not safe for concurrent use.
-// What it wants to send is collected until Outbox is called, what it decided until
-// Changes is.
+// Node is the quarantine of one daemon. It is not safe for concurrent use. Outgoing
+// messages are collected until Outbox is called, and changes until Changes is.
 type Node struct {
-	peers    *gossip.Peers
-	suspects suspects
-	answers  answers
-	holds    map[Fingerprint]*hold
-	reports  []outgoingReport
-	turn     int // of the holds, in messages with what is held
-	changes  []Change
+	peers     *gossip.Peers
+	suspects  suspects
+	answers   answers
+	holds     map[Fingerprint]*hold
+	reports   []outgoingReport
+	syncIndex int // index of the last hold sent in a periodic message
+	changes   []Change
 }
 
-// hold is what is known of a request that was held.
+// hold is the state of a request that is or was held.
 type hold struct {
-	round   uint64
-	cleared bool
-	since   time.Duration // the first of the ends
-	until   time.Duration // when it is forgotten
-	relays  int           // ticks at which it is still passed on
+	round      uint64
+	cleared    bool
+	firstCrash time.Duration
+	until      time.Duration // when the entry expires
+	relaysLeft int           // remaining ticks at which it is sent to peers
 }
 
-// outgoingReport is a report that is sent several times.
+// outgoingReport is a report that is sent maxReportSends times.
 type outgoingReport struct {
 	fingerprint Fingerprint
-	end         end
+	crash       crash
 	owners      []gossip.Peer
 	sent        int
-	due         time.Duration // the next time
+	nextSend    time.Duration
 }
 
-// NewNode returns a Node that knows no other daemons and holds nothing.
+// NewNode returns a Node without peers and holds.
 func NewNode(o Options) *Node {
 	return &Node{peers: gossip.NewPeers(o.Self, o.Rand), suspects: newSuspects(), answers: newAnswers(), holds: map[Fingerprint]*hold{}}
 }
 
-// SetPeers takes the list of all daemons.
+// SetPeers sets the list of all daemons.
 func (n *Node) SetPeers(all []gossip.Peer) { n.peers.Set(all) }
 
-// Held tells whether the request is held.
+// Held returns the hold of the request, and false if it is not held.
 func (n *Node) Held(now time.Duration, f Fingerprint) (Hold, bool) {
 	h := n.holds[f]
 	if h == nil || h.cleared || now >= h.until {
@@ -65,27 +64,27 @@
 	return Hold{Left: h.until - now, Crashes: n.suspects.count(f, now)}, true
 }
 
-// MayRetry tells whether this daemon may send the request to another endpoint after
-// it was lost at one.
+// MayRetry reports whether this daemon may send the request to another endpoint after
+// the connection to one was lost.
 func (n *Node) MayRetry(now time.Duration, f Fingerprint) bool {
 	_, held := n.Held(now, f)
-	return !held && n.suspects.count(f, now) < endsToRepeat
+	return !held && n.suspects.count(f, now) < crashesToStopRetries
 }
 
-// EndpointCrashed takes that an endpoint ended while it ran this daemon's request.
+// EndpointCrashed records that an endpoint crashed while it ran this daemon's request.
 func (n *Node) EndpointCrashed(now time.Duration, f Fingerprint, e fleet.EndpointID) {
-	if n.answers.clears(f, now) || len(e) > endpointBytes {
+	if n.answers.answeredSince(f, now) || len(e) > maxEndpointBytes {
 		return
 	}
-	n.reports = append(n.reports, outgoingReport{fingerprint: f, end: end{e, now}, owners: n.owners(f), due: now})
-	n.judge(now, f, end{e, now})
+	n.reports = append(n.reports, outgoingReport{fingerprint: f, crash: crash{e, now}, owners: n.owners(f), nextSend: now})
+	n.recordCrash(now, f, crash{e, now})
 	n.sendReports(now)
 }
 
-// judge counts an end, and holds the request if it was at too many.
-func (n *Node) judge(now time.Duration, f Fingerprint, e end) {
+// recordCrash counts a crash, and holds the request once it has crashesToHold of them.
+func (n *Node) recordCrash(now time.Duration, f Fingerprint, e crash) {
 	ends := n.suspects.add(f, e)
-	if len(ends) < endsToHold {
+	if len(ends) < crashesToHold {
 		return
 	}
 	round := uint64(1)
@@ -95,48 +94,48 @@
 		}
 		round = h.round + 1
 	}
-	if n.apply(now, update{fingerprint: f, round: round, since: now - first(ends), left: HoldDuration}, ReasonCrashes) {
-		n.tell(now, f, gossip.DirectPeers)
+	if n.apply(now, update{fingerprint: f, round: round, crashAge: now - firstCrash(ends), left: HoldDuration}, ReasonCrashes) {
+		n.announce(now, f, gossip.DirectPeers)
 	}
 }
 
-// Answered takes that an endpoint gave a whole answer of the request.
+// Answered records a complete answer to the request and ends its hold.
 func (n *Node) Answered(now time.Duration, f Fingerprint) {
 	n.answers.add(f, now)
 	n.suspects.clear(f)
-	n.lift(now, f, ReasonAnswered)
+	n.endHold(now, f, ReasonAnswered)
 }
 
-// Lift ends a hold by the operator's word. It returns false if there is none.
+// Lift ends a hold on behalf of the operator. It returns false if there is none.
 func (n *Node) Lift(now time.Duration, f Fingerprint) bool {
 	n.suspects.clear(f)
-	return n.lift(now, f, ReasonOperator)
+	return n.endHold(now, f, ReasonOperator)
 }
 
-func (n *Node) lift(now time.Duration, f Fingerprint, why Reason) bool {
+func (n *Node) endHold(now time.Duration, f Fingerprint, why Reason) bool {
 	h := n.holds[f]
 	if h == nil || h.cleared || now >= h.until {
 		return false
 	}
-	n.apply(now, update{fingerprint: f, round: h.round, cleared: true, since: now - h.since, left: h.until - now}, why)
-	n.tell(now, f, gossip.DirectPeers)
+	n.apply(now, update{fingerprint: f, round: h.round, cleared: true, crashAge: now - h.firstCrash, left: h.until - now}, why)
+	n.announce(now, f, gossip.DirectPeers)
 	return true
 }
 
-// apply takes a hold or a clearance if it is newer than what is known.
+// apply applies a hold or a clearance, and returns false if it is not newer than the local state.
 func (n *Node) apply(now time.Duration, t update, why Reason) bool {
 	h := n.holds[t.fingerprint]
-	if h != nil && now < h.until && !newer(t, h) {
+	if h != nil && now < h.until && !supersedes(t, h) {
 		return false
 	}
 	if h == nil {
-		n.makeRoom()
+		n.evictHold()
 	}
 	n.holds[t.fingerprint] = &hold{
-		round: t.round, cleared: t.cleared, since: now - t.since, until: now + t.left, relays: gossip.RelayTimes,
+		round: t.round, cleared: t.cleared, firstCrash: now - t.crashAge, until: now + t.left, relaysLeft: gossip.RelayTimes,
 	}
 	c := Change{Fingerprint: t.fingerprint, Held: !t.cleared, Reason: why, Left: t.left}
-	for _, e := range n.suspects.ends[t.fingerprint] {
+	for _, e := range n.suspects.crashes[t.fingerprint] {
 		c.Crashed = append(c.Crashed, e.endpoint)
 	}
 	n.changes = append(n.changes, c)
@@ -146,12 +145,12 @@
 	return true
 }
 
-func newer(t update, h *hold) bool {
+func supersedes(t update, h *hold) bool {
 	return t.round > h.round || t.round == h.round && t.cleared && !h.cleared
 }
 
-// makeRoom forgets the hold that ends first if there are too many.
-func (n *Node) makeRoom() {
+// evictHold removes the hold that expires first if there are maxHolds.
+func (n *Node) evictHold() {
 	if len(n.holds) < maxHolds {
 		return
 	}
@@ -165,7 +164,7 @@
 	delete(n.holds, first)
 }
 
-// Tick does what is due with time alone.
+// Tick expires holds and sends the messages that are due. Call it every gossip.Tick.
 func (n *Node) Tick(now time.Duration) {
 	n.sendReports(now)
 	for f, h := range n.holds {
@@ -176,28 +175,28 @@
 			if !h.cleared {
 				n.changes = append(n.changes, Change{Fingerprint: f, Reason: ReasonExpired})
 			}
-		case h.relays > 0:
-			h.relays--
-			n.tell(now, f, gossip.RelayPeers)
+		case h.relaysLeft > 0:
+			h.relaysLeft--
+			n.announce(now, f, gossip.RelayPeers)
 		}
 	}
 	if len(n.holds) > 0 && n.peers.SyncDue(now) {
-		n.sync(now)
+		n.syncPeers(now)
 	}
 }
 
 // sendReports sends each report to the owners of its fingerprint.
 func (n *Node) sendReports(now time.Duration) {
 	byOwner := map[gossip.Peer][]report{}
-	n.reports = slices.DeleteFunc(n.reports, func(r outgoingReport) bool { return r.sent >= reportTimes })
+	n.reports = slices.DeleteFunc(n.reports, func(r outgoingReport) bool { return r.sent >= maxReportSends })
 	for i := range n.reports {
 		r := &n.reports[i]
-		if now < r.due {
+		if now < r.nextSend {
 			continue
 		}
-		r.sent, r.due = r.sent+1, now+reportEvery
+		r.sent, r.nextSend = r.sent+1, now+reportInterval
 		for _, owner := range r.owners {
-			byOwner[owner] = append(byOwner[owner], report{r.fingerprint, r.end.endpoint, now - r.end.at})
+			byOwner[owner] = append(byOwner[owner], report{r.fingerprint, r.crash.endpoint, now - r.crash.at})
 		}
 	}
 	for to, all := range byOwner {
@@ -207,8 +206,8 @@
 	}
 }
 
-// owners are the daemons that count the ends of a request, the same ones at all
-// daemons that know the same list.
+// owners returns the daemons that count the crashes of a request. They are the same at
+// all daemons with the same list.
 func (n *Node) owners(f Fingerprint) []gossip.Peer {
 	rank := func(p gossip.Peer) uint64 { return hash.Text(string(f[:]) + "/quarantine/" + p.Name) }
 	var best []gossip.Peer
@@ -222,104 +221,105 @@
 	return best
 }
 
-// tell tells daemons of the hold of a request.
-func (n *Node) tell(now time.Duration, f Fingerprint, peers int) {
+// announce sends the state of a hold to the given number of peers.
+func (n *Node) announce(now time.Duration, f Fingerprint, peers int) {
 	n.peers.Tell(peers, encodeHolds([]update{n.updateOf(now, f)}))
 }
 
 func (n *Node) updateOf(now time.Duration, f Fingerprint) update {
 	h := n.holds[f]
 	return update{
-		fingerprint: f, round: h.round, cleared: h.cleared, since: min(now-h.since, HoldDuration+evidenceTime), left: max(h.until-now, 0),
+		fingerprint: f, round: h.round, cleared: h.cleared, crashAge: min(now-h.firstCrash, HoldDuration+crashTTL), left: max(h.until-now, 0),
 	}
 }
 
-// sync tells some daemon of some holds, in turn.
-func (n *Node) sync(now time.Duration) {
+// syncPeers sends the next few holds, in turn, to one peer.
+func (n *Node) syncPeers(now time.Duration) {
 	all := make([]Fingerprint, 0, len(n.holds))
 	for f := range n.holds {
 		all = append(all, f)
 	}
 	slices.SortFunc(all, func(a, b Fingerprint) int { return slices.Compare(a[:], b[:]) })
 	var next []update
-	for range min(syncHolds, len(all)) {
-		n.turn = (n.turn + 1) % len(all)
-		next = append(next, n.updateOf(now, all[n.turn]))
+	for range min(maxSyncHolds, len(all)) {
+		n.syncIndex = (n.syncIndex + 1) % len(all)
+		next = append(next, n.updateOf(now, all[n.syncIndex]))
 	}
 	n.peers.Tell(1, encodeHolds(next))
 }
 
-// Receive takes a message of another daemon.
+// Receive handles a message of another daemon. The error is ErrMalformed.
 func (n *Node) Receive(now time.Duration, data []byte) error {
 	if len(data) > 0 && data[0] == kindReport {
 		all, err := decodeReports(data)
 		for _, r := range all {
-			n.reported(now, r)
+			n.handleReport(now, r)
 		}
 		return err
 	}
 	all, err := decodeHolds(data)
 	for _, t := range all {
-		n.receiveUpdate(now, t)
+		n.handleUpdate(now, t)
 	}
 	return err
 }
 
-// reported takes another daemon's report. A request that was answered here since is
-// none that ends every endpoint.
-func (n *Node) reported(now time.Duration, r report) {
-	if at := now - r.age; !n.answers.clears(r.fingerprint, at) {
-		n.judge(now, r.fingerprint, end{r.endpoint, at})
+// handleReport counts a crash reported by another daemon, unless the request was
+// answered at this daemon since.
+func (n *Node) handleReport(now time.Duration, r report) {
+	if at := now - r.age; !n.answers.answeredSince(r.fingerprint, at) {
+		n.recordCrash(now, r.fingerprint, crash{r.endpoint, at})
 	}
 }
 
-// receiveUpdate takes another daemon's word of a hold, and contradicts it if the request was
-// answered here since the first of the ends.
-func (n *Node) receiveUpdate(now time.Duration, t update) {
+// handleUpdate applies an update of another daemon. It ends a hold if the request was
+// answered at this daemon since the first crash.
+func (n *Node) handleUpdate(now time.Duration, t update) {
 	if t.left <= 0 || !n.apply(now, t, ReasonReceived) {
 		return
 	}
-	if !t.cleared && n.answers.clears(t.fingerprint, now-t.since) {
-		n.lift(now, t.fingerprint, ReasonAnswered)
+	if !t.cleared && n.answers.answeredSince(t.fingerprint, now-t.crashAge) {
+		n.endHold(now, t.fingerprint, ReasonAnswered)
 	}
 }
 
-// StoredHold is a hold as it is kept outside the daemons, for those that start anew.
+// StoredHold is a hold as it is stored outside the daemons, for daemons that restart.
 type StoredHold struct {
 	Fingerprint Fingerprint
-	Round       uint64        // of the holds of one request the later round counts
-	Age         time.Duration // of the first of the ends
+	Round       uint64        // of several holds for a request the highest round applies
+	Age         time.Duration // of the first crash
 	Left        time.Duration
 }
 
-// HoldToStore returns the hold of a request; false if it is not held.
+// HoldToStore returns the hold of a request, and false if it is not held.
 func (n *Node) HoldToStore(now time.Duration, f Fingerprint) (StoredHold, bool) {
 	if _, held := n.Held(now, f); !held {
 		return StoredHold{}, false
 	}
 	t := n.updateOf(now, f)
-	return StoredHold{Fingerprint: f, Round: t.round, Age: t.since, Left: t.left}, true
+	return StoredHold{Fingerprint: f, Round: t.round, Age: t.crashAge, Left: t.left}, true
 }
 
-// RestoreHold takes a hold that was kept. All daemons read it, so it is not passed on.
+// RestoreHold applies a stored hold. All daemons read the store, so it is not sent to
+// peers.
 func (n *Node) RestoreHold(now time.Duration, k StoredHold) {
-	n.receiveUpdate(now, update{fingerprint: k.Fingerprint, round: k.Round, since: k.Age, left: min(k.Left, HoldDuration)})
+	n.handleUpdate(now, update{fingerprint: k.Fingerprint, round: k.Round, crashAge: k.Age, left: min(k.Left, HoldDuration)})
 	if h := n.holds[k.Fingerprint]; h != nil && !h.cleared {
-		h.relays = 0
+		h.relaysLeft = 0
 	}
 }
 
-// Outbox returns what is to be sent, and forgets it.
+// Outbox returns the messages to be sent and clears the list.
 func (n *Node) Outbox() []gossip.Datagram { return n.peers.Outbox() }
 
-// Changes returns the holds that began or ended, and forgets them.
+// Changes returns the holds that began or ended since the last call.
 func (n *Node) Changes() []Change {
 	out := n.changes
 	n.changes = nil
 	return out
 }
 
-// Holds lists the requests that are held, by fingerprint.
+// Holds returns all holds by fingerprint.
 func (n *Node) Holds(now time.Duration) map[Fingerprint]Hold {
 	out := map[Fingerprint]Hold{}
 	for f := range n.holds {
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -7,44 +7,44 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// end is an endpoint that ended while it ran a request.
-type end struct {
+// crash is an endpoint that crashed while it ran a request.
+type crash struct {
 	endpoint fleet.EndpointID
 	at       time.Duration
 }
 
-// suspects holds the ends that each request was present at. It forgets the oldest
-// requests when there are too many.
+// suspects holds the recent crashes for each request. It evicts the oldest requests
+// beyond maxSuspects.
 type suspects struct {
-	ends  map[Fingerprint][]end
-	order []Fingerprint // in which they were added; may name some that are gone
+	crashes map[Fingerprint][]crash
+	order   []Fingerprint // in order of insertion; may include removed ones
 }
 
-func newSuspects() suspects { return suspects{ends: map[Fingerprint][]end{}} }
+func newSuspects() suspects { return suspects{crashes: map[Fingerprint][]crash{}} }
 
-// add takes that the endpoint ended, and returns the ends that count. The same end
-// counts once, however many attempts or reports tell of it.
-func (s *suspects) add(f Fingerprint, e end) []end {
-	known, some := s.ends[f]
-	known = counted(known, e.at)
-	if !slices.ContainsFunc(known, func(k end) bool { return k.endpoint == e.endpoint }) {
+// add records a crash, and returns the crashes that count against the request. Several
+// attempts or reports about the same endpoint count once.
+func (s *suspects) add(f Fingerprint, e crash) []crash {
+	known, some := s.crashes[f]
+	known = recentCrashes(known, e.at)
+	if !slices.ContainsFunc(known, func(k crash) bool { return k.endpoint == e.endpoint }) {
 		known = append(known, e)
 	}
 	if !some {
 		s.order = append(s.order, f)
 	}
-	s.ends[f] = known[max(0, len(known)-endsToHold):]
-	s.bound()
-	return s.ends[f]
+	s.crashes[f] = known[max(0, len(known)-crashesToHold):]
+	s.evict()
+	return s.crashes[f]
 }
 
-// counted drops the ends that are too long ago.
-func counted(all []end, now time.Duration) []end {
-	return slices.DeleteFunc(all, func(e end) bool { return now-e.at > evidenceTime })
+// recentCrashes removes the crashes older than crashTTL.
+func recentCrashes(all []crash, now time.Duration) []crash {
+	return slices.DeleteFunc(all, func(e crash) bool { return now-e.at > crashTTL })
 }
 
-// first is when the earliest of the ends was.
-func first(all []end) time.Duration {
+// firstCrash returns the time of the earliest crash.
+func firstCrash(all []crash) time.Duration {
 	at := all[0].at
 	for _, e := range all {
 		at = min(at, e.at)
@@ -52,50 +52,51 @@
 	return at
 }
 
-// count is the number of ends that count against a request.
+// count returns the number of crashes that count against a request.
 func (s *suspects) count(f Fingerprint, now time.Duration) int {
 	n := 0
-	for _, e := range s.ends[f] {
-		if now-e.at <= evidenceTime {
+	for _, e := range s.crashes[f] {
+		if now-e.at <= crashTTL {
 			n++
 		}
 	}
 	return n
 }
 
-func (s *suspects) clear(f Fingerprint) { delete(s.ends, f) }
+func (s *suspects) clear(f Fingerprint) { delete(s.crashes, f) }
 
-// bound forgets the oldest.
-func (s *suspects) bound() {
-	for len(s.order) > 0 && (len(s.ends) > maxSuspects || len(s.order) > 2*maxSuspects) {
-		delete(s.ends, s.order[0])
+// evict removes the oldest requests beyond maxSuspects.
+func (s *suspects) evict() {
+	for len(s.order) > 0 && (len(s.crashes) > maxSuspects || len(s.order) > 2*maxSuspects) {
+		delete(s.crashes, s.order[0])
 		s.order = s.order[1:]
 	}
 }
 
-// answers remembers when requests were last answered whole, in two generations of
-// which the older one is dropped.
+// answers records when requests last got a complete answer. It has two generations, so
+// that old entries are dropped together.
 type answers struct {
-	young, old map[Fingerprint]time.Duration
-	began      time.Duration // the younger generation
+	current, previous map[Fingerprint]time.Duration
+	startedAt         time.Duration // start of the current generation
 }
 
 func newAnswers() answers {
-	return answers{young: map[Fingerprint]time.Duration{}, old: map[Fingerprint]time.Duration{}}
+	return answers{current: map[Fingerprint]time.Duration{}, previous: map[Fingerprint]time.Duration{}}
 }
 
 func (a *answers) add(f Fingerprint, now time.Duration) {
-	if now-a.began > evidenceTime+clearTime || len(a.young) >= maxAnswers/2 {
-		a.young, a.old, a.began = map[Fingerprint]time.Duration{}, a.young, now
+	if now-a.startedAt > crashTTL+clearMargin || len(a.current) >= maxAnswers/2 {
+		a.current, a.previous, a.startedAt = map[Fingerprint]time.Duration{}, a.current, now
 	}
-	a.young[f] = now
+	a.current[f] = now
 }
 
-// clears tells whether the request was answered shortly before the time or after it.
-func (a *answers) clears(f Fingerprint, since time.Duration) bool {
-	at, ok := a.young[f]
+// answeredSince reports whether the request was answered after the given time or at most
+// clearMargin before it.
+func (a *answers) answeredSince(f Fingerprint, since time.Duration) bool {
+	at, ok := a.current[f]
 	if !ok {
-		at, ok = a.old[f]
+		at, ok = a.previous[f]
 	}
-	return ok && at >= since-clearTime
+	return ok && at >= since-clearMargin
 }
