--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,9 +1,10 @@
-// Package limits holds what a daemon knows of the limits that endpoints name in their
-// answers: how many requests a second they take of all daemons together.
+// Package limits holds the rate limits that endpoints state in their answers: how many
+// requests per second they accept from all daemons together.
 //
-// A daemon learns a limit from an answer and tells the others, so that each keeps to
-// its part before its own first answer, and hears of a limit's end though it may send
-// next to nothing itself. How the requests are parted is decided in package quota.
+// A daemon reads a limit from an answer and sends it to the others by gossip. So each
+// daemon keeps to its fraction before its own first answer, and also receives the end
+// of a limit if it sends hardly any requests itself. Package quota divides the limits
+// between the daemons.
 //
 // The package does no I/O and reads no clock. A Table is not safe for concurrent use.
 package limits
@@ -21,28 +22,28 @@
 	"github.com/merlindock/merlindock/quota"
 )
 
-// Bounds and times.
+// Limits and durations.
 const (
-	// maxEndpoints bounds the endpoints whose limit is known.
+	// maxEndpoints bounds the endpoints in a Table.
 	maxEndpoints = 16_384
-	// endpointBytes is the longest key of an endpoint.
-	endpointBytes = 48
-	// least is the lowest rate that is kept to, in requests/s. Without any request no
-	// answer would tell that the limit is over.
-	least = 0.1
-	// entryTTL is how long a limit counts that no answer of its endpoint repeats. The
-	// endpoint may have ended.
+	// maxEndpointBytes is the length of the longest endpoint key that is stored.
+	maxEndpointBytes = 48
+	// minRate is the lowest limit that is applied, in requests/s. Without any requests,
+	// no answer could end the limit.
+	minRate = 0.1
+	// entryTTL is how long a limit applies that no answer confirms. The endpoint may no
+	// longer exist.
 	entryTTL = time.Minute
-	// burstTime is the time for which an endpoint may be sent its rate at once.
+	// burstTime determines the burst: the requests of this time may be sent at once.
 	burstTime = 500 * time.Millisecond
 )
 
-// Tolerance is how far the requests to an endpoint may pass its limit. Requests are on
-// their way for a moment after they were counted.
+// Tolerance is how far the requests to an endpoint may exceed its limit. The delay
+// between the count at a daemon and the arrival at the endpoint varies.
 var Tolerance = quota.Tolerance{Overage: 0.2, Slack: 2}
 
-// Parse reads a limit in requests a second. One that is no such number counts as none:
-// the endpoint sheds load by itself then.
+// Parse parses a limit in requests/s. It returns nil, that is no limit, if the text is
+// not a finite number of at least 0; the endpoint then has to shed load by itself.
 func Parse(text string) *float64 {
 	v, err := strconv.ParseFloat(strings.TrimSpace(text), 64)
 	if err != nil || math.IsNaN(v) || math.IsInf(v, 0) || v < 0 {
@@ -51,72 +52,72 @@
 	return &v
 }
 
-// KeyOf names an endpoint in messages of package quota.
+// KeyOf returns the key of an endpoint in messages of package quota.
 func KeyOf(e fleet.EndpointID) quota.Key { return quota.KeyOf("endpoint/" + string(e)) }
 
-// Change is a limit that was named, changed or ended, for logs.
+// Change is a limit that was set, changed or removed, for logs.
 type Change struct {
 	Endpoint fleet.EndpointID
-	Limit    *float64 // requests/s; nil: none any more
-	FromPeer bool     // another daemon told it
+	Limit    *float64 // requests/s; nil: removed
+	FromPeer bool     // received from another daemon
 	Age      time.Duration
 }
 
-// entry is what an endpoint last said.
+// entry is the last known limit of an endpoint.
 type entry struct {
-	limit  float64 // negative: none
-	at     time.Duration
-	relays int // ticks at which it is still passed on
+	limit      float64 // negative: none
+	at         time.Duration
+	relaysLeft int // remaining ticks at which it is sent to peers
 }
 
-// none is the limit of an endpoint that names none.
-const none = -1.0
+// noLimit is the limit of an endpoint that states none.
+const noLimit = -1.0
 
-// Options are what a Table needs.
+// Options configure a Table.
 type Options struct {
 	Self gossip.Peer
-	Rand *rand.Rand // seeded; draws the peers that are told
+	Rand *rand.Rand // seeded; chooses the peers for gossip
 }
 
-// Table is one daemon's knowledge.
+// Table holds the limits known to one daemon.
 type Table struct {
-	peers   *gossip.Peers
-	entries map[fleet.EndpointID]*entry
-	turn    int // of the entries, in messages with what is known
-	changes []Change
+	peers     *gossip.Peers
+	entries   map[fleet.EndpointID]*entry
+	syncIndex int // index of the last entry sent in a periodic message
+	changes   []Change
 }
 
-// NewTable returns a Table that knows no limits.
+// NewTable returns an empty Table.
 func NewTable(o Options) *Table {
 	return &Table{peers: gossip.NewPeers(o.Self, o.Rand), entries: map[fleet.EndpointID]*entry{}}
 }
 
-// SetPeers takes the list of all daemons.
+// SetPeers sets the list of all daemons.
 func (t *Table) SetPeers(all []gossip.Peer) { t.peers.Set(all) }
 
-// SetFromAnswer takes what an answer of the endpoint named; nil: no limit.
+// SetFromAnswer sets the limit stated in an answer of the endpoint; nil: no limit.
 func (t *Table) SetFromAnswer(now time.Duration, e fleet.EndpointID, limit *float64) {
-	said := none
+	stated := noLimit
 	if limit != nil {
-		said = *limit
+		stated = *limit
 	}
 	known := t.entries[e]
 	switch {
-	case known == nil && said < 0 || len(e) > endpointBytes:
+	case known == nil && stated < 0 || len(e) > maxEndpointBytes:
 		return
-	case known != nil && known.limit == said:
+	case known != nil && known.limit == stated:
 		known.at = now
 		return
 	}
-	t.set(now, update{endpoint: e, limit: said}, false)
-	t.peers.Tell(gossip.DirectPeers, encode([]update{{endpoint: e, limit: said}}))
+	t.set(now, update{endpoint: e, limit: stated}, false)
+	t.peers.Tell(gossip.DirectPeers, encode([]update{{endpoint: e, limit: stated}}))
 }
 
 func (t *Table) set(now time.Duration, u update, fromPeer bool) {
 	if t.entries[u.endpoint] == nil && len(t.entries) >= maxEndpoints {
 		return
 	}
-	t.entries[u.endpoint] = &entry{limit: u.limit, at: now - u.age, relays: gossip.RelayTimes}
+	t.entries[u.endpoint] = &entry{limit: u.limit, at: now - u.age, relaysLeft: gossip.RelayTimes}
 	c := Change{Endpoint: u.endpoint, FromPeer: fromPeer, Age: u.age}
 	if u.limit >= 0 {
 		c.Limit = &u.limit
@@ -124,7 +125,7 @@
 	t.changes = append(t.changes, c)
 }
 
-// Receive takes a message of another daemon. The error is ErrMessage.
+// Receive handles a message of another daemon. The error is ErrMalformed.
 func (t *Table) Receive(now time.Duration, data []byte) error {
 	all, err := decode(data)
 	for _, u := range all {
@@ -140,7 +141,7 @@
 	return err
 }
 
-// Tick does what is due with time alone.
+// Tick expires limits and sends the messages that are due. Call it every gossip.Tick.
 func (t *Table) Tick(now time.Duration) {
 	for e, w := range t.entries {
 		if now-w.at > entryTTL {
@@ -150,13 +151,13 @@
 			}
 			continue
 		}
-		if w.relays > 0 {
-			w.relays--
+		if w.relaysLeft > 0 {
+			w.relaysLeft--
 			t.peers.Tell(gossip.RelayPeers, encode([]update{updateOf(now, e, w)}))
 		}
 	}
 	if len(t.entries) > 0 && t.peers.SyncDue(now) {
-		t.peers.Tell(1, encode(t.next(now)))
+		t.peers.Tell(1, encode(t.nextSync(now)))
 	}
 }
 
@@ -164,22 +165,22 @@
 	return update{endpoint: e, limit: w.limit, age: min(max(now-w.at, 0), maxAge)}
 }
 
-// next returns some of what is known, in turn.
-func (t *Table) next(now time.Duration) []update {
+// nextSync returns the next few entries, in turn, for a periodic message.
+func (t *Table) nextSync(now time.Duration) []update {
 	all := make([]fleet.EndpointID, 0, len(t.entries))
 	for e := range t.entries {
 		all = append(all, e)
 	}
 	slices.Sort(all)
 	var out []update
-	for range min(syncUpdates, len(all)) {
-		t.turn = (t.turn + 1) % len(all)
-		out = append(out, updateOf(now, all[t.turn], t.entries[all[t.turn]]))
+	for range min(maxSyncUpdates, len(all)) {
+		t.syncIndex = (t.syncIndex + 1) % len(all)
+		out = append(out, updateOf(now, all[t.syncIndex], t.entries[all[t.syncIndex]]))
 	}
 	return out
 }
 
-// Limited lists the endpoints that have a limit.
+// Limited returns the endpoints that have a limit.
 func (t *Table) Limited() []fleet.EndpointID {
 	var out []fleet.EndpointID
 	for e, w := range t.entries {
@@ -190,22 +191,22 @@
 	return out
 }
 
-// Limits returns the limits by their keys, as package quota takes them.
+// Limits returns the limits by key, for package quota.
 func (t *Table) Limits() map[quota.Key]quota.Limit {
 	out := map[quota.Key]quota.Limit{}
 	for e, w := range t.entries {
 		if w.limit >= 0 {
-			rate := max(w.limit, least)
+			rate := max(w.limit, minRate)
 			out[KeyOf(e)] = quota.Limit{PerSecond: rate, Burst: max(1, rate*burstTime.Seconds())}
 		}
 	}
 	return out
 }
 
-// Outbox returns what is to be sent, and forgets it.
+// Outbox returns the messages to be sent and clears the list.
 func (t *Table) Outbox() []gossip.Datagram { return t.peers.Outbox() }
 
-// Changes returns the limits that changed, and forgets them.
+// Changes returns the changes since the last call.
 func (t *Table) Changes() []Change {
 	out := t.changes
 	t.changes = nil
--- a/limits/message.go
+++ b/limits/message.go
@@ -10,23 +10,23 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMalformed reports a message that no daemon of this release sends.
+// ErrMalformed reports a message that is not in the format of this release.
 var ErrMalformed = errors.New("limits: message is malformed")
 
-// kindUpdates is the kind of message, with the version of its layout.
+// kindUpdates is the message type. A change of the layout takes a new number.
 const kindUpdates = 0x41
 
-// IsMessage tells whether a message is one of this package.
+// IsMessage reports whether data is a message of this package.
 func IsMessage(data []byte) bool { return len(data) > 0 && data[0] == kindUpdates }
 
-// Bounds of messages. One fits into a datagram on links of any usual size.
+// Limits of messages. The longest one fits into a datagram at common MTUs.
 const (
-	maxUpdates  = 16
-	syncUpdates = 8 // in one message with what is known
-	maxAge      = 10 * time.Minute
+	maxUpdates     = 16
+	maxSyncUpdates = 8 // updates per periodic message
+	maxAge         = 10 * time.Minute
 )
 
-// update is what an endpoint said, as daemons tell each other.
+// update is the limit of an endpoint as exchanged between daemons.
 type update struct {
 	endpoint fleet.EndpointID
 	limit    float64 // requests/s; negative: none
@@ -51,7 +51,7 @@
 	}
 	var out []update
 	for r.More() {
-		u := update{endpoint: fleet.EndpointID(r.Text(endpointBytes)), limit: math.Float64frombits(r.Uint64()), age: r.Millis(maxAge)}
+		u := update{endpoint: fleet.EndpointID(r.Text(maxEndpointBytes)), limit: math.Float64frombits(r.Uint64()), age: r.Millis(maxAge)}
 		if math.IsNaN(u.limit) || math.IsInf(u.limit, 0) {
 			return nil, ErrMalformed
 		}
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -8,58 +8,57 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Lease is the lease of the giver of orders, kept in the platform's log.
-// *logio.LeaseKeeper is one; it renews the lease by itself.
+// Lease is the lease of the rollout leader, stored in the platform's log.
+// *logio.LeaseKeeper implements it and renews the lease by itself.
 type Lease interface {
-	// Holding returns the lease if it may be relied on at the given time. It is
-	// called by any goroutine.
+	// Holding returns the lease if it is valid at the given time. It is safe for
+	// concurrent use.
 	Holding(now time.Time) (logio.Holding, bool)
-	// Release gives the lease up, so that the next holder need not wait for its
-	// end.
+	// Release releases the lease, so that the next holder need not wait for its
+	// expiry.
 	Release(ctx context.Context)
 }
 
-// tenure is the time for which one grant of the lease is held, by its fencing
-// number.
-type tenure struct {
+// leaseTerm is a period for which the lease is held under one fencing token.
+type leaseTerm struct {
 	fence ports.Offset
 	since time.Time // see rollout.Input.Since
-	lost  bool      // an endpoint has shown that another one holds the lease
+	lost  bool      // the lease expired, or an endpoint saw a higher fencing token
 }
 
-// begin looks at the lease and tells whether it is held, and whether it was
-// taken anew since the last call. Each taking starts from nothing: another
-// holder may have given orders between two of them.
-func (g *Leader) begin(now time.Time) (held, taken bool) {
+// checkLease reports whether the lease is held, and whether it was acquired since
+// the last call. No state is kept across acquisitions: another holder may have sent
+// orders in between.
+func (g *Leader) checkLease(now time.Time) (held, taken bool) {
 	h, ok := g.o.Lease.Holding(now)
 	if !ok {
-		g.end(ErrLeaseExpired)
+		g.loseLease(ErrLeaseExpired)
 		return false, false
 	}
-	if h.Fence == g.tenure.fence {
-		return !g.tenure.lost, false
+	if h.Fence == g.term.fence {
+		return !g.term.lost, false
 	}
-	g.end(ErrLeaseExpired)
-	g.tenure = tenure{fence: h.Fence, since: now.Add(g.o.Rollout.LongestOrder)}
+	g.loseLease(ErrLeaseExpired)
+	g.term = leaseTerm{fence: h.Fence, since: now.Add(g.o.Rollout.LongestOrder)}
 	g.o.Observe(Event{Kind: EventLeaseAcquired, Fence: h.Fence})
 	return true, true
 }
 
-// end marks that orders are no longer given under the present fencing number.
-func (g *Leader) end(reason error) {
-	if g.tenure.fence == 0 || g.tenure.lost {
+// loseLease marks the current term as lost, so that no more orders are sent in it.
+func (g *Leader) loseLease(reason error) {
+	if g.term.fence == 0 || g.term.lost {
 		return
 	}
-	g.tenure.lost = true
-	g.o.Observe(Event{Kind: EventLeaseLost, Fence: g.tenure.fence, Err: reason})
+	g.term.lost = true
+	g.o.Observe(Event{Kind: EventLeaseLost, Fence: g.term.fence, Err: reason})
 }
 
-// allowed returns a function that tells whether an order may leave now, with
-// the time that it needs until its answer. It asks the lease anew each time: a
-// holder that was paused must find out that its lease has lapsed at the last
-// moment before the bytes leave. It may be called by any goroutine.
-func (g *Leader) allowed() func() bool {
-	fence := g.tenure.fence
+// sendGuard returns a function that reports whether an order may be sent now, that
+// is, whether the lease remains valid for SendTimeout. It checks the lease on each
+// call: a process that was paused must notice that its lease has expired right
+// before the bytes are written. The function is safe for concurrent use.
+func (g *Leader) sendGuard() func() bool {
+	fence := g.term.fence
 	return func() bool {
 		h, ok := g.o.Lease.Holding(time.Now().Add(g.o.SendTimeout))
 		return ok && h.Fence == fence
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -1,16 +1,16 @@
-// Package orders gives endpoints the orders that package rollout plans, under
-// a lease in the platform's log.
+// Package orders sends endpoints the orders planned by package rollout, under a
+// lease in the platform's log.
 //
-// Three things keep two holders apart. The fencing number lets an endpoint
-// that checks it refuse a holder whose lease has lapsed. For one that does
-// not, the holder checks its lease on the monotonic clock while it writes an
-// order, and a new holder gives none before the old one's longest has ended.
-// What then still slips through was planned from an accepted manifest, names
-// the life of the endpoint that is meant, and is found when the endpoint's
-// status is read before its next order.
+// Three mechanisms prevent two lease holders from interfering. Endpoints that check
+// the fencing token refuse a holder whose lease has expired. For endpoints that do
+// not, the holder checks its lease on the monotonic clock while it writes an order,
+// and a new holder sends none before the longest order of the previous one has
+// ended. An order that is sent late nevertheless was planned from an accepted
+// manifest, states the incarnation of its endpoint, and is detected when the
+// endpoint's status is read before its next order.
 //
-// A Giver is one loop; only reads of status run beside it, and each of them
-// touches nothing but its own result.
+// A Leader runs a single loop. Only the reads of statuses are concurrent, and each
+// of them writes to its own result.
 package orders
 
 import (
@@ -29,30 +29,30 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// FleetState is what a daemon knows when it plans.
+// FleetState is the local state that a plan is made from.
 type FleetState struct {
 	Manifest  *manifest.Manifest // accepted and in force; nil: none yet
 	Revision  ports.Offset
 	Endpoints []fleet.Member
 }
 
-// Options holds what a Giver needs. Zero durations take the defaults.
+// Options configure a Leader. Zero durations mean the defaults.
 type Options struct {
 	Lease Lease
-	// FleetState is asked anew for each round.
+	// FleetState returns the current state. It is called once per round.
 	FleetState func(now time.Time) FleetState
-	// Transport sends orders and reads statuses. It must not repeat requests
-	// by itself; nil: one made by NewTransport.
+	// Transport sends orders and reads statuses. It must not retry requests by
+	// itself; nil: one returned by NewTransport.
 	Transport http.RoundTripper
-	// Dial opens the connections of the transport that New makes; nil: TCP.
+	// Dial opens the connections if Transport is nil; nil: TCP.
 	Dial    func(ctx context.Context, network, address string) (net.Conn, error)
 	Rollout rollout.Options
 	Observe func(Event) // may be nil
 
 	Tick        time.Duration // between rounds
-	SendTimeout time.Duration // for sending an order and its answer
-	ReadTimeout time.Duration // for reading a status
-	MaxReads    int           // statuses read at once
+	SendTimeout time.Duration // for an order and its answer
+	ReadTimeout time.Duration // for a status
+	MaxReads    int           // concurrent reads of statuses
 }
 
 // Defaults of Options.
@@ -63,38 +63,38 @@
 	DefaultMaxReads    = 16
 )
 
-// maxReadsInRound bounds the statuses read in one round, so that a round of a
-// large fleet ends before the lease must be renewed.
-const maxReadsInRound = 256
+// maxReadsPerRound bounds the statuses read in one round, so that in a large fleet a
+// round ends before the lease must be renewed.
+const maxReadsPerRound = 256
 
 // Errors of the package, for errors.Is.
 var (
-	// ErrLeaseExpired says that the lease ended before an order was sent.
-	ErrLeaseExpired = errors.New("orders: lease has lapsed")
-	// ErrFenced says that an endpoint has seen a higher fencing number.
-	ErrFenced = errors.New("orders: endpoint has seen a higher fencing number")
-	// ErrStoreBusy says that the weight store is at its limit.
+	// ErrLeaseExpired reports that the lease expired before an order was sent.
+	ErrLeaseExpired = errors.New("orders: lease has expired")
+	// ErrFenced reports that an endpoint has seen a higher fencing token.
+	ErrFenced = errors.New("orders: endpoint has seen a higher fencing token")
+	// ErrStoreBusy reports that the weight store is at its limit.
 	ErrStoreBusy = errors.New("orders: weight store is busy")
-	// ErrRefused says that an endpoint refused an order for another reason.
+	// ErrRefused reports that an endpoint refused an order for another reason.
 	ErrRefused = errors.New("orders: endpoint refused the order")
-	// ErrNotSent says that no byte of an order left.
+	// ErrNotSent reports that no byte of an order was sent.
 	ErrNotSent = errors.New("orders: not sent")
-	// ErrUnknown says that an order may have taken effect.
+	// ErrUnknown reports that an order may or may not have taken effect.
 	ErrUnknown = errors.New("orders: outcome unknown")
 )
 
-// EventKind names what happened.
+// EventKind is the type of an Event.
 type EventKind string
 
 // The kinds of Event.
 const (
 	EventLeaseAcquired EventKind = "lease taken"
 	EventLeaseLost     EventKind = "lease lost"
-	EventOrder         EventKind = "order"       // sent, or tried
-	EventStatusFailed  EventKind = "read failed" // of a status
+	EventOrder         EventKind = "order" // sent, or failed to send
+	EventStatusFailed  EventKind = "read failed"
 )
 
-// Event is something worth a log line or a metric.
+// Event is an occurrence to be logged or counted.
 type Event struct {
 	Kind     EventKind
 	Fence    ports.Offset
@@ -103,31 +103,31 @@
 	Err      error
 }
 
-// Leader gives orders while it holds the lease.
+// Leader plans and sends orders while it holds the lease.
 type Leader struct {
-	o       Options
-	tenure  tenure
-	planner *rollout.Planner
-	sender  sender
-	last    atomic.Pointer[Report]
+	o          Options
+	term       leaseTerm
+	planner    *rollout.Planner
+	sender     sender
+	lastReport atomic.Pointer[Report]
 }
 
-// Report is the newest plan, for the administration API.
+// Report is the latest plan, for the administration API.
 type Report struct {
 	At    time.Time
-	Fence ports.Offset // of the lease under which it was made; 0: not held
+	Fence ports.Offset // fencing token of the plan; 0: lease not held
 	Plan  rollout.Plan
 }
 
-// Report returns the newest plan. It may be called by any goroutine.
+// Report returns the latest plan. It is safe for concurrent use.
 func (g *Leader) Report() Report {
-	if r := g.last.Load(); r != nil {
+	if r := g.lastReport.Load(); r != nil {
 		return *r
 	}
 	return Report{}
 }
 
-// New returns a giver that does not hold the lease yet.
+// New returns a Leader that does not hold the lease yet.
 func New(o Options) *Leader {
 	o = o.withDefaults()
 	return &Leader{
@@ -138,10 +138,10 @@
 }
 
 func (o Options) withDefaults() Options {
-	setDuration(&o.Tick, DefaultTick)
-	setDuration(&o.SendTimeout, DefaultSendTimeout)
-	setDuration(&o.ReadTimeout, DefaultReadTimeout)
-	setDuration(&o.Rollout.LongestOrder, rollout.DefaultLongestOrder)
+	setDefault(&o.Tick, DefaultTick)
+	setDefault(&o.SendTimeout, DefaultSendTimeout)
+	setDefault(&o.ReadTimeout, DefaultReadTimeout)
+	setDefault(&o.Rollout.LongestOrder, rollout.DefaultLongestOrder)
 	if o.MaxReads <= 0 {
 		o.MaxReads = DefaultMaxReads
 	}
@@ -154,13 +154,13 @@
 	return o
 }
 
-func setDuration(d *time.Duration, value time.Duration) {
+func setDefault(d *time.Duration, value time.Duration) {
 	if *d <= 0 {
 		*d = value
 	}
 }
 
-// Run gives orders until ctx ends, then gives the lease up.
+// Run runs rounds until ctx ends, then releases the lease.
 func (g *Leader) Run(ctx context.Context) error {
 	ticker := time.NewTicker(g.o.Tick)
 	defer ticker.Stop()
@@ -175,22 +175,22 @@
 	}
 }
 
-// release gives the lease up after the last order has been answered.
+// release releases the lease, after the last order has been answered.
 func (g *Leader) release(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.o.SendTimeout)
 	defer cancel()
 	g.o.Lease.Release(ctx)
 }
 
-// Round plans and gives the next orders if the lease is held. Its plan is then
-// in the report.
+// Round plans and sends the next orders if the lease is held, and stores the plan for
+// Report.
 func (g *Leader) Round(ctx context.Context) {
-	held, taken := g.begin(time.Now())
+	held, taken := g.checkLease(time.Now())
 	if taken {
 		g.planner = rollout.NewPlanner(g.o.Rollout)
 	}
 	if !held {
-		g.last.Store(&Report{At: time.Now()})
+		g.lastReport.Store(&Report{At: time.Now()})
 		return
 	}
 	now := time.Now()
@@ -201,43 +201,43 @@
 	plan := g.planner.Plan(now, rollout.Input{
 		Manifest:  s.Manifest,
 		Revision:  s.Revision,
-		Fence:     g.tenure.fence,
-		Since:     g.tenure.since,
+		Fence:     g.term.fence,
+		Since:     g.term.since,
 		Endpoints: s.Endpoints,
 	})
-	g.last.Store(&Report{At: now, Fence: g.tenure.fence, Plan: plan})
+	g.lastReport.Store(&Report{At: now, Fence: g.term.fence, Plan: plan})
 	addresses := map[fleet.EndpointID]string{}
 	for _, e := range s.Endpoints {
 		addresses[e.ID] = e.Address
 	}
-	g.give(ctx, plan.Orders, addresses)
-	g.read(ctx, plan.Read, addresses)
+	g.sendOrders(ctx, plan.Orders, addresses)
+	g.readStatuses(ctx, plan.Read, addresses)
 }
 
-// give sends the orders one by one. The first that shows the lease to be lost
-// ends the round.
-func (g *Leader) give(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
+// sendOrders sends the orders one by one. It stops at the first one whose error shows
+// that the lease is lost.
+func (g *Leader) sendOrders(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
 	for _, o := range planned {
-		err := g.send(ctx, o, addresses[o.Endpoint])
+		err := g.sendOrder(ctx, o, addresses[o.Endpoint])
 		g.o.Observe(Event{Kind: EventOrder, Fence: o.Fence, Endpoint: o.Endpoint, Order: &o, Err: err})
 		if errors.Is(err, ErrFenced) || errors.Is(err, ErrLeaseExpired) {
-			g.end(err)
+			g.loseLease(err)
 			return
 		}
 	}
 }
 
-// send sends one order and tells the planner what became of it.
-func (g *Leader) send(ctx context.Context, o rollout.Order, address string) error {
-	allowed := g.allowed()
+// sendOrder sends one order and reports the result to the planner.
+func (g *Leader) sendOrder(ctx context.Context, o rollout.Order, address string) error {
+	allowed := g.sendGuard()
 	if !allowed() {
 		return ErrLeaseExpired
 	}
 	g.planner.Sent(time.Now(), o)
-	pause, err := g.sender.order(ctx, o, address, allowed)
+	pause, err := g.sender.postOrder(ctx, o, address, allowed)
 	switch {
 	case errors.Is(err, ErrUnknown):
-		// It stays under way until the endpoint's status settles it.
+		// The order stays pending until the endpoint's status is read.
 	case errors.Is(err, ErrNotSent), errors.Is(err, ErrLeaseExpired):
 		g.planner.NotSent(o)
 	case errors.Is(err, ErrStoreBusy):
@@ -249,27 +249,27 @@
 	return err
 }
 
-// reading is the result of reading one status.
-type reading struct {
+// statusResult is the result of one read of a status.
+type statusResult struct {
 	asked  time.Time
 	status rollout.Status
 	err    error
 }
 
-// read reads statuses, a bounded number at once.
-func (g *Leader) read(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
-	ids = ids[:min(len(ids), maxReadsInRound)]
-	readings := make([]reading, len(ids))
+// readStatuses reads statuses, at most MaxReads concurrently.
+func (g *Leader) readStatuses(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
+	ids = ids[:min(len(ids), maxReadsPerRound)]
+	readings := make([]statusResult, len(ids))
 	var group errgroup.Group
 	group.SetLimit(g.o.MaxReads)
 	for i, id := range ids {
 		group.Go(func() error {
 			readings[i].asked = time.Now()
-			readings[i].status, readings[i].err = g.sender.status(ctx, addresses[id])
+			readings[i].status, readings[i].err = g.sender.readStatus(ctx, addresses[id])
 			return nil
 		})
 	}
-	_ = group.Wait() // each reading has its own error
+	_ = group.Wait() // errors are in the results
 	now := time.Now()
 	for i, id := range ids {
 		if r := readings[i]; r.err == nil {
--- a/orders/sender.go
+++ b/orders/sender.go
@@ -18,16 +18,16 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// Bounds of connections to endpoints.
+// Limits of connections to endpoints.
 const (
 	dialTimeout    = time.Second
 	maxHeaderBytes = 16 << 10
 	maxRetryAfter  = 10 * time.Minute
 )
 
-// NewTransport returns a transport for orders. It opens a connection for each:
-// net/http repeats a request by itself when a kept connection turns out to be
-// lost, and an order must not leave twice. Dial may be nil.
+// NewTransport returns a transport for orders. It opens a connection for each order:
+// net/http retries a request by itself if a reused connection was lost, and an order
+// must not be sent twice. If dial is nil, it uses TCP.
 func NewTransport(dial func(ctx context.Context, network, address string) (net.Conn, error)) *http.Transport {
 	if dial == nil {
 		dial = (&net.Dialer{Timeout: dialTimeout}).DialContext
@@ -40,36 +40,36 @@
 	}
 }
 
-// sender speaks to endpoints.
+// sender sends orders to endpoints and reads their statuses.
 type sender struct {
 	transport   http.RoundTripper
 	sendTimeout time.Duration
 	readTimeout time.Duration
 }
 
-// guardedBody is the body of an order. It asks at the moment when the
-// transport takes the bytes whether they may still leave. A holder that was
-// paused after its last check, in a garbage collection or with its VM, would
-// otherwise send an order under a lease that has lapsed meanwhile. The header
-// alone may have left then, and a request without its body is not an order.
+// guardedBody is the body of an order. It checks whether the order may still be sent
+// when the transport reads the bytes. A process that was paused after an earlier
+// check, by a garbage collection or with its VM, would otherwise send an order under
+// an expired lease. The header may have been sent by then, but a request without its
+// body is not an order.
 type guardedBody struct {
 	*bytes.Reader
 	allowed func() bool
-	lapsed  atomic.Bool // set by the transport's goroutine
+	expired  atomic.Bool // set by the transport's goroutine
 }
 
 func (b *guardedBody) Read(p []byte) (int, error) {
 	if !b.allowed() {
-		b.lapsed.Store(true)
+		b.expired.Store(true)
 		return 0, ErrLeaseExpired
 	}
 	return b.Reader.Read(p)
 }
 
-// WriteTo is the way by which the transport may take the bytes instead.
+// WriteTo implements io.WriterTo, which the transport may use instead of Read.
 func (b *guardedBody) WriteTo(w io.Writer) (int64, error) {
 	if !b.allowed() {
-		b.lapsed.Store(true)
+		b.expired.Store(true)
 		return 0, ErrLeaseExpired
 	}
 	return b.Reader.WriteTo(w)
@@ -77,9 +77,9 @@
 
 func (b *guardedBody) Close() error { return nil }
 
-// order sends an order. The duration is the pause that the weight store asked
-// for, with ErrStoreBusy.
-func (s *sender) order(ctx context.Context, o rollout.Order, address string, allowed func() bool) (time.Duration, error) {
+// postOrder sends an order. With ErrStoreBusy, the duration is the pause requested by
+// the weight store.
+func (s *sender) postOrder(ctx context.Context, o rollout.Order, address string, allowed func() bool) (time.Duration, error) {
 	text, err := json.Marshal(o)
 	if err != nil {
 		return 0, eris.Wrap(ErrNotSent, err.Error())
@@ -97,15 +97,15 @@
 	req.Header.Set(engine.HeaderDeadline, strconv.FormatInt(s.sendTimeout.Milliseconds(), 10))
 	resp, err := s.transport.RoundTrip(req)
 	if err != nil {
-		return 0, sendError(err, body)
+		return 0, classifySendError(err, body)
 	}
 	defer resp.Body.Close()
-	return answerOf(resp)
+	return answerError(resp)
 }
 
-// sendError tells what is known of an order whose sending failed.
-func sendError(err error, body *guardedBody) error {
-	if body.lapsed.Load() {
+// classifySendError returns ErrLeaseExpired, ErrNotSent or ErrUnknown for a failed round trip.
+func classifySendError(err error, body *guardedBody) error {
+	if body.expired.Load() {
 		return ErrLeaseExpired
 	}
 	var op *net.OpError
@@ -115,8 +115,8 @@
 	return eris.Wrap(ErrUnknown, err.Error())
 }
 
-// answerOf reads an endpoint's answer to an order.
-func answerOf(resp *http.Response) (time.Duration, error) {
+// answerError maps the status of an endpoint's answer to an error and the requested pause.
+func answerError(resp *http.Response) (time.Duration, error) {
 	switch resp.StatusCode {
 	case http.StatusOK, http.StatusAccepted:
 		return 0, nil
@@ -139,8 +139,8 @@
 	return min(time.Duration(seconds)*time.Second, maxRetryAfter)
 }
 
-// status reads what an endpoint has loaded and what it is doing.
-func (s *sender) status(ctx context.Context, address string) (rollout.Status, error) {
+// readStatus reads the loaded versions and the running order of an endpoint.
+func (s *sender) readStatus(ctx context.Context, address string) (rollout.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, s.readTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address+engine.PathOrder, nil)
@@ -153,7 +153,7 @@
 	}
 	defer resp.Body.Close()
 	if resp.StatusCode != http.StatusOK {
-		return rollout.Status{}, eris.Errorf("orders: status of endpoint answered with %d", resp.StatusCode)
+		return rollout.Status{}, eris.Errorf("orders: request for the endpoint's status was answered with %d", resp.StatusCode)
 	}
 	text, err := io.ReadAll(io.LimitReader(resp.Body, rollout.MaxStatusBytes+1))
 	if err != nil {
--- a/orders/sender_test.go
+++ b/orders/sender_test.go
@@ -29,7 +29,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func TestAnswersToAnOrder(t *testing.T) {
+func TestOrderAnswerErrors(t *testing.T) {
 	for _, c := range []struct {
 		status int
 		header map[string]string
@@ -54,17 +54,16 @@
 			}
 			w.WriteHeader(c.status)
 		})
-		pause, err := testSender().order(context.Background(), rollout.Order{Fence: 7}, address, always)
+		pause, err := testSender().postOrder(context.Background(), rollout.Order{Fence: 7}, address, always)
 		if !errors.Is(err, c.want) || pause != c.pause {
 			t.Errorf("status %d: %v and %v, want %v and %v", c.status, err, pause, c.want, c.pause)
 		}
 	}
 }
 
-// An engine takes an order and its connection is lost before the answer. The
-// order must count as perhaps in effect, and net/http must not send it again
-// on its own.
-func TestAnswerLostAfterEffect(t *testing.T) {
+// An engine reads an order and the connection is lost before the answer. The order may
+// have taken effect, and net/http must not send it again by itself.
+func TestLostAnswerReturnsErrUnknown(t *testing.T) {
 	var taken atomic.Int64
 	address := serve(t, func(_ http.ResponseWriter, req *http.Request) {
 		_, _ = io.Copy(io.Discard, req.Body)
@@ -73,52 +72,52 @@
 	})
 	s := testSender()
 	for i := range 5 {
-		if _, err := s.order(context.Background(), rollout.Order{}, address, always); !errors.Is(err, ErrUnknown) {
+		if _, err := s.postOrder(context.Background(), rollout.Order{}, address, always); !errors.Is(err, ErrUnknown) {
 			t.Errorf("error %v, want ErrUnknown", err)
 		}
 		if got := taken.Load(); got != int64(i+1) {
-			t.Errorf("taken %d times after %d orders", got, i+1)
+			t.Errorf("received %d times after %d orders", got, i+1)
 		}
 	}
 }
 
-// Nothing listens at the address. The order certainly did not leave, so that its
-// place among the loads is free at once.
-func TestOrderThatDidNotLeave(t *testing.T) {
+// Nothing listens at the address. The order was certainly not sent, so its slot among
+// the concurrent loads is free at once.
+func TestRefusedConnectionReturnsErrNotSent(t *testing.T) {
 	s := httptest.NewServer(http.NotFoundHandler())
 	address := strings.TrimPrefix(s.URL, "http://")
 	s.Close()
-	if _, err := testSender().order(context.Background(), rollout.Order{}, address, always); !errors.Is(err, ErrNotSent) {
+	if _, err := testSender().postOrder(context.Background(), rollout.Order{}, address, always); !errors.Is(err, ErrNotSent) {
 		t.Errorf("error %v, want ErrNotSent", err)
 	}
 }
 
-// The lease lapses after the connection was opened. The engine sees a request
-// without its body and must have no order to carry out.
-func TestLeaseLapsesWhileTheOrderIsWritten(t *testing.T) {
+// The lease expires after the connection was opened. The engine receives a request
+// without its body and must not get a complete order.
+func TestLeaseExpiresWhileWritingOrder(t *testing.T) {
 	var whole atomic.Int64
 	address := serve(t, func(_ http.ResponseWriter, req *http.Request) {
 		if _, err := io.ReadAll(req.Body); err == nil {
 			whole.Add(1)
 		}
 	})
-	_, err := testSender().order(context.Background(), rollout.Order{}, address, func() bool { return false })
+	_, err := testSender().postOrder(context.Background(), rollout.Order{}, address, func() bool { return false })
 	if !errors.Is(err, ErrLeaseExpired) || whole.Load() != 0 {
-		t.Errorf("error %v and %d whole orders", err, whole.Load())
+		t.Errorf("error %v and %d complete orders", err, whole.Load())
 	}
 }
 
-// An engine's status is endless or no status at all, by a fault or another
-// program at its address. It must not be held in memory or relied on.
-func TestMalformedStatus(t *testing.T) {
+// A status is too long or malformed, because of a fault or another program at the
+// address. It must be refused and not be buffered without limit.
+func TestRefusesMalformedStatus(t *testing.T) {
 	for _, text := range []string{"{", strings.Repeat(" ", rollout.MaxStatusBytes+1), `{"models":3}`} {
 		address := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, text) })
-		if _, err := testSender().status(context.Background(), address); !errors.Is(err, rollout.ErrStatus) {
+		if _, err := testSender().readStatus(context.Background(), address); !errors.Is(err, rollout.ErrStatus) {
 			t.Errorf("%d bytes: error %v", len(text), err)
 		}
 	}
 	address := serve(t, func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, `{"incarnation":4}`) })
-	s, err := testSender().status(context.Background(), address)
+	s, err := testSender().readStatus(context.Background(), address)
 	if err != nil || s.Incarnation != fleet.Incarnation(4) {
 		t.Errorf("status %+v and error %v", s, err)
 	}
