--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -75,9 +75,9 @@
 			b := newSimulation(t, daemons)
 			first, second := 23.9, 5.0
 			for _, step := range []struct {
-				by   int
+				by     int
 				stated *float64
-				want float64
+				want   float64
 			}{{0, &first, first}, {daemons - 1, &second, second}, {daemons / 2, nil, noLimit}} {
 				b.tables[step.by].SetFromAnswer(b.now, "i-1@0", step.stated)
 				b.advance(2 * time.Second)
--- a/orders/sender.go
+++ b/orders/sender.go
@@ -55,7 +55,7 @@
 type guardedBody struct {
 	*bytes.Reader
 	allowed func() bool
-	expired  atomic.Bool // set by the transport's goroutine
+	expired atomic.Bool // set by the transport's goroutine
 }
 
 func (b *guardedBody) Read(p []byte) (int, error) {
