--- a/health/group.go
+++ b/health/group.go
@@ -9,38 +9,38 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Sync takes the platform's list. What it calls leaving gets no new work. What
-// it leaves out is still tried for a while as long as it answers, as the list
-// lags and has been cut short before.
+// Sync applies the platform's list of endpoints. Endpoints in state VMLeaving get
+// no new requests. Endpoints that are not listed are still used for MissingGrace,
+// and for as long as they answer: the list may be outdated or incomplete.
 func (t *Tracker) Sync(now time.Time, list []fleet.Endpoint) {
 	listed := make(map[fleet.EndpointID]bool, len(list))
 	for _, l := range list {
 		listed[l.ID] = true
-		t.list(now, l)
+		t.setListed(now, l)
 	}
 	for id := range t.endpoints {
 		if !listed[id] {
-			t.missing(now, id)
+			t.setMissing(now, id)
 		}
 	}
 	t.Expire(now)
 	for g := range t.groups {
-		t.keepFloorOf(g)
+		t.updateRetainedIn(g)
 	}
 }
 
-// SetListed takes that the platform lists one endpoint. It is Sync for a shell that is told
-// of changes.
+// SetListed records that the platform lists the endpoint. With SetMissing it replaces
+// Sync for callers that receive changes instead of lists.
 func (t *Tracker) SetListed(now time.Time, l fleet.Endpoint) {
-	t.list(now, l)
-	t.keepFloorOf(group{class: l.Class, zone: l.Zone})
+	t.setListed(now, l)
+	t.updateRetainedIn(group{class: l.Class, zone: l.Zone})
 }
 
-func (t *Tracker) list(now time.Time, l fleet.Endpoint) {
+func (t *Tracker) setListed(now time.Time, l fleet.Endpoint) {
 	e := t.endpoints[l.ID]
 	if e != nil && (e.Class != l.Class || e.Zone != l.Zone) {
 		t.remove(e)
-		t.keepFloor(e)
+		t.updateRetained(e)
 		e = nil
 	}
 	if e == nil {
@@ -49,26 +49,26 @@
 	}
 	e.Endpoint = l
 	e.missingAt = time.Time{}
-	delete(t.missed, l.ID)
+	delete(t.unlisted, l.ID)
 }
 
-// SetMissing takes that the platform does not list an endpoint any more.
-func (t *Tracker) SetMissing(now time.Time, id fleet.EndpointID) { t.missing(now, id) }
+// SetMissing records that the platform no longer lists the endpoint.
+func (t *Tracker) SetMissing(now time.Time, id fleet.EndpointID) { t.setMissing(now, id) }
 
-func (t *Tracker) missing(now time.Time, id fleet.EndpointID) {
+func (t *Tracker) setMissing(now time.Time, id fleet.EndpointID) {
 	if e := t.endpoints[id]; e != nil && e.missingAt.IsZero() {
 		e.missingAt = now
-		t.missed[id] = e
+		t.unlisted[id] = e
 	}
 }
 
-// Expire forgets endpoints that the platform has not listed for long and that do not
-// answer. Call it about once a second.
+// Expire removes endpoints that have neither been listed nor answered for
+// MissingGrace. Call it about once a second.
 func (t *Tracker) Expire(now time.Time) {
-	for _, e := range t.missed {
+	for _, e := range t.unlisted {
 		if now.Sub(e.missingAt) > t.opts.MissingGrace && now.Sub(e.answered) > t.opts.MissingGrace {
 			t.remove(e)
-			t.keepFloor(e)
+			t.updateRetained(e)
 		}
 	}
 }
@@ -86,8 +86,8 @@
 
 func (t *Tracker) remove(e *endpoint) {
 	delete(t.endpoints, e.ID)
-	delete(t.missed, e.ID)
-	t.setAway(e, false)
+	delete(t.unlisted, e.ID)
+	t.setEjected(e, false)
 	g := group{class: e.Class, zone: e.Zone}
 	rest := slices.DeleteFunc(t.groups[g], func(o *endpoint) bool { return o == e })
 	t.groups[g] = rest
@@ -100,58 +100,58 @@
 	return e.draining || e.State == fleet.VMLeaving
 }
 
-// keepFloor decides anew which endpoints of the group are tried in spite of
-// their ejection. A network fault or a bad release makes all endpoints of a
-// zone look failed to one daemon; without the floor it would have nowhere to
-// send, and one zone's load would fall on the next, which then fails as well.
-// The ones kept are those due back first.
-func (t *Tracker) keepFloor(e *endpoint) {
-	t.keepFloorOf(group{class: e.Class, zone: e.Zone})
+// updateRetained recomputes which ejected endpoints of the group are retained, that
+// is, used nevertheless. To one daemon, a network fault or a faulty release makes all
+// endpoints of a zone look failed. Without a lower bound on the usable ones, it could
+// not send any requests, or would move the load of the zone to another one, which
+// then fails as well. Endpoints whose ejection ends first are retained.
+func (t *Tracker) updateRetained(e *endpoint) {
+	t.updateRetainedIn(group{class: e.Class, zone: e.Zone})
 }
 
-func (t *Tracker) keepFloorOf(g group) {
-	if t.awayIn[g] == 0 {
+func (t *Tracker) updateRetainedIn(g group) {
+	if t.ejectedIn[g] == 0 {
 		return
 	}
 	staying := 0
-	var away []*endpoint
+	var ejected []*endpoint
 	for _, e := range t.groups[g] {
 		if e.leaving() {
-			e.kept = false
+			e.retained = false
 			continue
 		}
 		staying++
-		if e.away {
-			away = append(away, e)
+		if e.ejected {
+			ejected = append(ejected, e)
 		}
 	}
-	most := int(math.Floor(t.opts.MaxEjected * float64(staying)))
-	slices.SortFunc(away, func(x, y *endpoint) int {
+	maxEjected := int(math.Floor(t.opts.MaxEjected * float64(staying)))
+	slices.SortFunc(ejected, func(x, y *endpoint) int {
 		return cmp.Or(x.returnAt.Compare(y.returnAt), cmp.Compare(x.ID, y.ID))
 	})
-	for i, e := range away {
-		e.kept = i < len(away)-most
-		if e.kept {
+	for i, e := range ejected {
+		e.retained = i < len(ejected)-maxEjected
+		if e.retained {
 			e.trialUntil = time.Time{}
 		}
 	}
 }
 
-// checkOutliers ejects endpoints that are much slower than the others of their
-// class, over all zones. An engine with a failing accelerator answers
-// everything, late: no failure shows it, only first tokens.
-func (t *Tracker) checkOutliers(now time.Time) {
+// ejectOutliers ejects endpoints that are much slower than the others of their class
+// across all zones. An engine with a failing accelerator answers all requests, but
+// late, so that only the time to the first token reveals it.
+func (t *Tracker) ejectOutliers(now time.Time) {
 	if now.Before(t.checkAt) {
 		return
 	}
 	t.checkAt = now.Add(outlierCheckInterval)
-	if !t.timed {
+	if !t.hasSlowness {
 		return
 	}
 	medians := t.medians()
 	for _, e := range t.endpoints {
 		m := medians[e.Class]
-		if e.away || e.samples < slownessSamples || m <= 0 || e.slowness <= t.opts.SlowFactor*m {
+		if e.ejected || e.samples < slownessSamples || m <= 0 || e.slowness <= t.opts.SlowFactor*m {
 			continue
 		}
 		e.failedAt = now
@@ -160,6 +160,7 @@
 	}
 }
 
+// medians returns the median slowness by class.
 func (t *Tracker) medians() map[string]float64 {
 	all := map[string][]float64{}
 	for _, e := range t.endpoints {
@@ -175,8 +176,7 @@
 	return medians
 }
 
-// Status tells whether the endpoint is tried. Endpoints that are not known are
-// Leaving.
+// Status returns the status of the endpoint. Unknown endpoints are Leaving.
 func (t *Tracker) Status(now time.Time, id fleet.EndpointID) Status {
 	e := t.endpoints[id]
 	if e == nil {
@@ -189,13 +189,13 @@
 	switch {
 	case e.leaving():
 		return Leaving
-	case e.kept:
+	case e.retained:
 		return Retained
-	case e.away && now.Before(e.returnAt):
+	case e.ejected && now.Before(e.returnAt):
 		return Ejected
-	case e.away && now.Before(e.trialUntil):
+	case e.ejected && now.Before(e.trialUntil):
 		return Ejected
-	case e.away:
+	case e.ejected:
 		return Trial
 	case t.inSlowStart(now, e):
 		return SlowStart
@@ -207,9 +207,9 @@
 	return !e.startedAt.IsZero() && now.Sub(e.startedAt) < t.opts.SlowStart
 }
 
-// Allow reports whether an attempt may go to the endpoint. For one on trial it
-// takes the trial, which only a request that may be sent again is used for: it
-// is the one most likely to be lost. A trial whose result never comes expires.
+// Allow reports whether an attempt may be sent to the endpoint. For an endpoint on
+// trial it starts the trial, but only with a repeatable request, since a trial is
+// likely to fail. A trial without a result expires.
 func (t *Tracker) Allow(now time.Time, id fleet.EndpointID, repeatable bool) bool {
 	switch t.Status(now, id) {
 	case Healthy, SlowStart, Retained:
@@ -224,14 +224,14 @@
 	return false
 }
 
-// Weight is the part of its usual load that the endpoint may get, from 0 to 1.
-// One that came back empty and got its whole load at once would be slow, and
-// ejected again.
+// Weight returns the fraction of its usual load that the endpoint may get, from 0 to 1.
+// An endpoint that returned with empty caches and got its whole load at once would be
+// slow and be ejected again.
 func (t *Tracker) Weight(now time.Time, id fleet.EndpointID) float64 {
 	switch t.Status(now, id) {
 	case SlowStart:
-		part := float64(now.Sub(t.endpoints[id].startedAt)) / float64(t.opts.SlowStart)
-		return max(part, slowStartWeight)
+		fraction := float64(now.Sub(t.endpoints[id].startedAt)) / float64(t.opts.SlowStart)
+		return max(fraction, slowStartWeight)
 	case Healthy, Retained:
 		return 1
 	case Trial:
@@ -241,8 +241,8 @@
 	return 0
 }
 
-// AppendUnusable appends the endpoints that get no new work, for placement.
-// Those on trial aren't among them: Allow decides on each attempt.
+// AppendUnusable appends the endpoints that get no new requests, for placement. It
+// omits those on trial, since Allow decides on each of their attempts.
 func (t *Tracker) AppendUnusable(now time.Time, to []fleet.EndpointID) []fleet.EndpointID {
 	for id, e := range t.endpoints {
 		if s := t.status(now, e); s == Ejected || s == Leaving {
--- a/health/health.go
+++ b/health/health.go
@@ -1,10 +1,10 @@
-// Package health decides which endpoints are tried: it ejects those that fail
-// or are slow, lets them return by one trial and with little load at first, and
-// never empties a zone on bad reports.
+// Package health decides which endpoints are used, by the results of their requests.
+// It ejects endpoints that fail or are slow, readmits them after a successful trial
+// and a slow start, and keeps a minimum of endpoints usable in each zone.
 //
-// The package does no I/O and reads no clock. A Tracker isn't safe for
-// concurrent use; the shell guards it by one lock, taken after the ones of
-// admission and placement and held for no call into either.
+// The package does no I/O and reads no clock. A Tracker isn't safe for concurrent
+// use. Its caller guards it by one lock, which is taken after those of admission and
+// placement and is not held during calls into either.
 package health
 
 import (
@@ -14,9 +14,9 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Bounds and times.
+// Limits and defaults of Options.
 const (
-	// MaxEndpoints bounds the endpoints with state.
+	// MaxEndpoints bounds the endpoints of a Tracker.
 	MaxEndpoints = 1 << 16
 
 	DefaultFailures      = 5
@@ -26,27 +26,27 @@
 	DefaultTrial         = 10 * time.Second
 	DefaultSlowStart     = 10 * time.Second
 	DefaultSlowFactor    = 3.0
-	DefaultMissingHold   = time.Minute
+	DefaultMissingGrace  = time.Minute
 	ejectionJitter       = 0.2
 	maxDoublings         = 16
 	slowStartWeight      = 0.1
 	slownessSmoothing    = 0.1
 	slownessSamples      = 20
-	forgiveAfter         = time.Minute // without a failure
+	ejectionDecay        = time.Minute // without a failure, until one doubling is taken back
 	outlierCheckInterval = time.Second
 )
 
-// Options set up a Tracker. Zero values mean the defaults.
+// Options configure a Tracker. Zero values mean the defaults.
 type Options struct {
-	Rand         *rand.Rand    // seeded; nil means no jitter
-	Failures     int           // consecutive failures that eject
-	Ejection     time.Duration // first time away, doubled each time
+	Rand         *rand.Rand    // seeded; nil: no jitter
+	Failures     int           // consecutive failures that cause an ejection
+	Ejection     time.Duration // duration of the first ejection, doubled for each further one
 	MaxEjection  time.Duration
-	MaxEjected   float64       // largest part of a class in a zone that may be ejected
-	Trial        time.Duration // time for a trial's result
-	SlowStart    time.Duration // until an endpoint that came back has its whole load
-	SlowFactor   float64       // times its class's median that make an endpoint slow
-	MissingGrace time.Duration // how long one that the list leaves out is still tried
+	MaxEjected   float64       // largest fraction of a class in a zone that may be ejected
+	Trial        time.Duration // timeout of a trial
+	SlowStart    time.Duration // duration until a readmitted endpoint gets its whole load
+	SlowFactor   float64       // multiple of the median of its class from which an endpoint is slow
+	MissingGrace time.Duration // how long an unlisted endpoint is still used
 }
 
 func orDefault[T int | float64 | time.Duration](v, def T) T {
@@ -64,21 +64,21 @@
 	o.Trial = orDefault(o.Trial, DefaultTrial)
 	o.SlowStart = orDefault(o.SlowStart, DefaultSlowStart)
 	o.SlowFactor = orDefault(o.SlowFactor, DefaultSlowFactor)
-	o.MissingGrace = orDefault(o.MissingGrace, DefaultMissingHold)
+	o.MissingGrace = orDefault(o.MissingGrace, DefaultMissingGrace)
 	return o
 }
 
-// Status is whether an endpoint is tried.
+// Status states whether an endpoint is used.
 type Status uint8
 
 // The statuses.
 const (
 	Healthy Status = iota
 	SlowStart
-	Retained // would be ejected, but too many of its group are
-	Trial    // one request may find out whether it is back
-	Ejected  // not tried
-	Leaving  // not tried, by its own word or the platform's
+	Retained // ejected but used, as too many of its group are ejected
+	Trial    // one request is sent to test it
+	Ejected  // not used
+	Leaving  // not used, as reported by the endpoint or the platform
 	statusCount
 )
 
@@ -92,7 +92,7 @@
 	return statusNames[s]
 }
 
-// group is the endpoints of one class in one zone.
+// group identifies the endpoints of one class in one zone.
 type group struct {
 	class string
 	zone  fleet.ZoneID
@@ -100,37 +100,37 @@
 
 type endpoint struct {
 	fleet.Endpoint
-	incarnation fleet.Incarnation
-	before      fleet.Incarnation // the last one, whose late answers are dropped
+	incarnation         fleet.Incarnation
+	previousIncarnation fleet.Incarnation // its late results are ignored
 
 	failures   int  // consecutive
-	ejections  int  // that count for the next time away
-	away       bool // ejected, or kept in spite of it
-	kept       bool
+	ejections  int  // number of doublings of the next ejection
+	ejected    bool // includes retained endpoints
+	retained   bool
 	returnAt   time.Time
-	trialUntil time.Time // zero: no trial is under way
-	startedAt  time.Time // begin of the slow start; zero: none
+	trialUntil time.Time // timeout of the current trial; zero: none
+	startedAt  time.Time // start of the slow start; zero: none
 	failedAt   time.Time
 
 	draining  bool
-	missingAt time.Time // when the list left it out; zero: it is listed
+	missingAt time.Time // since when it is not listed; zero: listed
 	answered  time.Time
 
 	slowness float64 // smoothed ratio of observed to expected time
 	samples  int
 }
 
-// Tracker holds what answers and lists tell of each endpoint.
+// Tracker holds the health of each endpoint, from answers and from the platform's list.
 type Tracker struct {
-	opts      Options
-	endpoints map[fleet.EndpointID]*endpoint
-	groups    map[group][]*endpoint
-	away      map[fleet.EndpointID]*endpoint // ejected, or kept in spite of it
-	awayIn    map[group]int
-	missed    map[fleet.EndpointID]*endpoint // that the list leaves out
-	timed     bool                           // some answer told how slow its endpoint is
-	checkAt   time.Time
-	overflow  uint64
+	opts        Options
+	endpoints   map[fleet.EndpointID]*endpoint
+	groups      map[group][]*endpoint
+	ejected     map[fleet.EndpointID]*endpoint // includes retained endpoints
+	ejectedIn   map[group]int
+	unlisted    map[fleet.EndpointID]*endpoint // not in the platform's list
+	hasSlowness bool                           // a slowness was recorded
+	checkAt     time.Time
+	overflow    uint64
 }
 
 // New returns a Tracker without endpoints.
@@ -139,151 +139,151 @@
 		opts:      opts.withDefaults(),
 		endpoints: map[fleet.EndpointID]*endpoint{},
 		groups:    map[group][]*endpoint{},
-		away:      map[fleet.EndpointID]*endpoint{},
-		awayIn:    map[group]int{},
-		missed:    map[fleet.EndpointID]*endpoint{},
+		ejected:   map[fleet.EndpointID]*endpoint{},
+		ejectedIn: map[group]int{},
+		unlisted:  map[fleet.EndpointID]*endpoint{},
 	}
 }
 
-// RecordSuccess tells of an answer. Slowness is the time to the first token over the
-// time that was expected of the endpoint, 0 when it isn't known.
-func (t *Tracker) RecordSuccess(now time.Time, id fleet.EndpointID, life fleet.Incarnation, slowness float64) {
+// RecordSuccess records an answer of the endpoint. slowness is the ratio of the actual
+// to the expected time to the first token, 0 if it isn't known.
+func (t *Tracker) RecordSuccess(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation, slowness float64) {
 	e := t.endpoints[id]
-	if e == nil || !t.sameLife(now, e, life) {
+	if e == nil || !t.acceptIncarnation(now, e, incarnation) {
 		return
 	}
 	e.answered = now
 	e.failures = 0
 	if slowness > 0 {
-		t.timed = true
+		t.hasSlowness = true
 		e.samples = min(e.samples+1, slownessSamples)
 		e.slowness += (slowness - e.slowness) * max(slownessSmoothing, 1/float64(e.samples))
 	}
-	if e.away {
-		t.answeredWhileAway(now, e)
-	} else if e.ejections > 0 && now.Sub(e.failedAt) > forgiveAfter {
+	if e.ejected {
+		t.endEjection(now, e)
+	} else if e.ejections > 0 && now.Sub(e.failedAt) > ejectionDecay {
 		e.ejections--
 		e.failedAt = now
 	}
-	t.checkOutliers(now)
+	t.ejectOutliers(now)
 }
 
-// RecordProbe tells that the endpoint answered a question of the daemon's own, such
-// as one for its load. That is as good as a trial, for endpoints whose requests
-// may not be sent twice.
-func (t *Tracker) RecordProbe(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
+// RecordProbe records that the endpoint answered a request of the daemon itself, such
+// as one for its load. It counts as a successful trial, for endpoints whose requests
+// are not repeatable.
+func (t *Tracker) RecordProbe(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) {
 	e := t.endpoints[id]
-	if e != nil && t.sameLife(now, e, life) && e.away && !e.kept {
-		t.answeredWhileAway(now, e)
+	if e != nil && t.acceptIncarnation(now, e, incarnation) && e.ejected && !e.retained {
+		t.endEjection(now, e)
 	}
 }
 
-// answeredWhileAway ends an ejection by a trial's success. A success within the
-// time away is of a request that was sent before it, and proves nothing.
-func (t *Tracker) answeredWhileAway(now time.Time, e *endpoint) {
-	if !e.kept && now.Before(e.returnAt) {
+// endEjection readmits an ejected endpoint after a success, with a slow start. A
+// success before returnAt belongs to a request sent before the ejection, and is
+// ignored.
+func (t *Tracker) endEjection(now time.Time, e *endpoint) {
+	if !e.retained && now.Before(e.returnAt) {
 		return
 	}
-	t.setAway(e, false)
-	e.kept = false
+	t.setEjected(e, false)
+	e.retained = false
 	e.trialUntil = time.Time{}
 	e.startedAt = now
 	e.slowness, e.samples = 0, 0
-	t.keepFloor(e)
+	t.updateRetained(e)
 }
 
-// RecordFailure tells of an attempt that the endpoint failed: connection refused or
-// lost, an answer that broke off, an error of its own. Refusals of a full
-// endpoint and errors of the caller are none.
-func (t *Tracker) RecordFailure(now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
+// RecordFailure records a failed attempt: connection refused or lost, a truncated
+// answer, a server error. Refusals for lack of capacity and client errors must not be
+// recorded.
+func (t *Tracker) RecordFailure(now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) {
 	e := t.endpoints[id]
-	if e == nil || !t.sameLife(now, e, life) {
+	if e == nil || !t.acceptIncarnation(now, e, incarnation) {
 		return
 	}
 	e.failedAt = now
 	e.failures++
-	trial := e.away && !e.kept && !now.Before(e.returnAt)
-	if trial || (!e.away && e.failures >= t.opts.Failures) {
+	trial := e.ejected && !e.retained && !now.Before(e.returnAt)
+	if trial || (!e.ejected && e.failures >= t.opts.Failures) {
 		t.eject(now, e)
 	}
 }
 
-// UpdateLoad takes what an endpoint says of itself, in an answer or a load report.
+// UpdateLoad applies the draining state from an answer or a load report.
 func (t *Tracker) UpdateLoad(now time.Time, id fleet.EndpointID, load fleet.Load) {
 	e := t.endpoints[id]
-	if e == nil || !t.sameLife(now, e, load.Incarnation) {
+	if e == nil || !t.acceptIncarnation(now, e, load.Incarnation) {
 		return
 	}
 	if e.draining != load.Draining {
 		e.draining = load.Draining
-		t.keepFloor(e)
+		t.updateRetained(e)
 	}
 }
 
-// sameLife notes a new incarnation and reports false for what belongs to an
-// earlier one: a late failure of a crashed engine says nothing of the one that
-// came back under its address.
-func (t *Tracker) sameLife(now time.Time, e *endpoint, life fleet.Incarnation) bool {
-	if life == 0 || life == e.incarnation {
+// acceptIncarnation switches to a new incarnation, and returns false for results of the
+// previous one: a late failure of a crashed engine must not count against the one
+// that replaced it under its address.
+func (t *Tracker) acceptIncarnation(now time.Time, e *endpoint, incarnation fleet.Incarnation) bool {
+	if incarnation == 0 || incarnation == e.incarnation {
 		return true
 	}
-	if life == e.before {
+	if incarnation == e.previousIncarnation {
 		return false
 	}
 	if e.incarnation != 0 {
-		e.before = e.incarnation
+		e.previousIncarnation = e.incarnation
 		e.failures, e.samples, e.slowness = 0, 0, 0
 		e.draining = false
 		e.startedAt = now
-		if e.away {
+		if e.ejected {
 			e.returnAt = now
 		}
-		t.keepFloor(e)
+		t.updateRetained(e)
 	}
-	e.incarnation = life
+	e.incarnation = incarnation
 	return true
 }
 
-// setAway notes that the endpoint is ejected, or not any more.
-func (t *Tracker) setAway(e *endpoint, away bool) {
-	if e.away == away {
+// setEjected sets whether the endpoint is ejected, and updates the indexes.
+func (t *Tracker) setEjected(e *endpoint, ejected bool) {
+	if e.ejected == ejected {
 		return
 	}
-	e.away = away
+	e.ejected = ejected
 	g := group{class: e.Class, zone: e.Zone}
-	if away {
-		t.away[e.ID] = e
-		t.awayIn[g]++
+	if ejected {
+		t.ejected[e.ID] = e
+		t.ejectedIn[g]++
 		return
 	}
-	delete(t.away, e.ID)
-	if t.awayIn[g]--; t.awayIn[g] == 0 {
-		delete(t.awayIn, g)
+	delete(t.ejected, e.ID)
+	if t.ejectedIn[g]--; t.ejectedIn[g] == 0 {
+		delete(t.ejectedIn, g)
 	}
 }
 
-// AppendEjected appends the endpoints that are ejected, or would be if not too many of
-// their group were: all whose status may change with time or with another's failure.
+// AppendEjected appends the ejected endpoints, including those on trial and retained
+// ones. These are all whose status may change with time or by the failure of another.
 func (t *Tracker) AppendEjected(to []fleet.EndpointID) []fleet.EndpointID {
-	for id := range t.away {
+	for id := range t.ejected {
 		to = append(to, id)
 	}
 	return to
 }
 
-// eject sends the endpoint away for a time that doubles with each ejection. The
-// jitter keeps a thousand daemons that ejected it together from trying it
-// together.
+// eject ejects the endpoint for a time that doubles with each ejection. The jitter
+// prevents daemons that ejected it at the same time from trying it at the same time.
 func (t *Tracker) eject(now time.Time, e *endpoint) {
-	away := t.opts.Ejection << min(e.ejections, maxDoublings)
-	away = min(away, t.opts.MaxEjection)
+	duration := t.opts.Ejection << min(e.ejections, maxDoublings)
+	duration = min(duration, t.opts.MaxEjection)
 	if t.opts.Rand != nil {
-		away = time.Duration(float64(away) * (1 + ejectionJitter*(2*t.opts.Rand.Float64()-1)))
+		duration = time.Duration(float64(duration) * (1 + ejectionJitter*(2*t.opts.Rand.Float64()-1)))
 	}
 	e.ejections = min(e.ejections+1, maxDoublings)
-	t.setAway(e, true)
+	t.setEjected(e, true)
 	e.failures = 0
-	e.returnAt = now.Add(away)
+	e.returnAt = now.Add(duration)
 	e.trialUntil = time.Time{}
-	t.keepFloor(e)
+	t.updateRetained(e)
 }
--- a/health/health_test.go
+++ b/health/health_test.go
@@ -13,8 +13,7 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict.
+// TestMain fixes the seed of the property tests, so that they are reproducible.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260301")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -45,31 +44,31 @@
 	return t, list
 }
 
-func fail(t *Tracker, now time.Time, id fleet.EndpointID, life fleet.Incarnation) {
+func failRepeatedly(t *Tracker, now time.Time, id fleet.EndpointID, incarnation fleet.Incarnation) {
 	for range DefaultFailures {
-		t.RecordFailure(now, id, life)
+		t.RecordFailure(now, id, incarnation)
 	}
 }
 
-// A runner crashes, is refused connections, and comes back. Callers should
-// notice a few slow first tokens at most.
+// A runner crashes and returns. The test covers the ejection, the trials, the doubled
+// second ejection and the slow start.
 func TestEjectionAndReturn(t *testing.T) {
 	tr, list := tracker(1, 6)
 	id := list[0].ID
-	fail(tr, epoch, id, 1)
+	failRepeatedly(tr, epoch, id, 1)
 	if tr.Allow(epoch, id, true) {
-		t.Fatal("a failed endpoint is tried at once")
+		t.Fatal("a failed endpoint is not ejected")
 	}
 	now := at(DefaultEjection)
 	if tr.Allow(now, id, false) {
-		t.Error("a request that may not be sent twice was taken as a trial")
+		t.Error("a non-repeatable request was used as a trial")
 	}
 	if !tr.Allow(now, id, true) || tr.Allow(now, id, true) {
-		t.Error("a trial should be one request")
+		t.Error("a trial must be a single request")
 	}
 	tr.RecordFailure(now, id, 1)
 	if tr.Allow(now.Add(DefaultEjection+time.Millisecond), id, true) {
-		t.Error("the second time away isn't longer")
+		t.Error("the second ejection isn't longer")
 	}
 	now = now.Add(2 * DefaultEjection)
 	if !tr.Allow(now, id, true) {
@@ -91,19 +90,19 @@
 	}
 }
 
-// An endpoint that is due back is sent requests by a daemon that asked for no
-// trial, and still fails each. It must go away again, and an answer must bring
-// it back; neither was so, and a failing endpoint stayed in use for good.
-func TestDueBackWithoutTrial(t *testing.T) {
+// After the end of an ejection, attempts are sent without a call to Allow. A failure
+// must eject the endpoint again, and a success must readmit it. When neither happened,
+// a failing endpoint stayed in use indefinitely.
+func TestAttemptsWithoutTrialAfterEjection(t *testing.T) {
 	tr, list := tracker(1, 6)
 	bad, good, service := list[0].ID, list[1].ID, list[2].ID
 	for _, id := range []fleet.EndpointID{bad, good, service} {
-		fail(tr, epoch, id, 1)
+		failRepeatedly(tr, epoch, id, 1)
 	}
 	now := at(DefaultEjection + time.Second)
 	tr.RecordProbe(at(time.Second), service, 1)
 	if s := tr.Status(at(time.Second), service); s != Ejected {
-		t.Errorf("a probe within the time away makes it %v", s)
+		t.Errorf("a probe during the ejection makes it %v", s)
 	}
 	tr.RecordFailure(now, bad, 1)
 	tr.RecordSuccess(now, good, 1, 0)
@@ -115,22 +114,22 @@
 	}
 }
 
-// All endpoints of a zone fail at once for one daemon, because its network is
-// at fault. If it gave the zone up, its callers would be refused although the
-// endpoints are well.
-func TestZoneIsNeverEmptied(t *testing.T) {
+// All endpoints of a zone fail for one daemon because of a fault in its network. If it
+// ejected all of them, its callers would be refused although the endpoints are
+// healthy.
+func TestRetainsHalfOfFailedZone(t *testing.T) {
 	tr, list := tracker(3, 6)
 	for _, e := range list[:6] {
-		fail(tr, epoch, e.ID, 1)
+		failRepeatedly(tr, epoch, e.ID, 1)
 	}
-	tried := 0
+	usable := 0
 	for _, e := range list[:6] {
 		if tr.Allow(epoch, e.ID, false) {
-			tried++
+			usable++
 		}
 	}
-	if tried != 3 {
-		t.Errorf("%d endpoints of the failed zone are tried, want 3 of 6", tried)
+	if usable != 3 {
+		t.Errorf("%d endpoints of the failed zone are usable, want 3 of 6", usable)
 	}
 	for _, e := range list[6:] {
 		if tr.Status(epoch, e.ID) != Healthy {
@@ -139,9 +138,9 @@
 	}
 }
 
-// Whatever is reported, at least half of the endpoints of a class and zone that
-// aren't leaving are tried, and one that leaves never is.
-func TestPanicFloorHolds(t *testing.T) {
+// For any sequence of reports, at least half of the endpoints of a class and zone that
+// aren't leaving must be usable, and none that is leaving.
+func TestRetainedFraction(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tr := New(Options{Rand: rand.New(rand.NewPCG(3, 4))})
 		list := endpoints(2, rapid.IntRange(1, 7).Draw(t, "each"))
@@ -150,21 +149,21 @@
 		for range rapid.IntRange(1, 200).Draw(t, "n") {
 			now = now.Add(time.Duration(rapid.IntRange(-100, 1500).Draw(t, "ms")) * time.Millisecond)
 			i := rapid.IntRange(0, len(list)-1).Draw(t, "endpoint")
-			life := fleet.Incarnation(rapid.IntRange(0, 3).Draw(t, "life"))
+			incarnation := fleet.Incarnation(rapid.IntRange(0, 3).Draw(t, "life"))
 			switch rapid.IntRange(0, 5).Draw(t, "event") {
 			case 0:
-				tr.RecordSuccess(now, list[i].ID, life, rapid.Float64Range(0, 9).Draw(t, "slowness"))
+				tr.RecordSuccess(now, list[i].ID, incarnation, rapid.Float64Range(0, 9).Draw(t, "slowness"))
 			case 1:
-				tr.UpdateLoad(now, list[i].ID, fleet.Load{Incarnation: life, Draining: rapid.Bool().Draw(t, "draining")})
+				tr.UpdateLoad(now, list[i].ID, fleet.Load{Incarnation: incarnation, Draining: rapid.Bool().Draw(t, "draining")})
 			case 2:
 				list[i].State = rapid.SampledFrom([]fleet.VMState{fleet.VMLive, fleet.VMLeaving}).Draw(t, "state")
 				tr.Sync(now, list)
 			case 3:
 				tr.Allow(now, list[i].ID, true)
 			default:
-				fail(tr, now, list[i].ID, life)
+				failRepeatedly(tr, now, list[i].ID, incarnation)
 			}
-			staying, tried := map[fleet.ZoneID]int{}, map[fleet.ZoneID]int{}
+			staying, usable := map[fleet.ZoneID]int{}, map[fleet.ZoneID]int{}
 			for _, e := range list {
 				s := tr.Status(now, e.ID)
 				if e.State == fleet.VMLeaving && s != Leaving {
@@ -174,20 +173,20 @@
 					staying[e.Zone]++
 				}
 				if s != Leaving && s != Ejected && s != Trial {
-					tried[e.Zone]++
+					usable[e.Zone]++
 				}
 			}
 			for zone, n := range staying {
-				if 2*tried[zone] < n {
-					t.Fatalf("%d of %d endpoints of %s are tried", tried[zone], n, zone)
+				if 2*usable[zone] < n {
+					t.Fatalf("%d of %d endpoints of %s are usable", usable[zone], n, zone)
 				}
 			}
 		}
 	})
 }
 
-// An engine answers everything, five times later than the others, because an
-// accelerator is failing. Callers see late first tokens and no error.
+// An engine with a failing accelerator answers without errors, but five times slower
+// than the others. It must be ejected.
 func TestSlowEndpointIsEjected(t *testing.T) {
 	tr, list := tracker(2, 5)
 	now := epoch
@@ -204,29 +203,29 @@
 			return
 		}
 	}
-	t.Error("the slow endpoint is still tried after 12 s")
+	t.Error("the slow endpoint is not ejected after 12 s")
 }
 
-// An engine crashed and is back under its address. Failures of its former life
-// arrive late and would eject the new one.
-func TestLateFailuresOfFormerLife(t *testing.T) {
+// An engine crashed and restarted under its address. Late failures of the previous
+// incarnation must not eject the new one.
+func TestIgnoresFailuresOfPreviousIncarnation(t *testing.T) {
 	tr, list := tracker(1, 4)
 	id := list[0].ID
 	tr.RecordSuccess(epoch, id, 1, 0)
 	tr.RecordSuccess(at(time.Second), id, 2, 0)
-	fail(tr, at(2*time.Second), id, 1)
+	failRepeatedly(tr, at(2*time.Second), id, 1)
 	if s := tr.Status(at(2*time.Second), id); s != SlowStart {
-		t.Errorf("the new life is %v", s)
+		t.Errorf("the new incarnation is %v", s)
 	}
-	fail(tr, at(2*time.Second), id, 2)
+	failRepeatedly(tr, at(2*time.Second), id, 2)
 	if s := tr.Status(at(2*time.Second), id); s != Ejected {
-		t.Errorf("after failures of its own it is %v", s)
+		t.Errorf("after its own failures the new incarnation is %v", s)
 	}
 }
 
-// The platform's list is cut short by a fault. Endpoints that it leaves out but
-// that answer must go on serving; one that says it leaves must not.
-func TestListCutShort(t *testing.T) {
+// The platform's list is incomplete because of a fault. Unlisted endpoints that answer
+// must remain in use, but not one that reports that it is draining.
+func TestIncompleteEndpointList(t *testing.T) {
 	tr, list := tracker(1, 4)
 	tr.Sync(at(time.Second), list[:1])
 	for now := time.Second; now < 5*time.Minute; now += 10 * time.Second {
@@ -234,22 +233,22 @@
 		tr.Sync(at(now), list[:1])
 	}
 	if !tr.Allow(at(5*time.Minute), list[1].ID, false) {
-		t.Error("an endpoint that answers is not tried")
+		t.Error("an unlisted endpoint that answers is not used")
 	}
 	if s := tr.Status(at(5*time.Minute), list[2].ID); s != Leaving {
-		t.Errorf("one that is gone and silent is %v", s)
+		t.Errorf("an unlisted endpoint without answers is %v", s)
 	}
 	tr.UpdateLoad(at(5*time.Minute), list[1].ID, fleet.Load{Incarnation: 1, Draining: true})
 	if tr.Allow(at(5*time.Minute), list[1].ID, false) {
-		t.Error("a draining endpoint gets new work")
+		t.Error("a draining endpoint gets new requests")
 	}
 }
 
-// A clock jumps an hour ahead: everybody is due for a trial, and nothing is
-// lost.
+// The clock jumps an hour ahead and back. All ejected endpoints are due for a trial, and
+// after the jump back the ejection must still apply.
 func TestClockJumps(t *testing.T) {
 	tr, list := tracker(1, 4)
-	fail(tr, epoch, list[0].ID, 1)
+	failRepeatedly(tr, epoch, list[0].ID, 1)
 	if s := tr.Status(at(time.Hour), list[0].ID); s != Trial {
 		t.Errorf("after the jump: %v", s)
 	}
--- a/health/snapshot.go
+++ b/health/snapshot.go
@@ -8,8 +8,8 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// EndpointHealth is one endpoint as the administration API and the dump show
-// it.
+// EndpointHealth is the health of an endpoint as shown by the administration API and
+// in dumps.
 type EndpointHealth struct {
 	Endpoint    fleet.EndpointID  `json:"endpoint"`
 	Class       string            `json:"class"`
@@ -17,13 +17,13 @@
 	Status      string            `json:"status"`
 	Incarnation fleet.Incarnation `json:"incarnation"`
 	Failures    int               `json:"failures"`  // consecutive
-	Ejections   int               `json:"ejections"` // that count for the next time away
+	Ejections   int               `json:"ejections"` // number of doublings of the next ejection
 	ReturnAt    *time.Time        `json:"return_at,omitempty"`
 	Slowness    float64           `json:"slowness,omitempty"`
 	Missing     bool              `json:"missing,omitempty"` // from the platform's list
 }
 
-// Snapshot lists at most limit endpoints by id, those with trouble first.
+// Snapshot returns at most limit endpoints, unhealthy ones first, each part sorted by id.
 func (t *Tracker) Snapshot(now time.Time, limit int) []EndpointHealth {
 	list := make([]EndpointHealth, 0, len(t.endpoints))
 	for _, e := range t.endpoints {
@@ -32,7 +32,7 @@
 			Incarnation: e.incarnation, Failures: e.failures, Ejections: e.ejections,
 			Slowness: e.slowness, Missing: !e.missingAt.IsZero(),
 		}
-		if e.away {
+		if e.ejected {
 			back := e.returnAt
 			h.ReturnAt = &back
 		}
