--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -31,7 +31,7 @@
 		c.recordResult(&end)
 		c.reportToQuarantine(p.Target, &end)
 		if end.mayHaveRun() {
-			c.quota.ran++
+			c.charge.ran++
 		}
 		c.o.Placer.AttemptEnded(p, end)
 	}()
@@ -131,7 +131,7 @@
 		return AttemptEnd{Failure: retry.Broken, Lost: true, Cause: err}
 	}
 	answer := &bufferedAnswer{status: a.Status, header: a.Header, body: body}
-	if a.Status >= http.StatusInternalServerError && c.retry.Idempotent {
+	if a.Status >= http.StatusInternalServerError && c.retryState.Idempotent {
 		// Another endpoint may succeed. If none does, the caller gets this answer.
 		c.answer = answer
 		return AttemptEnd{Error: true, Failure: retry.Broken}
@@ -206,7 +206,7 @@
 	if c.report.FirstEvent == 0 {
 		c.report.FirstEvent = time.Since(c.req.Arrived)
 	}
-	c.retry.Delivered++
+	c.retryState.Delivered++
 	// A caller that stops reading must not occupy the engine's slot beyond the
 	// request's deadline.
 	_ = c.rc.SetWriteDeadline(c.req.Deadline.Add(answerGrace))
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -110,10 +110,10 @@
 // conn is a connection to an endpoint with its read buffer.
 type conn struct {
 	net.Conn
-	key   fleet.EndpointID
-	r     *bufio.Reader
-	used  time.Time
-	reuse time.Duration // idle time after which it is not reused
+	key       fleet.EndpointID
+	r         *bufio.Reader
+	idleSince time.Time
+	maxIdle   time.Duration // idle time after which it is not reused
 }
 
 // Open returns the number of connections to the endpoint, idle or in use.
@@ -123,13 +123,13 @@
 	return c.open[key]
 }
 
-func (c *Client) get(ctx context.Context, t Target) (*conn, error) {
+func (c *Client) acquire(ctx context.Context, t Target) (*conn, error) {
 	for {
-		k := c.takeIdle(t.Key)
+		k := c.popIdle(t.Key)
 		if k == nil {
 			break
 		}
-		if time.Since(k.used) < k.reuse && k.noPendingInput() {
+		if time.Since(k.idleSince) < k.maxIdle && k.noPendingInput() {
 			return k, nil
 		}
 		c.close(k)
@@ -144,7 +144,7 @@
 	return &conn{Conn: raw, key: t.Key, r: bufio.NewReaderSize(raw, readBufferBytes)}, nil
 }
 
-func (c *Client) takeIdle(key fleet.EndpointID) *conn {
+func (c *Client) popIdle(key fleet.EndpointID) *conn {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[key]
@@ -179,8 +179,8 @@
 	return err == nil && errors.Is(peeked, unix.EAGAIN)
 }
 
-func (c *Client) put(k *conn) {
-	k.used = time.Now()
+func (c *Client) release(k *conn) {
+	k.idleSince = time.Now()
 	c.mu.Lock()
 	if len(c.idle[k.key]) < maxIdlePerEndpoint {
 		c.idle[k.key] = append(c.idle[k.key], k)
@@ -209,7 +209,7 @@
 	for key, list := range c.idle {
 		kept := list[:0]
 		for _, k := range list {
-			if known(key) && time.Since(k.used) < k.reuse {
+			if known(key) && time.Since(k.idleSince) < k.maxIdle {
 				kept = append(kept, k)
 			} else {
 				old = append(old, k)
@@ -247,11 +247,11 @@
 	Body   io.Reader
 	Length int64 // of the body in bytes; -1: not known
 
-	client *Client
-	conn   *conn
-	resp   *http.Response
-	write  *requestWrite
-	stop   func() bool
+	client       *Client
+	conn         *conn
+	resp         *http.Response
+	write        *requestWrite
+	stopDeadline func() bool
 }
 
 // Send sends the request and waits for the header of its answer. The error wraps
@@ -259,7 +259,7 @@
 // context ends, the connection is closed, which makes most endpoints cancel the
 // request.
 func (c *Client) Send(ctx context.Context, t Target, o *EndpointRequest) (*Answer, error) {
-	k, err := c.get(ctx, t)
+	k, err := c.acquire(ctx, t)
 	if err != nil {
 		return nil, err
 	}
@@ -271,7 +271,7 @@
 		c.close(k)
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
-	a.write, a.stop = w, stop
+	a.write, a.stopDeadline = w, stop
 	return a, nil
 }
 
@@ -353,18 +353,18 @@
 // Close returns the connection to the pool, or closes it if it can't be reused.
 // whole states that the body was read to its end.
 func (a *Answer) Close(whole bool) {
-	alive := a.stop()
+	alive := a.stopDeadline()
 	framed := a.Length != -1 || chunked(a.resp)
 	reusable := whole && alive && framed && !a.resp.Close
 	if !reusable || !a.write.finished() || a.conn.r.Buffered() > 0 {
 		a.client.close(a.conn)
 		return
 	}
-	a.conn.reuse = defaultReuse
+	a.conn.maxIdle = defaultReuse
 	if a.Info.KeepAlive > 0 {
-		a.conn.reuse = time.Duration(reuseFraction * float64(a.Info.KeepAlive))
+		a.conn.maxIdle = time.Duration(reuseFraction * float64(a.Info.KeepAlive))
 	}
-	a.client.put(a.conn)
+	a.client.release(a.conn)
 }
 
 func chunked(r *http.Response) bool { return len(r.TransferEncoding) > 0 }
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -110,20 +110,20 @@
 // call is the state of one request.
 type call struct {
 	*Handler
-	w      http.ResponseWriter
-	r      *http.Request
-	rc     *http.ResponseController
-	ctx    context.Context // ends when the caller disconnects or after the deadline
-	req    PlacementRequest
-	in     RequestInfo
-	out    EndpointRequest
-	retry  retry.Request
-	report Report
+	w          http.ResponseWriter
+	r          *http.Request
+	rc         *http.ResponseController
+	ctx        context.Context // ends when the caller disconnects or after the deadline
+	req        PlacementRequest
+	in         RequestInfo
+	out        EndpointRequest
+	retryState retry.Request
+	report     Report
 
 	headerSent bool // the answer's header was sent
 	events     eventSplitter
 	answer     *bufferedAnswer // a 5xx answer of an endpoint, sent if no other attempt succeeds
-	quota      quotaCharge
+	charge     quotaCharge
 }
 
 // bufferedAnswer is an answer that was read completely.
@@ -183,7 +183,7 @@
 		c.refuse(http.StatusServiceUnavailable, "no_service", retryAfterFailure)
 		return
 	}
-	c.retry = retry.Request{
+	c.retryState = retry.Request{
 		Idempotent: route.Repeatable(), Resumable: route.Resumable,
 		Deadline: c.req.Deadline, MaxSent: route.Attempts,
 	}
@@ -327,12 +327,12 @@
 			c.callerLeft()
 			return
 		}
-		d := c.o.Placer.DecideRetry(&c.retry, failed)
+		d := c.o.Placer.DecideRetry(&c.retryState, failed)
 		if !d.Retry {
 			c.giveUp(d)
 			return
 		}
-		c.req.Excluded = c.retry.Excluded()
+		c.req.Excluded = c.retryState.Excluded()
 		c.req.Resuming = c.headerSent
 		if !c.pause(d.After) {
 			return
@@ -374,7 +374,7 @@
 	}
 }
 
-func (c *call) mayHaveRun() bool { return c.retry.MayHaveRun() }
+func (c *call) mayHaveRun() bool { return c.retryState.MayHaveRun() }
 
 // giveUp sends the final answer after an attempt that is not retried.
 func (c *call) giveUp(d retry.Decision) {
--- a/forward/limit.go
+++ b/forward/limit.go
@@ -47,7 +47,7 @@
 		c.refuseUnread(http.StatusTooManyRequests, CodeRateLimited, v.RetryAfter)
 		return false
 	}
-	c.quota.charged = 1
+	c.charge.charged = 1
 	return true
 }
 
@@ -74,15 +74,15 @@
 // chargeRetry charges the next attempt if all charged ones may have run. A limit
 // counts what endpoints run, not what callers send.
 func (c *call) chargeRetry() {
-	if c.quota.charged > 0 && c.quota.ran >= c.quota.charged {
-		c.quota.charged++
+	if c.charge.charged > 0 && c.charge.ran >= c.charge.charged {
+		c.charge.charged++
 		c.o.Limiter.Charge(c.req.Organisation, c.in.QuotaTokens)
 	}
 }
 
 // refundNotRun refunds the charges for attempts that did not run.
 func (c *call) refundNotRun() {
-	for ; c.quota.charged > c.quota.ran; c.quota.charged-- {
+	for ; c.charge.charged > c.charge.ran; c.charge.charged-- {
 		c.o.Limiter.Refund(c.req.Organisation, c.in.QuotaTokens)
 	}
 }
--- a/quota/account.go
+++ b/quota/account.go
@@ -98,7 +98,7 @@
 	// Tokens are requested in advance only if several requests will probably use
 	// them before they expire.
 	if ahead := a.demand * lendAhead.Seconds(); ahead >= 2*a.last {
-		e.Ahead = max(0, ahead-max(0, a.balance()))
+		e.Expected = max(0, ahead-max(0, a.balance()))
 	}
 	a.rejected = 0
 	return e, e.Need > 0 || e.Rejected > 0
--- a/quota/bucket.go
+++ b/quota/bucket.go
@@ -49,19 +49,19 @@
 	}
 	if short := e.Need - lent; short > 0 {
 		b.promisedRetries += short
-		return lent, b.askAgain(now, fraction), b.retryAfter(fraction)
+		return lent, b.askAfter(now, fraction), b.retryAfter(fraction)
 	}
 	if spare := b.level - b.limit.Burst*fraction/2; spare > 0 {
-		ahead := min(e.Ahead, spare/2)
+		ahead := min(e.Expected, spare/2)
 		b.level -= ahead
 		lent += ahead
 	}
 	return lent, 0, 0
 }
 
-// askAgain returns when a denied daemon may ask again: once there are units to
+// askAfter returns when a denied daemon may ask again: once there are units to
 // lend, spread over the denied daemons.
-func (b *bucket) askAgain(now time.Duration, fraction float64) time.Duration {
+func (b *bucket) askAfter(now time.Duration, fraction float64) time.Duration {
 	if now-b.deniedAt > denialWindow {
 		b.deniedAt, b.denied = now, 0
 	}
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -13,14 +13,14 @@
 // while; the organisation must get its limit at any daemon.
 func TestLimitFollowsTraffic(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 3, 73, limits)
-	w.play(warmUp, nil)
+	w := newSimulation(t, 3, 73, limits)
+	w.run(warmUp, nil)
 	for _, at := range [][]int{{1, 2, 3, 4}, {40, 41, 42}, {70, 5}} {
 		some := scaleTraffic(traffic, 1)
 		for i := range some {
 			some[i].at = at
 		}
-		w.play(6*time.Second, some)
+		w.run(6*time.Second, some)
 	}
 	checkWrongRefusals(t, w)
 	w.check()
@@ -32,14 +32,14 @@
 func TestPartitionedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	for seed := range uint64(4) {
-		w := newWorld(t, 10+seed, 73, limits)
-		w.play(warmUp, nil)
-		w.play(3*time.Second, traffic)
+		w := newSimulation(t, 10+seed, 73, limits)
+		w.run(warmUp, nil)
+		w.run(3*time.Second, traffic)
 		apart := func(i int) bool { return (uint64(i)+seed)%5 == 0 }
-		w.cut = func(a, b int) bool { return apart(a) || apart(b) }
-		w.play(8*time.Second, scaleTraffic(traffic, 5))
-		w.cut = nil
-		w.play(6*time.Second, scaleTraffic(traffic, 5))
+		w.partitioned = func(a, b int) bool { return apart(a) || apart(b) }
+		w.run(8*time.Second, scaleTraffic(traffic, 5))
+		w.partitioned = nil
+		w.run(6*time.Second, scaleTraffic(traffic, 5))
 		w.check()
 	}
 }
@@ -49,12 +49,12 @@
 // would be used.
 func TestEvenPartitionStaysWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 20, 73, limits)
-	w.play(warmUp, nil)
-	w.cut = func(a, b int) bool { return a%2 != b%2 }
-	w.play(14*time.Second, scaleTraffic(traffic, 6))
-	w.cut = nil
-	w.play(8*time.Second, scaleTraffic(traffic, 6))
+	w := newSimulation(t, 20, 73, limits)
+	w.run(warmUp, nil)
+	w.partitioned = func(a, b int) bool { return a%2 != b%2 }
+	w.run(14*time.Second, scaleTraffic(traffic, 6))
+	w.partitioned = nil
+	w.run(8*time.Second, scaleTraffic(traffic, 6))
 	w.check()
 }
 
@@ -62,13 +62,13 @@
 // Their successors do not know what was lent.
 func TestOwnerCrashGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 30, 73, limits)
-	w.play(warmUp, nil)
+	w := newSimulation(t, 30, 73, limits)
+	w.run(warmUp, nil)
 	for range 6 {
 		owner := w.byAddr[w.nodes[50].node.shards[0].owner.Address]
-		w.play(1500*time.Millisecond, scaleTraffic(traffic, 6))
+		w.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
 		owner.down = true
-		w.play(1500*time.Millisecond, scaleTraffic(traffic, 6))
+		w.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
 		w.restart(owner)
 	}
 	w.check()
@@ -78,21 +78,21 @@
 // and replies. The units that it then lends must not be used.
 func TestPausedOwnerLendsNothingTwice(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 40, 73, limits)
-	w.play(warmUp, nil)
+	w := newSimulation(t, 40, 73, limits)
+	w.run(warmUp, nil)
 	for range 3 {
-		var frozen []*machine
+		var frozen []*simDaemon
 		for s := range Shards {
-			if m := w.byAddr[w.nodes[50].node.shards[s].owner.Address]; !m.frozen && m.index != 50 {
-				m.frozen = true
+			if m := w.byAddr[w.nodes[50].node.shards[s].owner.Address]; !m.paused && m.index != 50 {
+				m.paused = true
 				frozen = append(frozen, m)
 			}
 		}
-		w.play(4*time.Second, scaleTraffic(traffic, 4))
+		w.run(4*time.Second, scaleTraffic(traffic, 4))
 		for _, m := range frozen {
 			w.resume(m)
 		}
-		w.play(2*time.Second, scaleTraffic(traffic, 4))
+		w.run(2*time.Second, scaleTraffic(traffic, 4))
 	}
 	w.check()
 }
@@ -101,15 +101,15 @@
 // A start must not grant another burst.
 func TestRestartOfAllDaemonsGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 50, 73, limits)
-	w.play(warmUp, nil)
+	w := newSimulation(t, 50, 73, limits)
+	w.run(warmUp, nil)
 	for range 3 {
-		w.play(2*time.Second, scaleTraffic(traffic, 7))
+		w.run(2*time.Second, scaleTraffic(traffic, 7))
 		for _, m := range w.nodes {
 			w.restart(m)
 		}
 	}
-	w.play(8*time.Second, scaleTraffic(traffic, 7))
+	w.run(8*time.Second, scaleTraffic(traffic, 7))
 	w.check()
 	if h := w.use[traffic[0].key]; h.peakUse() < 0.7*h.limit.PerSecond*window.Seconds() {
 		t.Errorf("after the restarts only %.0f of %.0f units a second were used", h.peakUse()/window.Seconds(), h.limit.PerSecond)
@@ -120,9 +120,9 @@
 // lists are updated at different times, so daemons pledge different fractions.
 func TestAddedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 60, 73, limits)
-	w.play(warmUp, nil)
-	w.play(4*time.Second, scaleTraffic(traffic, 5))
+	w := newSimulation(t, 60, 73, limits)
+	w.run(warmUp, nil)
+	w.run(4*time.Second, scaleTraffic(traffic, 5))
 	for i := 73; i < 128; i++ {
 		w.add(i)
 		m := w.nodes[i]
@@ -130,10 +130,10 @@
 		m.node.SetLimits(w.now, limits)
 	}
 	for _, m := range w.nodes {
-		w.play(5*time.Millisecond, scaleTraffic(traffic, 5))
+		w.run(5*time.Millisecond, scaleTraffic(traffic, 5))
 		m.node.SetDaemons(w.list())
 	}
-	w.play(8*time.Second, scaleTraffic(traffic, 5))
+	w.run(8*time.Second, scaleTraffic(traffic, 5))
 	w.check()
 }
 
@@ -142,9 +142,9 @@
 // of a limit must take effect at once.
 func TestChangedLimitsTakeEffect(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 70, 73, limits)
-	w.play(warmUp, nil)
-	w.play(3*time.Second, traffic)
+	w := newSimulation(t, 70, 73, limits)
+	w.run(warmUp, nil)
+	w.run(3*time.Second, traffic)
 	lower := map[Key]Limit{}
 	for key, l := range limits {
 		l.PerSecond, l.Burst = l.PerSecond/4, l.Burst/4
@@ -155,21 +155,21 @@
 			m.node.SetLimits(w.now, lower)
 		}
 	}
-	w.play(2*time.Second, traffic)
+	w.run(2*time.Second, traffic)
 	for _, m := range w.nodes {
 		m.node.SetLimits(w.now, lower)
 	}
-	w.play(window, traffic)
+	w.run(window, traffic)
 	for key, h := range w.use {
 		h.admitted, h.limit = nil, lower[key]
 	}
-	w.play(window, traffic)
+	w.run(window, traffic)
 	w.check()
 	for _, m := range w.nodes {
 		m.node.SetLimits(w.now, nil)
 	}
 	before := w.use[traffic[0].key].refused
-	w.play(2*time.Second, scaleTraffic(traffic, 3))
+	w.run(2*time.Second, scaleTraffic(traffic, 3))
 	if h := w.use[traffic[0].key]; h.refused > before {
 		t.Errorf("%d requests refused by a limit that was removed", h.refused-before)
 	}
@@ -179,26 +179,26 @@
 // late. Owners must neither lend twice nor be considered unresponsive.
 func TestLostDelayedAndDuplicatedMessages(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 80, 73, limits)
+	w := newSimulation(t, 80, 73, limits)
 	w.loss, w.double, w.late = 0.05, 0.05, 0.01
-	w.play(warmUp, nil)
-	w.play(12*time.Second, traffic)
+	w.run(warmUp, nil)
+	w.run(12*time.Second, traffic)
 	checkWrongRefusals(t, w)
-	w.play(10*time.Second, scaleTraffic(traffic, 5))
+	w.run(10*time.Second, scaleTraffic(traffic, 5))
 	w.check()
 }
 
 // The clocks of the daemons are hours apart. Only differences of one clock may be used.
 func TestIgnoresClockDifferences(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 90, 73, limits)
+	w := newSimulation(t, 90, 73, limits)
 	for i, m := range w.nodes {
 		m.skew = time.Duration(i%7) * time.Hour
 	}
-	w.play(warmUp, nil)
-	w.play(8*time.Second, traffic)
+	w.run(warmUp, nil)
+	w.run(8*time.Second, traffic)
 	checkWrongRefusals(t, w)
-	w.play(10*time.Second, scaleTraffic(traffic, 6))
+	w.run(10*time.Second, scaleTraffic(traffic, 6))
 	w.check()
 }
 
@@ -206,7 +206,7 @@
 // be able to use the refunded units.
 func TestRefundedTokensAreReused(t *testing.T) {
 	key := KeyOf("org")
-	n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Tolerance: tolerance, Rand: newWorld(t, 1, 1, nil).rng})
+	n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Tolerance: tolerance, Rand: newSimulation(t, 1, 1, nil).rng})
 	n.SetDaemons([]Daemon{n.o.Self})
 	n.SetLimits(0, map[Key]Limit{key: {PerSecond: 1000, Burst: 1000, Unit: Tokens}})
 	now := time.Duration(0)
@@ -253,9 +253,9 @@
 // The only daemon of a deployment must have the whole limit.
 func TestSingleDaemonHasWholeLimit(t *testing.T) {
 	limits, traffic := organisations(0.8, 100_000)
-	w := newWorld(t, 100, 1, limits)
-	w.play(warmUp, nil)
-	w.play(20*time.Second, traffic)
+	w := newSimulation(t, 100, 1, limits)
+	w.run(warmUp, nil)
+	w.run(20*time.Second, traffic)
 	checkWrongRefusals(t, w)
 	w.check()
 	if w.sent > 0 {
@@ -267,13 +267,13 @@
 // requests that wait for a timeout.
 func TestLeavingOwnerIsReplacedAtOnce(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 110, 73, limits)
-	w.play(warmUp, nil)
-	w.play(3*time.Second, traffic)
+	w := newSimulation(t, 110, 73, limits)
+	w.run(warmUp, nil)
+	w.run(3*time.Second, traffic)
 	for s := range Shards {
 		w.byAddr[w.nodes[50].node.shards[s].owner.Address].node.StopLending()
 	}
-	w.play(5*time.Second, traffic)
+	w.run(5*time.Second, traffic)
 	for _, h := range w.use {
 		for _, d := range h.waits {
 			if d > replyTimeout {
--- a/quota/message.go
+++ b/quota/message.go
@@ -25,44 +25,44 @@
 	fractionScale = 1 << 24 // fractions are encoded as multiples of 1/fractionScale
 	usedScale     = 1000    // use is encoded in thousandths of the limit
 	lentScale     = 1000    // lent units are encoded in thousandths, rounded down
-	maxHold       = 10 * time.Second
-	maxAgain      = time.Minute
+	maxPledgeTTL  = 10 * time.Second
+	maxReplyDelay = time.Minute
 	MaxDatagram   = 1400 // bytes
 )
 
 // ask is a daemon's request to the owner of a shard. It also pledges the
 // daemon's fraction.
 type ask struct {
-	Nonce    uint64 // of the sender's process
-	Seq      uint64 // increases with each ask of the process
-	Shard    int
-	Fraction float64       // the sender's fraction of the limits
-	Hold     time.Duration // duration of the pledge; 0: pledged to another owner
-	Entries  []askEntry
+	Nonce     uint64 // of the sender's process
+	Seq       uint64 // increases with each ask of the process
+	Shard     int
+	Fraction  float64       // the sender's fraction of the limits
+	PledgeTTL time.Duration // duration of the pledge; 0: pledged to another owner
+	Entries   []askEntry
 }
 
 // askEntry is the demand of one organisation, in units of its limit.
 type askEntry struct {
 	Key      Key
 	Need     float64 // of waiting requests
-	Ahead    float64 // of requests expected next
+	Expected float64 // of requests expected next
 	Rejected float64 // of requests rejected since the last ask
 }
 
 // reply is an owner's reply to an ask.
 type reply struct {
-	Seq     uint64 // of the ask
-	Shard   int
-	Leaving bool // the owner lends nothing and releases the sender's pledge
-	Entries []replyEntry
+	Seq          uint64 // of the ask
+	Shard        int
+	ShuttingDown bool // the owner lends nothing and releases the sender's pledge
+	Entries      []replyEntry
 }
 
 type replyEntry struct {
-	Key   Key
-	Lent  float64
-	Again time.Duration // until the next ask; 0: the need is covered
-	Retry time.Duration // Retry-After for callers
-	Used  float64       // see Verdict
+	Key        Key
+	Lent       float64
+	AskAfter   time.Duration // until the next ask; 0: the need is covered
+	RetryAfter time.Duration // Retry-After for callers
+	Used       float64       // see Verdict
 }
 
 func appendUnits(b []byte, v float64) []byte {
@@ -79,11 +79,11 @@
 	b = binary.LittleEndian.AppendUint64(b, a.Nonce)
 	b = binary.AppendUvarint(b, a.Seq)
 	b = binary.AppendUvarint(b, uint64(a.Fraction*fractionScale))
-	b = appendMillis(b, a.Hold)
+	b = appendMillis(b, a.PledgeTTL)
 	for _, e := range a.Entries[:min(len(a.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
 		b = appendUnits(b, e.Need)
-		b = appendUnits(b, e.Ahead)
+		b = appendUnits(b, e.Expected)
 		b = appendUnits(b, e.Rejected)
 	}
 	return b
@@ -91,7 +91,7 @@
 
 func (r *reply) encode() []byte {
 	leaving := byte(0)
-	if r.Leaving {
+	if r.ShuttingDown {
 		leaving = 1
 	}
 	b := []byte{kindReply, byte(r.Shard), leaving}
@@ -99,8 +99,8 @@
 	for _, e := range r.Entries[:min(len(r.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
 		b = appendUnits(b, math.Floor(e.Lent*lentScale))
-		b = appendMillis(b, e.Again)
-		b = appendMillis(b, e.Retry)
+		b = appendMillis(b, e.AskAfter)
+		b = appendMillis(b, e.RetryAfter)
 		b = appendUnits(b, e.Used*usedScale)
 	}
 	return b
@@ -127,12 +127,12 @@
 	}
 	a := ask{Shard: r.shard(), Nonce: r.Uint64(), Seq: r.Uvarint(math.MaxUint64)}
 	a.Fraction = float64(r.Uvarint(fractionScale)) / fractionScale
-	a.Hold = r.Millis(maxHold)
+	a.PledgeTTL = r.Millis(maxPledgeTTL)
 	for r.More() {
 		if len(a.Entries) == maxEntries {
 			return ask{}, ErrMalformed
 		}
-		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Ahead: r.units(), Rejected: r.units()})
+		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Expected: r.units(), Rejected: r.units()})
 	}
 	if r.Bad {
 		return ask{}, ErrMalformed
@@ -145,12 +145,12 @@
 	if r.Byte() != kindReply {
 		return reply{}, ErrMalformed
 	}
-	out := reply{Shard: r.shard(), Leaving: r.Byte() == 1, Seq: r.Uvarint(math.MaxUint64)}
+	out := reply{Shard: r.shard(), ShuttingDown: r.Byte() == 1, Seq: r.Uvarint(math.MaxUint64)}
 	for r.More() {
 		if len(out.Entries) == maxEntries {
 			return reply{}, ErrMalformed
 		}
-		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentScale, Again: r.Millis(maxAgain), Retry: r.Millis(maxAgain), Used: r.units() / usedScale})
+		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentScale, AskAfter: r.Millis(maxReplyDelay), RetryAfter: r.Millis(maxReplyDelay), Used: r.units() / usedScale})
 	}
 	if r.Bad {
 		return reply{}, ErrMalformed
--- a/quota/message_test.go
+++ b/quota/message_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestMessagesRoundTrip(t *testing.T) {
-	a := ask{Nonce: 7, Seq: 1 << 40, Shard: 3, Fraction: 1.0 / 64, Hold: pledgeTTL, Entries: []askEntry{
-		{Key: 1 << 63, Need: 17_035, Ahead: 1, Rejected: 390}, {Key: 2},
+	a := ask{Nonce: 7, Seq: 1 << 40, Shard: 3, Fraction: 1.0 / 64, PledgeTTL: pledgeTTL, Entries: []askEntry{
+		{Key: 1 << 63, Need: 17_035, Expected: 1, Rejected: 390}, {Key: 2},
 	}}
 	if got, err := decodeAsk(a.encode()); err != nil || !reflect.DeepEqual(got, a) {
 		t.Errorf("%+v, %v", got, err)
 	}
-	r := reply{Seq: 9, Shard: 7, Leaving: true, Entries: []replyEntry{
-		{Key: 5, Lent: 53_000, Again: 20 * time.Millisecond, Retry: 5 * time.Second, Used: 1.25},
+	r := reply{Seq: 9, Shard: 7, ShuttingDown: true, Entries: []replyEntry{
+		{Key: 5, Lent: 53_000, AskAfter: 20 * time.Millisecond, RetryAfter: 5 * time.Second, Used: 1.25},
 	}}
 	if got, err := decodeReply(r.encode()); err != nil || !reflect.DeepEqual(got, r) {
 		t.Errorf("%+v, %v", got, err)
@@ -25,11 +25,11 @@
 // Messages with more entries than fit, all of maximum length, must stay within
 // MaxDatagram.
 func TestLongestMessagesFitDatagram(t *testing.T) {
-	a := ask{Nonce: 1 << 63, Seq: 1 << 63, Fraction: 1, Hold: maxHold}
+	a := ask{Nonce: 1 << 63, Seq: 1 << 63, Fraction: 1, PledgeTTL: maxPledgeTTL}
 	r := reply{Seq: 1 << 63}
 	for range 2 * maxEntries {
-		a.Entries = append(a.Entries, askEntry{Key: 1 << 63, Need: maxUnits, Ahead: maxUnits, Rejected: maxUnits})
-		r.Entries = append(r.Entries, replyEntry{Key: 1 << 63, Lent: maxUnits, Again: maxAgain, Retry: maxAgain, Used: 1e6})
+		a.Entries = append(a.Entries, askEntry{Key: 1 << 63, Need: maxUnits, Expected: maxUnits, Rejected: maxUnits})
+		r.Entries = append(r.Entries, replyEntry{Key: 1 << 63, Lent: maxUnits, AskAfter: maxReplyDelay, RetryAfter: maxReplyDelay, Used: 1e6})
 	}
 	if n, m := len(a.encode()), len(r.encode()); n > MaxDatagram || m > MaxDatagram {
 		t.Errorf("%d and %d bytes", n, m)
@@ -44,7 +44,7 @@
 	f.Add(r.encode())
 	f.Add([]byte{kindAsk})
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Rand: newWorld(t, 1, 0, nil).rng})
+		n := NewNode(Options{Self: Daemon{Name: "a", Address: "1.1.1.1:1"}, Rand: newSimulation(t, 1, 0, nil).rng})
 		n.SetDaemons([]Daemon{n.o.Self, {Name: "b", Address: "2.2.2.2:2"}})
 		n.SetLimits(0, map[Key]Limit{1: {PerSecond: 10, Burst: 10}})
 		if err := n.Receive(time.Second, "2.2.2.2:2", b); err != nil && !errors.Is(err, ErrMalformed) {
--- a/quota/node.go
+++ b/quota/node.go
@@ -34,20 +34,20 @@
 // itself an owner for others. It is not safe for concurrent use. Outgoing
 // messages are collected until Outbox is called.
 type Node struct {
-	o        Options
-	accounts map[Key]*account
-	shards   [Shards]shard
-	daemons  int // number of listed daemons; 0: no list yet
-	seq      uint64
-	leaving  bool
-	out      []Datagram
+	o            Options
+	accounts     map[Key]*account
+	shards       [Shards]shard
+	daemons      int // number of listed daemons; 0: no list yet
+	seq          uint64
+	shuttingDown bool
+	outbox       []Datagram
 }
 
 // shard is one daemon's view of a shard.
 type shard struct {
 	keys         []Key    // organisations with a limit
 	order        []Daemon // daemons by rank
-	away         map[string]time.Duration
+	skippedUntil map[string]time.Duration
 	owner        Daemon      // currently asked
 	pendingAsk   inFlightAsk // the ask without a reply yet
 	pendingProbe inFlightAsk // an ask to a skipped daemon
@@ -77,7 +77,7 @@
 func NewNode(o Options) *Node {
 	n := &Node{o: o, accounts: map[Key]*account{}}
 	for i := range n.shards {
-		n.shards[i] = shard{away: map[string]time.Duration{}, lender: newShardOwner(), owner: o.Self, order: []Daemon{o.Self}}
+		n.shards[i] = shard{skippedUntil: map[string]time.Duration{}, lender: newShardOwner(), owner: o.Self, order: []Daemon{o.Self}}
 	}
 	return n
 }
@@ -241,7 +241,7 @@
 		}
 	}
 	if s.ownPledge.to == s.owner.Address || s.ownPledge.until <= now {
-		q.Hold = pledgeTTL
+		q.PledgeTTL = pledgeTTL
 		s.ownPledge.to, s.ownPledge.until = s.owner.Address, now+pledgeTTL+maxTransit
 	}
 	s.ownPledge.renews = min(now+pledgeInterval, s.ownPledge.until)
@@ -252,7 +252,7 @@
 		return
 	}
 	s.pendingAsk = inFlightAsk{seq: n.seq, to: s.owner, sent: now, repeats: s.pendingAsk.repeats}
-	n.out = append(n.out, Datagram{To: s.owner.Address, Data: q.encode()})
+	n.outbox = append(n.outbox, Datagram{To: s.owner.Address, Data: q.encode()})
 }
 
 // Receive handles a message from the given address. The error is ErrMalformed.
@@ -284,20 +284,20 @@
 
 func (n *Node) handleAsk(now time.Duration, from string, q *ask) {
 	s := &n.shards[q.Shard]
-	r := reply{Seq: q.Seq, Shard: q.Shard, Leaving: true}
-	if !n.leaving && n.daemons > 0 && len(s.lender.buckets) > 0 {
+	r := reply{Seq: q.Seq, Shard: q.Shard, ShuttingDown: true}
+	if !n.shuttingDown && n.daemons > 0 && len(s.lender.buckets) > 0 {
 		var fresh bool
 		if r, fresh = s.lender.lend(now, n.o.Tolerance, from, q); !fresh {
 			return
 		}
 	}
-	n.out = append(n.out, Datagram{To: from, Data: r.encode()})
+	n.outbox = append(n.outbox, Datagram{To: from, Data: r.encode()})
 }
 
 // handleReply adds the units lent by the owner and decides on the waiting requests.
 func (n *Node) handleReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
-	if r.Leaving {
+	if r.ShuttingDown {
 		s.ownPledge = pledgeState{}
 		n.skipOwner(now, i, leavingTTL)
 		return
@@ -310,7 +310,7 @@
 		a.expireLent(now)
 		a.add(e.Lent)
 		a.updatedAt, a.used = now, e.Used
-		a.retryAfter, a.deniedUntil = e.Retry, now+e.Again
+		a.retryAfter, a.deniedUntil = e.RetryAfter, now+e.AskAfter
 		n.resolveAsked(now, a, s.owner.Name)
 	}
 	for _, key := range s.keys {
@@ -355,7 +355,7 @@
 // until a probe is answered.
 func (n *Node) skipOwner(now time.Duration, i int, span time.Duration) {
 	s := &n.shards[i]
-	s.away[s.owner.Address] = now + span
+	s.skippedUntil[s.owner.Address] = now + span
 	s.pendingAsk, s.owner = inFlightAsk{}, s.chooseOwner(n.o.Self)
 	n.ask(now, i)
 }
@@ -367,7 +367,7 @@
 		return me
 	}
 	for _, next := range s.order {
-		if _, gone := s.away[next.Address]; !gone || next == me {
+		if _, gone := s.skippedUntil[next.Address]; !gone || next == me {
 			return next
 		}
 	}
@@ -380,11 +380,11 @@
 	s := &n.shards[i]
 	d := s.pendingProbe.to
 	s.pendingProbe = inFlightAsk{}
-	if r.Leaving {
-		s.away[d.Address] = now + leavingTTL
+	if r.ShuttingDown {
+		s.skippedUntil[d.Address] = now + leavingTTL
 		return
 	}
-	delete(s.away, d.Address)
+	delete(s.skippedUntil, d.Address)
 	s.missed = 0
 	if slices.Index(s.order, d) < slices.Index(s.order, s.owner) && s.pendingAsk.seq == 0 {
 		s.owner = d
@@ -401,16 +401,16 @@
 			continue
 		}
 		s.lender.accrue(now, n.o.Tolerance)
-		n.expire(now, i)
+		n.handleTimeouts(now, i)
 		if s.pendingAsk.seq == 0 && now >= s.ownPledge.renews {
 			n.ask(now, i)
 		}
-		n.probeAway(now, i)
+		n.probeSkipped(now, i)
 	}
 }
 
-// expire repeats or gives up asks without a reply, and rejects requests after maxWait.
-func (n *Node) expire(now time.Duration, i int) {
+// handleTimeouts repeats or gives up asks without a reply, and rejects requests after maxWait.
+func (n *Node) handleTimeouts(now time.Duration, i int) {
 	s := &n.shards[i]
 	if f := s.pendingAsk; f.seq != 0 {
 		switch waited := now - f.sent; {
@@ -436,29 +436,29 @@
 	}
 }
 
-// probeAway sends a probe to the first daemon that was skipped for long enough. A
+// probeSkipped sends a probe to the first daemon that was skipped for long enough. A
 // daemon that seems to be isolated also probes those that it never asked.
-func (n *Node) probeAway(now time.Duration, i int) {
+func (n *Node) probeSkipped(now time.Duration, i int) {
 	s := &n.shards[i]
 	if s.pendingProbe.seq != 0 {
 		if now-s.pendingProbe.sent < finalReplyTimeout {
 			return
 		}
-		s.away[s.pendingProbe.to.Address] = now + unresponsiveTTL
+		s.skippedUntil[s.pendingProbe.to.Address] = now + unresponsiveTTL
 		s.pendingProbe = inFlightAsk{}
 	}
 	for _, d := range s.order {
 		if d == n.o.Self {
 			return
 		}
-		until, gone := s.away[d.Address]
+		until, gone := s.skippedUntil[d.Address]
 		if gone && now < until || !gone && s.missed < maxMissed {
 			continue
 		}
 		n.seq++
 		q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Fraction: n.pledgeFraction()}
 		s.pendingProbe = inFlightAsk{seq: n.seq, to: d, sent: now}
-		n.out = append(n.out, Datagram{To: d.Address, Data: q.encode()})
+		n.outbox = append(n.outbox, Datagram{To: d.Address, Data: q.encode()})
 		return
 	}
 }
@@ -475,11 +475,11 @@
 
 // StopLending makes the node reply to all asks that it is leaving, so that the
 // other daemons choose another owner at once.
-func (n *Node) StopLending() { n.leaving = true }
+func (n *Node) StopLending() { n.shuttingDown = true }
 
 // Outbox returns the messages to be sent and clears the list.
 func (n *Node) Outbox() []Datagram {
-	out := n.out
-	n.out = nil
+	out := n.outbox
+	n.outbox = nil
 	return out
 }
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -12,7 +12,7 @@
 // The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
-func checkWrongRefusals(t *testing.T, w *world) {
+func checkWrongRefusals(t *testing.T, w *simulation) {
 	t.Helper()
 	fraction, lost, owed := w.wrongRefusals()
 	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
@@ -26,9 +26,9 @@
 // rejected although it uses only half of its limit.
 func TestAdmitsLongPromptsWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 1, 73, limits)
-	w.play(3*time.Second, nil)
-	w.play(30*time.Second, traffic)
+	w := newSimulation(t, 1, 73, limits)
+	w.run(3*time.Second, nil)
+	w.run(30*time.Second, traffic)
 	checkWrongRefusals(t, w)
 	w.check()
 }
@@ -38,12 +38,12 @@
 // affected.
 func TestOverloadedOrganisationsGetTheirLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 2, 73, limits)
-	w.play(3*time.Second, nil)
-	w.play(10*time.Second, traffic)
+	w := newSimulation(t, 2, 73, limits)
+	w.run(3*time.Second, nil)
+	w.run(10*time.Second, traffic)
 	hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
-	w.play(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
-	w.play(8*time.Second, traffic)
+	w.run(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
+	w.run(8*time.Second, traffic)
 	w.check()
 	for _, i := range []int{0, 1, 8} {
 		h := w.use[traffic[i].key]
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -68,8 +68,8 @@
 		return reply{}, false
 	}
 	l.pledgedSum -= p.fraction
-	p = pledge{nonce: q.Nonce, seq: q.Seq, fraction: q.Fraction, until: now + q.Hold}
-	if q.Hold <= 0 {
+	p = pledge{nonce: q.Nonce, seq: q.Seq, fraction: q.Fraction, until: now + q.PledgeTTL}
+	if q.PledgeTTL <= 0 {
 		// The daemon's fraction is pledged to another owner. The entry is kept to
 		// recognise duplicates.
 		p.fraction, p.until = 0, now+pledgeTTL
@@ -82,12 +82,12 @@
 		e := &q.Entries[i]
 		b := l.buckets[e.Key]
 		if b == nil {
-			out.Entries = append(out.Entries, replyEntry{Key: e.Key, Again: denialWindow, Retry: denialWindow})
+			out.Entries = append(out.Entries, replyEntry{Key: e.Key, AskAfter: denialWindow, RetryAfter: denialWindow})
 			continue
 		}
 		b.accrue(now, fraction)
 		lent, again, retry := b.lend(now, fraction, t.overdraft(), e)
-		out.Entries = append(out.Entries, replyEntry{Key: e.Key, Lent: lent, Again: again, Retry: retry, Used: b.used()})
+		out.Entries = append(out.Entries, replyEntry{Key: e.Key, Lent: lent, AskAfter: again, RetryAfter: retry, Used: b.used()})
 	}
 	return out, true
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-// world simulates daemons, their messages and callers in virtual time, in steps of
+// simulation simulates daemons, their messages and callers in virtual time, in steps of
 // a millisecond.
-type world struct {
-	t         testing.TB
-	rng       *rand.Rand
-	now       time.Duration
-	tol       Tolerance
-	limits    map[Key]Limit
-	nodes     []*machine
-	byAddr    map[string]*machine
-	inTransit map[time.Duration][]packet // by time of arrival
-	loss      float64                    // fraction of the messages
-	double    float64
-	late      float64 // fraction of the messages that arrive up to a second late
-	cut       func(a, b int) bool
-	use       map[Key]*history
-	bytes     int
-	sent      int
-	fractions *fractionLimiter // baseline to compare with; nil: the nodes decide
+type simulation struct {
+	t           testing.TB
+	rng         *rand.Rand
+	now         time.Duration
+	tol         Tolerance
+	limits      map[Key]Limit
+	nodes       []*simDaemon
+	byAddr      map[string]*simDaemon
+	inTransit   map[time.Duration][]packet // by time of arrival
+	loss        float64                    // fraction of the messages
+	double      float64
+	late        float64 // fraction of the messages that arrive up to a second late
+	partitioned func(a, b int) bool
+	use         map[Key]*history
+	bytes       int
+	sent        int
+	fractions   *fractionLimiter // baseline to compare with; nil: the nodes decide
 }
 
 type packet struct {
@@ -34,13 +34,13 @@
 	data []byte
 }
 
-// machine is a simulated daemon.
-type machine struct {
+// simDaemon is a simulated daemon.
+type simDaemon struct {
 	index  int
 	me     Daemon
 	node   *Node
 	down   bool
-	frozen bool
+	paused bool
 	queue  []packet // received while frozen
 	skew   time.Duration
 }
@@ -67,9 +67,9 @@
 
 const window = 8 * time.Second
 
-func newWorld(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *world {
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*machine{},
+func newSimulation(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*simDaemon{},
 		inTransit: map[time.Duration][]packet{}, use: map[Key]*history{},
 	}
 	for i := range daemons {
@@ -85,26 +85,26 @@
 	return w
 }
 
-func (w *world) add(i int) {
-	m := &machine{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
+func (w *simulation) add(i int) {
+	m := &simDaemon{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
 	w.nodes = append(w.nodes, m)
 	w.byAddr[m.me.Address] = m
 	m.node = w.process(m)
 }
 
-func (w *world) process(m *machine) *Node {
+func (w *simulation) process(m *simDaemon) *Node {
 	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
 }
 
 // restart replaces the process of a daemon by a new one, which gets the list and the
 // limits at once.
-func (w *world) restart(m *machine) {
+func (w *simulation) restart(m *simDaemon) {
 	m.node, m.queue, m.down = w.process(m), nil, false
 	m.node.SetDaemons(w.list())
 	m.node.SetLimits(w.now, w.limits)
 }
 
-func (w *world) list() []Daemon {
+func (w *simulation) list() []Daemon {
 	var out []Daemon
 	for _, m := range w.nodes {
 		out = append(out, m.me)
@@ -113,12 +113,12 @@
 }
 
 // post sends the outgoing messages of a daemon.
-func (w *world) post(m *machine) {
+func (w *simulation) post(m *simDaemon) {
 	for _, d := range m.node.Outbox() {
 		w.sent++
 		w.bytes += len(d.Data) + 28 // headers of IP and UDP
 		to := w.byAddr[d.To]
-		if to == nil || w.cut != nil && w.cut(m.index, to.index) || w.rng.Float64() < w.loss {
+		if to == nil || w.partitioned != nil && w.partitioned(m.index, to.index) || w.rng.Float64() < w.loss {
 			continue
 		}
 		copies := 1
@@ -136,13 +136,13 @@
 }
 
 // step advances the simulation by one millisecond.
-func (w *world) step() {
+func (w *simulation) step() {
 	w.now += time.Millisecond
 	for _, l := range w.inTransit[w.now] {
 		m := w.byAddr[l.to]
 		switch {
 		case m.down:
-		case m.frozen:
+		case m.paused:
 			m.queue = append(m.queue, l)
 		default:
 			w.deliver(m, l)
@@ -154,7 +154,7 @@
 		return
 	}
 	for _, m := range w.nodes {
-		if m.down || m.frozen {
+		if m.down || m.paused {
 			continue
 		}
 		every := int64(100)
@@ -168,15 +168,15 @@
 	}
 }
 
-func (w *world) deliver(m *machine, l packet) {
+func (w *simulation) deliver(m *simDaemon, l packet) {
 	if err := m.node.Receive(w.now+m.skew, l.from, l.data); err != nil {
 		w.t.Fatal(err)
 	}
 	w.post(m)
 }
 
-func (w *world) resume(m *machine) {
-	m.frozen = false
+func (w *simulation) resume(m *simDaemon) {
+	m.paused = false
 	for _, l := range m.queue {
 		w.deliver(m, l)
 	}
@@ -184,8 +184,8 @@
 }
 
 // request sends a request of an organisation to a daemon.
-func (w *world) request(m *machine, key Key, tokens int) {
-	if m.down || m.frozen {
+func (w *simulation) request(m *simDaemon, key Key, tokens int) {
+	if m.down || m.paused {
 		return
 	}
 	h := w.use[key]
@@ -242,7 +242,7 @@
 }
 
 // check fails the test if an organisation used more than allowed in any window.
-func (w *world) check() {
+func (w *simulation) check() {
 	w.t.Helper()
 	for key, h := range w.use {
 		if most, allowed := h.peakUse(), allowedUse(h.limit, w.tol, window); most > allowed {
@@ -252,7 +252,7 @@
 }
 
 // wrongRefusals returns the fraction of the requests within the limit that were rejected.
-func (w *world) wrongRefusals() (fraction float64, lost, owed int) {
+func (w *simulation) wrongRefusals() (fraction float64, lost, owed int) {
 	for _, h := range w.use {
 		lost += h.wronglyRefused
 		owed += h.withinLimit
@@ -269,8 +269,8 @@
 	at []int
 }
 
-// play runs the simulation for the given time with the traffic.
-func (w *world) play(span time.Duration, traffic []demand) {
+// run runs the simulation for the given time with the traffic.
+func (w *simulation) run(span time.Duration, traffic []demand) {
 	for end := w.now + span; w.now < end; {
 		w.step()
 		for i := range traffic {
@@ -281,7 +281,7 @@
 	}
 }
 
-func (w *world) arrive(d *demand, perSecond float64, tokens func() int) {
+func (w *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
 	for expected := perSecond / 1000; expected > 0; expected-- {
 		if w.rng.Float64() >= expected {
 			return
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -20,10 +20,10 @@
 		rates = append(rates, 3e6/float64(1+i)+60_000)
 	}
 	limits, traffic := organisations(0.55, rates...)
-	w := newWorld(t, 7, 1100, limits)
-	w.play(700*time.Millisecond, nil)
+	w := newSimulation(t, 7, 1100, limits)
+	w.run(700*time.Millisecond, nil)
 	began, before := w.now, w.bytes
-	w.play(time.Second, traffic)
+	w.run(time.Second, traffic)
 	each := float64(w.bytes-before) / (w.now - began).Seconds() / 1100
 	checkWrongRefusals(t, w)
 	if each > maxBytesPerSecond {
@@ -37,8 +37,8 @@
 	for i := range 333 {
 		limits[KeyOf(fmt.Sprint(i))] = Limit{PerSecond: 1e12, Burst: 1e12, Unit: Tokens}
 	}
-	w := newWorld(b, 1, 1, limits)
-	w.play(time.Second, nil)
+	w := newSimulation(b, 1, 1, limits)
+	w.run(time.Second, nil)
 	n, key := w.nodes[0].node, KeyOf("7")
 	n.accounts[key].add(1e15)
 	n.accounts[key].expiresAt = time.Hour
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -19,7 +19,7 @@
 	known  map[Key][]float64 // demand as last exchanged
 }
 
-func newFractionLimiter(w *world, byDemand, overdraft bool) *fractionLimiter {
+func newFractionLimiter(w *simulation, byDemand, overdraft bool) *fractionLimiter {
 	p := &fractionLimiter{byDemand: byDemand, overdraft: overdraft, level: map[Key][]float64{}, demand: map[Key][]float64{}, known: map[Key][]float64{}}
 	for key := range w.limits {
 		p.level[key], p.demand[key], p.known[key] = make([]float64, len(w.nodes)), make([]float64, len(w.nodes)), make([]float64, len(w.nodes))
@@ -28,7 +28,7 @@
 }
 
 // step accrues the limits for one millisecond.
-func (p *fractionLimiter) step(w *world) {
+func (p *fractionLimiter) step(w *simulation) {
 	for key, l := range w.limits {
 		sum := 0.0
 		for _, d := range p.known[key] {
@@ -68,19 +68,19 @@
 		hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
 		hot = append(hot, traffic[2:8]...)
 		lost, over := map[string]float64{}, map[string]float64{}
-		for name, way := range map[string]func(w *world) *fractionLimiter{
-			"lent by owners":                func(*world) *fractionLimiter { return nil },
-			"equal parts":                   func(w *world) *fractionLimiter { return newFractionLimiter(w, false, false) },
-			"equal parts and one request":   func(w *world) *fractionLimiter { return newFractionLimiter(w, false, true) },
-			"parts by demand":               func(w *world) *fractionLimiter { return newFractionLimiter(w, true, false) },
-			"parts by demand and a request": func(w *world) *fractionLimiter { return newFractionLimiter(w, true, true) },
+		for name, way := range map[string]func(w *simulation) *fractionLimiter{
+			"lent by owners":                func(*simulation) *fractionLimiter { return nil },
+			"equal parts":                   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, false) },
+			"equal parts and one request":   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, true) },
+			"parts by demand":               func(w *simulation) *fractionLimiter { return newFractionLimiter(w, true, false) },
+			"parts by demand and a request": func(w *simulation) *fractionLimiter { return newFractionLimiter(w, true, true) },
 		} {
-			w := newWorld(t, 5, daemons, limits)
+			w := newSimulation(t, 5, daemons, limits)
 			w.fractions = way(w)
-			w.play(time.Second, nil)
-			w.play(5*time.Second, traffic)
+			w.run(time.Second, nil)
+			w.run(5*time.Second, traffic)
 			fraction, _, _ := w.wrongRefusals()
-			w.play(9*time.Second, hot)
+			w.run(9*time.Second, hot)
 			most := 0.0
 			for _, h := range w.use {
 				most = max(most, h.peakUse()/allowedUse(h.limit, w.tol, window))
