--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -41,7 +41,7 @@
 	node   *Node
 	down   bool
 	paused bool
-	queue  []packet // received while frozen
+	queue  []packet // received while paused
 	skew   time.Duration
 }
 
