--- a/health/health.go
+++ b/health/health.go
@@ -71,7 +71,7 @@
 // Status states whether an endpoint is used.
 type Status uint8
 
-// The statuses.
+// Values of Status.
 const (
 	Healthy Status = iota
 	SlowStart
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -38,8 +38,8 @@
 	burstTime = 500 * time.Millisecond
 )
 
-// Tolerance is how far the requests to an endpoint may exceed its limit. The delay
-// between the count at a daemon and the arrival at the endpoint varies.
+// Tolerance is how far the requests to an endpoint may exceed its limit. Requests reach
+// the endpoint some time after they were counted.
 var Tolerance = quota.Tolerance{Overage: 0.2, Slack: 2}
 
 // Parse parses a limit in requests/s. It returns nil, that is no limit, if the text is
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -86,7 +86,7 @@
 // EventKind is the type of an Event.
 type EventKind string
 
-// The kinds of Event.
+// Values of EventKind.
 const (
 	EventLeaseAcquired EventKind = "lease taken"
 	EventLeaseLost     EventKind = "lease lost"
--- a/quarantine/quarantine.go
+++ b/quarantine/quarantine.go
@@ -59,7 +59,7 @@
 // Reason states why a hold began or ended.
 type Reason string
 
-// The reasons.
+// Reasons of a Change.
 const (
 	ReasonCrashes  Reason = "ended_endpoints" // this daemon is an owner of the fingerprint
 	ReasonReceived Reason = "told"            // from another daemon or the store
--- a/quota/quota.go
+++ b/quota/quota.go
@@ -28,7 +28,7 @@
 // Unit is the unit that a limit counts.
 type Unit uint8
 
-// The units.
+// Units of a Limit.
 const (
 	Requests Unit = iota
 	Tokens        // of the prompt plus the maximum of the answer
