--- a/forward/attempt.go
+++ b/forward/attempt.go
@@ -39,7 +39,7 @@
 	out.Header = c.out.Header.Clone()
 	p.Out.Remaining = time.Until(c.req.Deadline)
 	p.Out.LastEvent = c.events.last
-	c.o.Wire.EncodeRequest(out.Header, &p.Out)
+	c.o.Codec.EncodeRequest(out.Header, &p.Out)
 	a, withdrawn, err := c.sendWithStartDeadline(p, &out)
 	if err != nil {
 		failure := retry.Unknown
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -68,8 +68,8 @@
 // Client sends requests to endpoints and keeps their connections for reuse. It
 // is safe for concurrent use.
 type Client struct {
-	wire HeaderCodec
-	dial Dial
+	codec HeaderCodec
+	dial  Dial
 
 	mu   sync.Mutex
 	idle map[fleet.EndpointID][]*conn
@@ -84,7 +84,7 @@
 		dial = d.DialContext
 	}
 	return &Client{
-		wire: w, dial: dial,
+		codec: w, dial: dial,
 		idle: map[fleet.EndpointID][]*conn{}, open: map[fleet.EndpointID]int{},
 	}
 }
@@ -335,7 +335,7 @@
 		if resp.StatusCode < http.StatusOK {
 			continue
 		}
-		info := c.wire.DecodeAnswer(resp.StatusCode, resp.Header)
+		info := c.codec.DecodeAnswer(resp.StatusCode, resp.Header)
 		ours := info.AttemptID == o.AttemptID || (info.AttemptID == "" && info.NotRun)
 		if ours {
 			return &Answer{
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -42,7 +42,7 @@
 
 // Options configure a Handler.
 type Options struct {
-	Wire      HeaderCodec
+	Codec     HeaderCodec
 	Client    *Client
 	Placer    Placer
 	Table     func() *routes.Table // nil result: none yet
@@ -140,7 +140,7 @@
 	}
 	c := &call{Handler: h, w: w, r: r, rc: http.NewResponseController(w), ctx: r.Context()}
 	c.req.Arrived = time.Now()
-	c.in = h.o.Wire.DecodeRequest(r.Header)
+	c.in = h.o.Codec.DecodeRequest(r.Header)
 	c.events.last = c.in.LastEvent
 	c.report.ID, c.report.Arrived = c.in.AttemptID, c.req.Arrived
 	defer func() {
@@ -402,7 +402,7 @@
 func (c *call) refuse(status int, code string, retryAfter time.Duration) {
 	c.report.Status, c.report.Code, c.report.RetryAfter = status, code, retryAfter
 	h := c.w.Header()
-	c.o.Wire.EncodeRefusal(h, c.in.AttemptID, retryAfter)
+	c.o.Codec.EncodeRefusal(h, c.in.AttemptID, retryAfter)
 	c.closeIfDraining()
 	h.Set("Content-Type", "text/plain; charset=utf-8")
 	c.w.WriteHeader(status)
--- a/forward/handler_test.go
+++ b/forward/handler_test.go
@@ -68,7 +68,7 @@
 	table.Index()
 	callers := NewCallerConns()
 	h := NewHandler(Options{
-		Wire: plainWire{}, Client: NewClient(plainWire{}, nil), Placer: p,
+		Codec: plainWire{}, Client: NewClient(plainWire{}, nil), Placer: p,
 		Table:     func() *routes.Table { return table },
 		KeysFresh: func() bool { return true }, KeysAge: func() time.Duration { return 0 },
 		Draining: func() bool { return !stops.IsZero() }, ShutdownDeadline: func() time.Time { return stops },
--- a/router/router.go
+++ b/router/router.go
@@ -149,7 +149,7 @@
 	}
 	r.front = &http.Server{
 		Handler: forward.NewHandler(forward.Options{
-			Wire: o.Wire, Client: r.client, Placer: r.dispatch,
+			Codec: o.Wire, Client: r.client, Placer: r.dispatch,
 			Table:            func() *routes.Table { return s.table.Load() },
 			KeysFresh:        r.keysFresh,
 			KeysAge:          r.keysAge,
