--- a/quota/message.go
+++ b/quota/message.go
@@ -9,59 +9,60 @@
 	"github.com/merlindock/merlindock/internal/wire"
 )
 
-// ErrMessage reports a message that no daemon of this release sends.
-var ErrMessage = errors.New("quota: message is malformed")
+// ErrMalformed reports a message that is not in the format of this release.
+var ErrMalformed = errors.New("quota: message is malformed")
 
-// Kinds of message, with the version of their layout.
+// Message types. A change of the layout takes a new number.
 const (
 	kindAsk   = 0x11
 	kindReply = 0x13
 )
 
-// Bounds of messages. One fits into a datagram on links of any usual size.
+// Limits of messages. The longest one fits into a datagram at common MTUs.
 const (
-	maxEntries  = 32
-	maxUnits    = 1 << 40
-	partUnit    = 1 << 24 // parts are sent in units of one over this
-	usedUnit    = 1000    // use is sent in thousandths of the limit
-	lentUnit    = 1000    // what is lent is sent in thousandths of a unit, rounded down
-	maxHold     = 10 * time.Second
-	maxAgain    = time.Minute
-	MaxDatagram = 1400 // bytes
+	maxEntries    = 32
+	maxUnits      = 1 << 40
+	fractionScale = 1 << 24 // fractions are encoded as multiples of 1/fractionScale
+	usedScale     = 1000    // use is encoded in thousandths of the limit
+	lentScale     = 1000    // lent units are encoded in thousandths, rounded down
+	maxPledgeTTL  = 10 * time.Second
+	maxReplyDelay = time.Minute
+	MaxDatagram   = 1400 // bytes
 )
 
-// ask is what a daemon pledges to the owner of a shard and asks of it.
+// ask is a daemon's request to the owner of a shard. It also pledges the
+// daemon's fraction.
 type ask struct {
-	Nonce   uint64 // of the sender's process
-	Seq     uint64 // grows with each question of the process
-	Shard   int
-	Part    float64       // the sender's part of the limits
-	Hold    time.Duration // for which it is pledged; 0: it is pledged elsewhere
-	Entries []askEntry
+	Nonce     uint64 // of the sender's process
+	Seq       uint64 // increases with each ask of the process
+	Shard     int
+	Fraction  float64       // the sender's fraction of the limits
+	PledgeTTL time.Duration // duration of the pledge; 0: pledged to another owner
+	Entries   []askEntry
 }
 
-// askEntry is the question for one organisation, in units of its limit.
+// askEntry is the demand of one organisation, in units of its limit.
 type askEntry struct {
-	Key     Key
-	Need    float64 // of requests that wait
-	Ahead   float64 // of those that probably come next
-	Refused float64 // of those turned away since the last question
+	Key      Key
+	Need     float64 // of waiting requests
+	Expected float64 // of requests expected next
+	Rejected float64 // of requests rejected since the last ask
 }
 
-// reply is an owner's answer.
+// reply is an owner's reply to an ask.
 type reply struct {
-	Seq     uint64 // of the question
-	Shard   int
-	Leaving bool // the owner lends nothing, and the sender's part is free
-	Entries []replyEntry
+	Seq          uint64 // of the ask
+	Shard        int
+	ShuttingDown bool // the owner lends nothing and releases the sender's pledge
+	Entries      []replyEntry
 }
 
 type replyEntry struct {
-	Key   Key
-	Lent  float64
-	Again time.Duration // until the next question; 0: all that was needed is lent
-	Retry time.Duration // for callers
-	Used  float64       // of the limit, lately; see Verdict
+	Key        Key
+	Lent       float64
+	AskAfter   time.Duration // until the next ask; 0: the need is covered
+	RetryAfter time.Duration // Retry-After for callers
+	Used       float64       // see Verdict
 }
 
 func appendUnits(b []byte, v float64) []byte {
@@ -72,40 +73,40 @@
 	return binary.AppendUvarint(b, uint64((d+time.Millisecond-1)/time.Millisecond))
 }
 
-// encode returns the message. Only the first maxEntries are sent.
+// encode returns the message with at most the first maxEntries entries.
 func (a *ask) encode() []byte {
 	b := []byte{kindAsk, byte(a.Shard)}
 	b = binary.LittleEndian.AppendUint64(b, a.Nonce)
 	b = binary.AppendUvarint(b, a.Seq)
-	b = binary.AppendUvarint(b, uint64(a.Part*partUnit))
-	b = appendMillis(b, a.Hold)
+	b = binary.AppendUvarint(b, uint64(a.Fraction*fractionScale))
+	b = appendMillis(b, a.PledgeTTL)
 	for _, e := range a.Entries[:min(len(a.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
 		b = appendUnits(b, e.Need)
-		b = appendUnits(b, e.Ahead)
-		b = appendUnits(b, e.Refused)
+		b = appendUnits(b, e.Expected)
+		b = appendUnits(b, e.Rejected)
 	}
 	return b
 }
 
 func (r *reply) encode() []byte {
 	leaving := byte(0)
-	if r.Leaving {
+	if r.ShuttingDown {
 		leaving = 1
 	}
 	b := []byte{kindReply, byte(r.Shard), leaving}
 	b = binary.AppendUvarint(b, r.Seq)
 	for _, e := range r.Entries[:min(len(r.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
-		b = appendUnits(b, math.Floor(e.Lent*lentUnit))
-		b = appendMillis(b, e.Again)
-		b = appendMillis(b, e.Retry)
-		b = appendUnits(b, e.Used*usedUnit)
+		b = appendUnits(b, math.Floor(e.Lent*lentScale))
+		b = appendMillis(b, e.AskAfter)
+		b = appendMillis(b, e.RetryAfter)
+		b = appendUnits(b, e.Used*usedScale)
 	}
 	return b
 }
 
-// reader reads the fields of a message.
+// reader decodes the fields of a message.
 type reader struct{ wire.Reader }
 
 func (r *reader) units() float64 { return float64(r.Uvarint(maxUnits)) }
@@ -122,19 +123,19 @@
 func decodeAsk(b []byte) (ask, error) {
 	r := &reader{wire.Reader{Rest: b}}
 	if r.Byte() != kindAsk {
-		return ask{}, ErrMessage
+		return ask{}, ErrMalformed
 	}
 	a := ask{Shard: r.shard(), Nonce: r.Uint64(), Seq: r.Uvarint(math.MaxUint64)}
-	a.Part = float64(r.Uvarint(partUnit)) / partUnit
-	a.Hold = r.Millis(maxHold)
+	a.Fraction = float64(r.Uvarint(fractionScale)) / fractionScale
+	a.PledgeTTL = r.Millis(maxPledgeTTL)
 	for r.More() {
 		if len(a.Entries) == maxEntries {
-			return ask{}, ErrMessage
+			return ask{}, ErrMalformed
 		}
-		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Ahead: r.units(), Refused: r.units()})
+		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Expected: r.units(), Rejected: r.units()})
 	}
 	if r.Bad {
-		return ask{}, ErrMessage
+		return ask{}, ErrMalformed
 	}
 	return a, nil
 }
@@ -142,17 +143,17 @@
 func decodeReply(b []byte) (reply, error) {
 	r := &reader{wire.Reader{Rest: b}}
 	if r.Byte() != kindReply {
-		return reply{}, ErrMessage
+		return reply{}, ErrMalformed
 	}
-	out := reply{Shard: r.shard(), Leaving: r.Byte() == 1, Seq: r.Uvarint(math.MaxUint64)}
+	out := reply{Shard: r.shard(), ShuttingDown: r.Byte() == 1, Seq: r.Uvarint(math.MaxUint64)}
 	for r.More() {
 		if len(out.Entries) == maxEntries {
-			return reply{}, ErrMessage
+			return reply{}, ErrMalformed
 		}
-		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentUnit, Again: r.Millis(maxAgain), Retry: r.Millis(maxAgain), Used: r.units() / usedUnit})
+		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentScale, AskAfter: r.Millis(maxReplyDelay), RetryAfter: r.Millis(maxReplyDelay), Used: r.units() / usedScale})
 	}
 	if r.Bad {
-		return reply{}, ErrMessage
+		return reply{}, ErrMalformed
 	}
 	return out, nil
 }
--- a/quota/node.go
+++ b/quota/node.go
@@ -10,96 +10,96 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// Daemon is a daemon of the deployment.
+// Daemon is the name and the address of a daemon of the deployment.
 type Daemon struct {
 	Name    string
-	Address string // where it takes messages, IP:port
+	Address string // IP:port for messages between daemons
 }
 
-// Datagram is a message to another daemon. It may be lost, late or doubled.
+// Datagram is a message to another daemon. It may be lost, delayed or duplicated.
 type Datagram struct {
 	To   string // Daemon.Address
 	Data []byte
 }
 
-// Options are what a Node needs.
+// Options configure a Node.
 type Options struct {
-	Me        Daemon
+	Self      Daemon
 	Tolerance Tolerance
-	Nonce     uint64     // drawn anew by each process
-	Rand      *rand.Rand // seeded; spreads the times to come back
+	Nonce     uint64     // random, new for each process
+	Rand      *rand.Rand // seeded; spreads the Retry-After times
 }
 
-// Node is one daemon's part in holding the limits: it asks the owners for
-// tokens, and is itself an owner for others. It is not safe for concurrent use.
-// What it wants to send is collected until Outbox is called.
+// Node enforces the limits at one daemon: it asks the owners for tokens, and is
+// itself an owner for others. It is not safe for concurrent use. Outgoing
+// messages are collected until Outbox is called.
 type Node struct {
-	o        Options
-	accounts map[Key]*account
-	shards   [Shards]shard
-	daemons  int // listed; 0: none are known yet
-	seq      uint64
-	leaving  bool
-	out      []Datagram
+	o            Options
+	accounts     map[Key]*account
+	shards       [Shards]shard
+	daemons      int // number of listed daemons; 0: no list yet
+	seq          uint64
+	shuttingDown bool
+	outbox       []Datagram
 }
 
 // shard is one daemon's view of a shard.
 type shard struct {
-	keys   []Key    // its organisations with a limit
-	order  []Daemon // in which daemons are asked
-	away   map[string]time.Duration
-	owner  Daemon // that is asked now
-	flight flight // the question that was not answered yet
-	probe  flight // a question to a daemon that did not answer before
-	pledge pledged
-	ledger ledger
-	// misses are the daemons in a row that did not answer.
-	misses int
-}
-
-// pledged is where this daemon's part of the limits is.
-type pledged struct {
+	keys         []Key    // organisations with a limit
+	order        []Daemon // daemons by rank
+	skippedUntil map[string]time.Duration
+	owner        Daemon      // currently asked
+	pendingAsk   inFlightAsk // the ask without a reply yet
+	pendingProbe inFlightAsk // an ask to a skipped daemon
+	ownPledge    pledgeState
+	lender       shardOwner
+	// missed counts the consecutive daemons that did not reply.
+	missed int
+}
+
+// pledgeState is this daemon's current pledge of its fraction.
+type pledgeState struct {
 	to     string // address
 	until  time.Duration
-	renews time.Duration // when the next message is due
+	renews time.Duration // when the renewal is due
 }
 
-// flight is a question on its way. The zero value is none.
-type flight struct {
+// inFlightAsk is an ask without a reply yet. The zero value is none.
+type inFlightAsk struct {
 	seq  uint64
 	to   Daemon
 	sent time.Duration
-	// repeats counts the questions before this one that were not answered.
+	// repeats counts the preceding asks without a reply.
 	repeats int
 }
 
-// NewNode returns a Node that knows no limits and no daemons.
+// NewNode returns a Node without limits and without a list of daemons.
 func NewNode(o Options) *Node {
 	n := &Node{o: o, accounts: map[Key]*account{}}
 	for i := range n.shards {
-		n.shards[i] = shard{away: map[string]time.Duration{}, ledger: newLedger(), owner: o.Me, order: []Daemon{o.Me}}
+		n.shards[i] = shard{skippedUntil: map[string]time.Duration{}, lender: newShardOwner(), owner: o.Self, order: []Daemon{o.Self}}
 	}
 	return n
 }
 
-// SetDaemons takes the list of all daemons, this one included.
+// SetDaemons sets the list of all daemons, including this one.
 func (n *Node) SetDaemons(all []Daemon) {
 	n.daemons = len(all)
-	if !slices.Contains(all, n.o.Me) {
-		all = append(slices.Clone(all), n.o.Me)
+	if !slices.Contains(all, n.o.Self) {
+		all = append(slices.Clone(all), n.o.Self)
 	}
 	for i := range n.shards {
 		s := &n.shards[i]
-		s.order = ordered(i, all)
-		if next := s.choose(n.o.Me); next != s.owner {
-			s.owner, s.flight, s.pledge.renews = next, flight{}, 0
+		s.order = rankDaemons(i, all)
+		if next := s.chooseOwner(n.o.Self); next != s.owner {
+			s.owner, s.pendingAsk, s.ownPledge.renews = next, inFlightAsk{}, 0
 		}
 	}
 }
 
-// ordered puts the daemons into the order in which they are asked in a shard, the
-// same at all daemons.
-func ordered(shard int, all []Daemon) []Daemon {
+// rankDaemons sorts the daemons by their rank for a shard. All daemons with the
+// same list get the same order.
+func rankDaemons(shard int, all []Daemon) []Daemon {
 	type ranked struct {
 		rank uint64
 		Daemon
@@ -118,16 +118,15 @@
 	return out
 }
 
-// part is this daemon's part of the limits.
-func (n *Node) part() float64 {
+// pledgeFraction returns this daemon's fraction of the limits.
+func (n *Node) pledgeFraction() float64 {
 	if n.daemons == 0 {
-		return 1.0 / unlistedDaemons
+		return 1.0 / assumedDaemons
 	}
 	return 1 / float64(n.daemons)
 }
 
-// SetLimits takes the limits in force. Organisations without one are not
-// limited.
+// SetLimits sets the current limits. Organisations without one are not limited.
 func (n *Node) SetLimits(now time.Duration, limits map[Key]Limit) {
 	var parts [Shards]map[Key]Limit
 	for i := range parts {
@@ -141,129 +140,129 @@
 		parts[i][key] = limit
 		a := n.accounts[key]
 		if a == nil {
-			a = &account{key: key, shard: i, demandAt: now, turnsAt: now + grantLife}
+			a = &account{key: key, shard: i, demandAt: now, expiresAt: now + grantTTL}
 			n.accounts[key] = a
 		}
 		a.limit = limit
 	}
 	for key, a := range n.accounts {
 		if _, ok := parts[a.shard][key]; !ok {
-			a.settle(func(waiter) Verdict { return Verdict{Admitted: true} })
+			a.resolveWaiters(func(waiter) Verdict { return Verdict{Admitted: true} })
 			delete(n.accounts, key)
 		}
 	}
 	for i := range n.shards {
 		n.shards[i].keys = slices.Sorted(maps.Keys(parts[i]))
-		n.shards[i].ledger.setLimits(now, parts[i])
+		n.shards[i].lender.setLimits(now, parts[i])
 	}
 }
 
-// settle ends the waiting of all requests.
-func (a *account) settle(verdict func(waiter) Verdict) {
+// resolveWaiters passes a verdict to all waiting requests.
+func (a *account) resolveWaiters(verdict func(waiter) Verdict) {
 	for _, w := range a.waiters {
 		w.done(verdict(w))
 	}
 	a.waiters = nil
 }
 
-// Admit decides on a request. tokens is negative if it does not tell them. If
-// an owner has to be asked first, decided is false, and done is called with the
-// verdict, from within this call or a later one to the Node.
+// Admit decides on a request. tokens is negative if the request states no token
+// count. If an owner has to be asked first, decided is false, and done is called
+// with the verdict, from within this call or a later one to the Node.
 func (n *Node) Admit(now time.Duration, key Key, tokens int, done func(Verdict)) (v Verdict, decided bool) {
 	a := n.accounts[key]
 	if a == nil {
 		return Verdict{Admitted: true}, true
 	}
-	a.turn(now)
+	a.expireLent(now)
 	cost := a.limit.Cost(tokens)
-	a.seen(now, cost)
+	a.countDemand(now, cost)
 	s := &n.shards[a.shard]
-	if len(a.waiters) == 0 && a.take(cost) {
-		return Verdict{Admitted: true, Owner: s.owner.Name, Age: now - a.word, Used: a.used}, true
+	if len(a.waiters) == 0 && a.spend(cost) {
+		return Verdict{Admitted: true, Owner: s.owner.Name, Age: now - a.updatedAt, Used: a.used}, true
 	}
 	if now < a.deniedUntil {
-		a.refused += cost
-		return n.refusal(now, a, s.owner.Name), true
+		a.rejected += cost
+		return n.rejection(now, a, s.owner.Name), true
 	}
 	a.waiters = append(a.waiters, waiter{cost: cost, since: now, done: done})
-	if s.flight.seq == 0 {
+	if s.pendingAsk.seq == 0 {
 		n.ask(now, a.shard)
 	}
 	return Verdict{}, false
 }
 
-// Holds tells whether the next request of one unit would be admitted at once.
-func (n *Node) Holds(now time.Duration, key Key) bool {
+// CanAdmit reports whether a request of one unit would be admitted at once.
+func (n *Node) CanAdmit(now time.Duration, key Key) bool {
 	a := n.accounts[key]
 	if a == nil {
 		return true
 	}
-	a.turn(now)
-	return len(a.waiters) == 0 && a.balance() >= 1-rounding
+	a.expireLent(now)
+	return len(a.waiters) == 0 && a.balance() >= 1-roundingError
 }
 
-// Denied tells whether the next request of one unit would be turned away at once.
+// Denied reports whether a request of one unit would be rejected at once.
 func (n *Node) Denied(now time.Duration, key Key) bool {
 	a := n.accounts[key]
-	return a != nil && now < a.deniedUntil && !n.Holds(now, key)
+	return a != nil && now < a.deniedUntil && !n.CanAdmit(now, key)
 }
 
-// GiveBack returns what a request took that did not run.
-func (n *Node) GiveBack(key Key, tokens int) {
+// Refund returns the units of an admitted request that did not run.
+func (n *Node) Refund(key Key, tokens int) {
 	if a := n.accounts[key]; a != nil {
 		a.add(a.limit.Cost(tokens))
 	}
 }
 
-// Charge takes what a further run of a request takes, whether it is there or not.
+// Charge takes the units of a further run of a request, even if too few are left.
 func (n *Node) Charge(key Key, tokens int) {
 	if a := n.accounts[key]; a != nil {
 		a.add(-a.limit.Cost(tokens))
 	}
 }
 
-func (n *Node) refusal(now time.Duration, a *account, owner string) Verdict {
+func (n *Node) rejection(now time.Duration, a *account, owner string) Verdict {
 	spread := 1 + n.o.Rand.Float64()/4
-	after := time.Duration(float64(max(a.retry, a.deniedUntil-now)) * spread)
-	return Verdict{RetryAfter: after, Owner: owner, Age: now - a.word, Used: a.used}
+	after := time.Duration(float64(max(a.retryAfter, a.deniedUntil-now)) * spread)
+	return Verdict{RetryAfter: after, Owner: owner, Age: now - a.updatedAt, Used: a.used}
 }
 
-// ask sends the questions of a shard to its owner, with the pledge.
+// ask sends the demand of a shard's organisations and the pledge to the owner.
 func (n *Node) ask(now time.Duration, i int) {
 	s := &n.shards[i]
 	n.seq++
-	q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Part: n.part()}
+	q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Fraction: n.pledgeFraction()}
 	for _, key := range s.keys {
 		a := n.accounts[key]
-		a.turn(now)
+		a.expireLent(now)
 		a.admitWaiting(s.owner.Name)
-		if e, some := a.question(now); some && len(q.Entries) < maxEntries {
+		if e, some := a.buildEntry(now); some && len(q.Entries) < maxEntries {
 			q.Entries = append(q.Entries, e)
 		}
 	}
-	if s.pledge.to == s.owner.Address || s.pledge.until <= now {
-		q.Hold = pledgeTime
-		s.pledge.to, s.pledge.until = s.owner.Address, now+pledgeTime+transit
+	if s.ownPledge.to == s.owner.Address || s.ownPledge.until <= now {
+		q.PledgeTTL = pledgeTTL
+		s.ownPledge.to, s.ownPledge.until = s.owner.Address, now+pledgeTTL+maxTransit
 	}
-	s.pledge.renews = min(now+pledgeEvery, s.pledge.until)
-	if s.owner == n.o.Me {
-		if r, ok := s.ledger.answer(now, n.o.Tolerance, n.o.Me.Address, &q); ok {
-			n.replied(now, i, &r)
+	s.ownPledge.renews = min(now+pledgeInterval, s.ownPledge.until)
+	if s.owner == n.o.Self {
+		if r, ok := s.lender.lend(now, n.o.Tolerance, n.o.Self.Address, &q); ok {
+			n.handleReply(now, i, &r)
 		}
 		return
 	}
-	s.flight = flight{seq: n.seq, to: s.owner, sent: now, repeats: s.flight.repeats}
-	n.out = append(n.out, Datagram{To: s.owner.Address, Data: q.encode()})
+	s.pendingAsk = inFlightAsk{seq: n.seq, to: s.owner, sent: now, repeats: s.pendingAsk.repeats}
+	n.outbox = append(n.outbox, Datagram{To: s.owner.Address, Data: q.encode()})
 }
 
-// Receive takes a message from the given address. The error is ErrMessage.
+// Receive handles a message from the given address. The error is ErrMalformed.
 func (n *Node) Receive(now time.Duration, from string, data []byte) error {
 	if len(data) > 0 && data[0] == kindAsk {
 		q, err := decodeAsk(data)
 		if err != nil {
 			return err
 		}
-		n.answer(now, from, &q)
+		n.handleAsk(now, from, &q)
 		return nil
 	}
 	r, err := decodeReply(data)
@@ -272,36 +271,35 @@
 	}
 	s := &n.shards[r.Shard]
 	switch {
-	case r.Seq == s.flight.seq && from == s.flight.to.Address:
-		s.flight, s.misses = flight{}, 0
-		n.replied(now, r.Shard, &r)
-	case r.Seq == s.probe.seq && from == s.probe.to.Address:
-		n.isBack(now, r.Shard, &r)
-	}
-	// Any other answer is late. What it lends is lost, which errs on the side of
-	// the limit.
+	case r.Seq == s.pendingAsk.seq && from == s.pendingAsk.to.Address:
+		s.pendingAsk, s.missed = inFlightAsk{}, 0
+		n.handleReply(now, r.Shard, &r)
+	case r.Seq == s.pendingProbe.seq && from == s.pendingProbe.to.Address:
+		n.handleProbeReply(now, r.Shard, &r)
+	}
+	// Any other reply is late. The units that it lends are lost, so that the use
+	// stays below the limit.
 	return nil
 }
 
-func (n *Node) answer(now time.Duration, from string, q *ask) {
+func (n *Node) handleAsk(now time.Duration, from string, q *ask) {
 	s := &n.shards[q.Shard]
-	r := reply{Seq: q.Seq, Shard: q.Shard, Leaving: true}
-	if !n.leaving && n.daemons > 0 && len(s.ledger.buckets) > 0 {
+	r := reply{Seq: q.Seq, Shard: q.Shard, ShuttingDown: true}
+	if !n.shuttingDown && n.daemons > 0 && len(s.lender.buckets) > 0 {
 		var fresh bool
-		if r, fresh = s.ledger.answer(now, n.o.Tolerance, from, q); !fresh {
+		if r, fresh = s.lender.lend(now, n.o.Tolerance, from, q); !fresh {
 			return
 		}
 	}
-	n.out = append(n.out, Datagram{To: from, Data: r.encode()})
+	n.outbox = append(n.outbox, Datagram{To: from, Data: r.encode()})
 }
 
-// replied takes the answer of the owner and decides on the requests that waited
-// for it.
-func (n *Node) replied(now time.Duration, i int, r *reply) {
+// handleReply adds the units lent by the owner and decides on the waiting requests.
+func (n *Node) handleReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
-	if r.Leaving {
-		s.pledge = pledged{}
-		n.passOver(now, i, leavingTime)
+	if r.ShuttingDown {
+		s.ownPledge = pledgeState{}
+		n.skipOwner(now, i, leavingTTL)
 		return
 	}
 	for _, e := range r.Entries {
@@ -309,26 +307,26 @@
 		if a == nil || a.shard != i {
 			continue
 		}
-		a.turn(now)
+		a.expireLent(now)
 		a.add(e.Lent)
-		a.word, a.used = now, e.Used
-		a.retry, a.deniedUntil = e.Retry, now+e.Again
-		n.decide(now, a, s.owner.Name)
+		a.updatedAt, a.used = now, e.Used
+		a.retryAfter, a.deniedUntil = e.RetryAfter, now+e.AskAfter
+		n.resolveAsked(now, a, s.owner.Name)
 	}
 	for _, key := range s.keys {
-		if len(n.accounts[key].waiters) > 0 && s.flight.seq == 0 {
+		if len(n.accounts[key].waiters) > 0 && s.pendingAsk.seq == 0 {
 			n.ask(now, i)
 			return
 		}
 	}
 }
 
-// admitWaiting admits the requests that wait for which there are tokens.
+// admitWaiting admits the waiting requests that the lent tokens cover.
 func (a *account) admitWaiting(owner string) {
 	waiting := a.waiters
 	a.waiters = nil
 	for _, w := range waiting {
-		if a.take(w.cost) {
+		if a.spend(w.cost) {
 			w.done(Verdict{Admitted: true, Owner: owner, Used: a.used})
 		} else {
 			a.waiters = append(a.waiters, w)
@@ -336,153 +334,152 @@
 	}
 }
 
-// decide admits the requests that wait for as long as there are tokens. The
-// others that the question named are turned away: the owner had no more.
-func (n *Node) decide(now time.Duration, a *account, owner string) {
+// resolveAsked admits the waiting requests that the lent tokens cover. Of the
+// others, those that were included in the ask are rejected: the owner had no more.
+func (n *Node) resolveAsked(now time.Duration, a *account, owner string) {
 	a.admitWaiting(owner)
 	waiting := a.waiters
 	a.waiters = nil
 	for _, w := range waiting {
 		switch {
 		case w.asked || now < a.deniedUntil:
-			w.done(n.refusal(now, a, owner))
+			w.done(n.rejection(now, a, owner))
 		default:
 			a.waiters = append(a.waiters, w)
 		}
 	}
 }
 
-// passOver leaves the owner for a while and turns to the next. A daemon that had
-// no answer from several is probably cut off, and lends to itself until a probe
-// is answered.
-func (n *Node) passOver(now time.Duration, i int, span time.Duration) {
+// skipOwner skips the owner for the given time and asks the next daemon. A daemon
+// without a reply from several others is probably isolated, and lends to itself
+// until a probe is answered.
+func (n *Node) skipOwner(now time.Duration, i int, span time.Duration) {
 	s := &n.shards[i]
-	s.away[s.owner.Address] = now + span
-	s.flight, s.owner = flight{}, s.choose(n.o.Me)
+	s.skippedUntil[s.owner.Address] = now + span
+	s.pendingAsk, s.owner = inFlightAsk{}, s.chooseOwner(n.o.Self)
 	n.ask(now, i)
 }
 
-// choose returns the first daemon that was not passed over, or this one if it
-// seems to be cut off.
-func (s *shard) choose(me Daemon) Daemon {
-	if s.misses >= missesMost {
+// chooseOwner returns the first daemon that is not skipped, or this one if it seems
+// to be isolated.
+func (s *shard) chooseOwner(me Daemon) Daemon {
+	if s.missed >= maxMissed {
 		return me
 	}
 	for _, next := range s.order {
-		if _, gone := s.away[next.Address]; !gone || next == me {
+		if _, gone := s.skippedUntil[next.Address]; !gone || next == me {
 			return next
 		}
 	}
 	return me
 }
 
-// isBack takes the answer of a daemon that did not answer before. If it comes
-// before the present owner in the order, it is asked from now on.
-func (n *Node) isBack(now time.Duration, i int, r *reply) {
+// handleProbeReply handles the reply of a skipped daemon. If it ranks before the
+// current owner, it becomes the owner.
+func (n *Node) handleProbeReply(now time.Duration, i int, r *reply) {
 	s := &n.shards[i]
-	d := s.probe.to
-	s.probe = flight{}
-	if r.Leaving {
-		s.away[d.Address] = now + leavingTime
+	d := s.pendingProbe.to
+	s.pendingProbe = inFlightAsk{}
+	if r.ShuttingDown {
+		s.skippedUntil[d.Address] = now + leavingTTL
 		return
 	}
-	delete(s.away, d.Address)
-	s.misses = 0
-	if slices.Index(s.order, d) < slices.Index(s.order, s.owner) && s.flight.seq == 0 {
+	delete(s.skippedUntil, d.Address)
+	s.missed = 0
+	if slices.Index(s.order, d) < slices.Index(s.order, s.owner) && s.pendingAsk.seq == 0 {
 		s.owner = d
 		n.ask(now, i)
 	}
 }
 
-// Tick does what is due with time alone. Call it every 20 ms or so while
-// requests wait, and every 100 ms otherwise.
+// Tick runs the timers: accrual, timeouts, pledges and probes. Call it about every
+// 20 ms while Waiting returns true, and every 100 ms otherwise.
 func (n *Node) Tick(now time.Duration) {
 	for i := range n.shards {
 		s := &n.shards[i]
 		if len(s.keys) == 0 {
 			continue
 		}
-		s.ledger.advance(now, n.o.Tolerance)
-		n.expire(now, i)
-		if s.flight.seq == 0 && now >= s.pledge.renews {
+		s.lender.accrue(now, n.o.Tolerance)
+		n.handleTimeouts(now, i)
+		if s.pendingAsk.seq == 0 && now >= s.ownPledge.renews {
 			n.ask(now, i)
 		}
-		n.probeAway(now, i)
+		n.probeSkipped(now, i)
 	}
 }
 
-// expire gives up questions and requests that have waited for too long.
-func (n *Node) expire(now time.Duration, i int) {
+// handleTimeouts repeats or gives up asks without a reply, and rejects requests after maxWait.
+func (n *Node) handleTimeouts(now time.Duration, i int) {
 	s := &n.shards[i]
-	if f := s.flight; f.seq != 0 {
+	if f := s.pendingAsk; f.seq != 0 {
 		switch waited := now - f.sent; {
-		case f.repeats < repeatsMost && waited >= firstPatience:
-			s.flight.repeats++
+		case f.repeats < maxRepeats && waited >= replyTimeout:
+			s.pendingAsk.repeats++
 			n.ask(now, i)
-		case f.repeats == repeatsMost && waited >= lastPatience:
-			s.misses++
-			n.passOver(now, i, awayTime)
+		case f.repeats == maxRepeats && waited >= finalReplyTimeout:
+			s.missed++
+			n.skipOwner(now, i, unresponsiveTTL)
 		}
 	}
 	for _, key := range s.keys {
 		a := n.accounts[key]
 		kept := a.waiters[:0]
 		for _, w := range a.waiters {
-			if now-w.since < waitMost {
+			if now-w.since < maxWait {
 				kept = append(kept, w)
 				continue
 			}
-			w.done(Verdict{RetryAfter: retryElsewhere, Age: now - a.word, Used: a.used})
+			w.done(Verdict{RetryAfter: retryOtherDaemon, Age: now - a.updatedAt, Used: a.used})
 		}
 		a.waiters = kept
 	}
 }
 
-// probeAway asks the first daemon that was passed over for long enough whether
-// it is back. A daemon that seems to be cut off asks those that it never asked
-// as well.
-func (n *Node) probeAway(now time.Duration, i int) {
+// probeSkipped sends a probe to the first daemon that was skipped for long enough. A
+// daemon that seems to be isolated also probes those that it never asked.
+func (n *Node) probeSkipped(now time.Duration, i int) {
 	s := &n.shards[i]
-	if s.probe.seq != 0 {
-		if now-s.probe.sent < lastPatience {
+	if s.pendingProbe.seq != 0 {
+		if now-s.pendingProbe.sent < finalReplyTimeout {
 			return
 		}
-		s.away[s.probe.to.Address] = now + awayTime
-		s.probe = flight{}
+		s.skippedUntil[s.pendingProbe.to.Address] = now + unresponsiveTTL
+		s.pendingProbe = inFlightAsk{}
 	}
 	for _, d := range s.order {
-		if d == n.o.Me {
+		if d == n.o.Self {
 			return
 		}
-		until, gone := s.away[d.Address]
-		if gone && now < until || !gone && s.misses < missesMost {
+		until, gone := s.skippedUntil[d.Address]
+		if gone && now < until || !gone && s.missed < maxMissed {
 			continue
 		}
 		n.seq++
-		q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Part: n.part()}
-		s.probe = flight{seq: n.seq, to: d, sent: now}
-		n.out = append(n.out, Datagram{To: d.Address, Data: q.encode()})
+		q := ask{Nonce: n.o.Nonce, Seq: n.seq, Shard: i, Fraction: n.pledgeFraction()}
+		s.pendingProbe = inFlightAsk{seq: n.seq, to: d, sent: now}
+		n.outbox = append(n.outbox, Datagram{To: d.Address, Data: q.encode()})
 		return
 	}
 }
 
-// Waiting tells whether requests wait for an owner's word.
+// Waiting reports whether an ask has no reply yet.
 func (n *Node) Waiting() bool {
 	for i := range n.shards {
-		if n.shards[i].flight.seq != 0 {
+		if n.shards[i].pendingAsk.seq != 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// Leave has the node lend nothing any more, so that the others turn elsewhere at
-// once.
-func (n *Node) Leave() { n.leaving = true }
+// StopLending makes the node reply to all asks that it is leaving, so that the
+// other daemons choose another owner at once.
+func (n *Node) StopLending() { n.shuttingDown = true }
 
-// Outbox returns what is to be sent and forgets it.
+// Outbox returns the messages to be sent and clears the list.
 func (n *Node) Outbox() []Datagram {
-	out := n.out
-	n.out = nil
+	out := n.outbox
+	n.outbox = nil
 	return out
 }
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -5,52 +5,53 @@
 	"time"
 )
 
-// mostLost is the part of the owed requests that may be refused.
-const mostLost = 1.0 / 200
+// maxWrongRefusals is the fraction of the requests within the limit that may be rejected.
+const maxWrongRefusals = 1.0 / 200
 
-// sizes are limits in tokens/s as a deployment with a few large organisations has
-// them: the smallest takes less than three long prompts a second.
+// sizes are the limits in tokens/s of a deployment with a few large organisations.
+// The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
-func mustLoseFew(t *testing.T, w *world) {
+func checkWrongRefusals(t *testing.T, w *simulation) {
 	t.Helper()
-	part, lost, owed := w.lost()
-	t.Logf("%d of %d owed requests refused (%.5f); %d messages, %.0f bytes a second and daemon", lost, owed, part, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
-	if part > mostLost {
-		t.Errorf("%d of %d owed requests were refused, allowed is 1 in 200", lost, owed)
+	fraction, lost, owed := w.wrongRefusals()
+	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
+	if fraction > maxWrongRefusals {
+		t.Errorf("%d of %d requests within the limit were rejected, allowed is 1 in 200", lost, owed)
 	}
 }
 
-// A long prompt takes as many tokens as a daemon's equal part of the limit brings in
-// half a minute. With equal parts most of an organisation's long prompts would be
-// refused, though it uses half of its limit.
-func TestLongPromptsWithinTheLimitAreAdmitted(t *testing.T) {
+// A long prompt costs as many tokens as a daemon's equal fraction of the limit accrues
+// in half a minute. With equal fractions, most long prompts of an organisation would be
+// rejected although it uses only half of its limit.
+func TestAdmitsLongPromptsWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 1, 73, limits)
-	w.play(3*time.Second, nil)
-	w.play(30*time.Second, traffic)
-	mustLoseFew(t, w)
+	w := newSimulation(t, 1, 73, limits)
+	w.run(3*time.Second, nil)
+	w.run(30*time.Second, traffic)
+	checkWrongRefusals(t, w)
 	w.check()
 }
 
-// Three organisations send many times their usual at once. They must get their
-// limit, no more and hardly less, and the others must not feel it.
-func TestHotOrganisationsGetTheirLimit(t *testing.T) {
+// Three organisations send several times their usual traffic at once. They must get at
+// least 95% of their limit and no more than allowed, and no other organisation may be
+// affected.
+func TestOverloadedOrganisationsGetTheirLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newWorld(t, 2, 73, limits)
-	w.play(3*time.Second, nil)
-	w.play(10*time.Second, traffic)
-	hot := append(times(traffic[:2], 7.5), times(traffic[8:9], 7.5)...)
-	w.play(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
-	w.play(8*time.Second, traffic)
+	w := newSimulation(t, 2, 73, limits)
+	w.run(3*time.Second, nil)
+	w.run(10*time.Second, traffic)
+	hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
+	w.run(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
+	w.run(8*time.Second, traffic)
 	w.check()
 	for _, i := range []int{0, 1, 8} {
 		h := w.use[traffic[i].key]
-		got := h.most() / (h.limit.PerSecond * window.Seconds())
-		t.Logf("organisation %d: %.3f of its limit in the fullest window, %d of %d refused, %d of them owed", i, got, h.refused, h.asked, h.lost)
+		got := h.peakUse() / (h.limit.PerSecond * window.Seconds())
+		t.Logf("organisation %d: %.3f of its limit in the window of peak use, %d of %d rejected, %d of them within the limit", i, got, h.refused, h.asked, h.wronglyRefused)
 		if got < 0.95 {
 			t.Errorf("organisation %d got %.2f of its limit", i, got)
 		}
 	}
-	mustLoseFew(t, w)
+	checkWrongRefusals(t, w)
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -7,55 +7,55 @@
 	"time"
 )
 
-// world plays daemons, their messages and callers in virtual time, in steps of a
-// millisecond.
-type world struct {
-	t      testing.TB
-	rng    *rand.Rand
-	now    time.Duration
-	tol    Tolerance
-	limits map[Key]Limit
-	nodes  []*machine
-	byAddr map[string]*machine
-	mail   map[time.Duration][]letter // by time of arrival
-	loss   float64                    // part of the messages
-	double float64
-	late   float64 // part of the messages that come up to a second late
-	cut    func(a, b int) bool
-	use    map[Key]*history
-	bytes  int
-	sent   int
-	parts  *parts // another way to hold the limits; nil: the nodes do
+// simulation simulates daemons, their messages and callers in virtual time, in steps of
+// a millisecond.
+type simulation struct {
+	t           testing.TB
+	rng         *rand.Rand
+	now         time.Duration
+	tol         Tolerance
+	limits      map[Key]Limit
+	nodes       []*simDaemon
+	byAddr      map[string]*simDaemon
+	inTransit   map[time.Duration][]packet // by time of arrival
+	loss        float64                    // fraction of the messages
+	double      float64
+	late        float64 // fraction of the messages that arrive up to a second late
+	partitioned func(a, b int) bool
+	use         map[Key]*history
+	bytes       int
+	sent        int
+	fractions   *fractionLimiter // baseline to compare with; nil: the nodes decide
 }
 
-type letter struct {
+type packet struct {
 	from string
 	to   string
 	data []byte
 }
 
-// machine is one daemon.
-type machine struct {
+// simDaemon is a simulated daemon.
+type simDaemon struct {
 	index  int
 	me     Daemon
 	node   *Node
 	down   bool
-	frozen bool
-	queue  []letter // that came while it was frozen
+	paused bool
+	queue  []packet // received while paused
 	skew   time.Duration
 }
 
-// history is what came of an organisation's requests.
+// history records the requests of an organisation and their verdicts.
 type history struct {
-	limit    Limit
-	admitted []use // as they ran
-	level    float64
-	at       time.Duration
-	asked    int
-	owed     int // requests within the limit, by what was used before
-	lost     int // of those, refused
-	refused  int
-	waits    []time.Duration
+	limit          Limit
+	admitted       []use // in order of time
+	level          float64
+	at             time.Duration
+	asked          int
+	withinLimit    int // requests within the limit, by the use before them
+	wronglyRefused int // rejected ones among them
+	refused        int
+	waits          []time.Duration
 }
 
 type use struct {
@@ -67,10 +67,10 @@
 
 const window = 8 * time.Second
 
-func newWorld(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *world {
-	w := &world{
-		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*machine{},
-		mail: map[time.Duration][]letter{}, use: map[Key]*history{},
+func newSimulation(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *simulation {
+	w := &simulation{
+		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*simDaemon{},
+		inTransit: map[time.Duration][]packet{}, use: map[Key]*history{},
 	}
 	for i := range daemons {
 		w.add(i)
@@ -85,26 +85,26 @@
 	return w
 }
 
-func (w *world) add(i int) {
-	m := &machine{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
+func (w *simulation) add(i int) {
+	m := &simDaemon{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
 	w.nodes = append(w.nodes, m)
 	w.byAddr[m.me.Address] = m
 	m.node = w.process(m)
 }
 
-func (w *world) process(m *machine) *Node {
-	return NewNode(Options{Me: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
+func (w *simulation) process(m *simDaemon) *Node {
+	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
 }
 
-// restart ends the process of a daemon and starts another, which reads the list and
-// the limits at once.
-func (w *world) restart(m *machine) {
+// restart replaces the process of a daemon by a new one, which gets the list and the
+// limits at once.
+func (w *simulation) restart(m *simDaemon) {
 	m.node, m.queue, m.down = w.process(m), nil, false
 	m.node.SetDaemons(w.list())
 	m.node.SetLimits(w.now, w.limits)
 }
 
-func (w *world) list() []Daemon {
+func (w *simulation) list() []Daemon {
 	var out []Daemon
 	for _, m := range w.nodes {
 		out = append(out, m.me)
@@ -112,13 +112,13 @@
 	return out
 }
 
-// post sends what a daemon wants to send.
-func (w *world) post(m *machine) {
+// post sends the outgoing messages of a daemon.
+func (w *simulation) post(m *simDaemon) {
 	for _, d := range m.node.Outbox() {
 		w.sent++
 		w.bytes += len(d.Data) + 28 // headers of IP and UDP
 		to := w.byAddr[d.To]
-		if to == nil || w.cut != nil && w.cut(m.index, to.index) || w.rng.Float64() < w.loss {
+		if to == nil || w.partitioned != nil && w.partitioned(m.index, to.index) || w.rng.Float64() < w.loss {
 			continue
 		}
 		copies := 1
@@ -130,31 +130,31 @@
 			if w.rng.Float64() < w.late {
 				after += time.Duration(w.rng.IntN(1000)) * time.Millisecond
 			}
-			w.mail[w.now+after] = append(w.mail[w.now+after], letter{m.me.Address, d.To, d.Data})
+			w.inTransit[w.now+after] = append(w.inTransit[w.now+after], packet{m.me.Address, d.To, d.Data})
 		}
 	}
 }
 
-// step plays one millisecond.
-func (w *world) step() {
+// step advances the simulation by one millisecond.
+func (w *simulation) step() {
 	w.now += time.Millisecond
-	for _, l := range w.mail[w.now] {
+	for _, l := range w.inTransit[w.now] {
 		m := w.byAddr[l.to]
 		switch {
 		case m.down:
-		case m.frozen:
+		case m.paused:
 			m.queue = append(m.queue, l)
 		default:
 			w.deliver(m, l)
 		}
 	}
-	delete(w.mail, w.now)
-	if w.parts != nil {
-		w.parts.step(w)
+	delete(w.inTransit, w.now)
+	if w.fractions != nil {
+		w.fractions.step(w)
 		return
 	}
 	for _, m := range w.nodes {
-		if m.down || m.frozen {
+		if m.down || m.paused {
 			continue
 		}
 		every := int64(100)
@@ -168,32 +168,32 @@
 	}
 }
 
-func (w *world) deliver(m *machine, l letter) {
+func (w *simulation) deliver(m *simDaemon, l packet) {
 	if err := m.node.Receive(w.now+m.skew, l.from, l.data); err != nil {
 		w.t.Fatal(err)
 	}
 	w.post(m)
 }
 
-func (w *world) thaw(m *machine) {
-	m.frozen = false
+func (w *simulation) resume(m *simDaemon) {
+	m.paused = false
 	for _, l := range m.queue {
 		w.deliver(m, l)
 	}
 	m.queue = nil
 }
 
-// request has a caller of an organisation come to a daemon.
-func (w *world) request(m *machine, key Key, tokens int) {
-	if m.down || m.frozen {
+// request sends a request of an organisation to a daemon.
+func (w *simulation) request(m *simDaemon, key Key, tokens int) {
+	if m.down || m.paused {
 		return
 	}
 	h := w.use[key]
 	h.asked++
 	since := w.now
 	done := func(v Verdict) { h.verdict(w.now, w.now-since, h.limit.Cost(tokens), v) }
-	if w.parts != nil {
-		done(Verdict{Admitted: w.parts.admit(m.index, key, h.limit.Cost(tokens))})
+	if w.fractions != nil {
+		done(Verdict{Admitted: w.fractions.admit(m.index, key, h.limit.Cost(tokens))})
 		return
 	}
 	if v, decided := m.node.Admit(w.now+m.skew, key, tokens, done); decided {
@@ -202,15 +202,15 @@
 	w.post(m)
 }
 
-// verdict compares the decision with one bucket for all daemons that knows of
-// every request.
+// verdict records a decision and compares it with that of a single token bucket for
+// all requests.
 func (h *history) verdict(now, waited time.Duration, cost float64, v Verdict) {
 	h.level = min(h.limit.Burst, h.level+h.limit.PerSecond*(now-h.at).Seconds())
 	h.at = now
 	h.waits = append(h.waits, waited)
 	within := h.level >= cost
 	if within {
-		h.owed++
+		h.withinLimit++
 	}
 	if v.Admitted {
 		h.level -= cost
@@ -219,12 +219,12 @@
 	}
 	h.refused++
 	if within {
-		h.lost++
+		h.wronglyRefused++
 	}
 }
 
-// most is the largest use in any window.
-func (h *history) most() float64 {
+// peakUse returns the largest use in any window.
+func (h *history) peakUse() float64 {
 	most, sum, from := 0.0, 0.0, 0
 	for i := range h.admitted {
 		sum += h.admitted[i].cost
@@ -237,25 +237,25 @@
 	return most
 }
 
-func bound(l Limit, t Tolerance, span time.Duration) float64 {
+func allowedUse(l Limit, t Tolerance, span time.Duration) float64 {
 	return (l.PerSecond*span.Seconds()+l.Burst)*(1+t.Overage) + t.Slack
 }
 
-// check holds the use of all organisations against their limits.
-func (w *world) check() {
+// check fails the test if an organisation used more than allowed in any window.
+func (w *simulation) check() {
 	w.t.Helper()
 	for key, h := range w.use {
-		if most, allowed := h.most(), bound(h.limit, w.tol, window); most > allowed {
+		if most, allowed := h.peakUse(), allowedUse(h.limit, w.tol, window); most > allowed {
 			w.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
 		}
 	}
 }
 
-// lost returns the part of the owed requests that were refused.
-func (w *world) lost() (part float64, lost, owed int) {
+// wrongRefusals returns the fraction of the requests within the limit that were rejected.
+func (w *simulation) wrongRefusals() (fraction float64, lost, owed int) {
 	for _, h := range w.use {
-		lost += h.lost
-		owed += h.owed
+		lost += h.wronglyRefused
+		owed += h.withinLimit
 	}
 	return float64(lost) / float64(max(owed, 1)), lost, owed
 }
@@ -265,12 +265,12 @@
 	key   Key
 	long  float64 // requests/s with a long prompt
 	short float64 // requests/s with a short one
-	// at are the daemons that get the requests; nil: all.
+	// at lists the daemons that receive the requests; nil: all.
 	at []int
 }
 
-// play runs the given time with the traffic.
-func (w *world) play(span time.Duration, traffic []demand) {
+// run runs the simulation for the given time with the traffic.
+func (w *simulation) run(span time.Duration, traffic []demand) {
 	for end := w.now + span; w.now < end; {
 		w.step()
 		for i := range traffic {
@@ -281,7 +281,7 @@
 	}
 }
 
-func (w *world) arrive(d *demand, perSecond float64, tokens func() int) {
+func (w *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
 	for expected := perSecond / 1000; expected > 0; expected-- {
 		if w.rng.Float64() >= expected {
 			return
@@ -297,14 +297,14 @@
 // longTokens draws the size of a long prompt, 17,000 tokens on average.
 func longTokens(rng *rand.Rand) int { return 3000 + rng.IntN(28_000) }
 
-// organisations makes limits of the sizes given, in tokens/s, with a burst of a
-// second, and traffic that uses the given part of them.
+// organisations returns limits of the given rates in tokens/s, with a burst of one
+// second, and traffic that uses the given fraction of them.
 func organisations(used float64, rates ...float64) (map[Key]Limit, []demand) {
 	limits := map[Key]Limit{}
 	var traffic []demand
 	for i, rate := range rates {
 		key := KeyOf(fmt.Sprintf("org-%d", i))
-		limits[key] = Limit{PerSecond: rate, Burst: rate, Unit: Tokens, Plain: 200}
+		limits[key] = Limit{PerSecond: rate, Burst: rate, Unit: Tokens, DefaultCost: 200}
 		// A long prompt has 17,000 tokens, and six short ones of 390 come with it.
 		long := used * rate / (17_000 + 6*390)
 		traffic = append(traffic, demand{key: key, long: long, short: 6 * long})
@@ -312,7 +312,7 @@
 	return limits, traffic
 }
 
-func times(traffic []demand, x float64) []demand {
+func scaleTraffic(traffic []demand, x float64) []demand {
 	var out []demand
 	for _, d := range traffic {
 		d.long, d.short = d.long*x, d.short*x
--- a/room/room.go
+++ b/room/room.go
@@ -70,9 +70,9 @@
 	draw := func() *rand.Rand { return rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64())) }
 	return &Limiter{
 		o: o, passedOver: o.Scope.Counter("endpoint_limit_passed_over"), taken: o.Scope.Counter("endpoint_limit_taken"),
-		table: limits.NewTable(limits.Options{Me: o.Me, Rand: draw()}),
+		table: limits.NewTable(limits.Options{Self: o.Me, Rand: draw()}),
 		quota: quota.NewNode(quota.Options{
-			Me: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
+			Self: quota.Daemon{Name: o.Me.Name, Address: o.Me.Address}, Tolerance: limits.Tolerance,
 			Nonce: o.Rand.Uint64(), Rand: draw(),
 		}),
 		keys: map[fleet.EndpointID]quota.Key{}, awaiting: map[quota.Key]bool{},
@@ -111,12 +111,12 @@
 // Receive handles a message of another daemon. It returns false for messages of other
 // kinds.
 func (l *Limiter) Receive(from string, data []byte) bool {
-	if len(data) == 0 || !limits.Owns(data) && data[0] != messageKind {
+	if len(data) == 0 || !limits.IsMessage(data) && data[0] != messageKind {
 		return false
 	}
 	var err error
 	l.mu.Lock()
-	if limits.Owns(data) {
+	if limits.IsMessage(data) {
 		err = l.table.Receive(l.o.Clock(), data)
 	} else {
 		err = l.quota.Receive(l.o.Clock(), from, data[1:])
@@ -138,7 +138,7 @@
 		}
 	}
 	for _, key := range l.unused {
-		l.quota.GiveBack(key, -1)
+		l.quota.Refund(key, -1)
 	}
 	l.unused = l.unused[:0]
 	for _, d := range l.table.Outbox() {
@@ -190,14 +190,14 @@
 func (l *Limiter) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.quota.Leave()
+	l.quota.StopLending()
 }
 
 // Answered records the limit that an answer of the endpoint reported; nil: none.
 func (l *Limiter) Answered(e fleet.EndpointID, limit *float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.table.Answered(l.o.Clock(), e, limit)
+	l.table.SetFromAnswer(l.o.Clock(), e, limit)
 	l.flush()
 }
 
@@ -277,6 +277,6 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if key, limited := l.keys[e]; limited {
-		l.quota.GiveBack(key, -1)
+		l.quota.Refund(key, -1)
 	}
 }
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -106,7 +106,7 @@
 func (r *Roster) addUsable(now time.Time, e *directory.Endpoint) {
 	r.usable[e.Key] = e
 	member := fleet.Endpoint{ID: e.Key, Zone: e.Zone, Class: e.Service, Address: e.Address, State: fleet.VMLive}
-	r.health.List(now, member)
+	r.health.SetListed(now, member)
 	unusable := r.Unusable(now, e.Key)
 	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, unusable, r.limited[e.Key])
 	if unusable {
@@ -119,13 +119,13 @@
 	delete(r.usable, key)
 	delete(r.gated, key)
 	r.pools.Remove(key)
-	r.health.Missing(now, key)
+	r.health.SetMissing(now, key)
 }
 
 // recheck updates the endpoints whose state may change with time: those that are
 // suspended, and those that health ejected or retains despite failures.
 func (r *Roster) recheck(now time.Time) {
-	r.recheckBuf = r.health.AppendAway(r.recheckBuf[:0])
+	r.recheckBuf = r.health.AppendEjected(r.recheckBuf[:0])
 	for key := range r.suspendedUntil {
 		r.recheckBuf = append(r.recheckBuf, key)
 	}
@@ -193,13 +193,13 @@
 
 // RecordFailure records an attempt that failed at the endpoint.
 func (r *Roster) RecordFailure(now time.Time, key fleet.EndpointID) {
-	r.health.Failure(now, key, 0)
+	r.health.RecordFailure(now, key, 0)
 	r.gateIfUnusable(now, key)
 }
 
 // RecordSuccess records a complete answer of the endpoint that is not an error.
 func (r *Roster) RecordSuccess(now time.Time, key fleet.EndpointID) {
-	r.health.Success(now, key, 0, 0)
+	r.health.RecordSuccess(now, key, 0, 0)
 	r.gateIfUnusable(now, key)
 }
 
--- a/router/caches.go
+++ b/router/caches.go
@@ -256,7 +256,7 @@
 
 // locate implements prefixLocations. It returns nil if no followed holder has recent
 // events.
-func (c *cacheTracker) locate(w *forward.Work, salt string) *placement.PrefixLocations {
+func (c *cacheTracker) locate(w *forward.PlacementRequest, salt string) *placement.PrefixLocations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
@@ -281,7 +281,7 @@
 // bestSource returns the address of the usable holder that caches the longest prefix of
 // a prompt, and the length of that prefix in tokens. Among holders with equally long
 // prefixes it prefers those in the given zone, and then the one with the fastest link.
-func (c *cacheTracker) bestSource(w *forward.Work, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
+func (c *cacheTracker) bestSource(w *forward.PlacementRequest, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	prompt := caches.PromptOf(salt, w.In.Parts)
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -143,7 +143,7 @@
 }
 
 // groupOf returns the name of the group of prompts that one dispatcher places together.
-func (d *dispatchPlacer) groupOf(w *forward.Work) string {
+func (d *dispatchPlacer) groupOf(w *forward.PlacementRequest) string {
 	d.state.mu.Lock()
 	engines := d.state.roster.Engines(w.Service.Name, w.In.Model)
 	d.state.mu.Unlock()
@@ -161,7 +161,7 @@
 }
 
 // Place implements forward.Placer.
-func (d *dispatchPlacer) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (d *dispatchPlacer) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	if w.Service.Engine == nil || w.In.Model == "" {
 		return d.placer.Place(ctx, w)
 	}
@@ -185,10 +185,10 @@
 
 // askDispatcher asks a dispatcher to place the request. ok is false if the dispatcher
 // gave no usable answer.
-func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, w *forward.Work) (p forward.Placement, ok bool, err error) {
+func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, w *forward.PlacementRequest) (p forward.Placement, ok bool, err error) {
 	m := placeMessage{
 		ID: d.lastID.Add(1), Route: w.Route.Name, Service: w.Service.Name, In: *w.In,
-		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Avoid, Resuming: w.Resuming,
+		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Excluded, Resuming: w.Resuming,
 	}
 	m.In.APIKey = ""
 	m.Loads = d.takeObservedLoads(time.Now())
@@ -220,7 +220,7 @@
 }
 
 // acceptAnswer validates a dispatcher's answer against this daemon's own state.
-func (d *dispatchPlacer) acceptAnswer(from Neighbour, w *forward.Work, got *placedMessage) (forward.Placement, bool, error) {
+func (d *dispatchPlacer) acceptAnswer(from Neighbour, w *forward.PlacementRequest, got *placedMessage) (forward.Placement, bool, error) {
 	switch {
 	case got.Refused != nil && (got.Refused.Code == codeNoEndpoint || got.Refused.Code == codeAtLimits):
 		// The dispatcher may be cut off from the endpoints or from the daemon that
@@ -236,8 +236,8 @@
 	if got.LeftMs > 0 {
 		beginWithin = min(beginWithin, time.Duration(got.LeftMs)*time.Millisecond)
 	}
-	if beginWithin <= minBeginTime || slices.Contains(w.Avoid, p.Target.Key) {
-		d.sendMessage(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.End{Left: true}})
+	if beginWithin <= minBeginTime || slices.Contains(w.Excluded, p.Target.Key) {
+		d.sendMessage(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.AttemptEnd{Left: true}})
 		return forward.Placement{}, false, nil
 	}
 	p.BeginBy = time.Time{}
@@ -254,7 +254,7 @@
 // A dispatcher that has lost the store sees neither newly named weights nor endpoints
 // that are draining. If its answer were accepted unchecked, prompts would begin on
 // weights that are out of use.
-func (d *dispatchPlacer) timeToBegin(w *forward.Work, p *forward.Placement) time.Duration {
+func (d *dispatchPlacer) timeToBegin(w *forward.PlacementRequest, p *forward.Placement) time.Duration {
 	d.state.mu.Lock()
 	defer d.state.mu.Unlock()
 	e := d.state.roster.Find(p.Target.Key)
@@ -271,8 +271,8 @@
 	d.log.Info("Dispatcher did not answer.", "dispatcher", n.Name, "waited_ms", dispatchTimeout.Milliseconds())
 }
 
-// Answered implements forward.Placer.
-func (d *dispatchPlacer) Answered(p *forward.Placement, info *forward.AnswerInfo) {
+// AnswerStarted implements forward.Placer.
+func (d *dispatchPlacer) AnswerStarted(p *forward.Placement, info *forward.AnswerInfo) {
 	if info.Load != nil && p.Out.Version != 0 {
 		d.observeLoad(p.Target.Key, info.Load)
 	}
@@ -282,8 +282,8 @@
 	d.placer.Answered(p, info)
 }
 
-// Ended implements forward.Placer.
-func (d *dispatchPlacer) Ended(p *forward.Placement, end forward.End) {
+// AttemptEnded implements forward.Placer.
+func (d *dispatchPlacer) AttemptEnded(p *forward.Placement, end forward.AttemptEnd) {
 	if p.Notes.Dispatcher != "" {
 		d.sendMessage(p.Notes.Dispatcher, kindEnded, endedMessage{ID: p.ID, End: end})
 	}
@@ -302,6 +302,6 @@
 	}
 	d.mu.Unlock()
 	for _, o := range over {
-		d.placer.Ended(&o.Placement, forward.End{Left: true})
+		d.placer.Ended(&o.Placement, forward.AttemptEnd{Left: true})
 	}
 }
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -24,16 +24,16 @@
 
 // placeMessage asks the dispatcher to place a prompt.
 type placeMessage struct {
-	ID       uint64             `json:"id"`
-	Route    string             `json:"route"`
-	Service  string             `json:"service"`
-	Org      string             `json:"org,omitempty"`
-	Isolated bool               `json:"isolated,omitempty"`
-	In       forward.Inbound    `json:"in"`
-	LeftMs   int64              `json:"left_ms"`
-	Avoid    []fleet.EndpointID `json:"avoid,omitempty"`
-	Resuming bool               `json:"resuming,omitempty"`
-	Loads    []reportedLoad     `json:"loads,omitempty"`
+	ID       uint64              `json:"id"`
+	Route    string              `json:"route"`
+	Service  string              `json:"service"`
+	Org      string              `json:"org,omitempty"`
+	Isolated bool                `json:"isolated,omitempty"`
+	In       forward.RequestInfo `json:"in"`
+	LeftMs   int64               `json:"left_ms"`
+	Avoid    []fleet.EndpointID  `json:"avoid,omitempty"`
+	Resuming bool                `json:"resuming,omitempty"`
+	Loads    []reportedLoad      `json:"loads,omitempty"`
 }
 
 // reportedLoad is the load that an engine reported to the sender.
@@ -69,8 +69,8 @@
 
 // endedMessage reports the end of an attempt to the dispatcher.
 type endedMessage struct {
-	ID  uint64      `json:"id"`
-	End forward.End `json:"end"`
+	ID  uint64             `json:"id"`
+	End forward.AttemptEnd `json:"end"`
 }
 
 // sendMessage sends a message. It returns false if the message cannot be encoded or
@@ -148,7 +148,7 @@
 		return
 	}
 	if m.Place != nil {
-		d.sendMessage(from, kindEnded, endedMessage{ID: m.ID, End: forward.End{Left: true}})
+		d.sendMessage(from, kindEnded, endedMessage{ID: m.ID, End: forward.AttemptEnd{Left: true}})
 	}
 }
 
@@ -196,7 +196,7 @@
 
 // workOf rebuilds a request from the message. It returns false if this daemon's
 // configuration lacks the route or the service.
-func (d *dispatchPlacer) workOf(m *placeMessage) (*forward.Work, bool) {
+func (d *dispatchPlacer) workOf(m *placeMessage) (*forward.PlacementRequest, bool) {
 	t := d.state.table.Load()
 	if t == nil || t.Services[m.Service] == nil || t.Services[m.Service].Engine == nil {
 		return nil, false
@@ -205,9 +205,9 @@
 	if i < 0 {
 		return nil, false
 	}
-	w := &forward.Work{
+	w := &forward.PlacementRequest{
 		Route: &t.Routes[i], Service: t.Services[m.Service], Table: t, In: &m.In, Arrived: time.Now(),
-		Deadline: time.Now().Add(time.Duration(m.LeftMs) * time.Millisecond), Avoid: m.Avoid, Resuming: m.Resuming,
+		Deadline: time.Now().Add(time.Duration(m.LeftMs) * time.Millisecond), Excluded: m.Avoid, Resuming: m.Resuming,
 	}
 	if m.Org != "" {
 		w.Organisation = &routes.Organisation{Name: m.Org, Isolated: m.Isolated}
--- a/router/learn.go
+++ b/router/learn.go
@@ -187,7 +187,7 @@
 }
 
 // Ended implements forward.Placer.
-func (p *placer) Ended(pl *forward.Placement, end forward.End) {
+func (p *placer) Ended(pl *forward.Placement, end forward.AttemptEnd) {
 	now := time.Now()
 	p.finishWaiting(now, pl.ID, false)
 	if end.Lost && end.Failure == retry.NotSent && pl.Notes.Dispatcher == "" {
--- a/router/moves.go
+++ b/router/moves.go
@@ -18,7 +18,7 @@
 // Computing a long shared prefix again occupies an engine for over 100 ms, while
 // fetching it takes 5 to 25 ms. An attempt to fetch a prefix that the source does not
 // have costs a millisecond, and an engine fetches only what it lacks.
-func (p *placer) setCacheTransfer(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *candidate, out *forward.Outbound) {
+func (p *placer) setCacheTransfer(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate, out *forward.RouterInfo) {
 	levels := r.Levels
 	if levels == nil {
 		levels = prefix.SegmentLevels(seedOf(w, out.Version), w.In.Parts)
@@ -57,7 +57,7 @@
 // enginesRetain reports whether the engines of a model have enough memory to keep what
 // they read for a while, at the rate at which this daemon, as dispatcher of a group,
 // sends them prompts.
-func (p *placer) enginesRetain(now time.Time, w *forward.Work) bool {
+func (p *placer) enginesRetain(now time.Time, w *forward.PlacementRequest) bool {
 	p.state.mu.Lock()
 	engines := p.state.roster.Engines(w.Service.Name, w.In.Model)
 	p.state.mu.Unlock()
@@ -69,7 +69,7 @@
 // fetchFrom returns the address of the holder with the longest cached prefix of the
 // prompt, among those whose cache contents are known. known is false if no holder has
 // enough more than the chosen engine.
-func (p *placer) fetchFrom(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
+func (p *placer) fetchFrom(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
 	if p.cacheTracker == nil || r.Locations == nil {
 		return "", false
 	}
@@ -108,7 +108,7 @@
 
 // salt returns the cache salt of a request. It separates cache entries that must never
 // be mixed: those of different weight versions and those of an isolated organisation.
-func salt(w *forward.Work, version int64) string {
+func salt(w *forward.PlacementRequest, version int64) string {
 	text := "v" + strconv.FormatInt(version, 10)
 	if w.Organisation != nil && w.Organisation.Isolated {
 		text += "/" + w.Organisation.Name
@@ -116,7 +116,7 @@
 	return text
 }
 
-func seedOf(w *forward.Work, version int64) prefix.Seed {
+func seedOf(w *forward.PlacementRequest, version int64) prefix.Seed {
 	seed := prefix.Seed{Model: w.In.Model, Version: strconv.FormatInt(version, 10)}
 	if w.Organisation != nil && w.Organisation.Isolated {
 		seed.Organisation = contract.OrganisationID(w.Organisation.Name)
--- a/router/placer.go
+++ b/router/placer.go
@@ -84,15 +84,15 @@
 	return p
 }
 
-// First implements forward.Placer.
-func (p *placer) First() {
+// CountFirstAttempt implements forward.Placer.
+func (p *placer) CountFirstAttempt() {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	p.budget.RecordRequest(time.Now())
 }
 
-// Failed implements forward.Placer.
-func (p *placer) Failed(r *retry.Request, a retry.FailedAttempt) retry.Decision {
+// DecideRetry implements forward.Placer.
+func (p *placer) DecideRetry(r *retry.Request, a retry.FailedAttempt) retry.Decision {
 	p.budgetMu.Lock()
 	defer p.budgetMu.Unlock()
 	return retry.Decide(time.Now(), r, a, p.budget, p.rng)
@@ -100,7 +100,7 @@
 
 // Place implements forward.Placer. While all endpoints are at their limits, it waits
 // briefly for another daemon's answer on a limit.
-func (p *placer) Place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (p *placer) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	for waited := 0; ; waited++ {
 		out, err := p.place(ctx, w)
 		var refused *forward.RefusedError
@@ -113,11 +113,11 @@
 	}
 }
 
-func (p *placer) place(ctx context.Context, w *forward.Work) (forward.Placement, error) {
+func (p *placer) place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
 	now := time.Now()
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
-		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
+		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Excluded,
 		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 	}
 	if w.Service.Engine != nil && w.In.Model != "" {
@@ -137,10 +137,10 @@
 
 // placeAsDispatcher places a long prompt from local state without querying engines for
 // their load, as this daemon places all long prompts of the group.
-func (p *placer) placeAsDispatcher(now time.Time, w *forward.Work) (forward.Placement, error) {
+func (p *placer) placeAsDispatcher(now time.Time, w *forward.PlacementRequest) (forward.Placement, error) {
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
-		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Tokens: w.In.PromptTokens, Avoid: w.Excluded, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
 		Exclusive: true,
 	}
 	return p.placeModel(context.Background(), now, w, &r)
@@ -148,7 +148,7 @@
 
 // segmentLocations returns where the shared segment of a prompt is held and from which
 // engine it can be fetched. It is used by the dispatcher.
-func (p *placer) segmentLocations(now time.Time, w *forward.Work, version int64) (*placement.PrefixLocations, fleet.EndpointID) {
+func (p *placer) segmentLocations(now time.Time, w *forward.PlacementRequest, version int64) (*placement.PrefixLocations, fleet.EndpointID) {
 	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
 	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
@@ -190,7 +190,7 @@
 }
 
 // recordSegment records to which engine the shared segment of a prompt is sent.
-func (p *placer) recordSegment(now time.Time, w *forward.Work, version int64, d *placement.Decision) {
+func (p *placer) recordSegment(now time.Time, w *forward.PlacementRequest, version int64, d *placement.Decision) {
 	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
 	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
@@ -202,7 +202,7 @@
 }
 
 // placeModel places a prompt on an engine that serves its model.
-func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.Work, r *placement.Request) (forward.Placement, error) {
+func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.PlacementRequest, r *placement.Request) (forward.Placement, error) {
 	v, err := p.eligibleVersions(w)
 	if err != nil {
 		return forward.Placement{}, err
@@ -248,7 +248,7 @@
 
 // useSegmentLocations makes the candidates consider any engine by where the shared
 // segment is held instead of by its preferred endpoint.
-func (p *placer) useSegmentLocations(now time.Time, w *forward.Work, all []candidate) {
+func (p *placer) useSegmentLocations(now time.Time, w *forward.PlacementRequest, all []candidate) {
 	for i := range all {
 		at := &all[i]
 		at.levels = func() []prefix.Level { return nil }
@@ -262,7 +262,7 @@
 }
 
 // chooseCandidate returns the best candidate whose endpoint can take the request.
-func (p *placer) chooseCandidate(now time.Time, w *forward.Work, r *placement.Request, all []candidate) (evaluatedCandidate, error) {
+func (p *placer) chooseCandidate(now time.Time, w *forward.PlacementRequest, r *placement.Request, all []candidate) (evaluatedCandidate, error) {
 	try := *r
 	t := p.newAttempts(r.Avoid, subpoolOf(w.In.PromptTokens) == subpoolShort)
 	for t.next() {
@@ -310,14 +310,14 @@
 
 // recordArrival adds a prompt of this daemon's callers to the work that divides the
 // engines.
-func (p *placer) recordArrival(now time.Time, w *forward.Work) {
+func (p *placer) recordArrival(now time.Time, w *forward.PlacementRequest) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	p.state.subpools.addRequest(now, subpoolOf(w.In.PromptTokens), w.In.PromptTokens, w.Service.Engine.Slots)
 }
 
 // eligibleVersions chooses the weight versions that the request may be bound to.
-func (p *placer) eligibleVersions(w *forward.Work) (versionChoice, error) {
+func (p *placer) eligibleVersions(w *forward.PlacementRequest) (versionChoice, error) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	n := p.state.named[w.In.Model]
@@ -375,14 +375,14 @@
 
 // newPlacement builds the placement with the headers for the endpoint, and records the
 // request as unanswered.
-func (p *placer) newPlacement(now time.Time, w *forward.Work, r *placement.Request, d *placement.Decision, to *candidate) forward.Placement {
+func (p *placer) newPlacement(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate) forward.Placement {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	e := p.state.roster.Find(d.Endpoint)
 	out := forward.Placement{
 		ID: r.ID, Reason: d.Reason.String(), Wait: d.ExpectedFirstToken, Cached: d.ExpectedCached, Age: d.LoadAge,
 		Target: forward.Target{Key: e.Key, ID: e.ID, Address: e.Address},
-		Out:    forward.Outbound{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
+		Out:    forward.RouterInfo{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
 	}
 	if w.Organisation != nil {
 		out.Out.Organisation = w.Organisation.Name
@@ -399,7 +399,7 @@
 		expectedRead: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
 	}
 	p.unansweredMu.Unlock()
-	out.Notes = forward.Notes{Prompt: int(subpoolOf(w.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Exclusive}
+	out.Notes = forward.PlacerState{Prompt: int(subpoolOf(w.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Exclusive}
 	out.Out.CacheSalt = salt(w, to.version)
 	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
 	if at := prefix.AffinityLevel(r.Levels); at >= 0 {
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -119,7 +119,7 @@
 
 // changed schedules a hold created here to be written, or to be deleted if it has
 // ended.
-func (k *holdStore) changed(c *quarantine.Change, kept *quarantine.Kept) {
+func (k *holdStore) changed(c *quarantine.Change, kept *quarantine.StoredHold) {
 	switch {
 	case !c.Held:
 		k.put(c.Fingerprint, nil)
@@ -160,7 +160,7 @@
 	if stored.Daemon == r.options.Settings.Name && r.holdStore != nil {
 		r.holdStore.adopt(f, left > 0)
 	}
-	r.quarantine.Recall(quarantine.Kept{
+	r.quarantine.Recall(quarantine.StoredHold{
 		Fingerprint: f, Round: stored.Round, Age: max(0, time.Since(time.UnixMilli(stored.Began))), Left: left,
 	})
 	return true
--- a/router/quota.go
+++ b/router/quota.go
@@ -48,7 +48,7 @@
 	return &limiter{
 		clock: clock, log: log, send: send, meters: map[string]*quotaMeters{}, scope: scope,
 		node: quota.NewNode(quota.Options{
-			Me: quota.Daemon{Name: me.Name, Address: me.Address}, Tolerance: set.QuotaTolerance,
+			Self: quota.Daemon{Name: me.Name, Address: me.Address}, Tolerance: set.QuotaTolerance,
 			Nonce: rng.Uint64(), Rand: rand.New(rand.NewPCG(rng.Uint64(), rng.Uint64())),
 		}),
 	}
@@ -112,7 +112,7 @@
 func (l *limiter) announceLeave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.Leave()
+	l.node.StopLending()
 }
 
 // Admit implements forward.Limiter.
@@ -143,15 +143,15 @@
 // returnLate returns what a request took if its caller left before the verdict.
 func (l *limiter) returnLate(org *routes.Organisation, tokens int, later <-chan quota.Verdict) {
 	if v := <-later; v.Admitted {
-		l.GiveBack(org, tokens)
+		l.Refund(org, tokens)
 	}
 }
 
-// GiveBack implements forward.Limiter.
-func (l *limiter) GiveBack(org *routes.Organisation, tokens int) {
+// Refund implements forward.Limiter.
+func (l *limiter) Refund(org *routes.Organisation, tokens int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.node.GiveBack(org.QuotaKey, tokens)
+	l.node.Refund(org.QuotaKey, tokens)
 }
 
 // Charge implements forward.Limiter.
--- a/router/router.go
+++ b/router/router.go
@@ -64,7 +64,7 @@
 	CacheFeed CacheFeed // nil: cache events are not followed
 	// Dial opens connections to endpoints; nil: TCP.
 	Dial    forward.Dial
-	Wire    forward.Wire
+	Wire    forward.HeaderCodec
 	Engines weights.Engines
 	Logs    *logging.Factory
 	Rand    *rand.Rand // seeded
@@ -80,7 +80,7 @@
 	placer       *placer
 	client       *forward.Client
 	callerServer *http.Server
-	callers      *forward.Callers
+	callers      *forward.CallerConns
 
 	neighbours     *neighbours
 	cacheTracker   *cacheTracker
@@ -131,7 +131,7 @@
 		options: o, clock: o.Clock, state: s,
 		placer:     newPlacer(s, &o.Settings, o.Engines, o.Clock, o.Rand),
 		client:     forward.NewClient(o.Wire, o.Dial),
-		callers:    forward.NewCallers(),
+		callers:    forward.NewCallerConns(),
 		log:        o.Logs.For(logging.PartRouter),
 		metrics:    metrics,
 		requestLog: lineLimiter{perSecond: ordinaryPerSecond}, endpointLog: lineLimiter{perSecond: readyPerSecond},
@@ -153,16 +153,16 @@
 	}
 	r.callerServer = &http.Server{
 		Handler: forward.NewHandler(forward.Options{
-			Wire: o.Wire, Client: r.client, Placer: r.dispatch,
-			Table:      func() *routes.Table { return s.table.Load() },
-			KeysFresh:  r.keysFresh,
-			KeysAge:    r.keysAge,
-			Leaving:    r.shuttingDown.Load,
-			StopsAt:    r.stopTime,
-			Callers:    r.callers,
-			Limiter:    r.limits,
-			Quarantine: r.quarantine,
-			Report:     r.report,
+			Codec: o.Wire, Client: r.client, Placer: r.dispatch,
+			Table:            func() *routes.Table { return s.table.Load() },
+			KeysFresh:        r.keysFresh,
+			KeysAge:          r.keysAge,
+			Draining:         r.shuttingDown.Load,
+			ShutdownDeadline: r.stopTime,
+			Callers:          r.callers,
+			Limiter:          r.limits,
+			Quarantine:       r.quarantine,
+			Report:           r.report,
 		}),
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
@@ -280,7 +280,7 @@
 	switch {
 	case r.dispatch.receive(from, data):
 	case r.endpointLimits.Receive(from, data):
-	case quarantine.Owns(data):
+	case quarantine.IsMessage(data):
 		r.quarantine.Receive(from, data)
 	default:
 		r.limits.receive(from, data)
--- a/router/ways.go
+++ b/router/ways.go
@@ -75,7 +75,7 @@
 // Each prompt is therefore placed where it costs least instead of being late or
 // refused. An overloaded fleet has no idle engines, so there segments stay at their
 // preferred endpoints.
-func listCandidates(w *forward.Work, v versionChoice, in subpool, lookup prefixLocations) []candidate {
+func listCandidates(w *forward.PlacementRequest, v versionChoice, in subpool, lookup prefixLocations) []candidate {
 	once := w.Route != nil && !w.Route.Repeatable()
 	to := func(o otherVersion) func(l subpool, extraPenalty float64) candidate {
 		levels, held := levelsOf(w, o.version), locationsOf(w, o.version, lookup)
@@ -107,11 +107,11 @@
 
 // prefixLocations returns where the prefix of a prompt is cached under a salt; nil:
 // unknown.
-type prefixLocations func(w *forward.Work, salt string) *placement.PrefixLocations
+type prefixLocations func(w *forward.PlacementRequest, salt string) *placement.PrefixLocations
 
 // locationsOf returns a function that looks up the cached prefix of a prompt on first
 // use.
-func locationsOf(w *forward.Work, version int64, lookup prefixLocations) func() *placement.PrefixLocations {
+func locationsOf(w *forward.PlacementRequest, version int64, lookup prefixLocations) func() *placement.PrefixLocations {
 	return sync.OnceValue(func() *placement.PrefixLocations {
 		if lookup == nil || len(w.In.Parts) == 0 {
 			return nil
@@ -122,7 +122,7 @@
 
 // levelsOf returns a function that computes the shared prefixes of a prompt under a
 // version on first use, as most prompts need those of one version only.
-func levelsOf(w *forward.Work, version int64) func() []prefix.Level {
+func levelsOf(w *forward.PlacementRequest, version int64) func() []prefix.Level {
 	return sync.OnceValue(func() []prefix.Level {
 		return prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
 	})
--- a/router/ways_test.go
+++ b/router/ways_test.go
@@ -113,7 +113,7 @@
 // get nothing while it idles.
 func TestLastEngineServesBothLanes(t *testing.T) {
 	short := fakePools{}
-	w := &forward.Work{In: &forward.Inbound{Model: "m"}, Service: &routes.Service{Name: "s"}}
+	w := &forward.PlacementRequest{In: &forward.RequestInfo{Model: "m"}, Service: &routes.Service{Name: "s"}}
 	short[pools.ModelPool("s", "m", 3, subpoolShort)] = time.Second
 	got, err := bestCandidate(time.Time{}, short, placement.Request{}, listCandidates(w, versionChoice{first: 3}, subpoolLong, nil), replayTarget)
 	if err != nil || got.pool != pools.ModelPool("s", "m", 3, subpoolShort) {
