--- a/rollout/planner.go
+++ b/rollout/planner.go
@@ -96,7 +96,7 @@
 // Held is an endpoint that differs from its declared state and gets no order now.
 type Held struct {
 	Endpoint fleet.EndpointID
-	Reason   HoldReason
+	Reason   HoldReason `json:"Hold"`
 }
 
 // Plan lists the actions to take and summarises the progress of the rollout.
