--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -146,8 +146,8 @@
 		return gateway.Admission{}, refusal(d)
 	}
 	return gateway.Admission{
-		Started: func() { p.started(id) },
-		Release: func(used int) { p.finish(id, float64(used)) },
+		OnFirstToken: func() { p.started(id) },
+		Release:      func(used int) { p.finish(id, float64(used)) },
 	}, nil
 }
 
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -122,16 +122,16 @@
 func (d *Daemon) gatewayOptions(client *engine.Client) gateway.Options {
 	s := d.o.Settings.Callers
 	return gateway.Options{
-		Catalogue:  d.catalogue.index,
-		Bind:       d.fleet.bind,
-		Engine:     client,
-		Placer:     d.fleet,
-		Admitter:   d.admission,
-		Claimer:    d.claimer,
-		Retry:      d.retries,
-		Observer:   newObserver(d.metrics.Scope, d.o.Logs.For(logging.PartGateway)),
-		Drainer:    d.drainer,
-		Quarantine: d.guard,
+		Catalogue:     d.catalogue.index,
+		ChooseVersion: d.fleet.bind,
+		Engine:        client,
+		Placer:        d.fleet,
+		Admitter:      d.admission,
+		Claimer:       d.claimer,
+		Retry:         d.retries,
+		Observer:      newObserver(d.metrics.Scope, d.o.Logs.For(logging.PartGateway)),
+		Drainer:       d.drainer,
+		Quarantine:    d.guard,
 		Limits: gateway.Limits{
 			BodyBytes:      s.BodyBytes,
 			StallBudget:    s.WriteTimeout,
@@ -158,7 +158,7 @@
 // Drain starts a graceful shutdown; Run returns when it is over. A second call
 // ends open streams with an explicit error.
 func (d *Daemon) Drain() {
-	d.log.Info("Shutdown asked for.", "open", d.drainer.Open())
+	d.log.Info("Shutdown asked for.", "open", d.drainer.InFlight())
 	d.shutdown.signal()
 }
 
--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -61,7 +61,7 @@
 
 // Request counts one request that ended.
 func (o *observer) Request(r *gateway.Report) {
-	o.crossed.Inc(int64(r.Crossed))
+	o.crossed.Inc(int64(r.Mismatched))
 	o.duplicates.Inc(int64(r.Duplicates))
 	o.resumes.Inc(int64(r.Resumes))
 	if r.CallerLeft {
@@ -99,14 +99,14 @@
 }
 
 // Attempt counts one attempt that ended.
-func (o *observer) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.Result) {
+func (o *observer) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.AttemptResult) {
 	if attempts, known := o.attempts[res.Outcome]; known {
 		attempts.Inc(1)
 	}
 }
 
 var attemptNames = map[gateway.AttemptOutcome]string{
-	gateway.AttemptAnswered:  "answered",
+	gateway.AttemptSucceeded: "answered",
 	gateway.AttemptNotSent:   "not_sent",
 	gateway.AttemptNotRun:    "not_run",
 	gateway.AttemptFailed:    "failed",
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -157,8 +157,8 @@
 		Prefix:         prefix.Format(prefix.ReusableLevels(levels)),
 	}
 	expected := d.ExpectedFirstToken
-	p.Began = func(m engine.Metadata) { v.began(id, p.Endpoint, levels, m) }
-	p.Done = func(r gateway.Result) { v.ended(id, p.Endpoint, expected, r) }
+	p.OnHeader = func(m engine.Metadata) { v.began(id, p.Endpoint, levels, m) }
+	p.OnDone = func(r gateway.AttemptResult) { v.ended(id, p.Endpoint, expected, r) }
 	return p
 }
 
@@ -183,9 +183,9 @@
 }
 
 // ended tells placement, membership and health how the attempt went.
-func (v *fleetView) ended(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.Result) {
+func (v *fleetView) ended(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.AttemptResult) {
 	now := v.now()
-	if r.Outcome == gateway.AttemptAnswered || r.Outcome == gateway.AttemptCancelled {
+	if r.Outcome == gateway.AttemptSucceeded || r.Outcome == gateway.AttemptCancelled {
 		v.placement.Finished(now, id)
 	} else {
 		dead := r.Outcome == gateway.AttemptNotSent
@@ -195,7 +195,7 @@
 		v.daemon.room.Answered(e, r.Meta.Limit)
 	}
 	switch r.Outcome {
-	case gateway.AttemptAnswered:
+	case gateway.AttemptSucceeded:
 		v.healthMu.Lock()
 		v.health.Success(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -31,7 +31,7 @@
 }
 
 // Next implements gateway.RetryPolicy.
-func (r *retries) Next(f gateway.Failure) (time.Duration, bool) {
+func (r *retries) Next(f gateway.FailedAttempt) (time.Duration, bool) {
 	request := retry.Request{Idempotent: f.Idempotent, Resumable: true, Deadline: f.Deadline}
 	if f.Streaming {
 		request.Delivered = 1 // how much doesn't matter here
@@ -43,7 +43,7 @@
 	return d.Delay, d.Retry
 }
 
-func failureOf(f gateway.Failure) retry.Failure {
+func failureOf(f gateway.FailedAttempt) retry.Failure {
 	switch {
 	case f.Class == engine.NotSent && !f.Streaming:
 		return retry.NotSent
--- a/daemon/retries_test.go
+++ b/daemon/retries_test.go
@@ -19,15 +19,15 @@
 
 func TestRetriesFollowWhatIsKnown(t *testing.T) {
 	for name, c := range map[string]struct {
-		failure gateway.Failure
+		failure gateway.FailedAttempt
 		want    bool
 	}{
-		"booking not sent":   {gateway.Failure{Class: engine.NotSent, Attempt: 1}, true},
-		"booking not run":    {gateway.Failure{Class: engine.NotRun, Attempt: 1}, true},
-		"booking lost":       {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1}, false},
-		"prompt lost":        {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
-		"fourth attempt":     {gateway.Failure{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
-		"deadline too close": {gateway.Failure{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
+		"booking not sent":   {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1}, true},
+		"booking not run":    {gateway.FailedAttempt{Class: engine.NotRun, Attempt: 1}, true},
+		"booking lost":       {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1}, false},
+		"prompt lost":        {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
+		"fourth attempt":     {gateway.FailedAttempt{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
+		"deadline too close": {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
 	} {
 		if _, got := testRetries().Next(c.failure); got != c.want {
 			t.Errorf("%s: retry %v, want %v", name, got, c.want)
@@ -42,12 +42,12 @@
 	r := testRetries()
 	prompts, streams := 0, 0
 	for range 200 {
-		if _, ok := r.Next(gateway.Failure{Class: engine.NotSent, Attempt: 1, Idempotent: true}); ok {
+		if _, ok := r.Next(gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1, Idempotent: true}); ok {
 			prompts++
 		}
 	}
 	for range 200 {
-		if _, ok := r.Next(gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true, Streaming: true}); ok {
+		if _, ok := r.Next(gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true, Streaming: true}); ok {
 			streams++
 		}
 	}
@@ -60,7 +60,7 @@
 // The caller still has a part of the answer, so it is a broken stream and may
 // be resumed on debt, not a fresh request.
 func TestRefusedResumeIsStillAStream(t *testing.T) {
-	f := gateway.Failure{Class: engine.NotRun, Attempt: 2, Idempotent: true, Streaming: true}
+	f := gateway.FailedAttempt{Class: engine.NotRun, Attempt: 2, Idempotent: true, Streaming: true}
 	if got := failureOf(f); got != retry.Broken {
 		t.Errorf("a refused resume counts as %v", got)
 	}
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	s.state.Signal(s.now())
 	s.mu.Unlock()
-	s.drainer.Stop()
+	s.drainer.SetUnready()
 	s.once.Do(func() { close(s.begun) })
 }
 
@@ -57,7 +57,7 @@
 }
 
 func (s *shutdown) step() drain.State {
-	open := s.drainer.Open()
+	open := s.drainer.InFlight()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
--- a/daemon/system.go
+++ b/daemon/system.go
@@ -166,7 +166,7 @@
 		At:            now,
 		Started:       s.life,
 		Settings:      s.o.Settings,
-		Open:          s.drainer.Open(),
+		Open:          s.drainer.InFlight(),
 		Ready:         s.Ready() == nil,
 		Manifest:      s.manifests.Status(),
 		Endpoints:     s.Endpoints(),
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -47,7 +47,7 @@
 	status := d.manifests.Status()
 	usable, known := d.fleet.count()
 	scope := d.metrics.Scope
-	scope.Gauge("open_requests").Update(float64(d.drainer.Open()))
+	scope.Gauge("open_requests").Update(float64(d.drainer.InFlight()))
 	scope.Gauge("manifest_offset").Update(float64(status.Revision.Offset))
 	scope.Gauge("manifest_conflicts").Update(float64(status.Conflicts))
 	scope.Gauge("log_failures").Update(float64(status.Failures))
--- a/gateway/defaults.go
+++ b/gateway/defaults.go
@@ -37,7 +37,7 @@
 const firstRetryWait = 5 * time.Millisecond
 
 // Next implements RetryPolicy.
-func (SimpleRetry) Next(f Failure) (time.Duration, bool) {
+func (SimpleRetry) Next(f FailedAttempt) (time.Duration, bool) {
 	if f.Class.Ran() && !f.Idempotent {
 		return 0, false
 	}
@@ -46,8 +46,8 @@
 
 type noObserver struct{}
 
-func (noObserver) Request(*Report)                            {}
-func (noObserver) Attempt(*PlaceRequest, *Placement, *Result) {}
+func (noObserver) Request(*Report)                                   {}
+func (noObserver) Attempt(*PlaceRequest, *Placement, *AttemptResult) {}
 
 // RendezvousPlacer places by rendezvous hashing of the first level of the
 // prompt over the live endpoints that serve the model or class. It keeps no
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -28,15 +28,15 @@
 	return !d.draining
 }
 
-// Open is the number of requests in flight.
-func (d *Drainer) Open() int {
+// InFlight is the number of requests in flight.
+func (d *Drainer) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.open
 }
 
-// Stop makes Ready false. Requests that still come are served.
-func (d *Drainer) Stop() {
+// SetUnready makes Ready false. Requests that still come are served.
+func (d *Drainer) SetUnready() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = true
@@ -46,7 +46,7 @@
 // flight. It returns the context's error if that comes first; then requests
 // are still open.
 func (d *Drainer) Drain(ctx context.Context, lag time.Duration) error {
-	d.Stop()
+	d.SetUnready()
 	if pause.For(ctx, lag) != nil {
 		return ctx.Err()
 	}
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -76,16 +76,16 @@
 type Options struct {
 	// Catalogue returns the index of the manifest in force, nil if there is none.
 	Catalogue func() *catalog.Index
-	// Bind chooses the weight version that a request is bound to for all its
+	// ChooseVersion chooses the weight version that a request is bound to for all its
 	// attempts, by the first level of its prompt. Nil: the manifest's.
-	Bind     func(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target
-	Engine   *engine.Client
-	Placer   Placer
-	Admitter Admitter    // nil: all are admitted
-	Claimer  Claimer     // nil: keyed calls are refused
-	Retry    RetryPolicy // nil: SimpleRetry
-	Observer Observer    // nil: none
-	Drainer  *Drainer    // nil: one of its own
+	ChooseVersion func(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target
+	Engine        *engine.Client
+	Placer        Placer
+	Admitter      Admitter    // nil: all are admitted
+	Claimer       Claimer     // nil: keyed calls are refused
+	Retry         RetryPolicy // nil: SimpleRetry
+	Observer      Observer    // nil: none
+	Drainer       *Drainer    // nil: one of its own
 	// Quarantine is nil if requests are kept from endpoints by nothing.
 	Quarantine quarantine.Gate
 	Limits     Limits
@@ -195,7 +195,7 @@
 func (c *call) serve() *Refusal {
 	// Past this bound each further request would cost memory that the streams
 	// under way need; the caller is told at once and another daemon can serve.
-	if c.g.o.Drainer.Open() > c.g.o.Limits.OpenRequests {
+	if c.g.o.Drainer.InFlight() > c.g.o.Limits.OpenRequests {
 		return notRun(CodeOverloaded, "too many requests are open at this daemon", DefaultRetryAfter)
 	}
 	if c.index = c.g.o.Catalogue(); c.index == nil {
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -79,8 +79,8 @@
 // firstToken notes that the caller's first token has come.
 func (mc *modelCall) firstToken() {
 	mc.report.FirstToken = time.Since(mc.start)
-	if mc.admission.Started != nil {
-		mc.admission.Started()
+	if mc.admission.OnFirstToken != nil {
+		mc.admission.OnFirstToken()
 	}
 }
 
@@ -116,14 +116,14 @@
 // bind fixes the weight version for all attempts from the first token on: an
 // answer that began on one version and went on with another would be neither's.
 func (c *call) bind(t catalog.Target, prompt []byte, ends []int) catalog.Target {
-	if c.g.o.Bind == nil {
+	if c.g.o.ChooseVersion == nil {
 		return t
 	}
 	first := len(prompt)
 	if len(ends) > 0 {
 		first = ends[0]
 	}
-	return c.g.o.Bind(c.org.ID, t, prompt[:first])
+	return c.g.o.ChooseVersion(c.org.ID, t, prompt[:first])
 }
 
 // rebind chooses the weight version anew as long as nothing was delivered. When
@@ -202,7 +202,7 @@
 	class := engine.ClassOf(err)
 	mc.mayHaveRun = mc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
-		mc.report.Crossed++
+		mc.report.Mismatched++
 	}
 	if mc.ctx.Err() != nil {
 		return mc.expired(mc.mayHaveRun)
@@ -219,7 +219,7 @@
 	if !mc.mayRepeat() {
 		return mc.quarantinedAfter(mc.mayHaveRun)
 	}
-	wait, ok := mc.g.o.Retry.Next(Failure{
+	wait, ok := mc.g.o.Retry.Next(FailedAttempt{
 		Organisation: mc.org.ID,
 		Priority:     mc.priority,
 		Class:        class,
@@ -261,14 +261,14 @@
 func (mc *modelCall) attempt(p *Placement) error {
 	mc.report.Attempts++
 	began := time.Now()
-	res := Result{}
+	res := AttemptResult{}
 	err := mc.exchange(p, &res)
 	res.Duration = time.Since(began)
 	mc.settle(p, &mc.place, &res, err)
 	return err
 }
 
-func (mc *modelCall) exchange(p *Placement, res *Result) error {
+func (mc *modelCall) exchange(p *Placement, res *AttemptResult) error {
 	began := time.Now()
 	ans, err := mc.g.o.Engine.Send(mc.ctx, mc.engineAttempt(p))
 	if err != nil {
@@ -287,10 +287,10 @@
 // usable notes what the answer says beside itself and returns why the answer is
 // not to be relayed, if so. It stands apart from exchange since its copies
 // would otherwise lie on the stack for as long as the stream.
-func (mc *modelCall) usable(ans *engine.Answer, p *Placement, res *Result) error {
+func (mc *modelCall) usable(ans *engine.Answer, p *Placement, res *AttemptResult) error {
 	res.Status, res.Meta = ans.Status, ans.Meta
-	if p.Began != nil {
-		p.Began(ans.Meta)
+	if p.OnHeader != nil {
+		p.OnHeader(ans.Meta)
 	}
 	if err := ans.NotRun(); err != nil {
 		return err
@@ -340,7 +340,7 @@
 }
 
 // relayWhole passes on an answer that is not streamed, once all of it is here.
-func (mc *modelCall) relayWhole(ans *engine.Answer, res *Result, began time.Time) error {
+func (mc *modelCall) relayWhole(ans *engine.Answer, res *AttemptResult, began time.Time) error {
 	body, err := ans.Whole()
 	if err != nil {
 		return err
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -62,19 +62,19 @@
 }
 
 // settle tells how an attempt went: first the observer, then the placer.
-func (c *call) settle(p *Placement, r *PlaceRequest, res *Result, err error) {
+func (c *call) settle(p *Placement, r *PlaceRequest, res *AttemptResult, err error) {
 	res.Err = err
 	res.Outcome = c.attemptOutcome(err)
 	c.tellQuarantine(p, res)
 	c.g.o.Observer.Attempt(r, p, res)
-	if p.Done != nil {
-		p.Done(*res)
+	if p.OnDone != nil {
+		p.OnDone(*res)
 	}
 }
 
 func (c *call) attemptOutcome(err error) AttemptOutcome {
 	if err == nil {
-		return AttemptAnswered
+		return AttemptSucceeded
 	}
 	if c.ctx.Err() != nil || errors.Is(err, errCallerSlow) {
 		return AttemptCancelled
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -42,11 +42,11 @@
 	ExpectedCached int    // tokens expected in the endpoint's cache
 	ImportFrom     string // KV store to import the prefix from; empty: none
 	Prefix         string // names of the prompt's levels, for the engine; empty: none
-	// Began, unless nil, is called when the header of an answer is there, so
+	// OnHeader, unless nil, is called when the header of an answer is there, so
 	// that what it says of the cache counts while the answer still runs.
-	Began func(engine.Metadata)
-	// Done, unless nil, is called exactly once when the attempt is over.
-	Done func(Result)
+	OnHeader func(engine.Metadata)
+	// OnDone, unless nil, is called exactly once when the attempt is over.
+	OnDone func(AttemptResult)
 }
 
 // AttemptOutcome is how one attempt ended.
@@ -54,15 +54,15 @@
 
 // The outcomes of an attempt.
 const (
-	AttemptAnswered  AttemptOutcome = iota + 1 // a whole answer came
+	AttemptSucceeded AttemptOutcome = iota + 1 // a whole answer came
 	AttemptNotSent                             // no byte left for the endpoint
 	AttemptNotRun                              // the endpoint refused it
 	AttemptFailed                              // it may have run and gave no whole answer
 	AttemptCancelled                           // the caller left or its deadline passed
 )
 
-// Result tells the placer how an attempt went.
-type Result struct {
+// AttemptResult tells the placer how an attempt went.
+type AttemptResult struct {
 	Outcome    AttemptOutcome
 	Status     int             // 0: no answer
 	Meta       engine.Metadata // valid when Status is not 0
@@ -81,8 +81,8 @@
 
 // Admission is a request's leave to run.
 type Admission struct {
-	Started func()               // at the first token; may be nil
-	Release func(usedTokens int) // exactly once, at the end
+	OnFirstToken func()               // at the first token; may be nil
+	Release      func(usedTokens int) // exactly once, at the end
 }
 
 // AdmitRequest describes a request that wants to enter.
@@ -144,12 +144,12 @@
 type RetryPolicy interface {
 	// Next returns how long to wait before the next attempt, and false when
 	// there is to be none.
-	Next(f Failure) (wait time.Duration, ok bool)
+	Next(f FailedAttempt) (wait time.Duration, ok bool)
 }
 
-// Failure is an attempt that gave no usable answer. The gateway asks the policy
+// FailedAttempt is an attempt that gave no usable answer. The gateway asks the policy
 // only when another attempt is permissible at all.
-type Failure struct {
+type FailedAttempt struct {
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
 	Class        engine.Class
@@ -163,7 +163,7 @@
 type Observer interface {
 	Request(r *Report)
 	// Attempt is told when a whole attempt is over, before the placer.
-	Attempt(r *PlaceRequest, p *Placement, res *Result)
+	Attempt(r *PlaceRequest, p *Placement, res *AttemptResult)
 }
 
 // Report is what became of one request.
@@ -180,7 +180,7 @@
 	Attempts     int
 	Resumes      int // attempts that went on from a delivered token
 	Duplicates   int // tokens dropped since the caller had them
-	Crossed      int // answers dropped since they were another attempt's
+	Mismatched   int // answers dropped since they were another attempt's
 	PromptTokens int // estimate
 	CachedTokens int // as the last endpoint said; -1 when not said
 	Tokens       int // delivered
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -39,11 +39,11 @@
 }
 
 // tellQuarantine tells how an attempt ended.
-func (c *call) tellQuarantine(p *Placement, res *Result) {
+func (c *call) tellQuarantine(p *Placement, res *AttemptResult) {
 	q := c.g.o.Quarantine
 	switch {
 	case q == nil:
-	case res.Outcome == AttemptAnswered:
+	case res.Outcome == AttemptSucceeded:
 		q.Answered(c.fingerprint)
 	case res.Outcome == AttemptFailed:
 		q.Lost(c.fingerprint, lifeOf(p), p.Address)
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -16,7 +16,7 @@
 
 // relayStream passes the tokens of one attempt on to the caller, each once and
 // in order.
-func (mc *modelCall) relayStream(ans *engine.Answer, res *Result, began time.Time) error {
+func (mc *modelCall) relayStream(ans *engine.Answer, res *AttemptResult, began time.Time) error {
 	n := mc.assembler.Begin()
 	events := ans.Events()
 	defer events.Release()
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -159,7 +159,7 @@
 	class := engine.ClassOf(err)
 	sc.mayHaveRun = sc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
-		sc.report.Crossed++
+		sc.report.Mismatched++
 	}
 	if sc.ctx.Err() != nil {
 		return sc.expired(sc.mayHaveRun)
@@ -171,7 +171,7 @@
 	if !sc.mayRepeat() {
 		return sc.quarantinedAfter(sc.mayHaveRun)
 	}
-	wait, ok := sc.g.o.Retry.Next(Failure{
+	wait, ok := sc.g.o.Retry.Next(FailedAttempt{
 		Organisation: sc.org.ID,
 		Priority:     sc.priority,
 		Class:        class,
@@ -201,14 +201,14 @@
 func (sc *serviceCall) attempt(p *Placement) error {
 	sc.report.Attempts++
 	began := time.Now()
-	res := Result{}
+	res := AttemptResult{}
 	err := sc.exchange(p, &res)
 	res.Duration = time.Since(began)
 	sc.settle(p, &sc.place, &res, err)
 	return err
 }
 
-func (sc *serviceCall) exchange(p *Placement, res *Result) error {
+func (sc *serviceCall) exchange(p *Placement, res *AttemptResult) error {
 	ans, err := sc.g.o.Engine.Send(sc.ctx, &engine.Attempt{
 		ID:           sc.id + "-" + strconv.Itoa(sc.report.Attempts),
 		Endpoint:     p.Endpoint,
--- a/lab/e2e/stream_test.go
+++ b/lab/e2e/stream_test.go
@@ -124,7 +124,7 @@
 		w.runners[0].Fail(standin.Fault{Kind: standin.FaultCrossed})
 		_, s := w.stream(chatBody)
 		s.whole(t)
-		if rep := w.observer.last(); rep.Crossed != 1 || rep.Attempts != 2 {
+		if rep := w.observer.last(); rep.Mismatched != 1 || rep.Attempts != 2 {
 			t.Errorf("report is %+v", rep)
 		}
 	})
--- a/lab/e2e/world_test.go
+++ b/lab/e2e/world_test.go
@@ -183,7 +183,7 @@
 type recorder struct {
 	mu      sync.Mutex
 	reports []gateway.Report
-	results []gateway.Result
+	results []gateway.AttemptResult
 }
 
 func (r *recorder) Request(rep *gateway.Report) {
@@ -192,7 +192,7 @@
 	r.reports = append(r.reports, *rep)
 }
 
-func (r *recorder) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.Result) {
+func (r *recorder) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.AttemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, *res)
