--- a/gateway/body.go
+++ b/gateway/body.go
@@ -9,8 +9,8 @@
 
 const initialBodyBytes = 4 << 10
 
-// withBody reads the request's body and keeps it for the given function, which
-// may have to send it more than once.
+// withBody reads the request's body into memory, so that serve can send it in
+// several attempts, and then calls serve.
 func (c *call) withBody(serve func() *Refusal) *Refusal {
 	l := &c.g.o.Limits
 	if c.r.ContentLength > l.BodyBytes {
@@ -18,14 +18,14 @@
 	}
 	reserved := c.r.ContentLength
 	if reserved < 0 {
-		reserved = l.BodyBytes // of unknown length: as large as it may become
+		reserved = l.BodyBytes // unknown length: reserve the maximum
 	}
-	// Bodies are held until their requests end. Without a bound on all of them
-	// together, many long prompts at once would end the process and all its
-	// streams; callers would see them cut.
+	// Bodies are held until their requests end. Without a limit on their total
+	// size, many long prompts at the same time would exhaust the memory of the
+	// process, and all its streams would break.
 	if c.g.bodiesInUse.Add(reserved) > l.BodiesBytes {
 		c.g.bodiesInUse.Add(-reserved)
-		return notRun(CodeOverloaded, "too many request bodies are held at present", DefaultRetryAfter)
+		return notRunRefusal(CodeOverloaded, "too many request bodies are held at present", DefaultRetryAfter)
 	}
 	defer func() { c.g.bodiesInUse.Add(-reserved) }()
 	if refusal := c.readBody(); refusal != nil {
@@ -33,14 +33,14 @@
 	}
 	c.g.bodiesInUse.Add(int64(len(c.body)) - reserved)
 	reserved = int64(len(c.body))
-	if refusal := c.quarantined(); refusal != nil {
+	if refusal := c.checkQuarantine(); refusal != nil {
 		return refusal
 	}
 	return serve()
 }
 
-// readBody reads the body within its limits of size and time. A caller that
-// sends a byte now and then would otherwise hold a connection for good.
+// readBody reads the body within its limits of size and time. Without the time
+// limit, a caller that sends very slowly could hold its connection forever.
 func (c *call) readBody() *Refusal {
 	if c.r.ContentLength == 0 {
 		return nil
@@ -54,22 +54,22 @@
 		return c.tooLarge()
 	case err != nil:
 		c.w.Header().Set("Connection", "close")
-		return refused(http.StatusRequestTimeout, CodeSlowRequest, "the request's body did not arrive whole within %v", l.BodyTimeout)
+		return refusedf(http.StatusRequestTimeout, CodeSlowRequest, "the request's body did not arrive whole within %v", l.BodyTimeout)
 	}
 	_ = c.rc.SetReadDeadline(time.Time{})
-	c.buffer, c.body = buffer, buffer[seedBytes:]
+	c.bodyBuffer, c.body = buffer, buffer[maxSeedFieldBytes:]
 	return nil
 }
 
-// readUpTo reads a body of the given length, negative if it is not known, and
-// leaves room for the seed in front of it.
+// readUpTo reads a body of the given length, negative if unknown. It returns it
+// after maxSeedFieldBytes of free space for the seed.
 func readUpTo(r io.Reader, length int64) ([]byte, error) {
 	if length > 0 {
-		buffer := make([]byte, seedBytes+int(length))
-		_, err := io.ReadFull(r, buffer[seedBytes:])
+		buffer := make([]byte, maxSeedFieldBytes+int(length))
+		_, err := io.ReadFull(r, buffer[maxSeedFieldBytes:])
 		return buffer, err
 	}
-	buffer := make([]byte, seedBytes, initialBodyBytes)
+	buffer := make([]byte, maxSeedFieldBytes, initialBodyBytes)
 	for {
 		if len(buffer) == cap(buffer) {
 			buffer = append(buffer, 0)[:len(buffer)]
@@ -87,5 +87,5 @@
 
 func (c *call) tooLarge() *Refusal {
 	c.w.Header().Set("Connection", "close")
-	return refused(http.StatusRequestEntityTooLarge, CodeTooLarge, "the request's body exceeds %d bytes", c.g.o.Limits.BodyBytes)
+	return refusedf(http.StatusRequestEntityTooLarge, CodeTooLarge, "the request's body exceeds %d bytes", c.g.o.Limits.BodyBytes)
 }
--- a/gateway/defaults.go
+++ b/gateway/defaults.go
@@ -10,10 +10,10 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// ErrNoEndpoint says that no endpoint can be used for an attempt.
+// ErrNoEndpoint means that no endpoint can be used for an attempt.
 var ErrNoEndpoint = errors.New("gateway: no endpoint can be used")
 
-// AdmitAll admits every request at once.
+// AdmitAll admits every request immediately.
 type AdmitAll struct{}
 
 // Admit implements Admitter.
@@ -21,27 +21,27 @@
 	return Admission{Release: func(int) {}}, nil
 }
 
-// NoClaims refuses keyed calls, since without a log nothing can promise that
-// they run at most once.
+// NoClaims refuses calls with an idempotency key: without a shared log it cannot
+// be ensured that they run at most once.
 type NoClaims struct{}
 
 // Claim implements Claimer.
 func (NoClaims) Claim(context.Context, ClaimRequest) (Claim, error) {
-	return Claim{}, notRun(CodeClaimUnavailable, "calls with an idempotency key are not served here", 0)
+	return Claim{}, notRunRefusal(CodeClaimUnavailable, "calls with an idempotency key are not served here", 0)
 }
 
-// SimpleRetry allows retries of what did not run or may be repeated, with a
-// wait that doubles.
+// SimpleRetry allows retries of requests that did not run or are idempotent, with
+// exponential backoff.
 type SimpleRetry struct{}
 
-const firstRetryWait = 5 * time.Millisecond
+const initialBackoff = 5 * time.Millisecond
 
 // Next implements RetryPolicy.
 func (SimpleRetry) Next(f FailedAttempt) (time.Duration, bool) {
 	if f.Class.Ran() && !f.Idempotent {
 		return 0, false
 	}
-	return firstRetryWait << min(f.Attempt-1, 6), true
+	return initialBackoff << min(f.Attempt-1, 6), true
 }
 
 type noObserver struct{}
@@ -49,13 +49,13 @@
 func (noObserver) Request(*Report)                                   {}
 func (noObserver) Attempt(*PlaceRequest, *Placement, *AttemptResult) {}
 
-// RendezvousPlacer places by rendezvous hashing of the first level of the
-// prompt over the live endpoints that serve the model or class. It keeps no
-// state, so that all daemons place alike.
+// RendezvousPlacer places requests by rendezvous hashing of the prompt's first
+// level over the endpoints that serve the model or class. It has no state, so all
+// daemons choose the same endpoint.
 type RendezvousPlacer struct {
-	// Endpoints returns the fleet as known at present.
+	// Endpoints returns the currently known endpoints.
 	Endpoints func() []fleet.Endpoint
-	// Serves tells whether a class serves the request.
+	// Serves reports whether endpoints of a class can serve the request.
 	Serves func(class string, r *PlaceRequest) bool
 }
 
@@ -92,8 +92,8 @@
 	return mix(h.Sum64())
 }
 
-// mix spreads the last bytes hashed over the whole sum (splitmix64's finish);
-// FNV leaves sums of like endings close together.
+// mix is the finaliser of splitmix64. It spreads the last hashed bytes over all
+// bits: FNV sums of inputs that differ only in the last bytes are close together.
 func mix(x uint64) uint64 {
 	x ^= x >> 30
 	x *= 0xbf58476d1ce4e5b9
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -8,50 +8,50 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Drainer counts the requests in flight and takes a daemon out of service
-// without cutting any: it stops saying ready, serves on until the balancer has
-// noticed, and waits for the last request.
+// Drainer counts the requests in flight and drains a daemon without cutting any of
+// them: it reports not ready, keeps serving until the balancer has noticed, and
+// waits for the last request to end.
 type Drainer struct {
 	mu       sync.Mutex
-	open     int
+	inFlight int
 	draining bool
-	idle     chan struct{} // closed when open falls to 0 while someone waits
+	idle     chan struct{} // closed when inFlight reaches 0; nil if nobody waits
 }
 
-// NewDrainer returns a Drainer that is ready.
+// NewDrainer returns a Drainer that reports ready.
 func NewDrainer() *Drainer { return new(Drainer) }
 
-// Ready tells whether the balancer should send new requests.
+// Ready reports whether the balancer should send new requests.
 func (d *Drainer) Ready() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return !d.draining
 }
 
-// InFlight is the number of requests in flight.
+// InFlight returns the number of requests in flight.
 func (d *Drainer) InFlight() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.open
+	return d.inFlight
 }
 
-// SetUnready makes Ready false. Requests that still come are served.
+// SetUnready makes Ready return false. Requests that still arrive are served.
 func (d *Drainer) SetUnready() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.draining = true
 }
 
-// Drain stops, waits for the balancer's lag, and then until no request is in
-// flight. It returns the context's error if that comes first; then requests
-// are still open.
+// Drain calls SetUnready, waits for lag, the time in which the balancer notices
+// it, and then until no request is in flight. If the context ends first, Drain
+// returns its error, and requests may still be in flight.
 func (d *Drainer) Drain(ctx context.Context, lag time.Duration) error {
 	d.SetUnready()
 	if pause.For(ctx, lag) != nil {
 		return ctx.Err()
 	}
 	for {
-		idle := d.wait()
+		idle := d.idleChannel()
 		if idle == nil {
 			return nil
 		}
@@ -63,12 +63,12 @@
 	}
 }
 
-// wait returns a channel that is closed when the last request ends, or nil if
-// none is open.
-func (d *Drainer) wait() <-chan struct{} {
+// idleChannel returns a channel that is closed when the last request ends, or nil if
+// none is in flight.
+func (d *Drainer) idleChannel() <-chan struct{} {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if d.open == 0 {
+	if d.inFlight == 0 {
 		return nil
 	}
 	if d.idle == nil {
@@ -77,17 +77,17 @@
 	return d.idle
 }
 
-func (d *Drainer) enter() {
+func (d *Drainer) requestStarted() {
 	d.mu.Lock()
-	d.open++
+	d.inFlight++
 	d.mu.Unlock()
 }
 
-func (d *Drainer) leave() {
+func (d *Drainer) requestEnded() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.open--
-	if d.open == 0 && d.idle != nil {
+	d.inFlight--
+	if d.inFlight == 0 && d.idle != nil {
 		close(d.idle)
 		d.idle = nil
 	}
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -9,22 +9,21 @@
 	"time"
 )
 
-// Outcome tells a caller what became of a request that was not answered.
+// Outcome states whether a request that failed may have run.
 type Outcome string
 
-// The outcomes.
+// Outcomes of a request.
 const (
 	OutcomeNone Outcome = ""
-	// OutcomeNotRun: no endpoint did any part of it; repeating it is safe.
+	// OutcomeNotRun: no endpoint ran any part of the request; repeating it is safe.
 	OutcomeNotRun Outcome = "not_run"
-	// OutcomeUnknown: it may have run.
+	// OutcomeUnknown: the request may have run.
 	OutcomeUnknown Outcome = "unknown"
-	// OutcomeRefused: it was not run, and unchanged it will be refused again.
+	// OutcomeRefused: the request did not run and is refused again unless changed.
 	OutcomeRefused Outcome = "refused"
 )
 
-// Codes of errors. They are part of the interface towards callers and stay as
-// they are.
+// Error codes. They are part of the API for callers and must not change.
 const (
 	CodeInvalidKey       = "invalid_api_key"
 	CodeInvalidRequest   = "invalid_request"
@@ -48,34 +47,33 @@
 	CodeClaimUnavailable = "claim_unavailable"
 )
 
-// ErrShutdown is the cause with which a daemon cancels the context of its
-// requests when the bound of its shutdown has passed. Their callers are told so
-// instead of being taken for callers that left.
+// ErrShutdown is the cause with which a daemon cancels the contexts of its open
+// requests when the time limit of its shutdown has passed. It tells them apart
+// from requests whose callers left.
 var ErrShutdown = errors.New("gateway: daemon shuts down")
 
-// DefaultRetryAfter is what a caller is told to wait when nothing better is
-// known.
+// DefaultRetryAfter is the Retry-After value when no better estimate is known.
 const DefaultRetryAfter = time.Second
 
-// Refusal is an error that is told to the caller as it stands. The gateway's
-// ports return it.
+// Refusal is an error that is sent to the caller unchanged. Implementations of
+// Placer, Admitter and Claimer return it.
 type Refusal struct {
 	Status     int
 	Code       string
 	Outcome    Outcome
 	Message    string
-	RetryAfter time.Duration // 0: none is sent
+	RetryAfter time.Duration // 0: no header Retry-After
 }
 
 func (r *Refusal) Error() string {
 	return fmt.Sprintf("gateway: %s: %s", r.Code, r.Message)
 }
 
-func refused(status int, code, format string, args ...any) *Refusal {
+func refusedf(status int, code, format string, args ...any) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: OutcomeRefused, Message: fmt.Sprintf(format, args...)}
 }
 
-func notRun(code, message string, retryAfter time.Duration) *Refusal {
+func notRunRefusal(code, message string, retryAfter time.Duration) *Refusal {
 	return &Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       code,
@@ -85,11 +83,11 @@
 	}
 }
 
-func unknown(status int, code, message string) *Refusal {
+func unknownOutcome(status int, code, message string) *Refusal {
 	return &Refusal{Status: status, Code: code, Outcome: OutcomeUnknown, Message: message}
 }
 
-// errorBody is an error in the shape that callers of model services know.
+// errorBody is the JSON error format of the OpenAI API.
 type errorBody struct {
 	Error errorDetail `json:"error"`
 }
@@ -117,9 +115,9 @@
 	}
 }
 
-// encode returns the error's JSON on one line.
+// encode returns the error as JSON on a single line.
 func (r *Refusal) encode(requestID string) []byte {
-	// Strings alone cannot fail to encode.
+	// Marshalling a struct of strings cannot fail.
 	body, _ := json.Marshal(errorBody{Error: errorDetail{
 		Message: r.Message,
 		Type:    r.errorType(),
@@ -130,13 +128,13 @@
 	return body
 }
 
-// write sends the error as the whole answer.
+// write sends the error as the complete answer.
 func (r *Refusal) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", contentJSON)
 	h.Set(HeaderOutcome, string(r.Outcome))
 	if r.RetryAfter > 0 {
-		h.Set("Retry-After", strconv.Itoa(wholeSeconds(r.RetryAfter)))
+		h.Set("Retry-After", strconv.Itoa(ceilSeconds(r.RetryAfter)))
 	}
 	body := r.encode(requestID)
 	h.Set("Content-Length", strconv.Itoa(len(body)))
@@ -144,8 +142,8 @@
 	_, _ = w.Write(body)
 }
 
-// wholeSeconds rounds up, since a caller that comes back a little early is
+// ceilSeconds rounds up to seconds: a caller that returns too early would be
 // refused again.
-func wholeSeconds(d time.Duration) int {
+func ceilSeconds(d time.Duration) int {
 	return int((d + time.Second - 1) / time.Second)
 }
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -1,10 +1,10 @@
-// Package gateway serves callers: it authenticates a request, has it admitted
-// and placed, sends it to endpoints, and gives the caller one whole answer or
-// an explicit error.
+// Package gateway implements the caller-facing HTTP handler. It authenticates a
+// request, asks for its admission and placement, sends it to endpoints, and
+// returns either one complete answer or an explicit error.
 //
-// The decisions are taken behind the interfaces of Options (Placer, Admitter,
-// Claimer, RetryPolicy) and in packages catalog and stream; the handlers here
-// translate between HTTP and those.
+// Decisions are left to the interfaces in Options (Placer, Admitter, Claimer,
+// RetryPolicy) and to packages catalog and stream. The handlers translate
+// between HTTP and those.
 package gateway
 
 import (
@@ -25,40 +25,40 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// Headers between callers and the gateway.
+// Headers of requests from callers and of answers to them.
 const (
-	HeaderAdapter        = engine.HeaderAdapter  // adapter, if the model name carries none
+	HeaderAdapter        = engine.HeaderAdapter  // adapter, if the model name does not include one
 	HeaderPriority       = engine.HeaderPriority // interactive, standard or batch
-	HeaderDeadline       = engine.HeaderDeadline // milliseconds the caller will wait
-	HeaderIdempotencyKey = "Idempotency-Key"     // of a call that may not be repeated
-	HeaderRequest        = "Merlin-Request"      // id of the request, in each answer
-	HeaderOutcome        = "Merlin-Outcome"      // Outcome of an error
+	HeaderDeadline       = engine.HeaderDeadline // maximum duration of the request in milliseconds
+	HeaderIdempotencyKey = "Idempotency-Key"     // key of a service call that must run at most once
+	HeaderRequest        = "Merlin-Request"      // request ID, set in every answer
+	HeaderOutcome        = "Merlin-Outcome"      // Outcome, set in error answers
 	HeaderCachedTokens   = engine.HeaderCachedTokens
 )
 
 const (
-	contentJSON   = "application/json"
-	contentEvents = "text/event-stream"
-	bearer        = "Bearer "
-	requestIDSize = 12
+	contentJSON        = "application/json"
+	contentEventStream = "text/event-stream"
+	bearerPrefix       = "Bearer "
+	requestIDSize      = 12
 )
 
-// Limits bound what callers may make a daemon hold. Zero values take the
-// defaults.
+// Limits bounds the memory and time that callers may occupy at one daemon. Zero
+// values mean the defaults.
 type Limits struct {
-	BodyBytes         int64         // of one request
-	BodiesBytes       int64         // of all requests together
-	BodyTimeout       time.Duration // until a request's body is there
-	AnswerBufferBytes int64         // of a plain service's answer before it is passed on
-	StallBudget       time.Duration // that one caller may keep an endpoint waiting in all
-	WriteTimeout      time.Duration // until a caller has taken an answer that keeps no endpoint waiting
-	RequestTimeout    time.Duration // of one request from its header to its end
+	BodyBytes         int64         // of one request body
+	BodiesBytes       int64         // of all request bodies held at the same time
+	BodyTimeout       time.Duration // for reading one request body
+	AnswerBufferBytes int64         // of a plain service's answer held before relaying begins
+	StallBudget       time.Duration // total time that one caller may block an endpoint by reading slowly
+	WriteTimeout      time.Duration // for writing a complete answer that no endpoint waits for
+	RequestTimeout    time.Duration // of one request, from its header to the end of its answer
 	StreamBytes       int64         // of one streamed answer
-	Attempts          int           // of one request
-	OpenRequests      int           // at once, of all callers
+	Attempts          int           // per request
+	OpenRequests      int           // concurrent requests of all callers
 }
 
-// The defaults of Limits.
+// Defaults of Limits.
 const (
 	DefaultBodyBytes         = 8 << 20
 	DefaultBodiesBytes       = 256 << 20
@@ -72,21 +72,21 @@
 	DefaultOpenRequests      = 12_000
 )
 
-// Options are what a Gateway needs.
+// Options configures a Gateway.
 type Options struct {
-	// Catalogue returns the index of the manifest in force, nil if there is none.
+	// Catalogue returns the index of the manifest in force, or nil if there is none.
 	Catalogue func() *catalog.Index
-	// ChooseVersion chooses the weight version that a request is bound to for all its
-	// attempts, by the first level of its prompt. Nil: the manifest's.
+	// ChooseVersion chooses the weight version for all attempts of a request by the
+	// first level of its prompt. If nil, the manifest's version is used.
 	ChooseVersion func(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target
 	Engine        *engine.Client
 	Placer        Placer
-	Admitter      Admitter    // nil: all are admitted
-	Claimer       Claimer     // nil: keyed calls are refused
+	Admitter      Admitter    // nil: AdmitAll
+	Claimer       Claimer     // nil: NoClaims
 	Retry         RetryPolicy // nil: SimpleRetry
-	Observer      Observer    // nil: none
-	Drainer       *Drainer    // nil: one of its own
-	// Quarantine is nil if requests are kept from endpoints by nothing.
+	Observer      Observer    // nil: nothing is reported
+	Drainer       *Drainer    // nil: a new one
+	// Quarantine refuses requests that made endpoints crash. If nil, none is refused.
 	Quarantine quarantine.Gate
 	Limits     Limits
 }
@@ -97,7 +97,7 @@
 	bodiesInUse atomic.Int64 // bytes
 }
 
-// New returns the handler with the given options.
+// New returns a Gateway with the given options.
 func New(o Options) *Gateway {
 	if o.Admitter == nil {
 		o.Admitter = AdmitAll{}
@@ -139,42 +139,42 @@
 	}
 }
 
-// call is one request on its way through the gateway.
+// call is the state of one request.
 type call struct {
-	g        *Gateway
-	w        http.ResponseWriter
-	r        *http.Request
-	rc       *http.ResponseController
-	index    *catalog.Index
-	org      *catalog.Organisation
-	id       string
-	start    time.Time
-	ctx      context.Context
-	buffer   []byte // body, with room for a seed in front
-	body     []byte
-	priority contract.Priority
-	deadline time.Time
-	explicit bool // the caller gave the deadline
-	// fingerprint is the same for all repeats of the request.
+	g                *Gateway
+	w                http.ResponseWriter
+	r                *http.Request
+	rc               *http.ResponseController
+	index            *catalog.Index
+	org              *catalog.Organisation
+	id               string
+	start            time.Time
+	ctx              context.Context
+	bodyBuffer       []byte // maxSeedFieldBytes of free space, then the body
+	body             []byte
+	priority         contract.Priority
+	deadline         time.Time
+	explicitDeadline bool // the deadline is the caller's, not RequestTimeout
+	// fingerprint identifies repetitions of the same request.
 	fingerprint quarantine.Fingerprint
 	report      Report
 }
 
 // ServeHTTP implements http.Handler.
 func (g *Gateway) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	g.o.Drainer.enter()
-	defer g.o.Drainer.leave()
+	g.o.Drainer.requestStarted()
+	defer g.o.Drainer.requestEnded()
 	c := &call{g: g, w: w, r: r, rc: http.NewResponseController(w), id: newID(), start: time.Now()}
 	c.report = Report{ID: c.id, CachedTokens: engine.CachedUnknown}
 	w.Header().Set(HeaderRequest, c.id)
-	defer c.finish()
+	defer c.reportRequest()
 	if err := c.serve(); err != nil {
-		c.refuse(err)
+		c.writeRefusal(err)
 	}
 }
 
-// finish reports the request.
-func (c *call) finish() {
+// reportRequest passes the finished report to the observer.
+func (c *call) reportRequest() {
 	c.report.Priority = c.priority
 	c.report.Duration = time.Since(c.start)
 	c.report.CallerLeft = c.r.Context().Err() != nil && !c.report.CallerSlow && c.report.Code != CodeShutdown
@@ -184,88 +184,89 @@
 	c.g.o.Observer.Request(&c.report)
 }
 
-// refuse sends the error as the whole answer.
-func (c *call) refuse(r *Refusal) {
+// writeRefusal sends the refusal as the complete answer.
+func (c *call) writeRefusal(r *Refusal) {
 	c.report.Status, c.report.Code, c.report.Outcome = r.Status, r.Code, r.Outcome
 	_ = c.rc.SetWriteDeadline(time.Now().Add(c.g.o.Limits.WriteTimeout))
 	r.write(c.w, c.id)
 }
 
-// serve answers the request, or returns the refusal to send instead.
+// serve handles the request, or returns the refusal to send.
 func (c *call) serve() *Refusal {
-	// Past this bound each further request would cost memory that the streams
-	// under way need; the caller is told at once and another daemon can serve.
+	// Memory for further requests would be missing for the streams in progress.
+	// Refusing at once lets the caller go to another daemon.
 	if c.g.o.Drainer.InFlight() > c.g.o.Limits.OpenRequests {
-		return notRun(CodeOverloaded, "too many requests are open at this daemon", DefaultRetryAfter)
+		return notRunRefusal(CodeOverloaded, "too many requests are open at this daemon", DefaultRetryAfter)
 	}
 	if c.index = c.g.o.Catalogue(); c.index == nil {
-		return notRun(CodeNoManifest, "no manifest is in force yet", DefaultRetryAfter)
+		return notRunRefusal(CodeNoManifest, "no manifest is in force yet", DefaultRetryAfter)
 	}
 	if r := c.authenticate(); r != nil {
 		return r
 	}
 	p := c.r.URL.Path
-	if !plainPath(p) {
-		return refused(http.StatusBadRequest, CodeInvalidRequest, "the path must have no empty or dot segments")
+	if !isCanonicalPath(p) {
+		return refusedf(http.StatusBadRequest, CodeInvalidRequest, "the path must have no empty or dot segments")
 	}
 	switch p {
 	case pathChat, pathCompletions:
 		if c.r.Method != http.MethodPost {
-			return c.wrongMethod(http.MethodPost)
+			return c.methodNotAllowed(http.MethodPost)
 		}
 		return c.withBody(c.serveModel)
 	case pathModels:
 		if c.r.Method != http.MethodGet {
-			return c.wrongMethod(http.MethodGet)
+			return c.methodNotAllowed(http.MethodGet)
 		}
 		return c.serveModels()
 	}
 	service, rest, ok := c.index.Service(p)
 	if !ok {
-		return refused(http.StatusNotFound, CodeUnknownPath, "no model call or service has the path %s", p)
+		return refusedf(http.StatusNotFound, CodeUnknownPath, "no model call or service has the path %s", p)
 	}
 	return c.withBody(func() *Refusal { return c.serveService(service, rest) })
 }
 
-// plainPath tells whether a path means the same to every server. One with dot
-// segments could match a rule for calls that may be repeated here, and reach
-// another call at a service that resolves them.
-func plainPath(p string) bool {
+// isCanonicalPath reports whether every server resolves the path in the same way.
+// A path with dot segments could match a rule for idempotent calls here and,
+// once the service has resolved it, reach a call that is not idempotent.
+func isCanonicalPath(p string) bool {
 	return p == path.Clean(p) || p == path.Clean(p)+"/"
 }
 
-func (c *call) wrongMethod(allowed string) *Refusal {
+func (c *call) methodNotAllowed(allowed string) *Refusal {
 	c.w.Header().Set("Allow", allowed)
-	return refused(http.StatusMethodNotAllowed, CodeInvalidRequest, "method %s is not served here, use %s", c.r.Method, allowed)
+	return refusedf(http.StatusMethodNotAllowed, CodeInvalidRequest, "method %s is not served here, use %s", c.r.Method, allowed)
 }
 
 func (c *call) authenticate() *Refusal {
-	key, found := strings.CutPrefix(c.r.Header.Get("Authorization"), bearer)
+	key, found := strings.CutPrefix(c.r.Header.Get("Authorization"), bearerPrefix)
 	if !found || key == "" {
-		return refused(http.StatusUnauthorized, CodeInvalidKey, "an API key is needed in the header Authorization: Bearer KEY")
+		return refusedf(http.StatusUnauthorized, CodeInvalidKey, "an API key is needed in the header Authorization: Bearer KEY")
 	}
 	org, err := c.index.Authenticate(key)
 	if err != nil {
-		return refused(http.StatusUnauthorized, CodeInvalidKey, "the API key is not known")
+		return refusedf(http.StatusUnauthorized, CodeInvalidKey, "the API key is not known")
 	}
 	c.org = org
 	return nil
 }
 
-// bound settles priority and deadline from the names the caller gave, and
-// binds the request to the time it may take.
-func (c *call) bound(priority string, deadline time.Duration) (context.CancelFunc, *Refusal) {
+// setPriorityAndDeadline validates the caller's priority and sets the request's
+// deadline, the caller's but at most RequestTimeout. The returned function
+// releases the context made for it.
+func (c *call) setPriorityAndDeadline(priority string, deadline time.Duration) (context.CancelFunc, *Refusal) {
 	p, err := c.org.Priority(priority)
 	switch {
 	case errors.Is(err, catalog.ErrPriority):
-		return nil, refused(http.StatusForbidden, CodeNotPermitted, "the organisation may not ask for priority %s", priority)
+		return nil, refusedf(http.StatusForbidden, CodeNotPermitted, "the organisation may not ask for priority %s", priority)
 	case err != nil:
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "priority %q is unknown, expected interactive, standard or batch", priority)
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "priority %q is unknown, expected interactive, standard or batch", priority)
 	}
 	c.priority = p
 	limit := c.g.o.Limits.RequestTimeout
 	if deadline > 0 && deadline < limit {
-		limit, c.explicit = deadline, true
+		limit, c.explicitDeadline = deadline, true
 	}
 	c.deadline = c.start.Add(limit)
 	ctx, cancel := context.WithDeadline(c.r.Context(), c.deadline)
@@ -279,7 +280,7 @@
 	return hex.EncodeToString(b[:])
 }
 
-// placeRequest returns the part of a PlaceRequest that all attempts share.
+// placeRequest returns a PlaceRequest with the fields that all attempts share.
 func (c *call) placeRequest(kind fleet.Kind) PlaceRequest {
 	return PlaceRequest{Kind: kind, Organisation: c.org.ID, Priority: c.priority, Deadline: c.deadline}
 }
--- a/gateway/header.go
+++ b/gateway/header.go
@@ -5,12 +5,13 @@
 	"strings"
 )
 
-// merlinPrefix begins the headers between daemons and endpoints. A caller must
-// not set them towards an endpoint, nor see those of an answer: they carry
-// other organisations' load, and a caller could claim another's cache.
-const merlinPrefix = "Merlin-"
+// merlinHeaderPrefix is the prefix of the headers between daemons and endpoints. They
+// are not copied in either direction: with them a caller could claim another
+// organisation's cache, and in answers they reveal the load of other organisations.
+const merlinHeaderPrefix = "Merlin-"
 
-// hopHeaders concern one connection alone.
+// hopHeaders are the headers that apply to a single connection (RFC 9110, 7.6.1),
+// and Content-Length, which is set anew.
 var hopHeaders = map[string]bool{
 	"Connection":          true,
 	"Keep-Alive":          true,
@@ -24,29 +25,29 @@
 	"Content-Length":      true,
 }
 
-// forwardable returns the headers of a call that go to a plain service. The
-// API key stays here: the service learns the organisation from its own header.
-func forwardable(h http.Header) http.Header {
+// serviceHeaders returns the headers of a call to send to a plain service. The API key
+// is removed: the service gets the organisation in engine.HeaderOrganisation.
+func serviceHeaders(h http.Header) http.Header {
 	out := make(http.Header, len(h))
-	copyHeader(out, h)
+	copyEndToEndHeaders(out, h)
 	out.Del("Authorization")
 	out.Del("Last-Event-Id")
 	return out
 }
 
-// copyHeader copies what is not for one connection or between daemons and
-// endpoints alone.
-func copyHeader(to, from http.Header) {
+// copyEndToEndHeaders copies all headers except those for a single connection and
+// those between daemons and endpoints.
+func copyEndToEndHeaders(to, from http.Header) {
 	for name, values := range from {
-		if hopHeaders[name] || strings.HasPrefix(name, merlinPrefix) || named(from, name) {
+		if hopHeaders[name] || strings.HasPrefix(name, merlinHeaderPrefix) || listedInConnection(from, name) {
 			continue
 		}
 		to[name] = values
 	}
 }
 
-// named tells whether the Connection header names a header as its own.
-func named(h http.Header, name string) bool {
+// listedInConnection reports whether the Connection header lists the given header.
+func listedInConnection(h http.Header, name string) bool {
 	for _, list := range h["Connection"] {
 		for token := range strings.SplitSeq(list, ",") {
 			if strings.EqualFold(strings.TrimSpace(token), name) {
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -16,24 +16,24 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Paths of the model protocol.
+// Paths of the model API.
 const (
 	pathChat        = "/v1/chat/completions"
 	pathCompletions = "/v1/completions"
 	pathModels      = "/v1/models"
 )
 
-// modelCall is a model request on its way to an answer.
+// modelCall is the state of one model request.
 type modelCall struct {
 	*call
-	place      PlaceRequest
-	header     http.Header
-	assembler  stream.Assembler
-	out        *callerStream
-	mayHaveRun bool // some attempt may have run
-	declared   catalog.Target
-	end        func() // gives back what the call holds
-	admission  Admission
+	place          PlaceRequest
+	header         http.Header
+	assembler      stream.Assembler
+	out            *callerStream
+	mayHaveRun     bool // an endpoint may have run an attempt
+	manifestTarget catalog.Target
+	release        func() // ends the admission and the context
+	admission      Admission
 }
 
 func (c *call) serveModel() *Refusal {
@@ -41,15 +41,18 @@
 	if refusal != nil {
 		return refusal
 	}
-	defer mc.end()
+	defer mc.release()
 	return mc.run()
 }
 
-// admitModel reads, binds and admits a model request. It and placeNext stand
-// apart from their callers since a stream lies on top of those for minutes: with
-// their variables in between, each of ten thousand stacks would be 16 KB, not 8.
+// admitModel parses a model request, resolves its target and asks for admission.
+//
+// It and placeNext are separate functions because the stack frames of their
+// callers stay in use for as long as the stream, up to minutes. With the
+// variables of both in those frames, the stack of each of ten thousand
+// streams would grow from 8 KB to 16 KB.
 func (c *call) admitModel() (*modelCall, *Refusal) {
-	m, refusal := c.parse(c.r.URL.Path == pathChat)
+	m, refusal := c.parseModelRequest(c.r.URL.Path == pathChat)
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -57,7 +60,7 @@
 	if err != nil {
 		return nil, resolveRefusal(err)
 	}
-	cancel, refusal := c.bound(m.Priority, milliseconds(m.DeadlineMs))
+	cancel, refusal := c.setPriorityAndDeadline(m.Priority, milliseconds(m.DeadlineMs))
 	if refusal != nil {
 		return nil, refusal
 	}
@@ -69,15 +72,15 @@
 		return nil, refusal
 	}
 	mc.admission = admission
-	mc.end = func() {
+	mc.release = func() {
 		admission.Release(mc.usedTokens())
 		cancel()
 	}
 	return mc, nil
 }
 
-// firstToken notes that the caller's first token has come.
-func (mc *modelCall) firstToken() {
+// recordFirstToken records when the first token arrived and reports it to the admission.
+func (mc *modelCall) recordFirstToken() {
 	mc.report.FirstToken = time.Since(mc.start)
 	if mc.admission.OnFirstToken != nil {
 		mc.admission.OnFirstToken()
@@ -86,26 +89,26 @@
 
 func resolveRefusal(err error) *Refusal {
 	if errors.Is(err, catalog.ErrModelForbidden) || errors.Is(err, catalog.ErrAdapterForbidden) {
-		return refused(http.StatusForbidden, CodeNotPermitted, "the organisation may not use this model or adapter")
+		return refusedf(http.StatusForbidden, CodeNotPermitted, "the organisation may not use this model or adapter")
 	}
-	return refused(http.StatusNotFound, CodeModelNotFound, "the model or adapter is not known: %v", errors.Unwrap(err))
+	return refusedf(http.StatusNotFound, CodeModelNotFound, "the model or adapter is not known: %v", errors.Unwrap(err))
 }
 
 func (c *call) newModelCall(m *modelRequest, target catalog.Target) *modelCall {
 	mc := &modelCall{call: c, place: c.placeRequest(fleet.KindModel)}
-	mc.place.Prompt, mc.place.Levels = m.prompt, m.ends
-	mc.declared = target
-	mc.place.Target = c.bind(target, m.prompt, m.ends)
+	mc.place.Prompt, mc.place.Levels = m.prompt, m.levelEnds
+	mc.manifestTarget = target
+	mc.place.Target = c.chooseVersion(target, m.prompt, m.levelEnds)
 	mc.place.PromptTokens = estimateTokens(len(mc.place.Prompt), c.index.Fleet().BytesPerToken)
 	mc.place.MaxTokens = m.outputTokens()
 	if m.Seed == nil {
-		// The same request gets the same seed on each attempt, and another
-		// request another one.
+		// The seed is the same for all attempts of a request and differs
+		// between requests.
 		c.addSeed(m, crc32.ChecksumIEEE([]byte(c.id)))
 	}
 	mc.header = http.Header{"Content-Type": {contentJSON}}
 	if m.Stream {
-		mc.header.Set("Accept", contentEvents)
+		mc.header.Set("Accept", contentEventStream)
 		mc.out = newCallerStream(c)
 	}
 	c.report.Kind, c.report.Model = fleet.KindModel, m.Model
@@ -113,9 +116,10 @@
 	return mc
 }
 
-// bind fixes the weight version for all attempts from the first token on: an
-// answer that began on one version and went on with another would be neither's.
-func (c *call) bind(t catalog.Target, prompt []byte, ends []int) catalog.Target {
+// chooseVersion returns the target with the weight version for this request. The
+// version must not change after the first token: an answer generated partly by
+// one version and partly by another would belong to neither.
+func (c *call) chooseVersion(t catalog.Target, prompt []byte, ends []int) catalog.Target {
 	if c.g.o.ChooseVersion == nil {
 		return t
 	}
@@ -126,15 +130,16 @@
 	return c.g.o.ChooseVersion(c.org.ID, t, prompt[:first])
 }
 
-// rebind chooses the weight version anew as long as nothing was delivered. When
-// the last runner of the old version begins to load, requests bound to it are
-// refused everywhere, and their callers would get an error in a rollout that
-// leaves enough runners to serve them.
-func (mc *modelCall) rebind() {
+// updateVersion chooses the weight version again before a retry, as long as no
+// token was delivered. During a rollout, once the last runner of the old version
+// begins to load the new one, every endpoint refuses requests for the old
+// version. They would fail although enough runners of the new version can serve
+// them.
+func (mc *modelCall) updateVersion() {
 	if mc.report.Attempts == 0 || mc.assembler.Delivered() > 0 {
 		return
 	}
-	if t := mc.bind(mc.declared, mc.place.Prompt, mc.place.Levels); t != mc.place.Target {
+	if t := mc.chooseVersion(mc.manifestTarget, mc.place.Prompt, mc.place.Levels); t != mc.place.Target {
 		mc.place.Target = t
 		mc.place.Exclude = nil
 	}
@@ -152,7 +157,8 @@
 	}
 }
 
-// usedTokens is the work the request took: what was prefilled and generated.
+// usedTokens returns the tokens that the request cost: those prefilled, without
+// the cached ones, and those generated.
 func (mc *modelCall) usedTokens() int {
 	used := mc.report.Tokens
 	if mc.report.Attempts > 0 {
@@ -161,26 +167,26 @@
 	return used
 }
 
-// run makes attempts until one gives the whole answer or none may follow.
+// run makes attempts until one gives a complete answer or no retry is allowed.
 func (mc *modelCall) run() *Refusal {
 	for {
 		p, refusal := mc.placeNext()
 		if refusal != nil {
-			return mc.giveUp(refusal)
+			return mc.endWithError(refusal)
 		}
 		err := mc.attempt(p)
 		if err == nil {
 			return nil
 		}
-		if refusal := mc.next(p, err); refusal != nil {
-			return mc.giveUp(refusal)
+		if refusal := mc.prepareRetry(p, err); refusal != nil {
+			return mc.endWithError(refusal)
 		}
 	}
 }
 
-// placeNext chooses where the next attempt goes.
+// placeNext chooses the endpoint of the next attempt.
 func (mc *modelCall) placeNext() (*Placement, *Refusal) {
-	mc.rebind()
+	mc.updateVersion()
 	mc.place.Attempt = mc.report.Attempts + 1
 	_, mc.place.Resume = mc.resumeFrom()
 	p, err := mc.g.o.Placer.Place(mc.ctx, &mc.place)
@@ -190,34 +196,35 @@
 	return &p, nil
 }
 
-// resumeFrom returns the index of the last token the caller has, if any.
+// resumeFrom returns the index of the last token delivered to the caller, and
+// whether there is one.
 func (mc *modelCall) resumeFrom() (last int64, any bool) {
 	last, _ = mc.assembler.Resume()
 	return last, last >= 0
 }
 
-// next prepares another attempt after a failed one, or returns why there is
-// none.
-func (mc *modelCall) next(p *Placement, err error) *Refusal {
+// prepareRetry waits for the retry after a failed attempt, or returns the refusal if
+// there is to be none.
+func (mc *modelCall) prepareRetry(p *Placement, err error) *Refusal {
 	class := engine.ClassOf(err)
 	mc.mayHaveRun = mc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
 		mc.report.Mismatched++
 	}
 	if mc.ctx.Err() != nil {
-		return mc.expired(mc.mayHaveRun)
+		return mc.contextRefusal(mc.mayHaveRun)
 	}
 	if errors.Is(err, errCallerSlow) {
-		return unknown(http.StatusRequestTimeout, CodeStreamCut, "the caller read too slowly")
+		return unknownOutcome(http.StatusRequestTimeout, CodeStreamCut, "the caller read too slowly")
 	}
 	if mc.out != nil {
 		if _, ok := mc.assembler.Resume(); !ok {
-			return unknown(http.StatusBadGateway, CodeStreamCut, "the endpoint failed and its stream cannot be resumed")
+			return unknownOutcome(http.StatusBadGateway, CodeStreamCut, "the endpoint failed and its stream cannot be resumed")
 		}
 	}
 	mc.place.Exclude = append(mc.place.Exclude, p.Endpoint)
 	if !mc.mayRepeat() {
-		return mc.quarantinedAfter(mc.mayHaveRun)
+		return mc.quarantineRefusal(mc.mayHaveRun)
 	}
 	wait, ok := mc.g.o.Retry.Next(FailedAttempt{
 		Organisation: mc.org.ID,
@@ -229,42 +236,43 @@
 		Deadline:     mc.deadline,
 	})
 	if !ok || mc.report.Attempts >= mc.g.o.Limits.Attempts {
-		return mc.failed(mc.mayHaveRun)
+		return mc.attemptsExhausted(mc.mayHaveRun)
 	}
 	if pause.For(mc.ctx, wait) != nil {
-		return mc.expired(mc.mayHaveRun)
+		return mc.contextRefusal(mc.mayHaveRun)
 	}
 	return nil
 }
 
-// giveUp ends an answer that was begun with an explicit error, and otherwise
-// returns the refusal to be sent as the whole answer.
-func (mc *modelCall) giveUp(r *Refusal) *Refusal {
+// endWithError ends a stream that has begun with an explicit error event. If nothing
+// was sent yet, it returns the refusal to send as the complete answer.
+func (mc *modelCall) endWithError(r *Refusal) *Refusal {
 	mc.report.Duplicates = mc.assembler.Duplicates()
-	if mc.out == nil || !mc.out.begun {
+	if mc.out == nil || !mc.out.headerSent {
 		return r
 	}
-	// What was delivered has run, whatever became of the last attempt.
-	cut := unknown(r.Status, r.Code, r.Message)
+	// Tokens were delivered, so the request has run even if the last attempt did
+	// not.
+	cut := unknownOutcome(r.Status, r.Code, r.Message)
 	switch cut.Code {
 	case CodeDeadline, CodeShutdown, CodeCallerLeft:
 	default:
 		cut.Code = CodeStreamCut
 	}
 	mc.report.Code, mc.report.Outcome = cut.Code, cut.Outcome
-	mc.out.fail(cut)
+	mc.out.writeError(cut)
 	return nil
 }
 
-// attempt sends the request once and relays its answer. It returns nil when
-// the caller has the whole answer.
+// attempt sends the request once and relays the answer. It returns nil once the
+// complete answer was written to the caller.
 func (mc *modelCall) attempt(p *Placement) error {
 	mc.report.Attempts++
 	began := time.Now()
 	res := AttemptResult{}
 	err := mc.exchange(p, &res)
 	res.Duration = time.Since(began)
-	mc.settle(p, &mc.place, &res, err)
+	mc.reportAttempt(p, &mc.place, &res, err)
 	return err
 }
 
@@ -275,19 +283,19 @@
 		return err
 	}
 	defer ans.Close()
-	if err := mc.usable(ans, p, res); err != nil {
+	if err := mc.checkAnswer(ans, p, res); err != nil {
 		return err
 	}
 	if mc.out == nil || ans.Status != http.StatusOK {
-		return mc.relayWhole(ans, res, began)
+		return mc.relayUnstreamed(ans, res, began)
 	}
 	return mc.relayStream(ans, res, began)
 }
 
-// usable notes what the answer says beside itself and returns why the answer is
-// not to be relayed, if so. It stands apart from exchange since its copies
-// would otherwise lie on the stack for as long as the stream.
-func (mc *modelCall) usable(ans *engine.Answer, p *Placement, res *AttemptResult) error {
+// checkAnswer records the answer's metadata and returns an error if the answer must
+// not be relayed. It is a separate function so that its copies do not occupy the
+// stack of exchange for as long as the stream.
+func (mc *modelCall) checkAnswer(ans *engine.Answer, p *Placement, res *AttemptResult) error {
 	res.Status, res.Meta = ans.Status, ans.Meta
 	if p.OnHeader != nil {
 		p.OnHeader(ans.Meta)
@@ -295,17 +303,17 @@
 	if err := ans.NotRun(); err != nil {
 		return err
 	}
-	if failedStatus(ans.Status) {
-		return ans.Fail(errServerStatus)
+	if isEndpointFailure(ans.Status) {
+		return ans.Fail(errEndpointStatus)
 	}
 	mc.report.CachedTokens = ans.Meta.CachedTokens
 	return nil
 }
 
-// failedStatus tells whether a status speaks of the endpoint rather than of the
-// request, so that another endpoint may do better. Other errors, such as an
-// unknown field in the body, go to the caller.
-func failedStatus(status int) bool {
+// isEndpointFailure reports whether a status is caused by the endpoint rather than by
+// the request, so that another endpoint may succeed. Other error statuses, such
+// as that for an unknown field in the body, are relayed to the caller.
+func isEndpointFailure(status int) bool {
 	switch status {
 	case http.StatusConflict, http.StatusTooManyRequests, http.StatusRequestTimeout:
 		return true
@@ -339,36 +347,36 @@
 	}
 }
 
-// relayWhole passes on an answer that is not streamed, once all of it is here.
-func (mc *modelCall) relayWhole(ans *engine.Answer, res *AttemptResult, began time.Time) error {
+// relayUnstreamed relays an answer that is not a stream after reading all of it.
+func (mc *modelCall) relayUnstreamed(ans *engine.Answer, res *AttemptResult, began time.Time) error {
 	body, err := ans.Whole()
 	if err != nil {
 		return err
 	}
-	// An answer without the length it should have can still end cleanly, for
-	// instance when an engine dies behind a proxy; half an object shows it.
+	// A truncated answer can look complete to HTTP, for example when an engine
+	// crashes behind a proxy. It is then not valid JSON.
 	if ans.Status == http.StatusOK && !json.Valid(body) {
 		return ans.Fail(engine.ErrMalformed)
 	}
-	if mc.out != nil && mc.out.begun {
-		return ans.Fail(errServerStatus)
+	if mc.out != nil && mc.out.headerSent {
+		return ans.Fail(errEndpointStatus)
 	}
 	res.FirstToken = time.Since(began)
 	if mc.report.Tokens = completionTokens(body); ans.Status == http.StatusOK {
 		res.Tokens = mc.report.Tokens
-		mc.firstToken()
+		mc.recordFirstToken()
 	}
-	mc.writeWhole(ans.Status, ans.Header.Get("Content-Type"), body)
+	mc.writeAnswer(ans.Status, ans.Header.Get("Content-Type"), body)
 	return nil
 }
 
-// writeWhole sends a whole answer to the caller.
-func (c *call) writeWhole(status int, contentType string, body []byte) {
+// writeAnswer sends a complete answer to the caller.
+func (c *call) writeAnswer(status int, contentType string, body []byte) {
 	h := c.w.Header()
 	if contentType != "" {
 		h.Set("Content-Type", contentType)
 	}
-	c.cachedHeader()
+	c.setCachedTokensHeader()
 	h.Set("Content-Length", strconv.Itoa(len(body)))
 	c.report.Status = status
 	_ = c.rc.SetWriteDeadline(time.Now().Add(c.g.o.Limits.WriteTimeout))
@@ -376,14 +384,14 @@
 	_, _ = c.w.Write(body)
 }
 
-func (c *call) cachedHeader() {
+func (c *call) setCachedTokensHeader() {
 	if c.report.CachedTokens >= 0 {
 		c.w.Header().Set(HeaderCachedTokens, strconv.Itoa(c.report.CachedTokens))
 	}
 }
 
-// completionTokens reads the number of generated tokens from an answer, 0 when
-// it says none.
+// completionTokens returns the number of generated tokens in an answer's usage
+// field, 0 if there is none.
 func completionTokens(body []byte) int {
 	var answer struct {
 		Usage struct {
--- a/gateway/models.go
+++ b/gateway/models.go
@@ -16,14 +16,14 @@
 	OwnedBy string `json:"owned_by"`
 }
 
-// serveModels lists the models the organisation may use.
+// serveModels answers with the list of models that the organisation may use.
 func (c *call) serveModels() *Refusal {
 	list := modelList{Object: "list", Data: []modelInfo{}}
 	for _, name := range c.index.Models(c.org) {
 		list.Data = append(list.Data, modelInfo{ID: name, Object: "model", OwnedBy: "merlindock"})
 	}
-	// Strings alone cannot fail to encode.
+	// Marshalling structs of strings cannot fail.
 	body, _ := json.Marshal(list)
-	c.writeWhole(http.StatusOK, contentJSON, body)
+	c.writeAnswer(http.StatusOK, contentJSON, body)
 	return nil
 }
--- a/gateway/outcome.go
+++ b/gateway/outcome.go
@@ -8,29 +8,29 @@
 	"github.com/merlindock/merlindock/engine"
 )
 
-// portRefusal turns the error of a port into what the caller is told.
+// portRefusal converts an error of the Placer, Admitter or Claimer to a Refusal.
 func (c *call) portRefusal(err error, mayHaveRun bool) *Refusal {
 	if c.ctx.Err() != nil {
-		return c.expired(mayHaveRun)
+		return c.contextRefusal(mayHaveRun)
 	}
 	var r *Refusal
 	if !errors.As(err, &r) {
-		r = notRun(CodeNoEndpoint, "no endpoint can take the request at present", DefaultRetryAfter)
+		r = notRunRefusal(CodeNoEndpoint, "no endpoint can take the request at present", DefaultRetryAfter)
 	}
 	if mayHaveRun && r.Outcome != OutcomeUnknown {
-		// An earlier attempt may have run, so "not run" would be untrue.
-		return unknown(http.StatusBadGateway, CodeEndpointFailed, "endpoints failed and no other can take the request")
+		// An earlier attempt may have run, so "not run" would be wrong.
+		return unknownOutcome(http.StatusBadGateway, CodeEndpointFailed, "endpoints failed and no other can take the request")
 	}
 	return r
 }
 
-// expired is the refusal of a request whose deadline has passed, whose daemon
-// statusCallerLeft is what the field uses for a caller that closed its request;
-// it has no name in net/http.
-const statusCallerLeft = 499
+// statusClientClosedRequest is the customary status for a request that its caller
+// closed. It has no name in net/http.
+const statusClientClosedRequest = 499
 
-// shuts down, or whose caller has left and will not read it.
-func (c *call) expired(mayHaveRun bool) *Refusal {
+// contextRefusal returns the refusal for a request whose context has ended: its
+// deadline has passed, the daemon shuts down, or the caller has left.
+func (c *call) contextRefusal(mayHaveRun bool) *Refusal {
 	r := &Refusal{
 		Status:  http.StatusGatewayTimeout,
 		Code:    CodeDeadline,
@@ -42,9 +42,9 @@
 		r.Status, r.Code = http.StatusServiceUnavailable, CodeShutdown
 		r.Message = "the daemon shuts down"
 	case errors.Is(c.ctx.Err(), context.Canceled):
-		// Nobody reads this, but operators count it: callers who leave are not
-		// deadlines that were missed.
-		r.Status, r.Code = statusCallerLeft, CodeCallerLeft
+		// The caller cannot read this answer, but the code keeps callers that left
+		// apart from missed deadlines in the metrics.
+		r.Status, r.Code = statusClientClosedRequest, CodeCallerLeft
 		r.Message = "the caller left"
 	}
 	if !mayHaveRun {
@@ -53,19 +53,20 @@
 	return r
 }
 
-// failed is the refusal of a request whose attempts are used up.
-func (c *call) failed(mayHaveRun bool) *Refusal {
+// attemptsExhausted returns the refusal for a request that gets no further attempt.
+func (c *call) attemptsExhausted(mayHaveRun bool) *Refusal {
 	if mayHaveRun {
-		return unknown(http.StatusBadGateway, CodeEndpointFailed, "the endpoints that were tried failed")
+		return unknownOutcome(http.StatusBadGateway, CodeEndpointFailed, "the endpoints that were tried failed")
 	}
-	return notRun(CodeNoEndpoint, "no endpoint took the request", DefaultRetryAfter)
+	return notRunRefusal(CodeNoEndpoint, "no endpoint took the request", DefaultRetryAfter)
 }
 
-// settle tells how an attempt went: first the observer, then the placer.
-func (c *call) settle(p *Placement, r *PlaceRequest, res *AttemptResult, err error) {
+// reportAttempt reports the result of an attempt to the quarantine, the observer and
+// the placer, in this order.
+func (c *call) reportAttempt(p *Placement, r *PlaceRequest, res *AttemptResult, err error) {
 	res.Err = err
 	res.Outcome = c.attemptOutcome(err)
-	c.tellQuarantine(p, res)
+	c.reportToQuarantine(p, res)
 	c.g.o.Observer.Attempt(r, p, res)
 	if p.OnDone != nil {
 		p.OnDone(*res)
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -12,180 +12,181 @@
 
 // Placer chooses the endpoint of each attempt.
 type Placer interface {
-	// Place returns where the attempt goes. Its errors are *Refusal, or any
-	// other error when no endpoint may be used at all.
+	// Place returns the endpoint of the attempt. A *Refusal is sent to the caller;
+	// any other error means that no endpoint can be used.
 	Place(ctx context.Context, r *PlaceRequest) (Placement, error)
 }
 
-// PlaceRequest describes one attempt to be placed.
+// PlaceRequest describes an attempt to place.
 type PlaceRequest struct {
 	Kind         fleet.Kind // KindModel or KindService
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
 	Target       catalog.Target // of a model request; the same for all its attempts
 	Class        string         // of a plain service
-	Prompt       []byte         // text of the prompt in the order of its levels
-	Levels       []int          // end of each level in Prompt, ascending
+	Prompt       []byte         // text of the prompt
+	Levels       []int          // end offset of each level in Prompt, ascending
 	PromptTokens int            // estimate
-	MaxTokens    int            // to generate at most
+	MaxTokens    int            // maximum to generate
 	Deadline     time.Time
-	Attempt      int                // 1 for the first
-	Resume       bool               // tokens were delivered; the attempt goes on from there
-	Exclude      []fleet.EndpointID // tried before
+	Attempt      int                // number of the attempt, from 1
+	Resume       bool               // tokens were delivered; the attempt resumes after them
+	Exclude      []fleet.EndpointID // endpoints of earlier attempts
 }
 
-// Placement is where one attempt goes.
+// Placement is the endpoint chosen for an attempt.
 type Placement struct {
 	Endpoint       fleet.EndpointID
 	Address        string // IP:port
 	Incarnation    fleet.Incarnation
-	ExpectedCached int    // tokens expected in the endpoint's cache
+	ExpectedCached int    // prompt tokens expected in the endpoint's cache
 	ImportFrom     string // KV store to import the prefix from; empty: none
 	Prefix         string // names of the prompt's levels, for the engine; empty: none
-	// OnHeader, unless nil, is called when the header of an answer is there, so
-	// that what it says of the cache counts while the answer still runs.
+	// OnHeader, unless nil, is called when the header of an answer has arrived, so
+	// that its cached tokens and load are used while the answer still streams.
 	OnHeader func(engine.Metadata)
 	// OnDone, unless nil, is called exactly once when the attempt is over.
 	OnDone func(AttemptResult)
 }
 
-// AttemptOutcome is how one attempt ended.
+// AttemptOutcome is the outcome of one attempt.
 type AttemptOutcome int
 
-// The outcomes of an attempt.
+// Outcomes of an attempt.
 const (
-	AttemptSucceeded AttemptOutcome = iota + 1 // a whole answer came
-	AttemptNotSent                             // no byte left for the endpoint
-	AttemptNotRun                              // the endpoint refused it
-	AttemptFailed                              // it may have run and gave no whole answer
-	AttemptCancelled                           // the caller left or its deadline passed
+	AttemptSucceeded AttemptOutcome = iota + 1 // a complete answer was received
+	AttemptNotSent                             // no byte was sent to the endpoint
+	AttemptNotRun                              // the endpoint refused the request
+	AttemptFailed                              // it may have run, without a complete answer
+	AttemptCancelled                           // the caller left or was too slow, the deadline passed, or the daemon shut down
 )
 
-// AttemptResult tells the placer how an attempt went.
+// AttemptResult is reported to the Placer and the Observer after an attempt.
 type AttemptResult struct {
 	Outcome    AttemptOutcome
 	Status     int             // 0: no answer
-	Meta       engine.Metadata // valid when Status is not 0
-	FirstToken time.Duration   // from sending to the first token; 0: none came
+	Meta       engine.Metadata // valid if Status is not 0
+	FirstToken time.Duration   // from sending to the first token; 0: none received
 	Duration   time.Duration
 	Tokens     int   // received
-	Err        error // why it did not answer
+	Err        error // cause of a failure, nil on success
 }
 
-// Admitter decides whether a request may enter, by its organisation's share
-// and its priority.
+// Admitter decides whether a request may run, by its organisation's quota and its
+// priority.
 type Admitter interface {
-	// Admit may wait. It returns a *Refusal when the request may not enter.
+	// Admit may block. It returns a *Refusal if the request may not run.
 	Admit(ctx context.Context, r AdmitRequest) (Admission, error)
 }
 
-// Admission is a request's leave to run.
+// Admission is the permission for a request to run.
 type Admission struct {
-	OnFirstToken func()               // at the first token; may be nil
-	Release      func(usedTokens int) // exactly once, at the end
+	OnFirstToken func()               // called at the first token; may be nil
+	Release      func(usedTokens int) // called exactly once, at the end of the request
 }
 
-// AdmitRequest describes a request that wants to enter.
+// AdmitRequest describes a request to admit.
 type AdmitRequest struct {
 	Organisation contract.OrganisationID
 	Model        string
 	Priority     contract.Priority
-	Tokens       int // estimate of the work: prompt and generated tokens
-	PromptTokens int // the part of Tokens to prefill
+	Tokens       int // estimate of prompt and generated tokens
+	PromptTokens int // estimate of the prompt tokens in Tokens
 	Streamed     bool
 	Deadline     time.Time
 }
 
-// Claimer makes sure that a keyed call which may not be repeated runs at most
-// once over all daemons.
+// Claimer ensures that a call with an idempotency key runs at most once among all
+// daemons.
 type Claimer interface {
-	// Claim returns what to do with the call. It returns a *Refusal when the
-	// call may not run, such as for a key that is too old.
+	// Claim returns how to handle the call. It returns a *Refusal if the call may
+	// not run, for example because its key is too old.
 	Claim(ctx context.Context, r ClaimRequest) (Claim, error)
 }
 
-// ClaimRequest describes a keyed call.
+// ClaimRequest describes a call with an idempotency key.
 type ClaimRequest struct {
 	Organisation contract.OrganisationID
-	Key          string   // of the caller, see HeaderIdempotencyKey
-	Digest       [32]byte // SHA-256 of the call, so that a key cannot stand for two
+	Key          string   // value of HeaderIdempotencyKey
+	Digest       [32]byte // SHA-256 of the call, to detect that a key is reused for another call
 }
 
-// ClaimDecision tells what to do with a keyed call.
+// ClaimDecision is how to handle a call with an idempotency key.
 type ClaimDecision int
 
-// The decisions on a keyed call.
+// Decisions of a Claimer.
 const (
-	ClaimRun     ClaimDecision = iota + 1 // it is the caller's turn: send it once
-	ClaimStored                           // it has run; give the stored answer
-	ClaimUnknown                          // it may have run; nobody knows
+	ClaimRun     ClaimDecision = iota + 1 // send it, in one attempt unless it certainly did not run
+	ClaimStored                           // it has run; return the stored answer
+	ClaimUnknown                          // it was begun and its outcome is not known
 )
 
-// Claim is the decision on a keyed call.
+// Claim is a Claimer's decision and what is needed to carry it out.
 type Claim struct {
 	Decision ClaimDecision
 	Stored   StoredAnswer // with ClaimStored
-	// Complete keeps the answer, with ClaimRun. An error means that a repeat
-	// will be told "outcome unknown".
+	// Complete stores the answer, with ClaimRun. After an error, a repetition of
+	// the call gets ClaimUnknown.
 	Complete func(ctx context.Context, a StoredAnswer) error
-	// Abandon gives the claim back, with ClaimRun, when the call certainly did
-	// not run, so that a repeat may run it.
+	// Abandon releases the claim, with ClaimRun, if the call certainly did not run,
+	// so that a repetition may run it.
 	Abandon func(ctx context.Context) error
 }
 
-// StoredAnswer is an answer to a keyed call.
+// StoredAnswer is the stored answer to a call with an idempotency key.
 type StoredAnswer struct {
 	Status      int    `json:"status"`
 	ContentType string `json:"content_type,omitempty"`
 	Body        []byte `json:"body,omitempty"`
 }
 
-// RetryPolicy decides whether a failed attempt is followed by another.
+// RetryPolicy decides whether a failed attempt is retried.
 type RetryPolicy interface {
-	// Next returns how long to wait before the next attempt, and false when
-	// there is to be none.
+	// Next returns the delay before the next attempt, and false if there is to be
+	// none.
 	Next(f FailedAttempt) (wait time.Duration, ok bool)
 }
 
-// FailedAttempt is an attempt that gave no usable answer. The gateway asks the policy
-// only when another attempt is permissible at all.
+// FailedAttempt describes an attempt that gave no usable answer. The gateway asks
+// the policy only if another attempt is safe.
 type FailedAttempt struct {
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
 	Class        engine.Class
-	Attempt      int // number of attempts made
+	Attempt      int // number of attempts so far
 	Idempotent   bool
-	Streaming    bool // tokens were delivered: without another attempt the answer is cut
+	Streaming    bool // tokens were delivered: without a retry the stream is cut
 	Deadline     time.Time
 }
 
-// Observer is told of each request that ended. It must not block.
+// Observer receives a report of each finished request and attempt. It must not
+// block.
 type Observer interface {
 	Request(r *Report)
-	// Attempt is told when a whole attempt is over, before the placer.
+	// Attempt is called at the end of an attempt, before Placement.OnDone.
 	Attempt(r *PlaceRequest, p *Placement, res *AttemptResult)
 }
 
-// Report is what became of one request.
+// Report describes a finished request.
 type Report struct {
 	ID           string
 	Kind         fleet.Kind
-	Service      string // of a plain call
+	Service      string // ID of the plain service, for KindService
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
 	Model        string
-	Status       int     // sent to the caller; 0 if the caller left first
-	Code         string  // of the refusal or error; empty when answered
-	Outcome      Outcome // OutcomeNone when answered
+	Status       int     // status sent to the caller; 0: none was sent
+	Code         string  // error code; empty if answered
+	Outcome      Outcome // OutcomeNone if answered
 	Attempts     int
-	Resumes      int // attempts that went on from a delivered token
-	Duplicates   int // tokens dropped since the caller had them
-	Mismatched   int // answers dropped since they were another attempt's
+	Resumes      int // attempts that resumed after a delivered token
+	Duplicates   int // tokens dropped because they were delivered before
+	Mismatched   int // answers dropped because they belonged to another attempt
 	PromptTokens int // estimate
-	CachedTokens int // as the last endpoint said; -1 when not said
-	Tokens       int // delivered
+	CachedTokens int // as the last endpoint reported; engine.CachedUnknown if not reported
+	Tokens       int // tokens delivered
 	FirstToken   time.Duration
 	Duration     time.Duration
 	CallerLeft   bool
-	CallerSlow   bool // cut since the caller read too slowly
+	CallerSlow   bool // the answer was cut because the caller read too slowly
 }
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -14,16 +14,17 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// Estimates of work where the request or the manifest gives no figure.
+// Bounds of a model request, and estimates for values that neither the request
+// nor the manifest gives.
 const (
-	defaultMaxTokens     = 512
-	maxMaxTokens         = 1 << 20
-	maxFields            = 64 // of a request's object
+	defaultOutputTokens  = 512
+	maxOutputTokens      = 1 << 20
+	maxBodyFields        = 64 // of the JSON object
 	defaultBytesPerToken = 4.0
 )
 
-// modelRequest is what the gateway reads of a model request's body. The body
-// itself goes to the endpoint as it is, but for the seed.
+// modelRequest holds the fields that the gateway reads from the body of a model
+// request. The body is sent to the endpoint unchanged except for an added seed.
 type modelRequest struct {
 	Model               string
 	Stream              bool
@@ -33,14 +34,15 @@
 	DeadlineMs          int64
 	Seed                *int64
 
-	prompt []byte // part of the body: the messages, or the prompt
-	ends   []int  // of each message in prompt, or of the whole prompt
-	chat   bool   // messages are there
-	object int    // where the object begins in the body
+	prompt      []byte // slice of the body: the messages, or the prompt
+	levelEnds   []int  // end offsets in prompt: of each message, or of the whole prompt
+	hasMessages bool   // the field messages is present
+	objectStart int    // offset of the opening brace in the body
 }
 
-// field returns where the value of a field goes, nil for one that is not read.
-func (m *modelRequest) field(name string) any {
+// fieldTarget returns the destination for a field's value, nil if the field is not
+// read.
+func (m *modelRequest) fieldTarget(name string) any {
 	switch name {
 	case "model":
 		return &m.Model
@@ -68,22 +70,22 @@
 	fieldPrompt   = "prompt"
 )
 
-// decode reads an object whose fields are unlike each other, also when case is
-// not looked at. The messages are not copied: a prompt may be hundreds of
-// kilobytes, and is looked through once.
+// decode reads the body, one JSON object. It scans the prompt once and does not
+// copy it, since it may have hundreds of kilobytes.
 //
-// Decoders differ in which of two fields "model", or of "model" and "Model",
-// they take. The gateway would check the organisation's right to one and the
-// endpoint would serve the other: another organisation's adapter. The decoder
-// refuses the first, and the look at the folded name the second.
+// Field names that are equal, or equal but for case, are refused. JSON decoders
+// differ in which of two fields "model", or of "model" and "Model", they take:
+// the gateway could check the organisation's permission for one value while the
+// endpoint serves the other, such as another organisation's adapter. The JSON
+// decoder refuses duplicates, and decodeField refuses other spellings.
 func (m *modelRequest) decode(body []byte) error {
-	// The decoder reads from a bytes.Buffer in place.
+	// jsontext reads a bytes.Buffer without copying it.
 	d := jsontext.NewDecoder(bytes.NewBuffer(body))
 	t, err := d.ReadToken()
 	if err != nil || t.Kind() != jsontext.KindBeginObject {
-		return errors.Join(errNoObject, err)
+		return errors.Join(errNotOneObject, err)
 	}
-	m.object = int(d.InputOffset()) - 1
+	m.objectStart = int(d.InputOffset()) - 1
 	for fields := 0; d.PeekKind() == jsontext.KindString; fields++ {
 		t, err := d.ReadToken()
 		if err != nil {
@@ -92,22 +94,22 @@
 		if err := m.decodeField(d, body, t.String()); err != nil {
 			return err
 		}
-		if fields == maxFields {
-			return errManyFields
+		if fields == maxBodyFields {
+			return errTooManyFields
 		}
 	}
 	if _, err := d.ReadToken(); err != nil {
 		return err
 	}
 	if _, err := d.ReadToken(); !errors.Is(err, io.EOF) {
-		return errors.Join(errNoObject, err)
+		return errors.Join(errNotOneObject, err)
 	}
 	return nil
 }
 
 func (m *modelRequest) decodeField(d *jsontext.Decoder, body []byte, name string) error {
-	target := m.field(name)
-	if target == nil && m.field(strings.ToLower(name)) != nil {
+	target := m.fieldTarget(name)
+	if target == nil && m.fieldTarget(strings.ToLower(name)) != nil {
 		return fmt.Errorf("field %q must be written %q", name, strings.ToLower(name))
 	}
 	if name == fieldMessages && d.PeekKind() == jsontext.KindBeginArray {
@@ -118,10 +120,10 @@
 	case err != nil || target == nil || value.Kind() == jsontext.KindNull:
 		return err
 	case name == fieldMessages:
-		return errNoMessages
+		return errMessagesType
 	case name == fieldPrompt:
 		end := int(d.InputOffset())
-		m.prompt, m.ends = body[end-len(value):end], []int{len(value)}
+		m.prompt, m.levelEnds = body[end-len(value):end], []int{len(value)}
 		return nil
 	}
 	if err := json.Unmarshal(value, target); err != nil {
@@ -130,49 +132,50 @@
 	return nil
 }
 
-// decodeMessages notes where each message ends. Two requests that share their
-// first messages share the bytes up to that end.
+// decodeMessages records the end offset of each message. Requests with the same
+// first messages have the same bytes up to that offset.
 func (m *modelRequest) decodeMessages(d *jsontext.Decoder, body []byte) error {
 	if _, err := d.ReadToken(); err != nil {
 		return err
 	}
-	m.chat = true
+	m.hasMessages = true
 	begin := int(d.InputOffset())
 	for d.PeekKind() == jsontext.KindBeginObject {
 		if err := d.SkipValue(); err != nil {
 			return err
 		}
-		m.ends = append(m.ends, int(d.InputOffset())-begin)
+		m.levelEnds = append(m.levelEnds, int(d.InputOffset())-begin)
 	}
 	m.prompt = body[begin:d.InputOffset()]
 	if t, err := d.ReadToken(); err != nil || t.Kind() != jsontext.KindEndArray {
-		return errors.Join(errNoMessages, err)
+		return errors.Join(errMessagesType, err)
 	}
 	return nil
 }
 
-// parse reads the body and the headers, of which the headers count first.
-func (c *call) parse(chat bool) (*modelRequest, *Refusal) {
+// parseModelRequest decodes and validates the body. Priority and deadline in headers
+// override the fields of the body.
+func (c *call) parseModelRequest(chat bool) (*modelRequest, *Refusal) {
 	m := new(modelRequest)
 	if err := m.decode(c.body); err != nil {
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "the body is not the JSON expected: %v", err)
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "the body is not the JSON expected: %v", err)
 	}
 	switch {
 	case m.Model == "":
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "field model is missing")
-	case chat && (!m.chat || len(m.ends) == 0):
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "field messages is missing or empty")
-	case !chat && (m.chat || len(m.ends) == 0):
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "field prompt is missing")
-	case m.MaxTokens < 0 || m.MaxTokens > maxMaxTokens || m.MaxCompletionTokens < 0 || m.MaxCompletionTokens > maxMaxTokens:
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "field max_tokens must be from 0 to %d", maxMaxTokens)
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "field model is missing")
+	case chat && (!m.hasMessages || len(m.levelEnds) == 0):
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "field messages is missing or empty")
+	case !chat && (m.hasMessages || len(m.levelEnds) == 0):
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "field prompt is missing")
+	case m.MaxTokens < 0 || m.MaxTokens > maxOutputTokens || m.MaxCompletionTokens < 0 || m.MaxCompletionTokens > maxOutputTokens:
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "field max_tokens must be from 0 to %d", maxOutputTokens)
 	}
 	if p := c.r.Header.Get(HeaderPriority); p != "" {
 		m.Priority = p
 	}
 	ms, err := c.deadlineHeader()
 	if err != nil || m.DeadlineMs < 0 {
-		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "%s must be a number of milliseconds above 0", HeaderDeadline)
+		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "%s must be a number of milliseconds above 0", HeaderDeadline)
 	}
 	if ms > 0 {
 		m.DeadlineMs = ms
@@ -180,17 +183,17 @@
 	return m, nil
 }
 
-// Causes why a body is not read.
+// Errors of decoding a body.
 var (
-	errNoObject   = errors.New("it must be one JSON object")
-	errManyFields = errors.New("it has too many fields")
-	errNoMessages = errors.New("field messages must be an array of objects")
+	errNotOneObject  = errors.New("it must be one JSON object")
+	errTooManyFields = errors.New("it has too many fields")
+	errMessagesType  = errors.New("field messages must be an array of objects")
 )
 
 var errDeadline = errors.New("gateway: deadline is not a number of milliseconds above 0")
 
-// deadlineHeader returns the milliseconds the caller will wait, 0 if it does
-// not say.
+// deadlineHeader returns the value of HeaderDeadline in milliseconds, 0 if the
+// header is missing.
 func (c *call) deadlineHeader() (int64, error) {
 	text := c.r.Header.Get(HeaderDeadline)
 	if text == "" {
@@ -203,19 +206,19 @@
 	return ms, nil
 }
 
-// milliseconds converts a deadline, of which overlong ones count as the longest
-// the limits know.
+// milliseconds converts a deadline, capped at 24 hours so that it cannot
+// overflow a Duration.
 func milliseconds(ms int64) time.Duration {
 	const longest = int64(24 * time.Hour / time.Millisecond)
 	return time.Duration(min(ms, longest)) * time.Millisecond
 }
 
-// outputTokens returns how many tokens the request may generate.
+// outputTokens returns the maximum number of tokens to generate.
 func (m *modelRequest) outputTokens() int {
 	if n := max(m.MaxTokens, m.MaxCompletionTokens); n > 0 {
 		return n
 	}
-	return defaultMaxTokens
+	return defaultOutputTokens
 }
 
 func estimateTokens(size int, bytesPerToken float64) int {
@@ -225,23 +228,23 @@
 	return int(float64(size)/bytesPerToken) + 1
 }
 
-// seedBytes is the most that addSeed puts in front of a body.
-const seedBytes = len(`{"seed":4294967295,`)
+// maxSeedFieldBytes is the maximum length that addSeed adds to a body.
+const maxSeedFieldBytes = len(`{"seed":4294967295,`)
 
-// addSeed gives the body a seed for sampling.
+// addSeed adds a sampling seed to the body.
 //
-// A stream that is resumed on another runner is generated anew from its prompt
-// up to the resume position. Without a common seed the two runners sample
-// different texts, and the caller would get two halves that do not belong
-// together, with nothing to show it.
+// A runner that resumes a stream generates it again from the prompt up to the
+// resume position. Without a common seed the two runners would sample different
+// texts, and the caller would get two parts that do not fit together, without
+// noticing it.
 func (c *call) addSeed(m *modelRequest, seed uint32) {
-	var field [seedBytes]byte
+	var field [maxSeedFieldBytes]byte
 	f := append(field[:0], `{"seed":`...)
 	f = strconv.AppendUint(f, uint64(seed), 10)
 	f = append(f, ',')
-	// The body was read with room in front, so that it need not be copied: the
-	// field ends where the object's first brace was.
-	begin := seedBytes + m.object + 1 - len(f)
-	copy(c.buffer[begin:], f)
-	c.body = c.buffer[begin:]
+	// The buffer has free space before the body, so the body need not be copied:
+	// the new field ends where the opening brace was.
+	begin := maxSeedFieldBytes + m.objectStart + 1 - len(f)
+	copy(c.bodyBuffer[begin:], f)
+	c.body = c.bodyBuffer[begin:]
 }
--- a/gateway/prompt_test.go
+++ b/gateway/prompt_test.go
@@ -8,7 +8,7 @@
 	"testing"
 )
 
-func TestDecodeReadsTheFieldsAndLevels(t *testing.T) {
+func TestDecodeFieldsAndLevels(t *testing.T) {
 	tests := []struct {
 		body   string
 		want   modelRequest
@@ -30,7 +30,7 @@
 		}
 		var levels []string
 		begin := 0
-		for _, end := range m.ends {
+		for _, end := range m.levelEnds {
 			levels = append(levels, string(m.prompt[begin:end]))
 			begin = end
 		}
@@ -44,10 +44,10 @@
 	}
 }
 
-// A body names two models, by one name twice or by two cases of it, and the
-// gateway checks the right to one while the engine serves the other. No body
-// may be read in two ways.
-func TestDecodeRefusesWhatCanBeReadInTwoWays(t *testing.T) {
+// A body must not be accepted if JSON decoders can read it differently, for example
+// with a duplicate field or one in another case. Otherwise the gateway would check
+// the permission for one model while the engine serves another.
+func TestDecodeRefusesAmbiguousBody(t *testing.T) {
 	for _, body := range []string{
 		`{"model":"codes:tags","model":"codes"}`,
 		`{"model":"codes","\u006dodel":"codes:tags"}`,
@@ -56,11 +56,11 @@
 		`{"model":"codes"}{"model":"codes:tags"}`,
 		`{"model":"codes"`, `[]`, ``, `null`, `{"model":7}`,
 		`{"messages":[1]}`, `{"messages":{}}`, `{"messages":[{}`,
-		manyFields(maxFields + 1),
+		manyFields(maxBodyFields + 1),
 		"{\"model\":\"\xff\"}",
 	} {
 		if err := new(modelRequest).decode([]byte(body)); err == nil {
-			t.Errorf("%s is taken", body)
+			t.Errorf("%s was accepted", body)
 		}
 	}
 }
@@ -73,11 +73,11 @@
 	return "{" + b.String()[1:] + "}"
 }
 
-func TestSeedIsAddedInPlace(t *testing.T) {
+func TestAddSeedInPlace(t *testing.T) {
 	for _, body := range []string{`{"model":"c"}`, "  \n{ \"model\":\"c\"}"} {
 		for _, seed := range []uint32{0, 7, 4294967295} {
-			buffer := append(make([]byte, seedBytes), body...)
-			c := call{buffer: buffer, body: buffer[seedBytes:]}
+			buffer := append(make([]byte, maxSeedFieldBytes), body...)
+			c := call{bodyBuffer: buffer, body: buffer[maxSeedFieldBytes:]}
 			var m modelRequest
 			if err := m.decode(c.body); err != nil {
 				t.Fatal(err)
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -8,12 +8,13 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// quarantinedMessage is what callers are told of CodeQuarantined.
+// quarantinedMessage is the message of refusals with CodeQuarantined.
 const quarantinedMessage = "endpoints that ran this request have ended"
 
-// quarantined names the request by its fingerprint, and refuses it if it is held.
-// Nothing of it has left for an endpoint. The host does not count: it names a daemon.
-func (c *call) quarantined() *Refusal {
+// checkQuarantine computes the request's fingerprint and returns a refusal if the
+// request is quarantined. It runs before anything is sent to an endpoint. The
+// fingerprint leaves out the host, which differs between daemons.
+func (c *call) checkQuarantine() *Refusal {
 	if c.g.o.Quarantine == nil {
 		return nil
 	}
@@ -22,35 +23,36 @@
 	if !held {
 		return nil
 	}
-	return notRun(CodeQuarantined, quarantinedMessage, left)
+	return notRunRefusal(CodeQuarantined, quarantinedMessage, left)
 }
 
-// mayRepeat tells whether another endpoint may have the request after one failed.
+// mayRepeat reports whether the quarantine allows a retry after a failed attempt.
 func (c *call) mayRepeat() bool {
 	return c.g.o.Quarantine == nil || c.g.o.Quarantine.MayRepeat(c.fingerprint)
 }
 
-// quarantinedAfter is the refusal of a request that is not sent on.
-func (c *call) quarantinedAfter(mayHaveRun bool) *Refusal {
+// quarantineRefusal returns the refusal for a request that may not be retried.
+func (c *call) quarantineRefusal(mayHaveRun bool) *Refusal {
 	if mayHaveRun {
-		return unknown(http.StatusBadGateway, CodeQuarantined, quarantinedMessage)
+		return unknownOutcome(http.StatusBadGateway, CodeQuarantined, quarantinedMessage)
 	}
-	return notRun(CodeQuarantined, quarantinedMessage, DefaultRetryAfter)
+	return notRunRefusal(CodeQuarantined, quarantinedMessage, DefaultRetryAfter)
 }
 
-// tellQuarantine tells how an attempt ended.
-func (c *call) tellQuarantine(p *Placement, res *AttemptResult) {
+// reportToQuarantine reports the result of an attempt to the quarantine.
+func (c *call) reportToQuarantine(p *Placement, res *AttemptResult) {
 	q := c.g.o.Quarantine
 	switch {
 	case q == nil:
 	case res.Outcome == AttemptSucceeded:
 		q.Answered(c.fingerprint)
 	case res.Outcome == AttemptFailed:
-		q.Lost(c.fingerprint, lifeOf(p), p.Address)
+		q.Lost(c.fingerprint, incarnationKey(p), p.Address)
 	}
 }
 
-// lifeOf names one life of an endpoint: it may come back under the same id.
-func lifeOf(p *Placement) fleet.EndpointID {
+// incarnationKey identifies one incarnation of an endpoint. An endpoint may restart
+// under the same ID.
+func incarnationKey(p *Placement) fleet.EndpointID {
 	return p.Endpoint + "@" + fleet.EndpointID(strconv.FormatUint(uint64(p.Incarnation), 36))
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -8,14 +8,14 @@
 	"github.com/merlindock/merlindock/stream"
 )
 
-// Causes why an attempt is given up.
+// Causes of failed attempts.
 var (
-	errServerStatus = errors.New("gateway: endpoint answered with an error status")
-	errCallerSlow   = errors.New("gateway: caller reads too slowly")
+	errEndpointStatus = errors.New("gateway: endpoint answered with an error status")
+	errCallerSlow     = errors.New("gateway: caller reads too slowly")
 )
 
-// relayStream passes the tokens of one attempt on to the caller, each once and
-// in order.
+// relayStream relays the tokens of one attempt to the caller, each exactly once
+// and in order. It flushes only when no further event is buffered.
 func (mc *modelCall) relayStream(ans *engine.Answer, res *AttemptResult, began time.Time) error {
 	n := mc.assembler.Begin()
 	events := ans.Events()
@@ -29,10 +29,10 @@
 			res.FirstToken = time.Since(began)
 		}
 		if ev.Kind == engine.EventEnd {
-			return mc.ended(ans, n, ev.Index)
+			return mc.relayEnd(ans, n, ev.Index)
 		}
 		res.Tokens++
-		if err := mc.token(ans, n, &ev); err != nil {
+		if err := mc.relayToken(ans, n, &ev); err != nil {
 			return err
 		}
 		if events.Ready() {
@@ -44,8 +44,8 @@
 	}
 }
 
-// token passes one token on, unless the caller has it.
-func (mc *modelCall) token(ans *engine.Answer, n stream.AttemptNumber, ev *engine.Event) error {
+// relayToken relays one token, unless it was delivered before.
+func (mc *modelCall) relayToken(ans *engine.Answer, n stream.AttemptNumber, ev *engine.Event) error {
 	verdict, err := mc.assembler.Token(n, ev.Index)
 	if err != nil {
 		return ans.Fail(err)
@@ -54,23 +54,23 @@
 		return nil
 	}
 	if mc.report.Tokens == 0 {
-		mc.firstToken()
+		mc.recordFirstToken()
 	}
 	mc.report.Tokens++
-	if err := mc.out.token(mc.assembler.Delivered()-1, ev.Data); err != nil {
+	if err := mc.out.writeToken(mc.assembler.Delivered()-1, ev.Data); err != nil {
 		return ans.Fail(err)
 	}
 	return nil
 }
 
-// ended passes the end marker on. Only here does a caller learn that its answer
-// is whole.
-func (mc *modelCall) ended(ans *engine.Answer, n stream.AttemptNumber, total int64) error {
+// relayEnd relays the end marker, which confirms to the caller that the answer is
+// complete.
+func (mc *modelCall) relayEnd(ans *engine.Answer, n stream.AttemptNumber, total int64) error {
 	if err := mc.assembler.End(n, total); err != nil {
 		return ans.Fail(err)
 	}
 	mc.report.Duplicates = mc.assembler.Duplicates()
-	if err := mc.out.end(mc.assembler.Delivered()); err != nil {
+	if err := mc.out.writeEnd(mc.assembler.Delivered()); err != nil {
 		return ans.Fail(err)
 	}
 	return nil
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -17,14 +17,14 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// maxKeyBytes bounds an idempotency key.
-const maxKeyBytes = 256
+// maxIdempotencyKeyBytes is the maximum length of an idempotency key.
+const maxIdempotencyKeyBytes = 256
 
-// claimTimeout bounds how long keeping an answer may hold it back from the
-// caller.
-const claimTimeout = 5 * time.Second
+// storeTimeout is the maximum delay of an answer while it is stored for its
+// idempotency key.
+const storeTimeout = 5 * time.Second
 
-// serviceCall is a call of a plain service on its way to an answer.
+// serviceCall is the state of one call of a plain service.
 type serviceCall struct {
 	*call
 	place      PlaceRequest
@@ -33,15 +33,15 @@
 	idempotent bool
 	claim      Claim
 	mayHaveRun bool
-	begun      bool // part of the answer has gone to the caller
+	headerSent bool // the answer's header was sent to the caller
 }
 
 func (c *call) serveService(s *catalog.Service, rest string) *Refusal {
 	ms, err := c.deadlineHeader()
 	if err != nil {
-		return refused(http.StatusBadRequest, CodeInvalidRequest, "%s must be a number of milliseconds above 0", HeaderDeadline)
+		return refusedf(http.StatusBadRequest, CodeInvalidRequest, "%s must be a number of milliseconds above 0", HeaderDeadline)
 	}
-	cancel, refusal := c.bound(c.r.Header.Get(HeaderPriority), milliseconds(ms))
+	cancel, refusal := c.setPriorityAndDeadline(c.r.Header.Get(HeaderPriority), milliseconds(ms))
 	if refusal != nil {
 		return refusal
 	}
@@ -50,10 +50,10 @@
 	sc := &serviceCall{
 		call:   c,
 		place:  c.placeRequest(fleet.KindService),
-		header: forwardable(c.r.Header),
+		header: serviceHeaders(c.r.Header),
 		path:   requestURI(c.r.URL),
-		// A path with escapes may mean another call to the service than to the
-		// manifest's rules, so it counts as one that may not be repeated.
+		// The service may decode an escaped path to another call than the one that
+		// matches the manifest's rules, so it is not considered idempotent.
 		idempotent: c.r.URL.RawPath == "" && s.Idempotent(c.r.Method, rest),
 	}
 	sc.place.Class = s.Class
@@ -71,10 +71,11 @@
 	return u.EscapedPath() + "?" + u.RawQuery
 }
 
-// runClaimed runs a keyed call that may not be repeated, if the claim says so.
+// runClaimed claims the idempotency key and, according to the decision, runs the
+// call or answers with its stored result.
 func (sc *serviceCall) runClaimed(key string) *Refusal {
-	if len(key) > maxKeyBytes {
-		return refused(http.StatusBadRequest, CodeKeyInvalid, "the idempotency key exceeds %d bytes", maxKeyBytes)
+	if len(key) > maxIdempotencyKeyBytes {
+		return refusedf(http.StatusBadRequest, CodeKeyInvalid, "the idempotency key exceeds %d bytes", maxIdempotencyKeyBytes)
 	}
 	claim, err := sc.g.o.Claimer.Claim(sc.ctx, ClaimRequest{Organisation: sc.org.ID, Key: key, Digest: sc.digest()})
 	if err != nil {
@@ -82,30 +83,30 @@
 	}
 	switch claim.Decision {
 	case ClaimStored:
-		sc.writeWhole(claim.Stored.Status, claim.Stored.ContentType, claim.Stored.Body)
+		sc.writeAnswer(claim.Stored.Status, claim.Stored.ContentType, claim.Stored.Body)
 		return nil
 	case ClaimUnknown:
-		return unknown(http.StatusConflict, CodeOutcomeUnknown, "a call with this key was begun and its outcome is not known")
+		return unknownOutcome(http.StatusConflict, CodeOutcomeUnknown, "a call with this key was begun and its outcome is not known")
 	}
 	sc.claim = claim
-	// The caller that leaves now comes back with its key, on another daemon.
-	// The call goes on without it, so that its answer can be kept; otherwise
-	// the key would stand for "outcome unknown" for good.
-	ctx, cancel := sc.withoutCaller()
+	// A caller that leaves may retry with its key at another daemon. The call
+	// continues without it so that its answer can be stored. Otherwise every
+	// retry with this key would get "outcome unknown".
+	ctx, cancel := sc.contextWithoutCaller()
 	defer cancel()
 	sc.ctx = ctx
 	refusal := sc.run()
 	if refusal != nil && !sc.mayHaveRun && claim.Abandon != nil {
-		ctx, cancel := sc.detached()
+		ctx, cancel := sc.storeContext()
 		defer cancel()
 		_ = claim.Abandon(ctx)
 	}
 	return refusal
 }
 
-// withoutCaller returns a context that ends at the deadline or with the daemon,
-// but not with the caller.
-func (sc *serviceCall) withoutCaller() (context.Context, context.CancelFunc) {
+// contextWithoutCaller returns a context that ends at the deadline or when the daemon
+// shuts down, but not when the caller leaves.
+func (sc *serviceCall) contextWithoutCaller() (context.Context, context.CancelFunc) {
 	caller := sc.r.Context()
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(caller), sc.deadline)
 	ctx, end := context.WithCancelCause(ctx)
@@ -121,13 +122,13 @@
 	}
 }
 
-// detached returns a context for keeping what became of a call. The caller may
-// have left, and yet its next try must find the answer.
-func (sc *serviceCall) detached() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(context.WithoutCancel(sc.ctx), claimTimeout)
+// storeContext returns a context for storing the result of a call. It does not end when
+// the caller leaves, since the caller's retry must find the result.
+func (sc *serviceCall) storeContext() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(context.WithoutCancel(sc.ctx), storeTimeout)
 }
 
-// digest identifies the call, so that one key cannot stand for two.
+// digest returns a hash of the call, to detect that a key is reused for another.
 func (sc *serviceCall) digest() [sha256.Size]byte {
 	h := sha256.New()
 	for _, part := range []string{sc.r.Method, sc.path, sc.r.Header.Get("Content-Type")} {
@@ -137,7 +138,7 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// run makes attempts until one gives an answer or none may follow.
+// run makes attempts until one gives an answer or no retry is allowed.
 func (sc *serviceCall) run() *Refusal {
 	for {
 		sc.place.Attempt = sc.report.Attempts + 1
@@ -149,27 +150,27 @@
 		if err == nil {
 			return nil
 		}
-		if refusal := sc.next(&p, err); refusal != nil {
-			return sc.giveUp(refusal)
+		if refusal := sc.prepareRetry(&p, err); refusal != nil {
+			return sc.endWithError(refusal)
 		}
 	}
 }
 
-func (sc *serviceCall) next(p *Placement, err error) *Refusal {
+func (sc *serviceCall) prepareRetry(p *Placement, err error) *Refusal {
 	class := engine.ClassOf(err)
 	sc.mayHaveRun = sc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
 		sc.report.Mismatched++
 	}
 	if sc.ctx.Err() != nil {
-		return sc.expired(sc.mayHaveRun)
+		return sc.contextRefusal(sc.mayHaveRun)
 	}
-	if sc.begun || class.Ran() && !sc.idempotent {
-		return sc.failed(true)
+	if sc.headerSent || class.Ran() && !sc.idempotent {
+		return sc.attemptsExhausted(true)
 	}
 	sc.place.Exclude = append(sc.place.Exclude, p.Endpoint)
 	if !sc.mayRepeat() {
-		return sc.quarantinedAfter(sc.mayHaveRun)
+		return sc.quarantineRefusal(sc.mayHaveRun)
 	}
 	wait, ok := sc.g.o.Retry.Next(FailedAttempt{
 		Organisation: sc.org.ID,
@@ -180,18 +181,18 @@
 		Deadline:     sc.deadline,
 	})
 	if !ok || sc.report.Attempts >= sc.g.o.Limits.Attempts {
-		return sc.failed(sc.mayHaveRun)
+		return sc.attemptsExhausted(sc.mayHaveRun)
 	}
 	if pause.For(sc.ctx, wait) != nil {
-		return sc.expired(sc.mayHaveRun)
+		return sc.contextRefusal(sc.mayHaveRun)
 	}
 	return nil
 }
 
-// giveUp breaks off an answer that was begun, since ending it cleanly would
-// make half of it look whole.
-func (sc *serviceCall) giveUp(r *Refusal) *Refusal {
-	if !sc.begun {
+// endWithError aborts the connection if part of the answer was sent, since a clean end
+// would make an incomplete answer look complete. Otherwise it returns the refusal.
+func (sc *serviceCall) endWithError(r *Refusal) *Refusal {
+	if !sc.headerSent {
 		return r
 	}
 	sc.report.Code, sc.report.Outcome = r.Code, r.Outcome
@@ -204,7 +205,7 @@
 	res := AttemptResult{}
 	err := sc.exchange(p, &res)
 	res.Duration = time.Since(began)
-	sc.settle(p, &sc.place, &res, err)
+	sc.reportAttempt(p, &sc.place, &res, err)
 	return err
 }
 
@@ -233,33 +234,34 @@
 	return sc.relay(ans)
 }
 
-// relay passes a service's answer on as it is. What fits the buffer is held
-// until all of it is here, so that a failure on the way can still be told.
+// relay relays a service's answer unchanged. An answer that fits the buffer is
+// sent only after all of it has arrived, so that a failure before that can still
+// be answered with an error.
 func (sc *serviceCall) relay(ans *engine.Answer) error {
 	head, more, err := ans.Head(sc.g.o.Limits.AnswerBufferBytes)
 	if err != nil {
 		return err
 	}
 	if !more {
-		sc.keep(ans, head)
+		sc.storeAnswer(ans, head)
 	}
-	copyHeader(sc.w.Header(), ans.Header)
-	if length := wholeLength(ans, len(head), more); length >= 0 && allowsBody(ans.Status) {
+	copyEndToEndHeaders(sc.w.Header(), ans.Header)
+	if length := contentLength(ans, len(head), more); length >= 0 && allowsBody(ans.Status) {
 		sc.w.Header().Set("Content-Length", strconv.FormatInt(length, 10))
 	}
 	sc.report.Status = ans.Status
-	sc.begun = true
+	sc.headerSent = true
 	_ = sc.rc.SetWriteDeadline(time.Now().Add(sc.g.o.Limits.WriteTimeout))
 	sc.w.WriteHeader(ans.Status)
 	if !more {
 		_, _ = sc.w.Write(head)
 		return nil
 	}
-	return sc.relayRest(ans, head)
+	return sc.relayUnbuffered(ans, head)
 }
 
-// wholeLength returns the length of the whole body, -1 if it is not known.
-func wholeLength(ans *engine.Answer, head int, more bool) int64 {
+// contentLength returns the length of the complete body, -1 if unknown.
+func contentLength(ans *engine.Answer, head int, more bool) int64 {
 	if ans.Length() >= 0 || more {
 		return ans.Length()
 	}
@@ -270,9 +272,9 @@
 	return status >= http.StatusOK && status != http.StatusNoContent && status != http.StatusNotModified
 }
 
-// relayRest passes on an answer that is too large to hold. When the endpoint
-// fails on the way, the caller sees its answer broken off.
-func (sc *serviceCall) relayRest(ans *engine.Answer, head []byte) error {
+// relayUnbuffered relays an answer that exceeds the buffer. If the endpoint fails, the
+// caller's connection is aborted.
+func (sc *serviceCall) relayUnbuffered(ans *engine.Answer, head []byte) error {
 	w := callerWriter{c: sc.call}
 	if err := w.write(head); err != nil {
 		return ans.Fail(err)
@@ -294,16 +296,16 @@
 
 const relayBufferBytes = 32 << 10
 
-// keep stores the answer to a claimed call before the caller gets it, so that
-// a repeat gets the same one.
-func (sc *serviceCall) keep(ans *engine.Answer, body []byte) {
+// storeAnswer stores the answer to a claimed call before it is sent to the caller, so
+// that a repetition gets the same one.
+func (sc *serviceCall) storeAnswer(ans *engine.Answer, body []byte) {
 	if sc.claim.Complete == nil {
 		return
 	}
-	ctx, cancel := sc.detached()
+	ctx, cancel := sc.storeContext()
 	defer cancel()
-	// When keeping it fails, this caller still gets its answer; a repeat is
-	// told that the outcome is unknown, which is true of what daemons know.
+	// If storing fails, this caller still gets its answer, and a repetition gets
+	// "outcome unknown".
 	_ = sc.claim.Complete(ctx, StoredAnswer{
 		Status:      ans.Status,
 		ContentType: ans.Header.Get("Content-Type"),
--- a/gateway/writer.go
+++ b/gateway/writer.go
@@ -13,63 +13,64 @@
 
 const (
 	initialFrameBytes = 256
-	// leastWait is what a write must take to count as waiting for the caller
-	// rather than as the work of writing.
-	leastWait = 10 * time.Millisecond
+	// minStall is the shortest duration of a write that counts as waiting for the
+	// caller. Shorter ones are attributed to the write itself.
+	minStall = 10 * time.Millisecond
 )
 
-// callerWriter writes to a caller while an endpoint waits, within the budget of
-// time that the caller may use up.
+// callerWriter writes an answer to a caller while an endpoint produces it, and
+// limits the total time that the caller may block the endpoint.
 //
-// A caller that reads a byte now and then fills the buffers between; from then
-// on each write waits for it, and so does the engine, whose batch slot is lost
-// to everybody else. A limit per write would not do, since such a caller
-// completes a small write just in time, again and again. So the time spent
-// waiting is added up over the whole answer.
+// With a caller that reads very slowly the buffers fill up, and each further
+// write blocks the engine, whose batch slot other requests cannot use meanwhile.
+// A timeout per write would not help, since such a caller can complete every
+// small write just in time. Therefore the waiting time is added up over the
+// complete answer.
 type callerWriter struct {
-	c       *call
-	written int64 // bytes
-	waited  time.Duration
-	armed   time.Time // the write deadline in force
+	c             *call
+	written       int64 // bytes
+	stalled       time.Duration
+	writeDeadline time.Time // last deadline set on the connection
 }
 
-// write hands bytes to the server's buffer. It may wait for the caller.
+// write writes bytes to the server's buffer. It may block on the caller.
 func (w *callerWriter) write(p []byte) error {
 	w.written += int64(len(p))
-	return w.timed(func() error {
+	return w.measureStall(func() error {
 		_, err := w.c.w.Write(p)
 		return err
 	})
 }
 
-// flush sends what is buffered. It may wait for the caller.
-func (w *callerWriter) flush() error { return w.timed(w.c.rc.Flush) }
+// flush sends the buffered bytes. It may block on the caller.
+func (w *callerWriter) flush() error { return w.measureStall(w.c.rc.Flush) }
 
-// timed runs a write and adds the time it waited to what the caller has used
-// of its budget.
-func (w *callerWriter) timed(write func() error) error {
+// measureStall runs a write and adds its waiting time to the caller's total. It
+// returns errCallerSlow once the total exceeds the stall budget.
+func (w *callerWriter) measureStall(write func() error) error {
 	began := time.Now()
-	w.arm(began)
+	w.extendDeadline(began)
 	err := write()
-	if took := time.Since(began); took >= leastWait {
-		w.waited += took
+	if took := time.Since(began); took >= minStall {
+		w.stalled += took
 	}
-	if err != nil && isTimeout(err) || w.waited > w.c.g.o.Limits.StallBudget {
+	if err != nil && isTimeout(err) || w.stalled > w.c.g.o.Limits.StallBudget {
 		w.c.report.CallerSlow = true
 		return errCallerSlow
 	}
 	return err
 }
 
-// arm moves the write deadline on. It is set anew only when it has come
-// noticeably nearer, since setting it costs as much as writing a token.
-func (w *callerWriter) arm(now time.Time) {
-	left := w.c.g.o.Limits.StallBudget - w.waited
-	if ahead := w.armed.Sub(now); ahead > left*3/4 && ahead <= left {
+// extendDeadline sets the write deadline to the end of the remaining budget. It does
+// so only when the current deadline has come noticeably nearer, since setting it
+// costs as much as writing a token.
+func (w *callerWriter) extendDeadline(now time.Time) {
+	left := w.c.g.o.Limits.StallBudget - w.stalled
+	if ahead := w.writeDeadline.Sub(now); ahead > left*3/4 && ahead <= left {
 		return
 	}
-	w.armed = now.Add(left)
-	_ = w.c.rc.SetWriteDeadline(w.armed)
+	w.writeDeadline = now.Add(left)
+	_ = w.c.rc.SetWriteDeadline(w.writeDeadline)
 }
 
 func isTimeout(err error) bool {
@@ -77,32 +78,32 @@
 	return errors.As(err, &e) && e.Timeout()
 }
 
-// callerStream writes a streamed answer to a caller.
+// callerStream writes an answer to a caller as server-sent events.
 type callerStream struct {
 	callerWriter
-	begun bool
-	frame []byte // reused
+	headerSent bool
+	frame      []byte // reused
 }
 
 func newCallerStream(c *call) *callerStream {
 	return &callerStream{callerWriter: callerWriter{c: c}, frame: make([]byte, 0, initialFrameBytes)}
 }
 
-func (s *callerStream) begin() {
-	if s.begun {
+func (s *callerStream) writeHeader() {
+	if s.headerSent {
 		return
 	}
-	s.begun = true
+	s.headerSent = true
 	h := s.c.w.Header()
-	h.Set("Content-Type", contentEvents)
+	h.Set("Content-Type", contentEventStream)
 	h.Set("Cache-Control", "no-store")
-	s.c.cachedHeader()
+	s.c.setCachedTokensHeader()
 	s.c.report.Status = http.StatusOK
 	s.c.w.WriteHeader(http.StatusOK)
 }
 
-func (s *callerStream) token(index int64, data []byte) error {
-	s.begin()
+func (s *callerStream) writeToken(index int64, data []byte) error {
+	s.writeHeader()
 	f := appendID(s.frame[:0], index)
 	f = appendData(f, data)
 	s.frame = f
@@ -118,7 +119,8 @@
 	return append(f, '\n')
 }
 
-// appendData appends an event's data and its end, one field for each line.
+// appendData appends an event's data, one field for each line, and the end of the
+// event.
 func appendData(f, data []byte) []byte {
 	for {
 		line, rest, more := bytes.Cut(data, []byte{'\n'})
@@ -132,8 +134,8 @@
 	}
 }
 
-func (s *callerStream) end(total int64) error {
-	s.begin()
+func (s *callerStream) writeEnd(total int64) error {
+	s.writeHeader()
 	f := appendID(s.frame[:0], total)
 	f = append(f, "data: [DONE]\n\n"...)
 	if err := s.write(f); err != nil {
@@ -142,8 +144,8 @@
 	return s.flush()
 }
 
-// fail ends the stream with an explicit error in place of the end marker.
-func (s *callerStream) fail(r *Refusal) {
+// writeError ends the stream with an error event instead of the end marker.
+func (s *callerStream) writeError(r *Refusal) {
 	if err := s.write(appendData(s.frame[:0], r.encode(s.c.id))); err != nil {
 		return
 	}
