--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -61,9 +61,9 @@
 
 // Request counts one request that ended.
 func (o *observer) Request(r *gateway.Report) {
-	o.crossed.Inc(int64(r.Mismatched))
-	o.duplicates.Inc(int64(r.Duplicates))
-	o.resumes.Inc(int64(r.Resumes))
+	o.crossed.Inc(int64(r.MismatchedAnswers))
+	o.duplicates.Inc(int64(r.DuplicateTokens))
+	o.resumes.Inc(int64(r.ResumedAttempts))
 	if r.CallerLeft {
 		o.callerLeft.Inc(1)
 	}
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -209,7 +209,7 @@
 	class := engine.ClassOf(err)
 	mc.mayHaveRun = mc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
-		mc.report.Mismatched++
+		mc.report.MismatchedAnswers++
 	}
 	if mc.ctx.Err() != nil {
 		return mc.contextRefusal(mc.mayHaveRun)
@@ -247,7 +247,7 @@
 // endWithError ends a stream that has begun with an explicit error event. If nothing
 // was sent yet, it returns the refusal to send as the complete answer.
 func (mc *modelCall) endWithError(r *Refusal) *Refusal {
-	mc.report.Duplicates = mc.assembler.Duplicates()
+	mc.report.DuplicateTokens = mc.assembler.Duplicates()
 	if mc.out == nil || !mc.out.headerSent {
 		return r
 	}
@@ -325,7 +325,7 @@
 func (mc *modelCall) engineAttempt(p *Placement) *engine.Attempt {
 	last, resume := mc.resumeFrom()
 	if resume {
-		mc.report.Resumes++
+		mc.report.ResumedAttempts++
 	}
 	return &engine.Attempt{
 		ID:            mc.id + "-" + strconv.Itoa(mc.report.Attempts),
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -169,24 +169,24 @@
 
 // Report describes a finished request.
 type Report struct {
-	ID           string
-	Kind         fleet.Kind
-	Service      string // ID of the plain service, for KindService
-	Organisation contract.OrganisationID
-	Priority     contract.Priority
-	Model        string
-	Status       int     // status sent to the caller; 0: none was sent
-	Code         string  // error code; empty if answered
-	Outcome      Outcome // OutcomeNone if answered
-	Attempts     int
-	Resumes      int // attempts that resumed after a delivered token
-	Duplicates   int // tokens dropped because they were delivered before
-	Mismatched   int // answers dropped because they belonged to another attempt
-	PromptTokens int // estimate
-	CachedTokens int // as the last endpoint reported; engine.CachedUnknown if not reported
-	Tokens       int // tokens delivered
-	FirstToken   time.Duration
-	Duration     time.Duration
-	CallerLeft   bool
-	CallerSlow   bool // the answer was cut because the caller read too slowly
+	ID                string
+	Kind              fleet.Kind
+	Service           string // ID of the plain service, for KindService
+	Organisation      contract.OrganisationID
+	Priority          contract.Priority
+	Model             string
+	Status            int     // status sent to the caller; 0: none was sent
+	Code              string  // error code; empty if answered
+	Outcome           Outcome // OutcomeNone if answered
+	Attempts          int
+	ResumedAttempts   int // attempts that resumed after a delivered token
+	DuplicateTokens   int // tokens dropped because they were delivered before
+	MismatchedAnswers int // answers dropped because they belonged to another attempt
+	PromptTokens      int // estimate
+	CachedTokens      int // as the last endpoint reported; engine.CachedUnknown if not reported
+	Tokens            int // tokens delivered
+	FirstToken        time.Duration
+	Duration          time.Duration
+	CallerLeft        bool
+	CallerSlow        bool // the answer was cut because the caller read too slowly
 }
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -69,7 +69,7 @@
 	if err := mc.assembler.End(n, total); err != nil {
 		return ans.Fail(err)
 	}
-	mc.report.Duplicates = mc.assembler.Duplicates()
+	mc.report.DuplicateTokens = mc.assembler.Duplicates()
 	if err := mc.out.writeEnd(mc.assembler.Delivered()); err != nil {
 		return ans.Fail(err)
 	}
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -160,7 +160,7 @@
 	class := engine.ClassOf(err)
 	sc.mayHaveRun = sc.mayHaveRun || class.Ran()
 	if errors.Is(err, engine.ErrCrossed) {
-		sc.report.Mismatched++
+		sc.report.MismatchedAnswers++
 	}
 	if sc.ctx.Err() != nil {
 		return sc.contextRefusal(sc.mayHaveRun)
--- a/lab/e2e/stream_test.go
+++ b/lab/e2e/stream_test.go
@@ -45,7 +45,7 @@
 				if got := w.runners[1].Stats().GeneratedTokens; got != tt.rest {
 					t.Errorf("the second runner generated %d tokens, want %d", got, tt.rest)
 				}
-				if rep := w.observer.last(); rep.Attempts != 2 || rep.Resumes != tt.resumes || rep.Tokens != 8 {
+				if rep := w.observer.last(); rep.Attempts != 2 || rep.ResumedAttempts != tt.resumes || rep.Tokens != 8 {
 					t.Errorf("report is %+v", rep)
 				}
 			})
@@ -61,7 +61,7 @@
 		w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 		_, s := w.stream(chatBody)
 		s.whole(t)
-		if got := w.observer.last().Duplicates; got != 3 {
+		if got := w.observer.last().DuplicateTokens; got != 3 {
 			t.Errorf("%d tokens were dropped, want 3", got)
 		}
 	})
@@ -124,7 +124,7 @@
 		w.runners[0].Fail(standin.Fault{Kind: standin.FaultCrossed})
 		_, s := w.stream(chatBody)
 		s.whole(t)
-		if rep := w.observer.last(); rep.Mismatched != 1 || rep.Attempts != 2 {
+		if rep := w.observer.last(); rep.MismatchedAnswers != 1 || rep.Attempts != 2 {
 			t.Errorf("report is %+v", rep)
 		}
 	})
