--- a/daemon/load.go
+++ b/daemon/load.go
@@ -22,7 +22,7 @@
 	if ans.Status != http.StatusOK {
 		return fleet.Load{}, eris.Errorf("daemon: load report: status %d", ans.Status)
 	}
-	text, _, err := ans.Head(maxLoadBytes)
+	text, _, err := ans.ReadUpTo(maxLoadBytes)
 	if err != nil {
 		return fleet.Load{}, eris.Wrap(err, "daemon: load report")
 	}
--- a/engine/answer.go
+++ b/engine/answer.go
@@ -77,10 +77,10 @@
 	// attempt or to somebody else's request. The caller would see another's
 	// text; the echo shows it.
 	if ans.Meta.Attempt != "" && ans.Meta.Attempt != a.ID {
-		return ErrCrossed
+		return ErrWrongAttempt
 	}
 	if a.WeightVersion != "" && ans.Meta.WeightVersion != "" && ans.Meta.WeightVersion != a.WeightVersion && !ans.Meta.NotRun {
-		return ErrWeights
+		return ErrWrongVersion
 	}
 	return nil
 }
@@ -94,9 +94,9 @@
 	return ans.fail(NotRun, errors.New("endpoint refused the request with status "+strconv.Itoa(ans.Status)))
 }
 
-// Fail returns the error for an answer that cannot be used for the given
+// UnusableError returns the error for an answer that cannot be used for the given
 // cause. The request has run as far as anyone can tell.
-func (ans *Answer) Fail(cause error) error { return ans.fail(OutcomeUnknown, cause) }
+func (ans *Answer) UnusableError(cause error) error { return ans.fail(OutcomeUnknown, cause) }
 
 func (ans *Answer) fail(class Class, cause error) error {
 	return &Error{Class: class, Endpoint: string(ans.endpoint), Status: ans.Status, Cause: cause}
@@ -112,22 +112,22 @@
 	_ = ans.body.Close()
 }
 
-// Whole reads the body to its end. It fails with ErrTooLarge beyond the
+// ReadAll reads the body to its end. It fails with ErrTooLarge beyond the
 // client's limit and with ErrCut when the endpoint sent less than it announced.
-func (ans *Answer) Whole() ([]byte, error) {
-	body, more, err := ans.Head(ans.client.options.MaxAnswerBytes)
+func (ans *Answer) ReadAll() ([]byte, error) {
+	body, more, err := ans.ReadUpTo(ans.client.options.MaxAnswerBytes)
 	if err != nil {
 		return nil, err
 	}
 	if more {
-		return nil, ans.Fail(ErrTooLarge)
+		return nil, ans.UnusableError(ErrTooLarge)
 	}
 	return body, nil
 }
 
-// Head reads the body up to limit bytes and tells whether there is more. The
+// ReadUpTo reads the body up to limit bytes and tells whether there is more. The
 // rest is then read with Read.
-func (ans *Answer) Head(limit int64) (head []byte, more bool, err error) {
+func (ans *Answer) ReadUpTo(limit int64) (head []byte, more bool, err error) {
 	watch := ans.watch()
 	defer watch.stop()
 	size := int64(512)
@@ -150,7 +150,7 @@
 			return head, int64(len(head)) > limit, nil
 		}
 		if err != nil {
-			return head, false, ans.Fail(ans.cause(err))
+			return head, false, ans.UnusableError(ans.cause(err))
 		}
 	}
 }
@@ -165,7 +165,7 @@
 	n, err := ans.body.Read(p)
 	ans.rest.end()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = ans.Fail(ans.cause(err))
+		err = ans.UnusableError(ans.cause(err))
 	}
 	return n, err
 }
@@ -178,7 +178,7 @@
 	case ans.ctx.Err() != nil:
 		return context.Cause(ans.ctx)
 	default:
-		return errors.Join(ErrCut, err)
+		return errors.Join(ErrTruncated, err)
 	}
 }
 
--- a/engine/client.go
+++ b/engine/client.go
@@ -126,7 +126,7 @@
 	ResumeFrom    int64  // index of the last token the caller has, with Resume
 	ImportFrom    string // KV store to import the prefix from; empty: none
 	Prefix        string // names of the prompt's levels, see prefix.Format; empty: none
-	Once          bool   // may not be repeated
+	NonIdempotent bool   // may not be repeated
 }
 
 // Send sends the attempt and returns the answer once its header is there. The
@@ -139,7 +139,7 @@
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req := a.request(httptrace.WithClientTrace(ctx, trace))
 	transport := c.reusing
-	if a.Once {
+	if a.NonIdempotent {
 		transport = c.once
 	}
 	resp, err := transport.RoundTrip(req) //nolint:bodyclose // Answer.Close closes it
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -69,10 +69,10 @@
 		c := New(Options{})
 		defer c.CloseIdle()
 		header := http.Header{"Idempotency-Key": {"k1"}}
-		attempt := Attempt{ID: "a-1", Address: address, Method: tt.method, Path: "/", Header: header, Body: []byte(tt.body), Once: tt.once}
+		attempt := Attempt{ID: "a-1", Address: address, Method: tt.method, Path: "/", Header: header, Body: []byte(tt.body), NonIdempotent: tt.once}
 		if ans, err := c.Send(t.Context(), &attempt); err != nil {
 			t.Fatal(err)
-		} else if _, err := ans.Whole(); err != nil {
+		} else if _, err := ans.ReadAll(); err != nil {
 			t.Fatal(err)
 		}
 		_, err := c.Send(t.Context(), &attempt)
@@ -112,13 +112,13 @@
 	}{
 		{"numbered", "id: 0\ndata: {\"a\":1}\n\nid: 1\ndata: {}\n\ndata: [DONE]\n\n", []Event{{EventToken, 0, []byte(`{"a":1}`)}, {EventToken, 1, []byte(`{}`)}, {Kind: EventEnd}}, nil},
 		{"unnumbered, CR and comment", ": hello\r\ndata:{}\r\n\r\ndata: [DONE]\n\n", []Event{{EventToken, NoIndex, []byte(`{}`)}, {Kind: EventEnd}}, nil},
-		{"two data lines", "data: {\ndata: }\n\n", []Event{{EventToken, NoIndex, []byte("{\n}")}}, ErrCut},
-		{"empty events and other fields", "\n\nevent: x\n\nretry: 1\ndata: {}\n\n", []Event{{EventToken, NoIndex, []byte(`{}`)}}, ErrCut},
-		{"longer than the buffer", "data: {" + strings.Repeat("x", 3*eventBufferBytes) + "}\n\n", []Event{{EventToken, NoIndex, []byte("{" + strings.Repeat("x", 3*eventBufferBytes) + "}")}}, ErrCut},
-		{"cut within an event", "data: {}", nil, ErrCut},
+		{"two data lines", "data: {\ndata: }\n\n", []Event{{EventToken, NoIndex, []byte("{\n}")}}, ErrTruncated},
+		{"empty events and other fields", "\n\nevent: x\n\nretry: 1\ndata: {}\n\n", []Event{{EventToken, NoIndex, []byte(`{}`)}}, ErrTruncated},
+		{"longer than the buffer", "data: {" + strings.Repeat("x", 3*eventBufferBytes) + "}\n\n", []Event{{EventToken, NoIndex, []byte("{" + strings.Repeat("x", 3*eventBufferBytes) + "}")}}, ErrTruncated},
+		{"cut within an event", "data: {}", nil, ErrTruncated},
 		{"index is no number", "id: x\ndata: {}\n\n", nil, ErrMalformed},
 		{"not an object", "data: hello\n\n", nil, ErrMalformed},
-		{"error", "data: {\"error\":{}}\n\n", nil, ErrReported},
+		{"error", "data: {\"error\":{}}\n\n", nil, ErrEndpointFault},
 		{"line beyond the limit", "data: {" + strings.Repeat("x", 20*eventBufferBytes), nil, ErrTooLarge},
 		{"event beyond the limit", strings.Repeat("data: xxxxxxxxxxxxxxxxxxxxxxxxxxxxxxxx\n", eventBufferBytes), nil, ErrTooLarge},
 	}
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -28,25 +28,25 @@
 // String returns the class in words.
 func (c Class) String() string { return classNames[c] }
 
-// Ran tells whether the endpoint may have run the request.
-func (c Class) Ran() bool { return c == OutcomeUnknown }
+// MayHaveRun tells whether the endpoint may have run the request.
+func (c Class) MayHaveRun() bool { return c == OutcomeUnknown }
 
 // Causes that callers of the package tell apart with errors.Is.
 var (
-	// ErrCrossed says that the answer names another attempt.
-	ErrCrossed = errors.New("engine: answer belongs to another attempt")
-	// ErrWeights says that the answer comes from another weight version.
-	ErrWeights = errors.New("engine: answer comes from another weight version")
+	// ErrWrongAttempt says that the answer names another attempt.
+	ErrWrongAttempt = errors.New("engine: answer belongs to another attempt")
+	// ErrWrongVersion says that the answer comes from another weight version.
+	ErrWrongVersion = errors.New("engine: answer comes from another weight version")
 	// ErrMalformed says that the endpoint's answer breaks the protocol.
 	ErrMalformed = errors.New("engine: malformed answer")
 	// ErrTooLarge says that the answer exceeds a limit.
 	ErrTooLarge = errors.New("engine: answer too large")
 	// ErrStalled says that the endpoint sent nothing for too long.
 	ErrStalled = errors.New("engine: endpoint sent nothing for too long")
-	// ErrCut says that the answer ended before its end marker.
-	ErrCut = errors.New("engine: answer cut off")
-	// ErrReported says that the endpoint reported a fault in the stream.
-	ErrReported = errors.New("engine: endpoint reported a fault")
+	// ErrTruncated says that the answer ended before its end marker.
+	ErrTruncated = errors.New("engine: answer cut off")
+	// ErrEndpointFault says that the endpoint reported a fault in the stream.
+	ErrEndpointFault = errors.New("engine: endpoint reported a fault")
 )
 
 // Error is an attempt that gave no usable answer.
--- a/engine/events.go
+++ b/engine/events.go
@@ -42,9 +42,9 @@
 
 var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
 
-// Events reads the typed events of a streamed answer. It belongs to one
+// EventReader reads the typed events of a streamed answer. It belongs to one
 // goroutine.
-type Events struct {
+type EventReader struct {
 	answer *Answer
 	reader *bufio.Reader
 	watch  *stallWatch
@@ -55,14 +55,14 @@
 }
 
 // Events returns the answer's events. The caller must call Release.
-func (ans *Answer) Events() *Events {
+func (ans *Answer) Events() *EventReader {
 	r := readers.Get().(*bufio.Reader)
 	r.Reset(ans.body)
-	return &Events{answer: ans, reader: r, watch: ans.watch(), limit: ans.client.options.MaxEventBytes}
+	return &EventReader{answer: ans, reader: r, watch: ans.watch(), limit: ans.client.options.MaxEventBytes}
 }
 
 // Release gives the buffers back. The events must not be used after it.
-func (e *Events) Release() {
+func (e *EventReader) Release() {
 	e.watch.stop()
 	e.reader.Reset(nil)
 	readers.Put(e.reader)
@@ -71,7 +71,7 @@
 
 // Ready tells whether Next would return an event without waiting, so that a
 // relay can leave flushing until there is nothing more to add.
-func (e *Events) Ready() bool {
+func (e *EventReader) Ready() bool {
 	if !e.ready {
 		buffered, _ := e.reader.Peek(e.reader.Buffered())
 		e.ready = bytes.Contains(buffered, eventEnd)
@@ -81,7 +81,7 @@
 
 // Next returns the next event. An error is an *Error; a stream that ends
 // without its end marker is ErrCut, never a silent end.
-func (e *Events) Next() (Event, error) {
+func (e *EventReader) Next() (Event, error) {
 	if !e.Ready() {
 		e.watch.begin()
 		defer e.watch.end()
@@ -92,7 +92,7 @@
 	for {
 		line, err := e.readLine()
 		if err != nil {
-			return Event{}, e.answer.Fail(e.cause(err))
+			return Event{}, e.answer.UnusableError(e.cause(err))
 		}
 		if len(line) == 0 {
 			if !hasData {
@@ -111,42 +111,42 @@
 			e.data = append(e.data, value...)
 		case bytes.Equal(name, fieldID):
 			if index, err = parseIndex(value); err != nil {
-				return Event{}, e.answer.Fail(ErrMalformed)
+				return Event{}, e.answer.UnusableError(ErrMalformed)
 			}
 		}
 		if len(e.data) > e.limit {
-			return Event{}, e.answer.Fail(ErrTooLarge)
+			return Event{}, e.answer.UnusableError(ErrTooLarge)
 		}
 	}
 }
 
-func (e *Events) event(index int64) (Event, error) {
+func (e *EventReader) event(index int64) (Event, error) {
 	switch {
 	case bytes.Equal(e.data, endMarker):
 		return Event{Kind: EventEnd, Index: index}, nil
 	case bytes.HasPrefix(e.data, faultPrefix):
-		return Event{}, e.answer.Fail(ErrReported)
+		return Event{}, e.answer.UnusableError(ErrEndpointFault)
 	case len(e.data) == 0 || e.data[0] != '{' || e.data[len(e.data)-1] != '}':
 		// A token is a JSON object. Anything else, such as half an object
 		// before a crash, must not reach the caller as part of the answer.
-		return Event{}, e.answer.Fail(ErrMalformed)
+		return Event{}, e.answer.UnusableError(ErrMalformed)
 	}
 	return Event{Kind: EventToken, Index: index, Data: e.data}, nil
 }
 
-func (e *Events) cause(err error) error {
+func (e *EventReader) cause(err error) error {
 	switch {
 	case errors.Is(err, ErrTooLarge):
 		return err
 	case errors.Is(err, io.EOF):
-		return ErrCut
+		return ErrTruncated
 	default:
 		return e.answer.cause(err)
 	}
 }
 
 // readLine returns the next line without its end, valid until the next call.
-func (e *Events) readLine() ([]byte, error) {
+func (e *EventReader) readLine() ([]byte, error) {
 	line, err := e.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
 		line, err = e.readLongLine(line)
@@ -160,7 +160,7 @@
 
 // readLongLine gathers a line that does not fit the reader's buffer, up to the
 // limit, so that an endpoint that never ends its line cannot fill the memory.
-func (e *Events) readLongLine(head []byte) ([]byte, error) {
+func (e *EventReader) readLongLine(head []byte) ([]byte, error) {
 	e.line = append(e.line[:0], head...)
 	for {
 		part, err := e.reader.ReadSlice('\n')
--- a/gateway/defaults.go
+++ b/gateway/defaults.go
@@ -38,7 +38,7 @@
 
 // Next implements RetryPolicy.
 func (SimpleRetry) Next(f FailedAttempt) (time.Duration, bool) {
-	if f.Class.Ran() && !f.Idempotent {
+	if f.Class.MayHaveRun() && !f.Idempotent {
 		return 0, false
 	}
 	return initialBackoff << min(f.Attempt-1, 6), true
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -207,8 +207,8 @@
 // there is to be none.
 func (mc *modelCall) prepareRetry(p *Placement, err error) *Refusal {
 	class := engine.ClassOf(err)
-	mc.mayHaveRun = mc.mayHaveRun || class.Ran()
-	if errors.Is(err, engine.ErrCrossed) {
+	mc.mayHaveRun = mc.mayHaveRun || class.MayHaveRun()
+	if errors.Is(err, engine.ErrWrongAttempt) {
 		mc.report.MismatchedAnswers++
 	}
 	if mc.ctx.Err() != nil {
@@ -304,7 +304,7 @@
 		return err
 	}
 	if isEndpointFailure(ans.Status) {
-		return ans.Fail(errEndpointStatus)
+		return ans.UnusableError(errEndpointStatus)
 	}
 	mc.report.CachedTokens = ans.Meta.CachedTokens
 	return nil
@@ -349,17 +349,17 @@
 
 // relayUnstreamed relays an answer that is not a stream after reading all of it.
 func (mc *modelCall) relayUnstreamed(ans *engine.Answer, res *AttemptResult, began time.Time) error {
-	body, err := ans.Whole()
+	body, err := ans.ReadAll()
 	if err != nil {
 		return err
 	}
 	// A truncated answer can look complete to HTTP, for example when an engine
 	// crashes behind a proxy. It is then not valid JSON.
 	if ans.Status == http.StatusOK && !json.Valid(body) {
-		return ans.Fail(engine.ErrMalformed)
+		return ans.UnusableError(engine.ErrMalformed)
 	}
 	if mc.out != nil && mc.out.headerSent {
-		return ans.Fail(errEndpointStatus)
+		return ans.UnusableError(errEndpointStatus)
 	}
 	res.FirstToken = time.Since(began)
 	if mc.report.Tokens = completionTokens(body); ans.Status == http.StatusOK {
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -39,7 +39,7 @@
 			continue
 		}
 		if err := mc.out.flush(); err != nil {
-			return ans.Fail(err)
+			return ans.UnusableError(err)
 		}
 	}
 }
@@ -48,7 +48,7 @@
 func (mc *modelCall) relayToken(ans *engine.Answer, n stream.AttemptNumber, ev *engine.Event) error {
 	verdict, err := mc.assembler.Token(n, ev.Index)
 	if err != nil {
-		return ans.Fail(err)
+		return ans.UnusableError(err)
 	}
 	if verdict == stream.Duplicate {
 		return nil
@@ -58,7 +58,7 @@
 	}
 	mc.report.Tokens++
 	if err := mc.out.writeToken(mc.assembler.Delivered()-1, ev.Data); err != nil {
-		return ans.Fail(err)
+		return ans.UnusableError(err)
 	}
 	return nil
 }
@@ -67,11 +67,11 @@
 // complete.
 func (mc *modelCall) relayEnd(ans *engine.Answer, n stream.AttemptNumber, total int64) error {
 	if err := mc.assembler.End(n, total); err != nil {
-		return ans.Fail(err)
+		return ans.UnusableError(err)
 	}
 	mc.report.DuplicateTokens = mc.assembler.Duplicates()
 	if err := mc.out.writeEnd(mc.assembler.Delivered()); err != nil {
-		return ans.Fail(err)
+		return ans.UnusableError(err)
 	}
 	return nil
 }
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -158,14 +158,14 @@
 
 func (sc *serviceCall) prepareRetry(p *Placement, err error) *Refusal {
 	class := engine.ClassOf(err)
-	sc.mayHaveRun = sc.mayHaveRun || class.Ran()
-	if errors.Is(err, engine.ErrCrossed) {
+	sc.mayHaveRun = sc.mayHaveRun || class.MayHaveRun()
+	if errors.Is(err, engine.ErrWrongAttempt) {
 		sc.report.MismatchedAnswers++
 	}
 	if sc.ctx.Err() != nil {
 		return sc.contextRefusal(sc.mayHaveRun)
 	}
-	if sc.headerSent || class.Ran() && !sc.idempotent {
+	if sc.headerSent || class.MayHaveRun() && !sc.idempotent {
 		return sc.attemptsExhausted(true)
 	}
 	sc.place.Exclude = append(sc.place.Exclude, p.Endpoint)
@@ -211,17 +211,17 @@
 
 func (sc *serviceCall) exchange(p *Placement, res *AttemptResult) error {
 	ans, err := sc.g.o.Engine.Send(sc.ctx, &engine.Attempt{
-		ID:           sc.id + "-" + strconv.Itoa(sc.report.Attempts),
-		Endpoint:     p.Endpoint,
-		Address:      p.Address,
-		Method:       sc.r.Method,
-		Path:         sc.path,
-		Header:       sc.header,
-		Body:         sc.body,
-		Organisation: sc.org.ID,
-		Priority:     sc.priority,
-		Deadline:     sc.deadline,
-		Once:         !sc.idempotent,
+		ID:            sc.id + "-" + strconv.Itoa(sc.report.Attempts),
+		Endpoint:      p.Endpoint,
+		Address:       p.Address,
+		Method:        sc.r.Method,
+		Path:          sc.path,
+		Header:        sc.header,
+		Body:          sc.body,
+		Organisation:  sc.org.ID,
+		Priority:      sc.priority,
+		Deadline:      sc.deadline,
+		NonIdempotent: !sc.idempotent,
 	})
 	if err != nil {
 		return err
@@ -238,7 +238,7 @@
 // sent only after all of it has arrived, so that a failure before that can still
 // be answered with an error.
 func (sc *serviceCall) relay(ans *engine.Answer) error {
-	head, more, err := ans.Head(sc.g.o.Limits.AnswerBufferBytes)
+	head, more, err := ans.ReadUpTo(sc.g.o.Limits.AnswerBufferBytes)
 	if err != nil {
 		return err
 	}
@@ -277,13 +277,13 @@
 func (sc *serviceCall) relayUnbuffered(ans *engine.Answer, head []byte) error {
 	w := callerWriter{c: sc.call}
 	if err := w.write(head); err != nil {
-		return ans.Fail(err)
+		return ans.UnusableError(err)
 	}
 	buf := make([]byte, relayBufferBytes)
 	for {
 		n, err := ans.Read(buf)
 		if werr := w.write(buf[:n]); werr != nil {
-			return ans.Fail(werr)
+			return ans.UnusableError(werr)
 		}
 		if errors.Is(err, io.EOF) {
 			return nil
--- a/lab/capacity/shells.go
+++ b/lab/capacity/shells.go
@@ -158,7 +158,7 @@
 				Method:   http.MethodGet,
 				Path:     engine.PathLoad,
 			}))
-			must(ans.Whole())
+			must(ans.ReadAll())
 			ans.Close()
 		}
 		probe()
