--- a/engine/answer.go
+++ b/engine/answer.go
@@ -14,19 +14,19 @@
 	"github.com/merlindock/merlindock/limits"
 )
 
-// CachedUnknown is the number of cached tokens when the endpoint gave none.
+// CachedUnknown is the value of CachedTokens if the endpoint reported none.
 const CachedUnknown = -1
 
-// Metadata is what an answer's header says beside the answer itself.
+// Metadata holds the values of the Merlin-* headers of an answer.
 type Metadata struct {
-	Attempt       string            // echo; empty when the endpoint gives none
-	Incarnation   fleet.Incarnation // zero: not known
-	CachedTokens  int               // CachedUnknown: not known
+	Attempt       string            // echoed attempt ID; empty: none
+	Incarnation   fleet.Incarnation // 0: unknown
+	CachedTokens  int               // CachedUnknown: not reported
 	Load          fleet.Load
 	HasLoad       bool
-	Limit         *float64 // requests a second that it takes of all daemons; nil: not said
+	Limit         *float64 // requests/s that the endpoint accepts from all daemons; nil: not reported
 	NotRun        bool
-	WeightVersion string // empty: not said
+	WeightVersion string // empty: not reported
 }
 
 func readMetadata(h http.Header) Metadata {
@@ -36,9 +36,9 @@
 		WeightVersion: h.Get(HeaderWeightVersion),
 		Limit:         limits.Parse(h.Get(HeaderLimit)),
 	}
-	// An endpoint that answers "not run" makes the daemon send the request
-	// again. Without the echo it could be the answer to somebody else, and a
-	// booking would run twice; so it is believed only with the echo.
+	// After "not run" the daemon sends the request again. Without the echoed
+	// attempt ID the answer could belong to another request, and a call with side
+	// effects could run twice, so "not run" counts only together with the echo.
 	m.NotRun = m.Attempt != "" && h.Get(HeaderNotRun) == "true"
 	if n, err := strconv.ParseUint(h.Get(HeaderIncarnation), 10, 64); err == nil {
 		m.Incarnation = fleet.Incarnation(n)
@@ -52,30 +52,30 @@
 	return m
 }
 
-// Length returns the length of the body as announced, -1 if it was not.
+// Length returns the announced length of the body in bytes, -1 if unknown.
 func (ans *Answer) Length() int64 { return ans.length }
 
-// Answer is an endpoint's answer to one attempt, its header read and its body
-// not yet.
+// Answer is an endpoint's answer to one attempt. Its header has been read, its body
+// has not.
 type Answer struct {
 	Status int
 	Header http.Header
 	Meta   Metadata
 
-	client   *Client
-	endpoint fleet.EndpointID
-	body     io.ReadCloser
-	length   int64 // -1: not known
-	ctx      context.Context
-	cancel   context.CancelCauseFunc
-	rest     *stallWatch // of Read
+	client    *Client
+	endpoint  fleet.EndpointID
+	body      io.ReadCloser
+	length    int64 // of the body; -1: unknown
+	ctx       context.Context
+	cancel    context.CancelCauseFunc
+	bodyTimer *stallTimer // for Read
 }
 
-// check tells why the answer must not be used, if so.
-func (ans *Answer) check(a *Attempt) error {
-	// An endpoint, or something between, may hand over the answer to an earlier
-	// attempt or to somebody else's request. The caller would see another's
-	// text; the echo shows it.
+// validate returns the reason if the answer must not be used.
+func (ans *Answer) validate(a *Attempt) error {
+	// An endpoint or a proxy may return the answer to an earlier attempt or to
+	// another caller's request. The echoed attempt ID prevents that it reaches the
+	// wrong caller.
 	if ans.Meta.Attempt != "" && ans.Meta.Attempt != a.ID {
 		return ErrWrongAttempt
 	}
@@ -85,35 +85,35 @@
 	return nil
 }
 
-// NotRun returns the error that says that the endpoint did no part of the
-// request, or nil when the endpoint does not say so.
+// NotRun returns an error of class NotRun if the endpoint stated that it ran no part
+// of the request, and nil otherwise.
 func (ans *Answer) NotRun() error {
 	if !ans.Meta.NotRun {
 		return nil
 	}
-	return ans.fail(NotRun, errors.New("endpoint refused the request with status "+strconv.Itoa(ans.Status)))
+	return ans.newError(NotRun, errors.New("endpoint refused the request with status "+strconv.Itoa(ans.Status)))
 }
 
-// UnusableError returns the error for an answer that cannot be used for the given
-// cause. The request has run as far as anyone can tell.
-func (ans *Answer) UnusableError(cause error) error { return ans.fail(OutcomeUnknown, cause) }
+// UnusableError returns an error for an answer that cannot be used. Its class is
+// OutcomeUnknown, since the request may have run.
+func (ans *Answer) UnusableError(cause error) error { return ans.newError(OutcomeUnknown, cause) }
 
-func (ans *Answer) fail(class Class, cause error) error {
+func (ans *Answer) newError(class Class, cause error) error {
 	return &Error{Class: class, Endpoint: string(ans.endpoint), Status: ans.Status, Cause: cause}
 }
 
-// Close ends the answer; an answer that was not read whole is cancelled at the
-// endpoint by closing its connection.
+// Close releases the answer. If the body was not read to its end, the connection is
+// closed, which cancels the request at the endpoint.
 func (ans *Answer) Close() {
-	if ans.rest != nil {
-		ans.rest.stop()
+	if ans.bodyTimer != nil {
+		ans.bodyTimer.stop()
 	}
 	ans.cancel(nil)
 	_ = ans.body.Close()
 }
 
-// ReadAll reads the body to its end. It fails with ErrTooLarge beyond the
-// client's limit and with ErrCut when the endpoint sent less than it announced.
+// ReadAll reads the body to its end. It fails with ErrTooLarge if the body exceeds
+// Options.MaxAnswerBytes, and with ErrTruncated if it is shorter than announced.
 func (ans *Answer) ReadAll() ([]byte, error) {
 	body, more, err := ans.ReadUpTo(ans.client.options.MaxAnswerBytes)
 	if err != nil {
@@ -125,10 +125,10 @@
 	return body, nil
 }
 
-// ReadUpTo reads the body up to limit bytes and tells whether there is more. The
-// rest is then read with Read.
+// ReadUpTo reads the body until it ends or exceeds limit bytes, and reports whether
+// it exceeds them. The rest can then be read with Read.
 func (ans *Answer) ReadUpTo(limit int64) (head []byte, more bool, err error) {
-	watch := ans.watch()
+	watch := ans.newStallTimer()
 	defer watch.stop()
 	size := int64(512)
 	if ans.length >= 0 {
@@ -150,28 +150,28 @@
 			return head, int64(len(head)) > limit, nil
 		}
 		if err != nil {
-			return head, false, ans.UnusableError(ans.cause(err))
+			return head, false, ans.UnusableError(ans.readError(err))
 		}
 	}
 }
 
-// Read reads the rest of the body after Head. It returns io.EOF only when the
-// endpoint sent all that it announced.
+// Read reads the rest of the body after ReadUpTo. It returns io.EOF only after the
+// complete body.
 func (ans *Answer) Read(p []byte) (int, error) {
-	if ans.rest == nil {
-		ans.rest = ans.watch()
+	if ans.bodyTimer == nil {
+		ans.bodyTimer = ans.newStallTimer()
 	}
-	ans.rest.begin()
+	ans.bodyTimer.begin()
 	n, err := ans.body.Read(p)
-	ans.rest.end()
+	ans.bodyTimer.end()
 	if err != nil && !errors.Is(err, io.EOF) {
-		err = ans.UnusableError(ans.cause(err))
+		err = ans.UnusableError(ans.readError(err))
 	}
 	return n, err
 }
 
-// cause turns an error of the body into one of this package.
-func (ans *Answer) cause(err error) error {
+// readError converts an error of reading the body to a cause of this package.
+func (ans *Answer) readError(err error) error {
 	switch {
 	case errors.Is(context.Cause(ans.ctx), ErrStalled):
 		return ErrStalled
@@ -182,19 +182,18 @@
 	}
 }
 
-// stallWatch cancels an answer whose endpoint sends nothing for too long. An
-// engine that hangs keeps its connection open, so without this the caller
-// would wait until its own timeout instead of being served elsewhere. Only the
-// time spent reading counts: while a slow caller is waited for, the endpoint
-// is not at fault.
-type stallWatch struct {
+// stallTimer cancels an answer whose endpoint sends nothing for too long. An engine
+// that hangs keeps its connection open, so without the timer the caller would wait
+// for its own timeout instead of being served by another endpoint. Only the time
+// spent reading counts: the endpoint is not responsible for delays of a slow caller.
+type stallTimer struct {
 	timer   *time.Timer
 	limit   time.Duration
 	reading atomic.Bool
 }
 
-func (ans *Answer) watch() *stallWatch {
-	w := &stallWatch{limit: ans.client.options.StallTimeout}
+func (ans *Answer) newStallTimer() *stallTimer {
+	w := &stallTimer{limit: ans.client.options.StallTimeout}
 	w.timer = time.AfterFunc(w.limit, func() {
 		if w.reading.Load() {
 			ans.cancel(ErrStalled)
@@ -203,11 +202,11 @@
 	return w
 }
 
-// begin starts the time anew for a read that may wait.
-func (w *stallWatch) begin() {
+// begin restarts the timer for a read that may block.
+func (w *stallTimer) begin() {
 	w.timer.Reset(w.limit)
 	w.reading.Store(true)
 }
 
-func (w *stallWatch) end()  { w.reading.Store(false) }
-func (w *stallWatch) stop() { w.timer.Stop() }
+func (w *stallTimer) end()  { w.reading.Store(false) }
+func (w *stallTimer) stop() { w.timer.Stop() }
--- a/engine/client.go
+++ b/engine/client.go
@@ -15,7 +15,7 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Limits of what one endpoint may make a daemon hold or wait for.
+// Limits on the memory and time that one endpoint may occupy at a daemon.
 const (
 	DefaultMaxHeaderBytes  = 32 << 10
 	DefaultMaxEventBytes   = 256 << 10
@@ -26,38 +26,38 @@
 	DefaultIdlePerEndpoint = 256
 	DefaultIdleTimeout     = 90 * time.Second
 
-	connBufferBytes = 1 << 10 // of each connection, each way; thousands are open
+	connBufferBytes = 1 << 10 // per connection and direction; thousands are open
 )
 
-// Options are what a Client needs. Zero values take the defaults.
+// Options configures a Client. Zero values mean the defaults.
 type Options struct {
-	// DialContext opens connections; net.Dialer's when nil.
+	// DialContext opens connections. If nil, that of net.Dialer is used.
 	DialContext     func(ctx context.Context, network, address string) (net.Conn, error)
 	MaxHeaderBytes  int64         // of an answer
 	MaxEventBytes   int           // of one event of a stream
-	MaxAnswerBytes  int64         // of an answer that is read whole
-	DialTimeout     time.Duration // until a connection stands
-	HeaderTimeout   time.Duration // until the header of the answer
-	StallTimeout    time.Duration // between two events of a stream
-	IdlePerEndpoint int           // idle connections kept to one endpoint
+	MaxAnswerBytes  int64         // of an answer read with ReadAll
+	DialTimeout     time.Duration // for establishing a connection
+	HeaderTimeout   time.Duration // from sending the request to the answer's header
+	StallTimeout    time.Duration // between two events of a stream or two reads of a body
+	IdlePerEndpoint int           // idle connections kept per endpoint
 }
 
-// Client sends attempts to endpoints. It is safe for concurrent use.
+// Client sends requests to endpoints. It is safe for concurrent use.
 type Client struct {
-	options Options
-	reusing *http.Transport // keeps idle connections
-	once    *http.Transport // a fresh connection for each call
+	options   Options
+	keepAlive *http.Transport // keeps idle connections
+	singleUse *http.Transport // opens a new connection for each request
 }
 
-// New returns a client with the given options.
+// New returns a Client with the given options.
 func New(o Options) *Client {
 	o = o.withDefaults()
-	c := &Client{options: o, reusing: newTransport(&o), once: newTransport(&o)}
-	// A call that may not be repeated gets a fresh connection: on an idle one
-	// the endpoint may have hung up already, and the daemon could not tell that
-	// from an endpoint that took the call and died, so that the caller would be
-	// told "outcome unknown" for nothing.
-	c.once.DisableKeepAlives = true
+	c := &Client{options: o, keepAlive: newTransport(&o), singleUse: newTransport(&o)}
+	// A non-idempotent request gets a new connection. An idle connection may
+	// already have been closed by the endpoint. The daemon cannot distinguish that
+	// from an endpoint that received the request and crashed, and the caller would
+	// get "outcome unknown" without need.
+	c.singleUse.DisableKeepAlives = true
 	return c
 }
 
@@ -91,7 +91,7 @@
 			return dial(ctx, network, address)
 		},
 		DisableCompression:     true,
-		MaxIdleConns:           0, // bounded per endpoint
+		MaxIdleConns:           0, // limited per endpoint only
 		MaxIdleConnsPerHost:    o.IdlePerEndpoint,
 		IdleConnTimeout:        DefaultIdleTimeout,
 		ResponseHeaderTimeout:  o.HeaderTimeout,
@@ -101,19 +101,19 @@
 	}
 }
 
-// CloseIdle closes the connections that no attempt uses.
+// CloseIdle closes all idle connections.
 func (c *Client) CloseIdle() {
-	c.reusing.CloseIdleConnections()
-	c.once.CloseIdleConnections()
+	c.keepAlive.CloseIdleConnections()
+	c.singleUse.CloseIdleConnections()
 }
 
-// Attempt is one sending of a request to one endpoint.
+// Attempt is a request to be sent to one endpoint.
 type Attempt struct {
-	ID       string // unique; echoed in the answer
+	ID       string // unique ID, echoed in the answer
 	Endpoint fleet.EndpointID
 	Address  string // IP:port
 	Method   string
-	Path     string // escaped path with the query
+	Path     string // escaped path and query
 	Header   http.Header
 	Body     []byte
 
@@ -123,41 +123,42 @@
 	Priority      contract.Priority
 	Deadline      time.Time // zero: none
 	Resume        bool
-	ResumeFrom    int64  // index of the last token the caller has, with Resume
+	ResumeFrom    int64  // with Resume: index of the last token delivered to the caller
 	ImportFrom    string // KV store to import the prefix from; empty: none
-	Prefix        string // names of the prompt's levels, see prefix.Format; empty: none
-	NonIdempotent bool   // may not be repeated
+	Prefix        string // keys of the prompt's levels, see prefix.Format; empty: none
+	NonIdempotent bool   // must not be repeated; sent on a new connection
 }
 
-// Send sends the attempt and returns the answer once its header is there. The
-// caller must close the answer. An error is always an *Error; its class says
-// whether the endpoint may have run the request. The context bounds the
-// answer's body as well.
+// Send sends the attempt and returns the answer as soon as its header has arrived.
+// The caller must close the answer. Errors are of type *Error; their class states
+// whether the endpoint may have run the request. The context also applies to
+// reading the answer's body.
 func (c *Client) Send(ctx context.Context, a *Attempt) (*Answer, error) {
 	var connected atomic.Bool
 	ctx, cancel := context.WithCancelCause(ctx)
 	trace := &httptrace.ClientTrace{GotConn: func(httptrace.GotConnInfo) { connected.Store(true) }}
 	req := a.request(httptrace.WithClientTrace(ctx, trace))
-	transport := c.reusing
+	transport := c.keepAlive
 	if a.NonIdempotent {
-		transport = c.once
+		transport = c.singleUse
 	}
 	resp, err := transport.RoundTrip(req) //nolint:bodyclose // Answer.Close closes it
 	if err != nil {
 		cancel(err)
-		// A request that was given a connection may have left through it,
-		// wholly or in part; only one that never got any has surely not.
+		// Once a connection was obtained, any part of the request may have been
+		// sent. Only without one it certainly was not.
 		class := NotSent
 		if connected.Load() {
 			class = OutcomeUnknown
 		}
 		return nil, &Error{Class: class, Endpoint: string(a.Endpoint), Cause: err}
 	}
-	return c.accept(ctx, cancel, a, resp)
+	return c.newAnswer(ctx, cancel, a, resp)
 }
 
-// accept checks that the answer belongs to the attempt before anyone sees it.
-func (c *Client) accept(ctx context.Context, cancel context.CancelCauseFunc, a *Attempt, resp *http.Response) (*Answer, error) {
+// newAnswer returns the Answer for a response, or an error if it does not belong to
+// the attempt.
+func (c *Client) newAnswer(ctx context.Context, cancel context.CancelCauseFunc, a *Attempt, resp *http.Response) (*Answer, error) {
 	ans := &Answer{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
@@ -169,7 +170,7 @@
 		ctx:      ctx,
 		cancel:   cancel,
 	}
-	if cause := ans.check(a); cause != nil {
+	if cause := ans.validate(a); cause != nil {
 		ans.Close()
 		return nil, &Error{Class: OutcomeUnknown, Endpoint: string(a.Endpoint), Status: ans.Status, Cause: cause}
 	}
@@ -182,7 +183,7 @@
 		URL:           a.url(),
 		Host:          a.Address,
 		Header:        a.header(),
-		Body:          &onceBody{r: *bytes.NewReader(a.Body)},
+		Body:          &unrepeatableBody{r: *bytes.NewReader(a.Body)},
 		ContentLength: int64(len(a.Body)),
 		ProtoMajor:    1,
 		ProtoMinor:    1,
@@ -235,18 +236,18 @@
 	return strconv.FormatInt(left, 10)
 }
 
-// onceBody is a request body that net/http cannot send twice.
+// unrepeatableBody is a request body that prevents net/http from sending the request
+// twice.
 //
-// http.Transport silently sends a request again when an idle connection breaks
-// after the request was written, if the method is GET, HEAD, OPTIONS or TRACE
-// or the header has an Idempotency-Key, and the body is absent or can be had
-// anew through GetBody. A booking would then run twice, and nobody would see
-// more than one request leave the daemon. A body that is neither absent nor
-// obtainable anew, even when it is empty, rules that out.
-type onceBody struct{ r bytes.Reader }
+// http.Transport repeats a request without notice when a reused connection breaks
+// after the request was written, if the method is GET, HEAD, OPTIONS or TRACE or the
+// header has an Idempotency-Key, and the body is absent or GetBody can provide it
+// again. A call with side effects would then run twice although the daemon sent it
+// once. A body that is present, even if empty, without GetBody rules this out.
+type unrepeatableBody struct{ r bytes.Reader }
 
 // Read implements io.Reader.
-func (b *onceBody) Read(p []byte) (int, error) { return b.r.Read(p) }
+func (b *unrepeatableBody) Read(p []byte) (int, error) { return b.r.Read(p) }
 
 // Close implements io.Closer.
-func (b *onceBody) Close() error { return nil }
+func (b *unrepeatableBody) Close() error { return nil }
--- a/engine/client_test.go
+++ b/engine/client_test.go
@@ -12,10 +12,10 @@
 	"testing"
 )
 
-// dropper answers the first call and afterwards runs each call it takes and
-// drops the connection without an answer, as an endpoint does that dies between
-// an effect and its answer.
-func dropper(t *testing.T) (address string, ran *atomic.Int64) {
+// droppingServer answers the first call. It counts each further call as run and
+// closes the connection without an answer, like an endpoint that crashes between
+// the side effect of a call and its answer.
+func droppingServer(t *testing.T) (address string, ran *atomic.Int64) {
 	ran = new(atomic.Int64)
 	s := httptest.NewServer(http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
@@ -28,13 +28,13 @@
 	return s.Listener.Addr().String(), ran
 }
 
-// http.Transport sends a call a second time on its own when an idle connection
-// breaks after the call was taken, if the method or an Idempotency-Key tells it
-// that it may. A booking would stand twice and the daemon would have sent one.
-// The first test shows the trap with a plain transport, so that a release of Go
-// that changes it is noticed; the second that the client does not fall into it.
-func TestPlainTransportRepeatsSilently(t *testing.T) {
-	address, ran := dropper(t)
+// http.Transport repeats a call on its own when a reused connection breaks after
+// the call was sent, if its method or an Idempotency-Key permits it. A call with
+// side effects would run twice. This test documents the behaviour of the plain
+// transport, so that a change of it in a Go release is noticed. The next test
+// verifies that Client prevents it.
+func TestPlainTransportRepeatsRequest(t *testing.T) {
+	address, ran := droppingServer(t)
 	client := &http.Client{Transport: &http.Transport{}}
 	defer client.CloseIdleConnections()
 	for range 2 {
@@ -48,11 +48,11 @@
 		}
 	}
 	if n := ran.Load(); n < 3 {
-		t.Errorf("two calls ran %d times: the transport no longer repeats, adapt onceBody's comment", n)
+		t.Errorf("two calls ran %d times: the transport no longer repeats, adapt the comment of unrepeatableBody", n)
 	}
 }
 
-func TestClientNeverRepeatsSilently(t *testing.T) {
+func TestClientNeverRepeatsRequest(t *testing.T) {
 	tests := []struct {
 		method, body string
 		once         bool
@@ -65,7 +65,7 @@
 		{http.MethodOptions, "", false},
 	}
 	for _, tt := range tests {
-		address, ran := dropper(t)
+		address, ran := droppingServer(t)
 		c := New(Options{})
 		defer c.CloseIdle()
 		header := http.Header{"Idempotency-Key": {"k1"}}
@@ -85,9 +85,9 @@
 	}
 }
 
-// No connection stands, so no byte has left and the caller may be told that the
-// call did not run. Once a connection was given, that is no longer certain.
-func TestNotSentIsSaidOnlyWithoutAConnection(t *testing.T) {
+// NotSent allows a retry, so it must be reported only if no connection was
+// obtained. With a connection, part of the request may have been sent.
+func TestNotSentRequiresNoConnection(t *testing.T) {
 	refuse := func(context.Context, string, string) (net.Conn, error) { return nil, errors.New("refused") }
 	_, err := New(Options{DialContext: refuse}).Send(t.Context(), &Attempt{Address: "10.0.0.1:1", Method: http.MethodPost, Path: "/"})
 	if ClassOf(err) != NotSent {
@@ -104,7 +104,7 @@
 	}
 }
 
-func TestEventsAreReadAsTheyAreWritten(t *testing.T) {
+func TestEventReader(t *testing.T) {
 	tests := []struct {
 		name, text string
 		want       []Event
--- a/engine/errors.go
+++ b/engine/errors.go
@@ -5,17 +5,17 @@
 	"fmt"
 )
 
-// Class tells what is known of an attempt that gave no usable answer. It
-// decides whether the request may be sent again and what the caller is told.
+// Class states whether an attempt without a usable answer may have run. It
+// determines whether the request may be retried and the Outcome sent to the caller.
 type Class int
 
-// The classes, from the most to the least that is known.
+// Classes of failed attempts.
 const (
-	// NotSent: no byte of the request left for the endpoint.
+	// NotSent: no byte of the request was sent to the endpoint.
 	NotSent Class = iota + 1
-	// NotRun: the endpoint says itself that it did no part of the request.
+	// NotRun: the endpoint stated that it ran no part of the request.
 	NotRun
-	// OutcomeUnknown: everything else. The endpoint may have done all of it.
+	// OutcomeUnknown: all other failures. The endpoint may have run all of it.
 	OutcomeUnknown
 )
 
@@ -25,35 +25,36 @@
 	OutcomeUnknown: "outcome unknown",
 }
 
-// String returns the class in words.
+// String returns the class as text for error messages.
 func (c Class) String() string { return classNames[c] }
 
-// MayHaveRun tells whether the endpoint may have run the request.
+// MayHaveRun reports whether the endpoint may have run the request.
 func (c Class) MayHaveRun() bool { return c == OutcomeUnknown }
 
-// Causes that callers of the package tell apart with errors.Is.
+// Causes of an Error, for use with errors.Is.
 var (
-	// ErrWrongAttempt says that the answer names another attempt.
+	// ErrWrongAttempt means that the answer carries the ID of another attempt.
 	ErrWrongAttempt = errors.New("engine: answer belongs to another attempt")
-	// ErrWrongVersion says that the answer comes from another weight version.
+	// ErrWrongVersion means that another weight version generated the answer.
 	ErrWrongVersion = errors.New("engine: answer comes from another weight version")
-	// ErrMalformed says that the endpoint's answer breaks the protocol.
+	// ErrMalformed means that the answer violates the protocol.
 	ErrMalformed = errors.New("engine: malformed answer")
-	// ErrTooLarge says that the answer exceeds a limit.
+	// ErrTooLarge means that the answer exceeds a size limit.
 	ErrTooLarge = errors.New("engine: answer too large")
-	// ErrStalled says that the endpoint sent nothing for too long.
+	// ErrStalled means that the endpoint sent nothing for Options.StallTimeout.
 	ErrStalled = errors.New("engine: endpoint sent nothing for too long")
-	// ErrTruncated says that the answer ended before its end marker.
-	ErrTruncated = errors.New("engine: answer cut off")
-	// ErrEndpointFault says that the endpoint reported a fault in the stream.
-	ErrEndpointFault = errors.New("engine: endpoint reported a fault")
+	// ErrTruncated means that the answer ended before its end marker or its
+	// announced length.
+	ErrTruncated = errors.New("engine: answer ended early")
+	// ErrEndpointFault means that the endpoint sent an error event in the stream.
+	ErrEndpointFault = errors.New("engine: endpoint sent an error event")
 )
 
-// Error is an attempt that gave no usable answer.
+// Error describes an attempt that gave no usable answer.
 type Error struct {
 	Class    Class
 	Endpoint string
-	Status   int // of the answer; 0 if none came
+	Status   int // of the answer; 0 if none was received
 	Cause    error
 }
 
@@ -64,8 +65,8 @@
 // Unwrap returns the cause.
 func (e *Error) Unwrap() error { return e.Cause }
 
-// ClassOf returns the class of an error of this package. An error that is not
-// one tells nothing, so its class is OutcomeUnknown.
+// ClassOf returns the class of an Error. For any other error nothing is known, so
+// the class is OutcomeUnknown.
 func ClassOf(err error) Class {
 	var e *Error
 	if errors.As(err, &e) {
--- a/engine/events.go
+++ b/engine/events.go
@@ -9,23 +9,23 @@
 	"sync"
 )
 
-// EventKind tells what an event of a stream is.
+// EventKind is the type of an Event.
 type EventKind int
 
-// The kinds of event.
+// Kinds of Event.
 const (
 	EventToken EventKind = iota + 1 // one piece of the answer
 	EventEnd                        // the end marker
 )
 
-// NoIndex is the index of a token whose endpoint numbers none.
+// NoIndex is the index of tokens from an endpoint that does not number them.
 const NoIndex int64 = -1
 
 // Event is one event of a stream. Data is valid until the next call of Next.
 type Event struct {
 	Kind EventKind
-	// Index of a token, or the number of all tokens with the end marker;
-	// NoIndex when the endpoint gives none.
+	// Index is the index of a token, or with EventEnd the total number of tokens.
+	// It is NoIndex if the endpoint gives none.
 	Index int64
 	Data  []byte
 }
@@ -33,73 +33,74 @@
 const eventBufferBytes = 1 << 10
 
 var (
-	endMarker   = []byte("[DONE]")
-	faultPrefix = []byte(`{"error"`)
-	eventEnd    = []byte("\n\n")
-	fieldData   = []byte("data")
-	fieldID     = []byte("id")
+	endMarker      = []byte("[DONE]")
+	errorPrefix    = []byte(`{"error"`)
+	eventSeparator = []byte("\n\n")
+	fieldData      = []byte("data")
+	fieldID        = []byte("id")
 )
 
-var readers = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
+var bufferPool = sync.Pool{New: func() any { return bufio.NewReaderSize(nil, eventBufferBytes) }}
 
-// EventReader reads the typed events of a streamed answer. It belongs to one
-// goroutine.
+// EventReader reads the events of a streamed answer. It is not safe for concurrent
+// use.
 type EventReader struct {
-	answer *Answer
-	reader *bufio.Reader
-	watch  *stallWatch
-	limit  int
-	data   []byte // of the event being read, reused
-	line   []byte // a line longer than the reader's buffer, reused
-	ready  bool   // a whole event is known to be in the reader's buffer
+	answer   *Answer
+	reader   *bufio.Reader
+	watch    *stallTimer
+	limit    int
+	data     []byte // of the event being read, reused
+	line     []byte // a line longer than the reader's buffer, reused
+	hasEvent bool   // the reader's buffer contains a complete event
 }
 
-// Events returns the answer's events. The caller must call Release.
+// Events returns a reader of the answer's events. The caller must call Release.
 func (ans *Answer) Events() *EventReader {
-	r := readers.Get().(*bufio.Reader)
+	r := bufferPool.Get().(*bufio.Reader)
 	r.Reset(ans.body)
-	return &EventReader{answer: ans, reader: r, watch: ans.watch(), limit: ans.client.options.MaxEventBytes}
+	return &EventReader{answer: ans, reader: r, watch: ans.newStallTimer(), limit: ans.client.options.MaxEventBytes}
 }
 
-// Release gives the buffers back. The events must not be used after it.
+// Release returns the buffer to its pool. The reader and its events must not be
+// used afterwards.
 func (e *EventReader) Release() {
 	e.watch.stop()
 	e.reader.Reset(nil)
-	readers.Put(e.reader)
+	bufferPool.Put(e.reader)
 	e.reader = nil
 }
 
-// Ready tells whether Next would return an event without waiting, so that a
-// relay can leave flushing until there is nothing more to add.
+// Ready reports whether Next returns an event without blocking. A relay uses it to
+// flush only when no further event is buffered.
 func (e *EventReader) Ready() bool {
-	if !e.ready {
+	if !e.hasEvent {
 		buffered, _ := e.reader.Peek(e.reader.Buffered())
-		e.ready = bytes.Contains(buffered, eventEnd)
+		e.hasEvent = bytes.Contains(buffered, eventSeparator)
 	}
-	return e.ready
+	return e.hasEvent
 }
 
-// Next returns the next event. An error is an *Error; a stream that ends
-// without its end marker is ErrCut, never a silent end.
+// Next returns the next event. Errors are of type *Error; their cause is
+// ErrTruncated if the stream ends without its end marker.
 func (e *EventReader) Next() (Event, error) {
 	if !e.Ready() {
 		e.watch.begin()
 		defer e.watch.end()
 	}
-	e.ready = false
+	e.hasEvent = false
 	e.data = e.data[:0]
 	index, hasData := NoIndex, false
 	for {
 		line, err := e.readLine()
 		if err != nil {
-			return Event{}, e.answer.UnusableError(e.cause(err))
+			return Event{}, e.answer.UnusableError(e.readError(err))
 		}
 		if len(line) == 0 {
 			if !hasData {
 				index = NoIndex
 				continue
 			}
-			return e.event(index)
+			return e.parseEvent(index)
 		}
 		name, value := splitField(line)
 		switch {
@@ -120,32 +121,33 @@
 	}
 }
 
-func (e *EventReader) event(index int64) (Event, error) {
+func (e *EventReader) parseEvent(index int64) (Event, error) {
 	switch {
 	case bytes.Equal(e.data, endMarker):
 		return Event{Kind: EventEnd, Index: index}, nil
-	case bytes.HasPrefix(e.data, faultPrefix):
+	case bytes.HasPrefix(e.data, errorPrefix):
 		return Event{}, e.answer.UnusableError(ErrEndpointFault)
 	case len(e.data) == 0 || e.data[0] != '{' || e.data[len(e.data)-1] != '}':
-		// A token is a JSON object. Anything else, such as half an object
-		// before a crash, must not reach the caller as part of the answer.
+		// A token is a JSON object. Anything else, such as part of an object
+		// written before a crash, must not be relayed to the caller.
 		return Event{}, e.answer.UnusableError(ErrMalformed)
 	}
 	return Event{Kind: EventToken, Index: index, Data: e.data}, nil
 }
 
-func (e *EventReader) cause(err error) error {
+func (e *EventReader) readError(err error) error {
 	switch {
 	case errors.Is(err, ErrTooLarge):
 		return err
 	case errors.Is(err, io.EOF):
 		return ErrTruncated
 	default:
-		return e.answer.cause(err)
+		return e.answer.readError(err)
 	}
 }
 
-// readLine returns the next line without its end, valid until the next call.
+// readLine returns the next line without its line ending. It is valid until the
+// next call.
 func (e *EventReader) readLine() ([]byte, error) {
 	line, err := e.reader.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) {
@@ -158,8 +160,8 @@
 	return bytes.TrimSuffix(line, []byte{'\r'}), nil
 }
 
-// readLongLine gathers a line that does not fit the reader's buffer, up to the
-// limit, so that an endpoint that never ends its line cannot fill the memory.
+// readLongLine reads a line that exceeds the reader's buffer. The limit keeps an
+// endpoint that never ends its line from exhausting the memory.
 func (e *EventReader) readLongLine(head []byte) ([]byte, error) {
 	e.line = append(e.line[:0], head...)
 	for {
@@ -174,8 +176,8 @@
 	}
 }
 
-// splitField parts a line into its field name and value. A comment line has an
-// empty name.
+// splitField splits a line into field name and value. The name of a comment line is
+// empty.
 func splitField(line []byte) (name, value []byte) {
 	i := bytes.IndexByte(line, ':')
 	if i < 0 {
--- a/gateway/ports.go
+++ b/gateway/ports.go
@@ -41,7 +41,7 @@
 	Incarnation    fleet.Incarnation
 	ExpectedCached int    // prompt tokens expected in the endpoint's cache
 	ImportFrom     string // KV store to import the prefix from; empty: none
-	Prefix         string // names of the prompt's levels, for the engine; empty: none
+	Prefix         string // keys of the prompt's levels, see prefix.Format; empty: none
 	// OnHeader, unless nil, is called when the header of an answer has arrived, so
 	// that its cached tokens and load are used while the answer still streams.
 	OnHeader func(engine.Metadata)
