--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -29,7 +29,7 @@
 	return &shutdown{
 		drainer: drainer,
 		now:     now,
-		state:   drain.New(drain.Options{Lag: s.BalancerLag, Bound: s.MaxWait}),
+		state:   drain.New(drain.Options{BalancerLag: s.BalancerLag, MaxWait: s.MaxWait}),
 		begun:   make(chan struct{}),
 	}
 }
@@ -53,7 +53,7 @@
 func (s *shutdown) cut() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Cut()
+	return s.state.CutRequests()
 }
 
 func (s *shutdown) step() drain.State {
@@ -61,7 +61,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.state.Streams(now, open)
+	s.state.SetOpenRequests(now, open)
 	return s.state.Advance(now)
 }
 
--- a/drain/drain.go
+++ b/drain/drain.go
@@ -33,16 +33,16 @@
 
 // Defaults of Options.
 const (
-	DefaultLag   = 10 * time.Second
-	DefaultBound = 10 * time.Minute
-	DefaultGrace = 5 * time.Second
+	DefaultBalancerLag  = 10 * time.Second
+	DefaultMaxWait      = 10 * time.Minute
+	DefaultErrorTimeout = 5 * time.Second
 )
 
 // Options set up a Shutdown. Zero values mean the defaults.
 type Options struct {
-	Lag   time.Duration // how late the balancer may notice that the daemon isn't ready
-	Bound time.Duration // longest wait for open streams after the lag
-	Grace time.Duration // time for the last streams to be told their error
+	BalancerLag  time.Duration // how late the balancer may notice that the daemon isn't ready
+	MaxWait      time.Duration // longest wait for open streams after the lag
+	ErrorTimeout time.Duration // time for the last streams to be told their error
 }
 
 // Shutdown is the state of one daemon's shutdown. It isn't safe for concurrent
@@ -57,14 +57,14 @@
 
 // New returns a Shutdown that has not begun.
 func New(opts Options) *Shutdown {
-	if opts.Lag <= 0 {
-		opts.Lag = DefaultLag
+	if opts.BalancerLag <= 0 {
+		opts.BalancerLag = DefaultBalancerLag
 	}
-	if opts.Bound <= 0 {
-		opts.Bound = DefaultBound
+	if opts.MaxWait <= 0 {
+		opts.MaxWait = DefaultMaxWait
 	}
-	if opts.Grace <= 0 {
-		opts.Grace = DefaultGrace
+	if opts.ErrorTimeout <= 0 {
+		opts.ErrorTimeout = DefaultErrorTimeout
 	}
 	return &Shutdown{opts: opts}
 }
@@ -75,7 +75,7 @@
 	s.Advance(now)
 	switch s.state {
 	case Serving:
-		s.enter(Unready, now.Add(s.opts.Lag))
+		s.enter(Unready, now.Add(s.opts.BalancerLag))
 	case Unready, Closing:
 		s.stop(now)
 	case Stopping:
@@ -85,8 +85,8 @@
 	return s.Advance(now)
 }
 
-// Streams tells how many requests are open.
-func (s *Shutdown) Streams(now time.Time, open int) State {
+// SetOpenRequests tells how many requests are open.
+func (s *Shutdown) SetOpenRequests(now time.Time, open int) State {
 	s.open = max(open, 0)
 	return s.Advance(now)
 }
@@ -94,7 +94,7 @@
 // Advance moves on as time has passed.
 func (s *Shutdown) Advance(now time.Time) State {
 	if s.state == Unready && !now.Before(s.until) {
-		s.enter(Closing, s.until.Add(s.opts.Bound))
+		s.enter(Closing, s.until.Add(s.opts.MaxWait))
 	}
 	if s.state == Closing && s.open > 0 && !now.Before(s.until) {
 		s.stop(now)
@@ -106,9 +106,9 @@
 	return s.state
 }
 
-// NextAt is when Advance has something to do even if no stream ends; false in
+// NextDeadline is when Advance has something to do even if no stream ends; false in
 // the states without a limit.
-func (s *Shutdown) NextAt() (time.Time, bool) {
+func (s *Shutdown) NextDeadline() (time.Time, bool) {
 	switch s.state {
 	case Unready, Closing, Stopping:
 		return s.until, true
@@ -128,13 +128,13 @@
 // as errors at each release of the daemon.
 func (s *Shutdown) Accepts() bool { return s.state == Serving || s.state == Unready }
 
-// Cut is how many requests were ended with an error; 0 after a graceful
+// CutRequests is how many requests were ended with an error; 0 after a graceful
 // shutdown.
-func (s *Shutdown) Cut() int { return s.cut }
+func (s *Shutdown) CutRequests() int { return s.cut }
 
 func (s *Shutdown) stop(now time.Time) {
 	s.cut = s.open
-	s.enter(Stopping, now.Add(s.opts.Grace))
+	s.enter(Stopping, now.Add(s.opts.ErrorTimeout))
 }
 
 func (s *Shutdown) enter(state State, until time.Time) {
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -24,49 +24,49 @@
 // A daemon is replaced while it has open streams and the balancer still sends
 // it callers. None of them may notice.
 func TestGracefulShutdownCutsNothing(t *testing.T) {
-	s := New(Options{Lag: 10 * time.Second, Bound: time.Minute})
-	s.Streams(epoch, 2)
+	s := New(Options{BalancerLag: 10 * time.Second, MaxWait: time.Minute})
+	s.SetOpenRequests(epoch, 2)
 	if got := s.Signal(epoch); got != Unready || s.Ready() || !s.Accepts() {
 		t.Fatalf("after the signal: %v, ready %v, accepts %v", got, s.Ready(), s.Accepts())
 	}
-	if got := s.Streams(at(9*time.Second), 0); got != Unready {
+	if got := s.SetOpenRequests(at(9*time.Second), 0); got != Unready {
 		t.Errorf("without streams within the lag: %v", got)
 	}
-	s.Streams(at(9500*time.Millisecond), 1)
+	s.SetOpenRequests(at(9500*time.Millisecond), 1)
 	if got := s.Advance(at(10 * time.Second)); got != Closing || s.Accepts() {
 		t.Errorf("after the lag: %v, accepts %v", got, s.Accepts())
 	}
-	if got := s.Streams(at(30*time.Second), 0); got != Done || s.Cut() != 0 {
-		t.Errorf("after the last stream: %v, %d cut", got, s.Cut())
+	if got := s.SetOpenRequests(at(30*time.Second), 0); got != Done || s.CutRequests() != 0 {
+		t.Errorf("after the last stream: %v, %d cut", got, s.CutRequests())
 	}
 }
 
 // A stream never ends, or an operator sends a second signal. The process must
 // exit all the same, and the caller must see an error rather than an end.
 func TestBoundAndSecondSignal(t *testing.T) {
-	slow := New(Options{Lag: time.Second, Bound: time.Minute, Grace: time.Second})
-	slow.Streams(epoch, 1)
+	slow := New(Options{BalancerLag: time.Second, MaxWait: time.Minute, ErrorTimeout: time.Second})
+	slow.SetOpenRequests(epoch, 1)
 	slow.Signal(epoch)
 	slow.Advance(at(2 * time.Second))
-	if got := slow.Advance(at(61 * time.Second)); got != Stopping || slow.Cut() != 1 {
-		t.Errorf("at the bound: %v, %d cut", got, slow.Cut())
+	if got := slow.Advance(at(61 * time.Second)); got != Stopping || slow.CutRequests() != 1 {
+		t.Errorf("at the bound: %v, %d cut", got, slow.CutRequests())
 	}
 	if got := slow.Advance(at(62 * time.Second)); got != Done {
 		t.Errorf("after the grace: %v", got)
 	}
 	twice := New(Options{})
-	twice.Streams(epoch, 3)
+	twice.SetOpenRequests(epoch, 3)
 	twice.Signal(epoch)
-	if got := twice.Signal(at(time.Second)); got != Stopping || twice.Cut() != 3 {
-		t.Errorf("after the second signal: %v, %d cut", got, twice.Cut())
+	if got := twice.Signal(at(time.Second)); got != Stopping || twice.CutRequests() != 3 {
+		t.Errorf("after the second signal: %v, %d cut", got, twice.CutRequests())
 	}
 	if got := twice.Signal(at(2 * time.Second)); got != Done {
 		t.Errorf("after the third signal: %v", got)
 	}
 	quiet := New(Options{})
 	quiet.Signal(epoch)
-	if got := quiet.Signal(at(time.Second)); got != Done || quiet.Cut() != 0 {
-		t.Errorf("second signal with no stream: %v, %d cut", got, quiet.Cut())
+	if got := quiet.Signal(at(time.Second)); got != Done || quiet.CutRequests() != 0 {
+		t.Errorf("second signal with no stream: %v, %d cut", got, quiet.CutRequests())
 	}
 }
 
@@ -74,7 +74,7 @@
 // has begun ends within its bounds.
 func TestStatesNeverGoBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		s := New(Options{Lag: 5 * time.Second, Bound: 20 * time.Second, Grace: 2 * time.Second})
+		s := New(Options{BalancerLag: 5 * time.Second, MaxWait: 20 * time.Second, ErrorTimeout: 2 * time.Second})
 		now, began := epoch, false
 		last := s.State()
 		for range rapid.IntRange(1, 60).Draw(t, "n") {
@@ -83,7 +83,7 @@
 				s.Signal(now)
 				began = true
 			} else {
-				s.Streams(now, rapid.IntRange(0, 4).Draw(t, "open"))
+				s.SetOpenRequests(now, rapid.IntRange(0, 4).Draw(t, "open"))
 			}
 			if s.State() < last {
 				t.Fatalf("from %v back to %v", last, s.State())
@@ -91,7 +91,7 @@
 			last = s.State()
 		}
 		for range 3 {
-			if next, some := s.NextAt(); some {
+			if next, some := s.NextDeadline(); some {
 				s.Advance(next)
 			}
 		}
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -199,7 +199,7 @@
 // resumeFrom returns the index of the last token delivered to the caller, and
 // whether there is one.
 func (mc *modelCall) resumeFrom() (last int64, any bool) {
-	last, _ = mc.assembler.Resume()
+	last, _ = mc.assembler.ResumePoint()
 	return last, last >= 0
 }
 
@@ -218,7 +218,7 @@
 		return unknownOutcome(http.StatusRequestTimeout, CodeStreamCut, "the caller read too slowly")
 	}
 	if mc.out != nil {
-		if _, ok := mc.assembler.Resume(); !ok {
+		if _, ok := mc.assembler.ResumePoint(); !ok {
 			return unknownOutcome(http.StatusBadGateway, CodeStreamCut, "the endpoint failed and its stream cannot be resumed")
 		}
 	}
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -17,7 +17,7 @@
 // relayStream relays the tokens of one attempt to the caller, each exactly once
 // and in order. It flushes only when no further event is buffered.
 func (mc *modelCall) relayStream(ans *engine.Answer, res *AttemptResult, began time.Time) error {
-	n := mc.assembler.Begin()
+	n := mc.assembler.BeginAttempt()
 	events := ans.Events()
 	defer events.Release()
 	for {
@@ -46,7 +46,7 @@
 
 // relayToken relays one token, unless it was delivered before.
 func (mc *modelCall) relayToken(ans *engine.Answer, n stream.AttemptNumber, ev *engine.Event) error {
-	verdict, err := mc.assembler.Token(n, ev.Index)
+	verdict, err := mc.assembler.AddToken(n, ev.Index)
 	if err != nil {
 		return ans.UnusableError(err)
 	}
@@ -66,7 +66,7 @@
 // relayEnd relays the end marker, which confirms to the caller that the answer is
 // complete.
 func (mc *modelCall) relayEnd(ans *engine.Answer, n stream.AttemptNumber, total int64) error {
-	if err := mc.assembler.End(n, total); err != nil {
+	if err := mc.assembler.EndAttempt(n, total); err != nil {
 		return ans.UnusableError(err)
 	}
 	mc.report.DuplicateTokens = mc.assembler.Duplicates()
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -18,27 +18,27 @@
 	ErrLateAttempt = errors.New("stream: event of an earlier attempt")
 	// ErrGap says that the endpoint left out a token.
 	ErrGap = errors.New("stream: token missing")
-	// ErrMixed says that the endpoint numbers some tokens and others not.
-	ErrMixed = errors.New("stream: numbered and unnumbered tokens mixed")
+	// ErrMixedNumbering says that the endpoint numbers some tokens and others not.
+	ErrMixedNumbering = errors.New("stream: numbered and unnumbered tokens mixed")
 	// ErrNotResumable says that tokens have been delivered and the new attempt
 	// does not number its own, so that nobody can tell where it begins.
 	ErrNotResumable = errors.New("stream: attempt does not tell where it resumes")
 	// ErrEnded says that the event came after the end marker.
 	ErrEnded = errors.New("stream: event after the end")
-	// ErrShort says that the end marker came at another token than it should.
-	ErrShort = errors.New("stream: end marker at the wrong token")
+	// ErrWrongLength says that the end marker came at another token than it should.
+	ErrWrongLength = errors.New("stream: end marker at the wrong token")
 )
 
 // AttemptNumber numbers the attempts of one request from 1 on.
 type AttemptNumber int
 
-// Verdict tells what to do with a token.
-type Verdict int
+// TokenAction tells what to do with a token.
+type TokenAction int
 
 // The verdicts.
 const (
-	Deliver   Verdict = iota + 1 // the next token for the caller
-	Duplicate                    // the caller has it; drop it
+	Deliver   TokenAction = iota + 1 // the next token for the caller
+	Duplicate                        // the caller has it; drop it
 )
 
 // numbering is what is known of an attempt's token indices.
@@ -63,9 +63,9 @@
 	late       int
 }
 
-// Begin starts the next attempt and returns its number. Events of earlier
+// BeginAttempt starts the next attempt and returns its number. Events of earlier
 // attempts are late from now on.
-func (a *Assembler) Begin() AttemptNumber {
+func (a *Assembler) BeginAttempt() AttemptNumber {
 	a.attempt++
 	a.numbering = numberingUnknown
 	a.position = 0
@@ -73,9 +73,9 @@
 	return a.attempt
 }
 
-// Token takes a token event of an attempt. The index is Unindexed when the
+// AddToken takes a token event of an attempt. The index is Unindexed when the
 // endpoint gave none.
-func (a *Assembler) Token(n AttemptNumber, index int64) (Verdict, error) {
+func (a *Assembler) AddToken(n AttemptNumber, index int64) (TokenAction, error) {
 	if err := a.current(n); err != nil {
 		return 0, err
 	}
@@ -114,12 +114,12 @@
 		a.numbering = given
 	}
 	if a.numbering != given {
-		return ErrMixed
+		return ErrMixedNumbering
 	}
 	return nil
 }
 
-// End takes the end marker of an attempt. Only after it is the answer whole.
+// EndAttempt takes the end marker of an attempt. Only after it is the answer whole.
 // The total is the number of tokens of the whole answer as the endpoint counts
 // them, Unindexed when it does not say.
 //
@@ -128,12 +128,12 @@
 // caller would hold two halves that do not belong together, or a short answer
 // that looks whole, so this is ErrShort. Without a total, an attempt that sent
 // no token at all is taken to have had none left to send.
-func (a *Assembler) End(n AttemptNumber, total int64) error {
+func (a *Assembler) EndAttempt(n AttemptNumber, total int64) error {
 	if err := a.current(n); err != nil {
 		return err
 	}
 	if total != Unindexed && total != a.next || a.reached > 0 && a.reached < a.next {
-		return ErrShort
+		return ErrWrongLength
 	}
 	a.complete = true
 	return nil
@@ -156,15 +156,15 @@
 // Delivered is the number of tokens the caller has.
 func (a *Assembler) Delivered() int64 { return a.next }
 
-// Resume returns the index of the last token the caller has, and whether
+// ResumePoint returns the index of the last token the caller has, and whether
 // another attempt can go on from it. With no token delivered, the index is
 // Unindexed and another attempt simply starts anew.
-func (a *Assembler) Resume() (last int64, ok bool) {
+func (a *Assembler) ResumePoint() (last int64, ok bool) {
 	return a.next - 1, !a.complete && !a.unnumbered
 }
 
 // Duplicates counts the tokens dropped because the caller had them.
 func (a *Assembler) Duplicates() int { return a.duplicates }
 
-// Late counts the events dropped because their attempt was over.
-func (a *Assembler) Late() int { return a.late }
+// LateEvents counts the events dropped because their attempt was over.
+func (a *Assembler) LateEvents() int { return a.late }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -19,11 +19,11 @@
 		var got []int64
 		for range rapid.IntRange(1, 5).Draw(t, "attempts") {
 			numbered := rapid.Bool().Draw(t, "numbered")
-			last, resumable := a.Resume()
+			last, resumable := a.ResumePoint()
 			if !resumable {
 				break
 			}
-			n := a.Begin()
+			n := a.BeginAttempt()
 			at := int64(0)
 			if numbered && rapid.Bool().Draw(t, "resumes") {
 				at = last + 1
@@ -53,7 +53,7 @@
 				continue
 			}
 		case 2:
-			if _, err := a.Token(n-1, at); !errors.Is(err, ErrLateAttempt) {
+			if _, err := a.AddToken(n-1, at); !errors.Is(err, ErrLateAttempt) {
 				t.Fatalf("a late token gave %v", err)
 			}
 		}
@@ -61,7 +61,7 @@
 		if !numbered {
 			index = Unindexed
 		}
-		verdict, err := a.Token(n, index)
+		verdict, err := a.AddToken(n, index)
 		if err != nil {
 			return got
 		}
@@ -73,7 +73,7 @@
 	if !numbered {
 		total = Unindexed
 	}
-	_ = a.End(n, total)
+	_ = a.EndAttempt(n, total)
 	return got
 }
 
@@ -81,7 +81,7 @@
 	type step struct {
 		begin bool
 		index int64
-		want  Verdict
+		want  TokenAction
 		err   error
 	}
 	tests := []struct {
@@ -90,7 +90,7 @@
 	}{
 		{"duplicates after a resume", []step{{begin: true}, {index: 0, want: Deliver}, {index: 1, want: Deliver}, {begin: true}, {index: 0, want: Duplicate}, {index: 1, want: Duplicate}, {index: 2, want: Deliver}}},
 		{"gap", []step{{begin: true}, {index: 0, want: Deliver}, {index: 2, err: ErrGap}}},
-		{"mixed", []step{{begin: true}, {index: 0, want: Deliver}, {index: Unindexed, err: ErrMixed}}},
+		{"mixed", []step{{begin: true}, {index: 0, want: Deliver}, {index: Unindexed, err: ErrMixedNumbering}}},
 		{"unnumbered after a numbered one", []step{{begin: true}, {index: 0, want: Deliver}, {begin: true}, {index: Unindexed, err: ErrNotResumable}}},
 	}
 	for _, tt := range tests {
@@ -99,10 +99,10 @@
 			var n AttemptNumber
 			for i, s := range tt.steps {
 				if s.begin {
-					n = a.Begin()
+					n = a.BeginAttempt()
 					continue
 				}
-				if got, err := a.Token(n, s.index); got != s.want || !errors.Is(err, s.err) {
+				if got, err := a.AddToken(n, s.index); got != s.want || !errors.Is(err, s.err) {
 					t.Errorf("step %d gave %v, %v; want %v, %v", i, got, err, s.want, s.err)
 				}
 			}
@@ -115,20 +115,20 @@
 // caller holds.
 func TestShorterAnswerIsNotTheEnd(t *testing.T) {
 	var a Assembler
-	n := a.Begin()
+	n := a.BeginAttempt()
 	for i := range int64(5) {
-		_, _ = a.Token(n, i)
+		_, _ = a.AddToken(n, i)
 	}
-	n = a.Begin()
-	_, _ = a.Token(n, 0)
-	if err := a.End(n, Unindexed); !errors.Is(err, ErrShort) || a.Complete() {
+	n = a.BeginAttempt()
+	_, _ = a.AddToken(n, 0)
+	if err := a.EndAttempt(n, Unindexed); !errors.Is(err, ErrWrongLength) || a.Complete() {
 		t.Errorf("the end gave %v", err)
 	}
-	n = a.Begin()
-	if err := a.End(n, 6); !errors.Is(err, ErrShort) || a.Complete() {
+	n = a.BeginAttempt()
+	if err := a.EndAttempt(n, 6); !errors.Is(err, ErrWrongLength) || a.Complete() {
 		t.Errorf("the end gave %v", err)
 	}
-	if err := a.End(n, 5); err != nil || !a.Complete() {
+	if err := a.EndAttempt(n, 5); err != nil || !a.Complete() {
 		t.Errorf("the end gave %v", err)
 	}
 }
