--- a/drain/drain.go
+++ b/drain/drain.go
@@ -1,29 +1,29 @@
-// Package drain decides how a daemon shuts down without cutting a request:
-// it says that it isn't ready while it still serves, until the platform's
-// balancer must have noticed; then it takes nothing new and waits for the open
-// streams, for no longer than a bound.
+// Package drain is the state machine of a daemon's graceful shutdown. The daemon
+// first reports not ready but still serves all requests, until the platform's
+// balancer must have noticed. Then it accepts no new requests and waits for the
+// open ones up to a time limit.
 //
 // The package does no I/O and reads no clock.
 package drain
 
 import "time"
 
-// State is how far a shutdown has come.
+// State is a state of a shutdown.
 type State uint8
 
-// The states, in their order. Each is entered at most once.
+// States in the order in which they are entered. Each is entered at most once.
 const (
 	Serving  State = iota // ready
-	Unready               // not ready, but whatever comes is served
-	Closing               // takes nothing new, waits for open streams
-	Stopping              // streams that are still open end with an explicit error
+	Unready               // not ready, but new requests are served
+	Closing               // refuses new requests and waits for open ones
+	Stopping              // ends open requests with an explicit error
 	Done                  // the process may exit
 	stateCount
 )
 
 var stateNames = [stateCount]string{"serving", "unready", "closing", "stopping", "done"}
 
-// String returns the name used in dumps and logs.
+// String returns the state's name in dumps and logs.
 func (s State) String() string {
 	if s >= stateCount {
 		return "state(?)"
@@ -38,21 +38,21 @@
 	DefaultErrorTimeout = 5 * time.Second
 )
 
-// Options set up a Shutdown. Zero values mean the defaults.
+// Options configures a Shutdown. Zero values mean the defaults.
 type Options struct {
-	BalancerLag  time.Duration // how late the balancer may notice that the daemon isn't ready
-	MaxWait      time.Duration // longest wait for open streams after the lag
-	ErrorTimeout time.Duration // time for the last streams to be told their error
+	BalancerLag  time.Duration // maximum time until the balancer notices that the daemon is not ready
+	MaxWait      time.Duration // maximum wait for open requests after BalancerLag
+	ErrorTimeout time.Duration // maximum time to send the error to the requests that are ended
 }
 
-// Shutdown is the state of one daemon's shutdown. It isn't safe for concurrent
-// use.
+// Shutdown is the state machine of one daemon's shutdown. It is not safe for
+// concurrent use.
 type Shutdown struct {
-	opts  Options
-	state State
-	until time.Time // end of the state, unless the streams end it sooner
-	open  int
-	cut   int // streams that were open when Stopping began
+	opts         Options
+	state        State
+	deadline     time.Time // latest end of the current state
+	openRequests int
+	cutRequests  int // requests that were open when Stopping began
 }
 
 // New returns a Shutdown that has not begun.
@@ -69,75 +69,77 @@
 	return &Shutdown{opts: opts}
 }
 
-// Signal begins the shutdown. A second one, from an operator who won't wait,
-// has the open streams end with an explicit error; a third one ends at once.
+// Signal starts the shutdown. A second signal, from an operator who does not want to
+// wait, ends the open requests with an explicit error. A third one ends the shutdown
+// immediately.
 func (s *Shutdown) Signal(now time.Time) State {
 	s.Advance(now)
 	switch s.state {
 	case Serving:
-		s.enter(Unready, now.Add(s.opts.BalancerLag))
+		s.setState(Unready, now.Add(s.opts.BalancerLag))
 	case Unready, Closing:
-		s.stop(now)
+		s.beginStopping(now)
 	case Stopping:
-		s.enter(Done, now)
+		s.setState(Done, now)
 	case Done:
 	}
 	return s.Advance(now)
 }
 
-// SetOpenRequests tells how many requests are open.
+// SetOpenRequests sets the number of open requests and returns the new state.
 func (s *Shutdown) SetOpenRequests(now time.Time, open int) State {
-	s.open = max(open, 0)
+	s.openRequests = max(open, 0)
 	return s.Advance(now)
 }
 
-// Advance moves on as time has passed.
+// Advance enters the states that are due at the given time and returns the current
+// one.
 func (s *Shutdown) Advance(now time.Time) State {
-	if s.state == Unready && !now.Before(s.until) {
-		s.enter(Closing, s.until.Add(s.opts.MaxWait))
+	if s.state == Unready && !now.Before(s.deadline) {
+		s.setState(Closing, s.deadline.Add(s.opts.MaxWait))
 	}
-	if s.state == Closing && s.open > 0 && !now.Before(s.until) {
-		s.stop(now)
+	if s.state == Closing && s.openRequests > 0 && !now.Before(s.deadline) {
+		s.beginStopping(now)
 	}
-	closed := s.open == 0 && (s.state == Closing || s.state == Stopping)
-	if closed || (s.state == Stopping && !now.Before(s.until)) {
-		s.enter(Done, now)
+	closed := s.openRequests == 0 && (s.state == Closing || s.state == Stopping)
+	if closed || (s.state == Stopping && !now.Before(s.deadline)) {
+		s.setState(Done, now)
 	}
 	return s.state
 }
 
-// NextDeadline is when Advance has something to do even if no stream ends; false in
-// the states without a limit.
+// NextDeadline returns when Advance must be called even if no request ends. It
+// returns false in states without a time limit.
 func (s *Shutdown) NextDeadline() (time.Time, bool) {
 	switch s.state {
 	case Unready, Closing, Stopping:
-		return s.until, true
+		return s.deadline, true
 	case Serving, Done:
 	}
 	return time.Time{}, false
 }
 
-// State is the present state.
+// State returns the current state.
 func (s *Shutdown) State() State { return s.state }
 
-// Ready is what the balancer is told.
+// Ready reports whether the balancer should send new requests.
 func (s *Shutdown) Ready() bool { return s.state == Serving }
 
-// Accepts reports whether new requests are served. Those that come between the
-// first signal and the balancer's noticing it are: to refuse them would be seen
-// as errors at each release of the daemon.
+// Accepts reports whether new requests are served. Requests that arrive after the
+// first signal, before the balancer has noticed, are served: refusing them would
+// cause errors at every release of the daemon.
 func (s *Shutdown) Accepts() bool { return s.state == Serving || s.state == Unready }
 
-// CutRequests is how many requests were ended with an error; 0 after a graceful
-// shutdown.
-func (s *Shutdown) CutRequests() int { return s.cut }
+// CutRequests returns the number of requests that were ended with an error. It is 0
+// after a graceful shutdown.
+func (s *Shutdown) CutRequests() int { return s.cutRequests }
 
-func (s *Shutdown) stop(now time.Time) {
-	s.cut = s.open
-	s.enter(Stopping, now.Add(s.opts.ErrorTimeout))
+func (s *Shutdown) beginStopping(now time.Time) {
+	s.cutRequests = s.openRequests
+	s.setState(Stopping, now.Add(s.opts.ErrorTimeout))
 }
 
-func (s *Shutdown) enter(state State, until time.Time) {
+func (s *Shutdown) setState(state State, until time.Time) {
 	s.state = state
-	s.until = until
+	s.deadline = until
 }
--- a/drain/drain_test.go
+++ b/drain/drain_test.go
@@ -9,8 +9,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict.
+// TestMain sets a fixed seed for the property tests, so that each run has the same
+// result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260301")
 	_ = flag.Set("rapid.nofailfile", "true")
@@ -21,16 +21,16 @@
 
 func at(d time.Duration) time.Time { return epoch.Add(d) }
 
-// A daemon is replaced while it has open streams and the balancer still sends
-// it callers. None of them may notice.
-func TestGracefulShutdownCutsNothing(t *testing.T) {
+// During a release, requests that are open at the first signal or arrive before the
+// balancer has noticed must be completed.
+func TestGracefulShutdownCutsNoRequest(t *testing.T) {
 	s := New(Options{BalancerLag: 10 * time.Second, MaxWait: time.Minute})
 	s.SetOpenRequests(epoch, 2)
 	if got := s.Signal(epoch); got != Unready || s.Ready() || !s.Accepts() {
 		t.Fatalf("after the signal: %v, ready %v, accepts %v", got, s.Ready(), s.Accepts())
 	}
 	if got := s.SetOpenRequests(at(9*time.Second), 0); got != Unready {
-		t.Errorf("without streams within the lag: %v", got)
+		t.Errorf("without open requests before the lag has passed: %v", got)
 	}
 	s.SetOpenRequests(at(9500*time.Millisecond), 1)
 	if got := s.Advance(at(10 * time.Second)); got != Closing || s.Accepts() {
@@ -41,18 +41,18 @@
 	}
 }
 
-// A stream never ends, or an operator sends a second signal. The process must
-// exit all the same, and the caller must see an error rather than an end.
-func TestBoundAndSecondSignal(t *testing.T) {
+// The process must exit even if a stream never ends, or at an operator's second
+// signal. Open requests must then get an error instead of a normal end.
+func TestMaxWaitAndRepeatedSignals(t *testing.T) {
 	slow := New(Options{BalancerLag: time.Second, MaxWait: time.Minute, ErrorTimeout: time.Second})
 	slow.SetOpenRequests(epoch, 1)
 	slow.Signal(epoch)
 	slow.Advance(at(2 * time.Second))
 	if got := slow.Advance(at(61 * time.Second)); got != Stopping || slow.CutRequests() != 1 {
-		t.Errorf("at the bound: %v, %d cut", got, slow.CutRequests())
+		t.Errorf("at the end of MaxWait: %v, %d cut", got, slow.CutRequests())
 	}
 	if got := slow.Advance(at(62 * time.Second)); got != Done {
-		t.Errorf("after the grace: %v", got)
+		t.Errorf("after ErrorTimeout: %v", got)
 	}
 	twice := New(Options{})
 	twice.SetOpenRequests(epoch, 3)
@@ -66,13 +66,13 @@
 	quiet := New(Options{})
 	quiet.Signal(epoch)
 	if got := quiet.Signal(at(time.Second)); got != Done || quiet.CutRequests() != 0 {
-		t.Errorf("second signal with no stream: %v, %d cut", got, quiet.CutRequests())
+		t.Errorf("second signal without open requests: %v, %d cut", got, quiet.CutRequests())
 	}
 }
 
-// Whatever happens, the states follow each other in order, and a shutdown that
-// has begun ends within its bounds.
-func TestStatesNeverGoBack(t *testing.T) {
+// Property: states are entered in order, and a shutdown that was started ends within
+// its time limits.
+func TestStatesAdvanceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New(Options{BalancerLag: 5 * time.Second, MaxWait: 20 * time.Second, ErrorTimeout: 2 * time.Second})
 		now, began := epoch, false
@@ -86,7 +86,7 @@
 				s.SetOpenRequests(now, rapid.IntRange(0, 4).Draw(t, "open"))
 			}
 			if s.State() < last {
-				t.Fatalf("from %v back to %v", last, s.State())
+				t.Fatalf("state %v was followed by %v", last, s.State())
 			}
 			last = s.State()
 		}
@@ -96,7 +96,7 @@
 			}
 		}
 		if began && s.State() != Done {
-			t.Fatalf("ends as %v", s.State())
+			t.Fatalf("final state %v, want Done", s.State())
 		}
 	})
 }
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -7,12 +7,11 @@
 	"pgregory.net/rapid"
 )
 
-// Engines die and come back in any order, number their tokens or not, resume
-// where asked or begin again, leave tokens out, and send events of attempts
-// that are over. Whatever they do, the caller holds the first tokens of the
-// answer, each once and in order, and an answer that counts as complete is
-// whole.
-func TestCallerHoldsAPrefixOfTheAnswer(t *testing.T) {
+// Property: engines may crash, restart the answer instead of resuming it, number
+// their tokens or not, omit tokens and send events of earlier attempts. The
+// delivered tokens are always a prefix of the answer, each token once and in order,
+// and an answer reported as complete has all tokens.
+func TestDeliversTokensOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.Int64Range(0, 12).Draw(t, "length")
 		var a Assembler
@@ -32,7 +31,7 @@
 		}
 		for i, token := range got {
 			if token != int64(i) {
-				t.Fatalf("the caller holds %v", got)
+				t.Fatalf("delivered tokens %v", got)
 			}
 		}
 		if a.Delivered() != int64(len(got)) || a.Complete() && a.Delivered() != length {
@@ -41,8 +40,8 @@
 	})
 }
 
-// runAttempt plays one engine that sends tokens from at on and then the end,
-// unless it dies or leaves one out on the way.
+// runAttempt simulates an engine that sends the tokens from at on and then the end
+// marker. It may crash, omit numbered tokens and send events of the previous attempt.
 func runAttempt(t *rapid.T, a *Assembler, n AttemptNumber, at, length int64, numbered bool, got []int64) []int64 {
 	for ; at < length; at++ {
 		switch rapid.IntRange(0, 9).Draw(t, "event") {
@@ -54,7 +53,7 @@
 			}
 		case 2:
 			if _, err := a.AddToken(n-1, at); !errors.Is(err, ErrLateAttempt) {
-				t.Fatalf("a late token gave %v", err)
+				t.Fatalf("token of the previous attempt: %v, want ErrLateAttempt", err)
 			}
 		}
 		index := at
@@ -77,7 +76,7 @@
 	return got
 }
 
-func TestTokenVerdicts(t *testing.T) {
+func TestTokenActions(t *testing.T) {
 	type step struct {
 		begin bool
 		index int64
@@ -110,10 +109,9 @@
 	}
 }
 
-// The runner that takes over generates another, shorter answer from the start.
-// The caller holds more than all of it, so its end is not the end of what the
-// caller holds.
-func TestShorterAnswerIsNotTheEnd(t *testing.T) {
+// A runner that takes over a stream may generate a different, shorter answer. Its
+// end marker must not complete the answer, of which more tokens were delivered.
+func TestRefusesEndAtWrongLength(t *testing.T) {
 	var a Assembler
 	n := a.BeginAttempt()
 	for i := range int64(5) {
@@ -122,13 +120,13 @@
 	n = a.BeginAttempt()
 	_, _ = a.AddToken(n, 0)
 	if err := a.EndAttempt(n, Unindexed); !errors.Is(err, ErrWrongLength) || a.Complete() {
-		t.Errorf("the end gave %v", err)
+		t.Errorf("EndAttempt returned %v", err)
 	}
 	n = a.BeginAttempt()
 	if err := a.EndAttempt(n, 6); !errors.Is(err, ErrWrongLength) || a.Complete() {
-		t.Errorf("the end gave %v", err)
+		t.Errorf("EndAttempt returned %v", err)
 	}
 	if err := a.EndAttempt(n, 5); err != nil || !a.Complete() {
-		t.Errorf("the end gave %v", err)
+		t.Errorf("EndAttempt returned %v", err)
 	}
 }
