--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -17,7 +17,7 @@
 		dial = new(net.Dialer).DialContext
 	}
 	return guard.New(guard.Options{
-		Me: d.peer(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
+		Self: d.peer(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
 	})
 }
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -34,7 +34,7 @@
 
 // Options are what a Guard needs.
 type Options struct {
-	Me    gossip.Peer
+	Self  gossip.Peer
 	Clock func() time.Duration // runs on while the machine is suspended
 	// Dial opens connections to endpoints, as net.Dialer.DialContext does.
 	Dial  func(ctx context.Context, network, address string) (net.Conn, error)
@@ -43,10 +43,10 @@
 	Log   *logging.Logger
 	// Send sends a message to another daemon and does not wait for its way.
 	Send func(to string, data []byte)
-	// Changed is told of holds that began or ended, and of what there is to keep of
+	// OnChange is told of holds that began or ended, and of what there is to keep of
 	// one that began here; nil: holds are not kept outside the daemons. It must not
 	// call back.
-	Changed func(c *quarantine.Change, kept *quarantine.Kept)
+	OnChange func(c *quarantine.Change, kept *quarantine.Kept)
 }
 
 // Guard keeps requests from endpoints that end whenever they run them. It is safe for
@@ -77,7 +77,7 @@
 	return &Guard{
 		o: o, ctx: ctx, end: end, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
 		refused:  o.Scope.Counter("quarantine_refused"),
-		node:     quarantine.NewNode(quarantine.Options{Me: o.Me, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
+		node:     quarantine.NewNode(quarantine.Options{Me: o.Self, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
 		checking: map[fleet.EndpointID]*endCheck{},
 	}
 }
@@ -132,13 +132,13 @@
 		g.lifted.Inc(1)
 		g.o.Log.Info("Request is no longer held.", "fingerprint", c.Fingerprint.String(), "reason", string(c.Reason))
 	}
-	if g.o.Changed != nil {
-		g.o.Changed(c, kept)
+	if g.o.OnChange != nil {
+		g.o.OnChange(c, kept)
 	}
 }
 
-// Recall takes a hold that was kept outside the daemons.
-func (g *Guard) Recall(k quarantine.Kept) {
+// Restore takes a hold that was kept outside the daemons.
+func (g *Guard) Restore(k quarantine.Kept) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Recall(g.o.Clock(), k)
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	began := time.Now()
 	g := New(Options{
-		Me: gossip.Peer{Name: "a"}, Rand: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope,
+		Self: gossip.Peer{Name: "a"}, Rand: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope,
 		Clock: func() time.Duration { return time.Hour + time.Since(began) },
 		Dial:  func(context.Context, string, string) (net.Conn, error) { return dial() },
 		Log:   logging.Discard().For(logging.PartRouter), Send: func(string, []byte) {},
@@ -88,7 +88,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		g := lone(t, refused)
 		mux := http.NewServeMux()
-		g.Handle(mux)
+		g.RegisterHandlers(mux)
 		ask := func(method, path string) *httptest.ResponseRecorder {
 			w := httptest.NewRecorder()
 			mux.ServeHTTP(w, httptest.NewRequestWithContext(t.Context(), method, path, nil))
--- a/guard/http.go
+++ b/guard/http.go
@@ -15,9 +15,9 @@
 	Ends        int    `json:"ends"` // endpoints that ended under it, as far as this daemon knows
 }
 
-// Handle adds what operators may ask: GET /quarantine lists the requests that are
+// RegisterHandlers adds what operators may ask: GET /quarantine lists the requests that are
 // held, DELETE /quarantine/FINGERPRINT ends a hold at all daemons.
-func (g *Guard) Handle(mux *http.ServeMux) {
+func (g *Guard) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /quarantine", g.list)
 	mux.HandleFunc("DELETE /quarantine/{fingerprint}", g.lift)
 }
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -160,7 +160,7 @@
 	if stored.Daemon == r.options.Settings.Name && r.holdStore != nil {
 		r.holdStore.adopt(f, left > 0)
 	}
-	r.quarantine.Recall(quarantine.Kept{
+	r.quarantine.Restore(quarantine.Kept{
 		Fingerprint: f, Round: stored.Round, Age: max(0, time.Since(time.UnixMilli(stored.Began))), Left: left,
 	})
 	return true
--- a/router/router.go
+++ b/router/router.go
@@ -177,7 +177,7 @@
 // are also stored beside it.
 func (r *Router) newQuarantineGuard(me Neighbour) *guard.Guard {
 	o := guard.Options{
-		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Dial: r.options.Dial, Rand: r.options.Rand,
+		Self: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Dial: r.options.Dial, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 	}
 	if o.Dial == nil {
@@ -186,7 +186,7 @@
 	}
 	if r.options.DaemonRegistry != nil {
 		r.holdStore = newHoldStore(me.Name, r.options.DaemonRegistry, r.log)
-		o.Changed = r.holdStore.changed
+		o.OnChange = r.holdStore.changed
 	}
 	return guard.New(o)
 }
@@ -352,7 +352,7 @@
 // operationsHandler serves metrics, and the quarantine interface for operators.
 func (r *Router) operationsHandler() http.Handler {
 	mux := http.NewServeMux()
-	r.quarantine.Handle(mux)
+	r.quarantine.RegisterHandlers(mux)
 	mux.Handle("/", r.metrics.handler())
 	return mux
 }
