--- a/guard/guard.go
+++ b/guard/guard.go
@@ -1,5 +1,6 @@
-// Package guard is a daemon's part in a quarantine: it finds out which endpoints have
-// ended, carries the messages of a quarantine.Node, and shows operators what is held.
+// Package guard runs the quarantine of one daemon. It checks whether endpoints have
+// ended, exchanges the messages of a quarantine.Node with other daemons, and serves
+// the operators' API for held requests.
 package guard
 
 import (
@@ -20,107 +21,107 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// Times of finding out whether an endpoint has ended.
+// Parameters of the check whether an endpoint has ended.
 const (
-	// endedTries is how often an endpoint is connected to: its kernel may end its
-	// connections one after another, and the one that listens last.
-	endedTries = 2
-	endedAgain = 150 * time.Millisecond
-	// endedTime bounds one connection.
-	endedTime = 400 * time.Millisecond
-	// endedKnown is how long the result holds.
-	endedKnown = 5 * time.Second
+	// dialAttempts is the number of connection attempts. More than one is needed because
+	// the kernel of an endpoint that ends may close the listening socket last.
+	dialAttempts   = 2
+	dialRetryDelay = 150 * time.Millisecond
+	// dialTimeout limits one connection attempt.
+	dialTimeout = 400 * time.Millisecond
+	// checkResultTTL is how long the result of a check is used.
+	checkResultTTL = 5 * time.Second
 )
 
-// Options are what a Guard needs.
+// Options configures a Guard.
 type Options struct {
 	Self  gossip.Peer
-	Clock func() time.Duration // runs on while the machine is suspended
-	// Dial opens connections to endpoints, as net.Dialer.DialContext does.
+	Clock func() time.Duration // includes time while the machine is suspended
+	// Dial opens connections to endpoints, like net.Dialer.DialContext.
 	Dial  func(ctx context.Context, network, address string) (net.Conn, error)
 	Rand  *rand.Rand // seeded
 	Scope tally.Scope
 	Log   *logging.Logger
-	// Send sends a message to another daemon and does not wait for its way.
+	// Send sends a message to another daemon without waiting for its delivery.
 	Send func(to string, data []byte)
-	// OnChange is told of holds that began or ended, and of what there is to keep of
-	// one that began here; nil: holds are not kept outside the daemons. It must not
-	// call back.
+	// OnChange, unless nil, is called for each hold that began or ended, with kept set
+	// if this daemon decided the hold and it has to be stored outside the daemons. It
+	// must not call methods of the Guard.
 	OnChange func(c *quarantine.Change, kept *quarantine.Kept)
 }
 
-// Guard keeps requests from endpoints that end whenever they run them. It is safe for
-// concurrent use.
+// Guard holds requests that made several endpoints end, so that they reach no further
+// endpoint. It is safe for concurrent use.
 type Guard struct {
-	o   Options
-	ctx context.Context // ends with Run
-	end func()
+	o      Options
+	ctx    context.Context // ends when Run returns
+	cancel func()
 
 	held, lifted, refused tally.Counter
 
-	mu       sync.Mutex
-	node     *quarantine.Node
-	checking map[fleet.EndpointID]*endCheck
+	mu     sync.Mutex
+	node   *quarantine.Node
+	checks map[fleet.EndpointID]*endpointCheck
 }
 
-// endCheck is the question whether an endpoint has ended.
-type endCheck struct {
-	at    time.Duration
-	done  bool
-	ended bool
-	lost  []quarantine.Fingerprint // that wait for the result
+// endpointCheck is a check whether an endpoint has ended.
+type endpointCheck struct {
+	checkedAt time.Duration
+	done      bool
+	ended     bool
+	waiting   []quarantine.Fingerprint // requests that wait for the result
 }
 
-// New returns a Guard that holds nothing.
+// New returns a Guard without holds.
 func New(o Options) *Guard {
 	ctx, end := context.WithCancel(context.Background())
 	return &Guard{
-		o: o, ctx: ctx, end: end, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
-		refused:  o.Scope.Counter("quarantine_refused"),
-		node:     quarantine.NewNode(quarantine.Options{Me: o.Self, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
-		checking: map[fleet.EndpointID]*endCheck{},
+		o: o, ctx: ctx, cancel: end, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
+		refused: o.Scope.Counter("quarantine_refused"),
+		node:    quarantine.NewNode(quarantine.Options{Me: o.Self, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
+		checks:  map[fleet.EndpointID]*endpointCheck{},
 	}
 }
 
-// Run does what is due with time alone until the context ends.
+// Run performs the periodic work until the context ends.
 func (g *Guard) Run(ctx context.Context) {
-	defer g.end()
+	defer g.cancel()
 	for pause.Tick(ctx, gossip.Tick) == nil {
 		g.mu.Lock()
 		now := g.o.Clock()
 		g.node.Tick(now)
-		for key, c := range g.checking {
-			if c.done && now-c.at > endedKnown {
-				delete(g.checking, key)
+		for key, c := range g.checks {
+			if c.done && now-c.checkedAt > checkResultTTL {
+				delete(g.checks, key)
 			}
 		}
-		g.post()
+		g.flush()
 		g.mu.Unlock()
 	}
 }
 
-// Receive takes a message of another daemon.
+// Receive processes a message from another daemon.
 func (g *Guard) Receive(from string, data []byte) {
 	g.mu.Lock()
 	err := g.node.Receive(g.o.Clock(), data)
-	g.post()
+	g.flush()
 	g.mu.Unlock()
 	if err != nil {
-		g.o.Log.Info("Message is no daemon's.", "from", from, "error", err.Error())
+		g.o.Log.Info("Ignored an invalid quarantine message.", "from", from, "error", err.Error())
 	}
 }
 
-// post sends what the node has to send, and tells what it decided. Call it with mu held.
-func (g *Guard) post() {
+// flush sends the node's messages and reports its changes. The caller must hold mu.
+func (g *Guard) flush() {
 	for _, d := range g.node.Outbox() {
 		g.o.Send(d.To, d.Data)
 	}
 	for _, c := range g.node.Changes() {
-		g.tell(&c)
+		g.reportChange(&c)
 	}
 }
 
-func (g *Guard) tell(c *quarantine.Change) {
+func (g *Guard) reportChange(c *quarantine.Change) {
 	var kept *quarantine.Kept
 	if c.Held {
 		g.held.Inc(1)
@@ -137,22 +138,22 @@
 	}
 }
 
-// Restore takes a hold that was kept outside the daemons.
+// Restore adds a hold that was stored outside the daemons.
 func (g *Guard) Restore(k quarantine.Kept) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Recall(g.o.Clock(), k)
-	g.post()
+	g.flush()
 }
 
-// SetDaemons takes the list of all daemons.
+// SetDaemons sets the list of all daemons.
 func (g *Guard) SetDaemons(all []gossip.Peer) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.SetPeers(all)
 }
 
-// Held tells how long the request is still held; false if it is not.
+// Held returns how long the request is still held, and whether it is.
 func (g *Guard) Held(f quarantine.Fingerprint) (time.Duration, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -163,65 +164,67 @@
 	return hold.Left, held
 }
 
-// MayRepeat tells whether the request may be sent on after it was lost at an endpoint.
+// MayRepeat reports whether a request may be retried after it was lost at an endpoint.
 func (g *Guard) MayRepeat(f quarantine.Fingerprint) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.node.MayRepeat(g.o.Clock(), f)
 }
 
-// Answered takes that an endpoint answered the request whole.
+// Answered records that an endpoint gave a complete answer to the request.
 func (g *Guard) Answered(f quarantine.Fingerprint) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.node.Answered(g.o.Clock(), f)
-	g.post()
+	g.flush()
 }
 
-// Lost takes an attempt whose connection ended. That also happens when the endpoint
-// lives: it cut an answer short, or something between broke. Only one that takes no
-// connection any more has ended. key names one life of the endpoint.
+// Lost records an attempt whose connection broke, and checks the endpoint unless it
+// is known to have ended. An endpoint that aborted only one answer, or whose network
+// failed, may still run, so it counts as ended only if it accepts no more connections.
+// key identifies one incarnation of the endpoint.
 func (g *Guard) Lost(f quarantine.Fingerprint, key fleet.EndpointID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c := g.checking[key]
+	c := g.checks[key]
 	switch {
 	case c == nil || c.done && !c.ended:
-		c = &endCheck{lost: []quarantine.Fingerprint{f}}
-		g.checking[key] = c
+		c = &endpointCheck{waiting: []quarantine.Fingerprint{f}}
+		g.checks[key] = c
 		go g.check(c, key, address)
 	case !c.done:
-		c.lost = append(c.lost, f)
+		c.waiting = append(c.waiting, f)
 	default:
-		g.ended(f, key)
+		g.recordEnd(f, key)
 	}
 }
 
-// check finds out whether the endpoint has ended.
-func (g *Guard) check(c *endCheck, key fleet.EndpointID, address string) {
+// check determines whether the endpoint has ended and records this for the waiting
+// requests.
+func (g *Guard) check(c *endpointCheck, key fleet.EndpointID, address string) {
 	ended := false
-	for n := 0; n < endedTries && !ended; n++ {
+	for n := 0; n < dialAttempts && !ended; n++ {
 		if n > 0 {
-			if pause.For(g.ctx, endedAgain) != nil {
+			if pause.For(g.ctx, dialRetryDelay) != nil {
 				return
 			}
 		}
-		ended = g.gone(address)
+		ended = g.unreachable(address)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.at, c.done, c.ended = g.o.Clock(), true, ended
-	for _, f := range c.lost {
+	c.checkedAt, c.done, c.ended = g.o.Clock(), true, ended
+	for _, f := range c.waiting {
 		if ended {
-			g.ended(f, key)
+			g.recordEnd(f, key)
 		}
 	}
-	c.lost = nil
+	c.waiting = nil
 }
 
-// gone tells whether nobody listens at the address any more, or the host is silent.
-func (g *Guard) gone(address string) bool {
-	ctx, cancel := context.WithTimeout(g.ctx, endedTime)
+// unreachable reports whether the address refuses connections or the host does not respond.
+func (g *Guard) unreachable(address string) bool {
+	ctx, cancel := context.WithTimeout(g.ctx, dialTimeout)
 	defer cancel()
 	conn, err := g.o.Dial(ctx, "tcp", address)
 	if err == nil {
@@ -232,9 +235,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &timeout) && timeout.Timeout() && g.ctx.Err() == nil
 }
 
-// ended takes that an endpoint ended while it ran a request. Call it with mu held.
-func (g *Guard) ended(f quarantine.Fingerprint, key fleet.EndpointID) {
+// recordEnd records that an endpoint ended while it ran the request. The caller must
+// hold mu.
+func (g *Guard) recordEnd(f quarantine.Fingerprint, key fleet.EndpointID) {
 	g.o.Log.Info("Endpoint ended under a request.", "fingerprint", f.String(), "endpoint", string(key))
 	g.node.Ended(g.o.Clock(), f, key)
-	g.post()
+	g.flush()
 }
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -20,8 +20,9 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// lone is the Guard of a daemon without others. dial answers for all endpoints.
-func lone(t *testing.T, dial func() (net.Conn, error)) *Guard {
+// newGuard returns a running Guard of the only daemon. dial replaces the connections
+// to all endpoints.
+func newGuard(t *testing.T, dial func() (net.Conn, error)) *Guard {
 	t.Helper()
 	began := time.Now()
 	g := New(Options{
@@ -44,38 +45,38 @@
 }
 
 var (
-	deadly    = quarantine.FingerprintOf("org", "POST", "h", "/x", []byte("deadly"))
+	crashing  = quarantine.FingerprintOf("org", "POST", "h", "/x", []byte("deadly"))
 	endpoints = []fleet.EndpointID{"i-1@0", "i-2@0", "i-3@0"}
 )
 
-func lose(g *Guard) {
+func loseAtAll(g *Guard) {
 	for _, e := range endpoints {
-		g.Lost(deadly, e, "10.0.0.1:1")
+		g.Lost(crashing, e, "10.0.0.1:1")
 	}
 	time.Sleep(time.Second) // virtual
 }
 
-func refused() (net.Conn, error) {
+func refuseConnection() (net.Conn, error) {
 	return nil, &net.OpError{Op: "dial", Err: syscall.ECONNREFUSED}
 }
 
-// Guards against taking a lost connection alone, or a fault of this daemon, for the end
-// of an endpoint.
-func TestOnlyEndpointsThatAreGoneCount(t *testing.T) {
+// A broken connection alone, or a failure in this daemon such as a lack of file
+// descriptors, must not count as the end of an endpoint.
+func TestCountsOnlyUnreachableEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
 		dial func() (net.Conn, error)
 		held bool
 	}{
-		"refuses":     {refused, true},
+		"refuses":     {refuseConnection, true},
 		"is silent":   {func() (net.Conn, error) { return nil, &net.OpError{Op: "dial", Err: syscall.ETIMEDOUT} }, true},
 		"takes":       {func() (net.Conn, error) { near, _ := net.Pipe(); return near, nil }, false},
 		"no more fds": {func() (net.Conn, error) { return nil, &net.OpError{Op: "socket", Err: syscall.EMFILE} }, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				g := lone(t, c.dial)
-				lose(g)
-				if _, held := g.Held(deadly); held != c.held {
+				g := newGuard(t, c.dial)
+				loseAtAll(g)
+				if _, held := g.Held(crashing); held != c.held {
 					t.Errorf("held: %v", held)
 				}
 			})
@@ -83,10 +84,10 @@
 	}
 }
 
-// Guards against an operator who can't see or end what is held.
-func TestOperatorsListAndEndHolds(t *testing.T) {
+// Operators must be able to list held requests and lift a hold.
+func TestListAndLiftHolds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		g := lone(t, refused)
+		g := newGuard(t, refuseConnection)
 		mux := http.NewServeMux()
 		g.RegisterHandlers(mux)
 		ask := func(method, path string) *httptest.ResponseRecorder {
@@ -97,24 +98,24 @@
 		if w := ask(http.MethodGet, "/quarantine"); w.Code != http.StatusOK || w.Body.String() != "[]\n" {
 			t.Errorf("nothing is held: %d %q", w.Code, w.Body)
 		}
-		lose(g)
+		loseAtAll(g)
 		var list []heldRequest
 		if err := json.Unmarshal(ask(http.MethodGet, "/quarantine").Body.Bytes(), &list); err != nil {
 			t.Fatal(err)
 		}
-		if len(list) != 1 || list[0].Fingerprint != deadly.String() || list[0].LeftSeconds < 590 || list[0].Ends != 3 {
+		if len(list) != 1 || list[0].Fingerprint != crashing.String() || list[0].LeftSeconds < 590 || list[0].Ends != 3 {
 			t.Errorf("list %+v", list)
 		}
 		for path, want := range map[string]int{
 			"/quarantine/xyz": http.StatusBadRequest,
 			"/quarantine/00000000000000000000000000000000": http.StatusNotFound,
-			"/quarantine/" + deadly.String():               http.StatusNoContent,
+			"/quarantine/" + crashing.String():             http.StatusNoContent,
 		} {
 			if w := ask(http.MethodDelete, path); w.Code != want {
 				t.Errorf("%s: %d", path, w.Code)
 			}
 		}
-		if _, held := g.Held(deadly); held {
+		if _, held := g.Held(crashing); held {
 			t.Error("it is still held")
 		}
 	})
--- a/guard/http.go
+++ b/guard/http.go
@@ -8,15 +8,15 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// heldRequest is a held request as operators see it.
+// heldRequest is the JSON representation of a held request.
 type heldRequest struct {
 	Fingerprint string `json:"fingerprint"`
 	LeftSeconds int64  `json:"left_s"`
-	Ends        int    `json:"ends"` // endpoints that ended under it, as far as this daemon knows
+	Ends        int    `json:"ends"` // endpoints that ended while they ran it, as far as this daemon knows
 }
 
-// RegisterHandlers adds what operators may ask: GET /quarantine lists the requests that are
-// held, DELETE /quarantine/FINGERPRINT ends a hold at all daemons.
+// RegisterHandlers registers the operators' API: GET /quarantine lists the held
+// requests, DELETE /quarantine/FINGERPRINT lifts a hold at all daemons.
 func (g *Guard) RegisterHandlers(mux *http.ServeMux) {
 	mux.HandleFunc("GET /quarantine", g.list)
 	mux.HandleFunc("DELETE /quarantine/{fingerprint}", g.lift)
@@ -32,7 +32,7 @@
 	}
 	w.Header().Set("Content-Type", "application/json")
 	if err := json.NewEncoder(w).Encode(out); err != nil {
-		g.o.Log.Info("List of held requests was not read.", "error", err.Error())
+		g.o.Log.Info("Failed to write the list of held requests.", "error", err.Error())
 	}
 }
 
@@ -46,7 +46,7 @@
 	copy(f[:], digits)
 	g.mu.Lock()
 	lifted := g.node.Lift(g.o.Clock(), f)
-	g.post()
+	g.flush()
 	g.mu.Unlock()
 	if !lifted {
 		http.Error(w, "no request with this fingerprint is held", http.StatusNotFound)
