--- a/admin/sections.go
+++ b/admin/sections.go
@@ -16,10 +16,10 @@
 
 // Change is a change of one section of the manifest.
 type Change struct {
-	Kind manifest.SectionKind
-	ID   string
-	Was  manifest.Digest // of the section it was made against; empty: none
-	Text []byte          // the new section; empty: remove it
+	Kind       manifest.SectionKind
+	ID         string
+	BaseDigest manifest.Digest // of the section it was made against; empty: none
+	Text       []byte          // the new section; empty: remove it
 }
 
 const maxSectionBytes = 1 << 20
@@ -53,7 +53,7 @@
 		answer(w, http.StatusPreconditionRequired, problem{Error: "If-Match must name the ETag of the section that was changed, or If-None-Match: * for a new one"})
 		return
 	}
-	c.Was = manifest.Digest(was)
+	c.BaseDigest = manifest.Digest(was)
 	if r.Method == http.MethodPut {
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSectionBytes))
 		if err != nil || len(text) == 0 {
--- a/daemon/publish.go
+++ b/daemon/publish.go
@@ -34,7 +34,7 @@
 	if change.Was == change.Digest {
 		return admin.Publication{Outcome: admin.OutcomeAccepted, Revision: shownRevision(v.Revision), Base: v.Base}, nil
 	}
-	if change.Was != c.Was {
+	if change.Was != c.BaseDigest {
 		return admin.Publication{Outcome: admin.OutcomeRefused}, admin.ErrSectionChanged
 	}
 	ctx, cancel := context.WithTimeout(ctx, logio.PublishTimeout)
