--- a/admin/admin.go
+++ b/admin/admin.go
@@ -1,8 +1,8 @@
-// Package admin serves a daemon's administration API on a listener of its own.
+// Package admin implements a daemon's administration API, which is served on a
+// separate listener.
 //
-// Everything but /healthz, /readyz and /metrics asks for the bearer token.
-// Answers are JSON. No answer holds a prompt, an API key or an answer to a
-// caller.
+// All paths except /healthz, /readyz and /metrics require the bearer token. Answers
+// are JSON. No answer contains a prompt, an API key or an answer to a caller.
 package admin
 
 import (
@@ -21,31 +21,30 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Bounds of the API.
+// Size limits of the API.
 const (
 	maxManifestBytes = 16 << 20
 	maxDumpBytes     = 8 << 20
 )
 
-// System is what the API shows and steers. The daemon implements it.
+// System is the daemon that the API shows and controls.
 type System interface {
-	// Live tells whether the process works at all.
+	// Live returns an error if the process does not work.
 	Live() error
-	// Ready tells whether the balancer should send requests here.
+	// Ready returns an error if the balancer should not send requests here.
 	Ready() error
 	// Manifest returns the manifest in force.
 	Manifest() (Revision, *manifest.Manifest, error)
 	// History returns the latest publications that this daemon has seen.
 	History() []Publication
-	// Publish offers a manifest made against the given base.
+	// Publish publishes a manifest that was edited from the one at offset base.
 	Publish(ctx context.Context, base ports.Offset, m *manifest.Manifest) (Publication, error)
-	// PublishSection offers a change of one section of the manifest in force.
-	// Its error is ErrSectionChanged or a *manifest.Error when nothing was
-	// published.
+	// PublishSection publishes a change of one section of the manifest in force. If
+	// nothing was published, its error is ErrSectionChanged or a *manifest.Error.
 	PublishSection(ctx context.Context, c Change) (Publication, error)
 	// Endpoints returns the state of each endpoint.
 	Endpoints() any
-	// Organisations returns each organisation's use against its share.
+	// Organisations returns each organisation's usage and share.
 	Organisations() any
 	// Drain starts a graceful shutdown and returns at once.
 	Drain()
@@ -59,52 +58,53 @@
 	Digest string       `json:"digest"`
 }
 
-// Outcome is what became of a publication.
+// Outcome is the outcome of a publication.
 type Outcome string
 
-// The outcomes of a publication.
+// Outcomes of a publication.
 const (
 	OutcomeAccepted Outcome = "accepted"
 	OutcomeRefused  Outcome = "refused"
-	OutcomeUnknown  Outcome = "unknown" // publish the same again to learn it
-	// OutcomeNotPublished is certainly without effect: the log took no record.
+	OutcomeUnknown  Outcome = "unknown" // publish the same manifest again to find out
+	// OutcomeNotPublished means that no record was appended to the log, so the
+	// publication has no effect.
 	OutcomeNotPublished Outcome = "not_published"
 )
 
-// Publication is one publication and its outcome.
+// Publication is a publication of a manifest and its outcome.
 type Publication struct {
 	Outcome   Outcome      `json:"outcome"`
 	Revision  Revision     `json:"revision"`
 	Base      ports.Offset `json:"base"`
-	RefusedBy ports.Offset `json:"refused_by,omitempty"` // the manifest that came first
+	RefusedBy ports.Offset `json:"refused_by,omitempty"` // offset of the manifest that was accepted before
 	Reason    string       `json:"reason,omitempty"`
 }
 
-// Options are what the API needs.
+// Options configures the API.
 type Options struct {
 	System  System
-	Token   string       // bearer token; empty refuses every guarded call
-	Metrics http.Handler // the scraper's page
+	Token   string       // bearer token; if empty, every call that requires it is refused
+	Metrics http.Handler // serves /metrics
 	Log     *logging.Logger
 }
 
-// New returns the API's handler.
+// New returns the handler of the API.
 func New(o Options) http.Handler {
 	a := &api{Options: o, tokenHash: sha256.Sum256([]byte(o.Token))}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /healthz", a.probe(o.System.Live))
 	mux.HandleFunc("GET /readyz", a.probe(o.System.Ready))
 	mux.Handle("GET /metrics", o.Metrics)
-	mux.HandleFunc("GET /v1/manifest", a.guard(a.manifest))
-	mux.HandleFunc("POST /v1/manifest", a.guard(a.publish))
-	mux.HandleFunc("GET /v1/manifest/history", a.guard(a.show(func() any { return o.System.History() })))
-	mux.HandleFunc("GET /v1/manifest/sections/{kind}/{id}", a.guard(a.getSection))
-	mux.HandleFunc("PUT /v1/manifest/sections/{kind}/{id}", a.guard(a.changeSection))
-	mux.HandleFunc("DELETE /v1/manifest/sections/{kind}/{id}", a.guard(a.changeSection))
-	mux.HandleFunc("GET /v1/endpoints", a.guard(a.show(o.System.Endpoints)))
-	mux.HandleFunc("GET /v1/organisations", a.guard(a.show(o.System.Organisations)))
-	mux.HandleFunc("POST /v1/drain", a.guard(a.drain))
-	mux.HandleFunc("GET /dump", a.guard(a.show(o.System.Dump)))
+	mux.HandleFunc("GET /v1/manifest", a.requireToken(a.getManifest))
+	mux.HandleFunc("POST /v1/manifest", a.requireToken(a.publish))
+	mux.HandleFunc("GET /v1/manifest/history", a.requireToken(a.serveJSON(func() any { return o.System.History() })))
+	mux.HandleFunc("GET /v1/manifest/sections/{kind}/{id}", a.requireToken(a.getSection))
+	mux.HandleFunc("PUT /v1/manifest/sections/{kind}/{id}", a.requireToken(a.changeSection))
+	mux.HandleFunc("DELETE /v1/manifest/sections/{kind}/{id}", a.requireToken(a.changeSection))
+	mux.HandleFunc("GET /v1/endpoints", a.requireToken(a.serveJSON(o.System.Endpoints)))
+	mux.HandleFunc("GET /v1/organisations", a.requireToken(a.serveJSON(o.System.Organisations)))
+	mux.HandleFunc("POST /v1/drain", a.requireToken(a.drain))
+	mux.HandleFunc("GET /dump", a.requireToken(a.serveJSON(o.System.Dump)))
 	return mux
 }
 
@@ -113,21 +113,21 @@
 	tokenHash [sha256.Size]byte
 }
 
-// problem is the body of every error.
-type problem struct {
+// errorResponse is the body of error answers.
+type errorResponse struct {
 	Error  string   `json:"error"`
 	Faults []string `json:"faults,omitempty"`
 }
 
-// guard asks for the token. Hashes are compared, in constant time, so that the
-// time an answer takes tells nothing of the token or its length.
-func (a *api) guard(next http.HandlerFunc) http.HandlerFunc {
+// requireToken wraps a handler with the token check. It compares hashes in constant
+// time, so that response times reveal neither the token nor its length.
+func (a *api) requireToken(next http.HandlerFunc) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		token, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 		given := sha256.Sum256([]byte(token))
 		if !ok || a.Token == "" || subtle.ConstantTimeCompare(given[:], a.tokenHash[:]) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			answer(w, http.StatusUnauthorized, problem{Error: "the administration token is missing or wrong"})
+			writeJSON(w, http.StatusUnauthorized, errorResponse{Error: "the administration token is missing or wrong"})
 			return
 		}
 		next(w, r)
@@ -137,46 +137,47 @@
 func (a *api) probe(state func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		if err := state(); err != nil {
-			answer(w, http.StatusServiceUnavailable, problem{Error: err.Error()})
+			writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: err.Error()})
 			return
 		}
-		answer(w, http.StatusOK, map[string]string{"status": "ok"})
+		writeJSON(w, http.StatusOK, map[string]string{"status": "ok"})
 	}
 }
 
-func (a *api) show(value func() any) http.HandlerFunc {
-	return func(w http.ResponseWriter, _ *http.Request) { answer(w, http.StatusOK, value()) }
+func (a *api) serveJSON(value func() any) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) { writeJSON(w, http.StatusOK, value()) }
 }
 
-func (a *api) manifest(w http.ResponseWriter, _ *http.Request) {
+func (a *api) getManifest(w http.ResponseWriter, _ *http.Request) {
 	rev, m, err := a.System.Manifest()
 	if err != nil {
-		answer(w, http.StatusServiceUnavailable, problem{Error: err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: err.Error()})
 		return
 	}
 	w.Header().Set("ETag", etag(rev.Offset))
-	answer(w, http.StatusOK, struct {
+	writeJSON(w, http.StatusOK, struct {
 		Revision Revision           `json:"revision"`
 		Manifest *manifest.Manifest `json:"manifest"`
 	}{rev, m})
 }
 
-// publish takes the base from If-Match, so that an operator who has not seen
-// the latest manifest is refused instead of undoing another's change.
+// publish publishes the manifest in the body against the base in If-Match. The
+// base ensures that an operator who edited an outdated manifest is refused instead
+// of undoing another operator's change.
 func (a *api) publish(w http.ResponseWriter, r *http.Request) {
-	base, err := baseOf(r)
+	base, err := parseBase(r)
 	if err != nil {
-		answer(w, http.StatusPreconditionRequired, problem{Error: err.Error()})
+		writeJSON(w, http.StatusPreconditionRequired, errorResponse{Error: err.Error()})
 		return
 	}
 	text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxManifestBytes))
 	if err != nil {
-		answer(w, http.StatusRequestEntityTooLarge, problem{Error: "the manifest is too long"})
+		writeJSON(w, http.StatusRequestEntityTooLarge, errorResponse{Error: "the manifest is too long"})
 		return
 	}
 	m, err := manifest.Decode(text)
 	if err != nil {
-		answer(w, http.StatusUnprocessableEntity, problem{Error: "the manifest is not valid", Faults: faults(err)})
+		writeJSON(w, http.StatusUnprocessableEntity, errorResponse{Error: "the manifest is not valid", Faults: errorTexts(err)})
 		return
 	}
 	p, err := a.System.Publish(r.Context(), base, &m)
@@ -184,10 +185,10 @@
 		a.Log.Warn("Publication failed.", "outcome", string(p.Outcome), "error", err.Error())
 		p.Reason = err.Error()
 	}
-	answer(w, statusOf(p.Outcome), p)
+	writeJSON(w, outcomeStatus(p.Outcome), p)
 }
 
-func statusOf(o Outcome) int {
+func outcomeStatus(o Outcome) int {
 	switch o {
 	case OutcomeAccepted:
 		return http.StatusOK
@@ -203,12 +204,12 @@
 
 func (a *api) drain(w http.ResponseWriter, _ *http.Request) {
 	a.System.Drain()
-	answer(w, http.StatusAccepted, map[string]string{"status": "draining"})
+	writeJSON(w, http.StatusAccepted, map[string]string{"status": "draining"})
 }
 
 func etag(o ports.Offset) string { return strconv.Quote(strconv.FormatInt(int64(o), 10)) }
 
-func baseOf(r *http.Request) (ports.Offset, error) {
+func parseBase(r *http.Request) (ports.Offset, error) {
 	text := strings.Trim(r.Header.Get("If-Match"), `"`)
 	n, err := strconv.ParseInt(text, 10, 64)
 	if err != nil || n < 0 {
@@ -217,8 +218,8 @@
 	return ports.Offset(n), nil
 }
 
-// faults splits joined errors, so that each stands alone in the answer.
-func faults(err error) []string {
+// errorTexts returns the texts of joined errors, or the text of a single error.
+func errorTexts(err error) []string {
 	var joined interface{ Unwrap() []error }
 	if !errors.As(err, &joined) {
 		return []string{err.Error()}
@@ -230,8 +231,9 @@
 	return texts
 }
 
-// answer writes a bounded JSON body.
-func answer(w http.ResponseWriter, status int, value any) {
+// writeJSON writes value as JSON, or status 500 if it cannot be encoded or exceeds
+// maxDumpBytes.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	text, err := json.Marshal(value)
 	if err != nil || len(text) > maxDumpBytes {
 		status = http.StatusInternalServerError
--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -16,7 +16,7 @@
 
 const token = "correct horse"
 
-// fakeSystem answers as told.
+// fakeSystem is a System with preset results.
 type fakeSystem struct {
 	ready       error
 	publication Publication
@@ -58,9 +58,9 @@
 	return rec
 }
 
-// Somebody on the operators' network guesses at the API. Without the token
-// nothing is shown and nothing is started; only the probes answer.
-func TestEveryCallButProbesAsksForTheToken(t *testing.T) {
+// Without the token, nobody on the operators' network may read or change anything.
+// Only the probes answer.
+func TestCallsRequireToken(t *testing.T) {
 	calls := []struct{ method, path string }{
 		{"GET", "/v1/manifest"},
 		{"POST", "/v1/manifest"},
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestNoTokenSetRefusesAll(t *testing.T) {
+func TestRefusesAllCallsWithoutConfiguredToken(t *testing.T) {
 	h := New(Options{System: &fakeSystem{}, Metrics: http.NotFoundHandler()})
 	req := httptest.NewRequest("GET", "/dump", nil)
 	req.Header.Set("Authorization", "Bearer ")
@@ -98,17 +98,16 @@
 	}
 }
 
-func TestReadinessCarriesItsReason(t *testing.T) {
+func TestReadinessFailureHasReason(t *testing.T) {
 	rec := serve(&fakeSystem{ready: errors.New("no manifest yet")}, "GET", "/readyz", "")
 	if rec.Code != http.StatusServiceUnavailable || !strings.Contains(rec.Body.String(), "no manifest yet") {
 		t.Errorf("%d %s", rec.Code, rec.Body)
 	}
 }
 
-// An operator publishes without saying which manifest the change was made
-// against, or sends text with a fault. Nothing may reach the log, or another
-// operator's change would be undone unseen.
-func TestBadPublicationReachesNoLog(t *testing.T) {
+// A publication without a base could undo another operator's change without notice.
+// It must be refused before it reaches the log, like an invalid manifest.
+func TestRefusesInvalidPublication(t *testing.T) {
 	tests := []struct {
 		name   string
 		base   string
@@ -132,9 +131,9 @@
 	}
 }
 
-// The dump of a process with very large tables must not take the process down
-// with it: past the bound the answer says so.
-func TestDumpIsBounded(t *testing.T) {
+// The dump of a process with very large tables must not exhaust its memory. Beyond
+// the limit the answer is an error.
+func TestDumpSizeLimit(t *testing.T) {
 	rec := serve(&fakeSystem{dump: strings.Repeat("x", maxDumpBytes+1)}, "GET", "/dump", "")
 	text, _ := io.ReadAll(rec.Body)
 	if rec.Code != http.StatusInternalServerError || len(text) > 1000 {
@@ -142,9 +141,9 @@
 	}
 }
 
-// Two operators change one organisation at the same time. A change that does
-// not say what it was made against would undo the other one unseen.
-func TestSectionChangeMustNameWhatItWasMadeAgainst(t *testing.T) {
+// If two operators change one organisation at the same time, a change without a
+// precondition would undo the other one without notice.
+func TestSectionChangeRequiresPrecondition(t *testing.T) {
 	tests := []struct {
 		name      string
 		method    string
--- a/admin/client/client.go
+++ b/admin/client/client.go
@@ -1,4 +1,4 @@
-// Package client calls a daemon's administration API.
+// Package client is a client of a daemon's administration API.
 package client
 
 import (
@@ -17,20 +17,20 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// maxAnswerBytes bounds what is read of an answer.
+// maxAnswerBytes is the maximum number of bytes read from an answer.
 const maxAnswerBytes = 16 << 20
 
-// DefaultTimeout is for one call.
+// DefaultTimeout is the timeout of one call.
 const DefaultTimeout = 15 * time.Second
 
-// Client speaks to one daemon.
+// Client calls the administration API of one daemon.
 type Client struct {
 	BaseURL string
 	Token   string
-	HTTP    *http.Client // nil means one with DefaultTimeout
+	HTTP    *http.Client // nil: a client with DefaultTimeout
 }
 
-// StatusError is an answer that is no success.
+// StatusError is an answer with an unexpected status.
 type StatusError struct {
 	Status int
 	Body   string
@@ -40,7 +40,7 @@
 	return fmt.Sprintf("admin: the daemon answered %d: %s", e.Status, strings.TrimSpace(e.Body))
 }
 
-// Get returns the JSON text at the given path.
+// Get returns the JSON answer of the given path.
 func (c *Client) Get(ctx context.Context, path string) (json.RawMessage, error) {
 	status, body, err := c.call(ctx, http.MethodGet, path, nil, nil)
 	if err != nil {
@@ -64,12 +64,12 @@
 	return nil
 }
 
-// Publish offers the text of a manifest made against the given base. The
-// outcome is in the publication; an error means that the daemon refused the
-// text itself or gave no answer.
+// Publish publishes a manifest, given as JSON, that was edited from the one at
+// offset base. The outcome is in the Publication. An error means that the daemon
+// refused the text as invalid or gave no answer.
 func (c *Client) Publish(ctx context.Context, base ports.Offset, text []byte) (admin.Publication, error) {
 	header := http.Header{"If-Match": {strconv.Quote(strconv.FormatInt(int64(base), 10))}}
-	return c.publication(ctx, http.MethodPost, "/v1/manifest", header, text)
+	return c.sendPublication(ctx, http.MethodPost, "/v1/manifest", header, text)
 }
 
 // Section returns one section of the manifest in force and its digest.
@@ -84,9 +84,9 @@
 	return r.body, strings.Trim(r.header.Get("ETag"), `"`), nil
 }
 
-// ChangeSection offers a new text for a section, or its removal when the text
-// is empty. Was is the digest of the section that the change was made against,
-// empty when there was none.
+// ChangeSection replaces a section with the given JSON, or removes it if text is
+// empty. was is the digest of the section that the change is based on, empty for a
+// new section.
 func (c *Client) ChangeSection(ctx context.Context, kind, id, was string, text []byte) (admin.Publication, error) {
 	header := http.Header{"If-None-Match": {"*"}}
 	if was != "" {
@@ -96,14 +96,14 @@
 	if len(text) == 0 {
 		method = http.MethodDelete
 	}
-	return c.publication(ctx, method, sectionPath(kind, id), header, text)
+	return c.sendPublication(ctx, method, sectionPath(kind, id), header, text)
 }
 
 func sectionPath(kind, id string) string {
 	return "/v1/manifest/sections/" + url.PathEscape(kind) + "/" + url.PathEscape(id)
 }
 
-func (c *Client) publication(ctx context.Context, method, path string, header http.Header, text []byte) (admin.Publication, error) {
+func (c *Client) sendPublication(ctx context.Context, method, path string, header http.Header, text []byte) (admin.Publication, error) {
 	r, err := c.do(ctx, method, path, header, text)
 	if err != nil {
 		return admin.Publication{Outcome: admin.OutcomeUnknown}, err
@@ -115,8 +115,8 @@
 	return p, nil
 }
 
-// reply is an answer that was read whole.
-type reply struct {
+// response is an answer whose body was read completely.
+type response struct {
 	status int
 	header http.Header
 	body   []byte
@@ -127,10 +127,10 @@
 	return r.status, r.body, err
 }
 
-func (c *Client) do(ctx context.Context, method, path string, header http.Header, body []byte) (reply, error) {
+func (c *Client) do(ctx context.Context, method, path string, header http.Header, body []byte) (response, error) {
 	req, err := http.NewRequestWithContext(ctx, method, strings.TrimSuffix(c.BaseURL, "/")+path, bytes.NewReader(body))
 	if err != nil {
-		return reply{}, fmt.Errorf("admin: %w", err)
+		return response{}, fmt.Errorf("admin: %w", err)
 	}
 	for name, values := range header {
 		req.Header[name] = values
@@ -138,14 +138,14 @@
 	req.Header.Set("Authorization", "Bearer "+c.Token)
 	resp, err := c.client().Do(req)
 	if err != nil {
-		return reply{}, fmt.Errorf("admin: the daemon at %s gave no answer: %w", c.BaseURL, err)
+		return response{}, fmt.Errorf("admin: the daemon at %s gave no answer: %w", c.BaseURL, err)
 	}
 	defer resp.Body.Close()
 	text, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
 	if err != nil {
-		return reply{}, fmt.Errorf("admin: the answer broke off: %w", err)
+		return response{}, fmt.Errorf("admin: reading the daemon's answer: %w", err)
 	}
-	return reply{status: resp.StatusCode, header: resp.Header, body: text}, nil
+	return response{status: resp.StatusCode, header: resp.Header, body: text}, nil
 }
 
 func (c *Client) client() *http.Client {
--- a/admin/sections.go
+++ b/admin/sections.go
@@ -10,31 +10,31 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// ErrSectionChanged says that a section is no longer what a change was made
-// against.
+// ErrSectionChanged means that a section differs from the one that a change was
+// based on.
 var ErrSectionChanged = errors.New("admin: the section has changed meanwhile")
 
 // Change is a change of one section of the manifest.
 type Change struct {
 	Kind       manifest.SectionKind
 	ID         string
-	BaseDigest manifest.Digest // of the section it was made against; empty: none
-	Text       []byte          // the new section; empty: remove it
+	BaseDigest manifest.Digest // digest of the section the change is based on; empty: a new section
+	Text       []byte          // JSON of the new section; empty: remove the section
 }
 
 const maxSectionBytes = 1 << 20
 
-// getSection answers with one section; its ETag is what a change names in
-// If-Match.
+// getSection answers with one section. Its digest is the ETag, to be sent in
+// If-Match with a change.
 func (a *api) getSection(w http.ResponseWriter, r *http.Request) {
 	_, m, err := a.System.Manifest()
 	if err != nil {
-		answer(w, http.StatusServiceUnavailable, problem{Error: err.Error()})
+		writeJSON(w, http.StatusServiceUnavailable, errorResponse{Error: err.Error()})
 		return
 	}
 	text, err := manifest.SectionText(*m, manifest.SectionKind(r.PathValue("kind")), r.PathValue("id"))
 	if err != nil || text == nil {
-		answer(w, http.StatusNotFound, problem{Error: "the manifest in force has no such section"})
+		writeJSON(w, http.StatusNotFound, errorResponse{Error: "the manifest in force has no such section"})
 		return
 	}
 	w.Header().Set("ETag", strconv.Quote(string(manifest.DigestOfText(text))))
@@ -42,22 +42,22 @@
 	_, _ = w.Write(append(text, '\n'))
 }
 
-// changeSection takes a new section (PUT) or removes one (DELETE). If-Match
-// names the section that the change was made against, If-None-Match: * says
-// that there was none: without either, two operators would undo each other's
-// changes unseen.
+// changeSection sets (PUT) or removes (DELETE) a section. If-Match gives the ETag
+// of the section that the change is based on, If-None-Match: * a new section.
+// Without either, the change is refused, since two operators could undo each
+// other's changes without noticing.
 func (a *api) changeSection(w http.ResponseWriter, r *http.Request) {
 	c := Change{Kind: manifest.SectionKind(r.PathValue("kind")), ID: r.PathValue("id")}
 	was := strings.Trim(r.Header.Get("If-Match"), `"`)
 	if was == "" && r.Header.Get("If-None-Match") != "*" {
-		answer(w, http.StatusPreconditionRequired, problem{Error: "If-Match must name the ETag of the section that was changed, or If-None-Match: * for a new one"})
+		writeJSON(w, http.StatusPreconditionRequired, errorResponse{Error: "If-Match must name the ETag of the section that was changed, or If-None-Match: * for a new one"})
 		return
 	}
 	c.BaseDigest = manifest.Digest(was)
 	if r.Method == http.MethodPut {
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSectionBytes))
 		if err != nil || len(text) == 0 {
-			answer(w, http.StatusBadRequest, problem{Error: "the section is empty or too long"})
+			writeJSON(w, http.StatusBadRequest, errorResponse{Error: "the section is empty or too long"})
 			return
 		}
 		c.Text = text
@@ -66,14 +66,14 @@
 	var faults *manifest.Error
 	switch {
 	case errors.Is(err, ErrSectionChanged):
-		answer(w, http.StatusPreconditionFailed, problem{Error: err.Error()})
+		writeJSON(w, http.StatusPreconditionFailed, errorResponse{Error: err.Error()})
 	case errors.As(err, &faults):
-		answer(w, http.StatusUnprocessableEntity, problem{Error: "the section is not valid", Faults: faultTexts(faults)})
+		writeJSON(w, http.StatusUnprocessableEntity, errorResponse{Error: "the section is not valid", Faults: faultTexts(faults)})
 	case err != nil:
 		p.Reason = err.Error()
-		answer(w, statusOf(p.Outcome), p)
+		writeJSON(w, outcomeStatus(p.Outcome), p)
 	default:
-		answer(w, statusOf(p.Outcome), p)
+		writeJSON(w, outcomeStatus(p.Outcome), p)
 	}
 }
 
--- a/stream/stream.go
+++ b/stream/stream.go
@@ -22,7 +22,7 @@
 	ErrMixedNumbering = errors.New("stream: numbered and unnumbered tokens mixed")
 	// ErrNotResumable means that tokens were delivered and the new attempt does not
 	// number its tokens, so it is unknown at which token it begins.
-	ErrNotResumable = errors.New("stream: attempt does not tell where it resumes")
+	ErrNotResumable = errors.New("stream: unnumbered attempt cannot resume after delivered tokens")
 	// ErrEnded means that the event came after the end marker.
 	ErrEnded = errors.New("stream: event after the end")
 	// ErrWrongLength means that the end marker does not fit the delivered tokens.
