--- a/engine/answer.go
+++ b/engine/answer.go
@@ -74,8 +74,8 @@
 // validate returns the reason if the answer must not be used.
 func (ans *Answer) validate(a *Attempt) error {
 	// An endpoint or a proxy may return the answer to an earlier attempt or to
-	// another caller's request. The echoed attempt ID prevents that it reaches the
-	// wrong caller.
+	// another caller's request. The echoed attempt ID reveals this before the answer
+	// reaches the wrong caller.
 	if ans.Meta.Attempt != "" && ans.Meta.Attempt != a.ID {
 		return ErrWrongAttempt
 	}
@@ -128,8 +128,8 @@
 // ReadUpTo reads the body until it ends or exceeds limit bytes, and reports whether
 // it exceeds them. The rest can then be read with Read.
 func (ans *Answer) ReadUpTo(limit int64) (head []byte, more bool, err error) {
-	watch := ans.newStallTimer()
-	defer watch.stop()
+	timer := ans.newStallTimer()
+	defer timer.stop()
 	size := int64(512)
 	if ans.length >= 0 {
 		size = min(ans.length, limit) + 1
@@ -142,9 +142,9 @@
 		if len(head) == cap(head) {
 			head = append(head, 0)[:len(head)]
 		}
-		watch.begin()
+		timer.begin()
 		n, err := ans.body.Read(head[len(head):cap(head)])
-		watch.end()
+		timer.end()
 		head = head[:len(head)+n]
 		if errors.Is(err, io.EOF) {
 			return head, int64(len(head)) > limit, nil
@@ -193,20 +193,20 @@
 }
 
 func (ans *Answer) newStallTimer() *stallTimer {
-	w := &stallTimer{limit: ans.client.options.StallTimeout}
-	w.timer = time.AfterFunc(w.limit, func() {
-		if w.reading.Load() {
+	t := &stallTimer{limit: ans.client.options.StallTimeout}
+	t.timer = time.AfterFunc(t.limit, func() {
+		if t.reading.Load() {
 			ans.cancel(ErrStalled)
 		}
 	})
-	return w
+	return t
 }
 
 // begin restarts the timer for a read that may block.
-func (w *stallTimer) begin() {
-	w.timer.Reset(w.limit)
-	w.reading.Store(true)
+func (t *stallTimer) begin() {
+	t.timer.Reset(t.limit)
+	t.reading.Store(true)
 }
 
-func (w *stallTimer) end()  { w.reading.Store(false) }
-func (w *stallTimer) stop() { w.timer.Stop() }
+func (t *stallTimer) end()  { t.reading.Store(false) }
+func (t *stallTimer) stop() { t.timer.Stop() }
--- a/engine/events.go
+++ b/engine/events.go
@@ -47,7 +47,7 @@
 type EventReader struct {
 	answer   *Answer
 	reader   *bufio.Reader
-	watch    *stallTimer
+	timer    *stallTimer
 	limit    int
 	data     []byte // of the event being read, reused
 	line     []byte // a line longer than the reader's buffer, reused
@@ -58,13 +58,13 @@
 func (ans *Answer) Events() *EventReader {
 	r := bufferPool.Get().(*bufio.Reader)
 	r.Reset(ans.body)
-	return &EventReader{answer: ans, reader: r, watch: ans.newStallTimer(), limit: ans.client.options.MaxEventBytes}
+	return &EventReader{answer: ans, reader: r, timer: ans.newStallTimer(), limit: ans.client.options.MaxEventBytes}
 }
 
 // Release returns the buffer to its pool. The reader and its events must not be
 // used afterwards.
 func (e *EventReader) Release() {
-	e.watch.stop()
+	e.timer.stop()
 	e.reader.Reset(nil)
 	bufferPool.Put(e.reader)
 	e.reader = nil
@@ -84,8 +84,8 @@
 // ErrTruncated if the stream ends without its end marker.
 func (e *EventReader) Next() (Event, error) {
 	if !e.Ready() {
-		e.watch.begin()
-		defer e.watch.end()
+		e.timer.begin()
+		defer e.timer.end()
 	}
 	e.hasEvent = false
 	e.data = e.data[:0]
--- a/gateway/relay.go
+++ b/gateway/relay.go
@@ -46,11 +46,11 @@
 
 // relayToken relays one token, unless it was delivered before.
 func (mc *modelCall) relayToken(ans *engine.Answer, n stream.AttemptNumber, ev *engine.Event) error {
-	verdict, err := mc.assembler.AddToken(n, ev.Index)
+	action, err := mc.assembler.AddToken(n, ev.Index)
 	if err != nil {
 		return ans.UnusableError(err)
 	}
-	if verdict == stream.Duplicate {
+	if action == stream.Duplicate {
 		return nil
 	}
 	if mc.report.Tokens == 0 {
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -74,9 +74,9 @@
 
 // New returns a Guard without holds.
 func New(o Options) *Guard {
-	ctx, end := context.WithCancel(context.Background())
+	ctx, cancel := context.WithCancel(context.Background())
 	return &Guard{
-		o: o, ctx: ctx, cancel: end, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
+		o: o, ctx: ctx, cancel: cancel, held: o.Scope.Counter("quarantine_held"), lifted: o.Scope.Counter("quarantine_lifted"),
 		refused: o.Scope.Counter("quarantine_refused"),
 		node:    quarantine.NewNode(quarantine.Options{Me: o.Self, Rand: rand.New(rand.NewPCG(o.Rand.Uint64(), o.Rand.Uint64()))}),
 		checks:  map[fleet.EndpointID]*endpointCheck{},
@@ -107,7 +107,7 @@
 	g.flush()
 	g.mu.Unlock()
 	if err != nil {
-		g.o.Log.Info("Ignored an invalid quarantine message.", "from", from, "error", err.Error())
+		g.o.Log.Info("Received an invalid quarantine message.", "from", from, "error", err.Error())
 	}
 }
 
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -60,11 +60,11 @@
 		if !numbered {
 			index = Unindexed
 		}
-		verdict, err := a.AddToken(n, index)
+		action, err := a.AddToken(n, index)
 		if err != nil {
 			return got
 		}
-		if verdict == Deliver {
+		if action == Deliver {
 			got = append(got, at)
 		}
 	}
