--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -29,7 +29,7 @@
 	return &shutdown{
 		drainer: drainer,
 		now:     now,
-		state:   drain.New(drain.Options{Lag: s.BalancerLag, Bound: s.MaxWait}),
+		state:   drain.New(drain.Options{BalancerLag: s.BalancerLag, MaxWait: s.MaxWait}),
 		begun:   make(chan struct{}),
 	}
 }
@@ -38,7 +38,7 @@
 	s.mu.Lock()
 	s.state.Signal(s.now())
 	s.mu.Unlock()
-	s.drainer.Stop()
+	s.drainer.SetUnready()
 	s.once.Do(func() { close(s.begun) })
 }
 
@@ -53,15 +53,15 @@
 func (s *shutdown) cut() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.state.Cut()
+	return s.state.CutRequests()
 }
 
 func (s *shutdown) step() drain.State {
-	open := s.drainer.Open()
+	open := s.drainer.InFlight()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.state.Streams(now, open)
+	s.state.SetOpenRequests(now, open)
 	return s.state.Advance(now)
 }
 
--- a/stream/stream_test.go
+++ b/stream/stream_test.go
@@ -7,23 +7,22 @@
 	"pgregory.net/rapid"
 )
 
-// Engines die and come back in any order, number their tokens or not, resume
-// where asked or begin again, leave tokens out, and send events of attempts
-// that are over. Whatever they do, the caller holds the first tokens of the
-// answer, each once and in order, and an answer that counts as complete is
-// whole.
-func TestCallerHoldsAPrefixOfTheAnswer(t *testing.T) {
+// Property: engines may crash, restart the answer instead of resuming it, number
+// their tokens or not, omit tokens and send events of earlier attempts. The
+// delivered tokens are always a prefix of the answer, each token once and in order,
+// and an answer reported as complete has all tokens.
+func TestDeliversTokensOnceInOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		length := rapid.Int64Range(0, 12).Draw(t, "length")
 		var a Assembler
 		var got []int64
 		for range rapid.IntRange(1, 5).Draw(t, "attempts") {
 			numbered := rapid.Bool().Draw(t, "numbered")
-			last, resumable := a.Resume()
+			last, resumable := a.ResumePoint()
 			if !resumable {
 				break
 			}
-			n := a.Begin()
+			n := a.BeginAttempt()
 			at := int64(0)
 			if numbered && rapid.Bool().Draw(t, "resumes") {
 				at = last + 1
@@ -32,7 +31,7 @@
 		}
 		for i, token := range got {
 			if token != int64(i) {
-				t.Fatalf("the caller holds %v", got)
+				t.Fatalf("delivered tokens %v", got)
 			}
 		}
 		if a.Delivered() != int64(len(got)) || a.Complete() && a.Delivered() != length {
@@ -41,8 +40,8 @@
 	})
 }
 
-// runAttempt plays one engine that sends tokens from at on and then the end,
-// unless it dies or leaves one out on the way.
+// runAttempt simulates an engine that sends the tokens from at on and then the end
+// marker. It may crash, omit numbered tokens and send events of the previous attempt.
 func runAttempt(t *rapid.T, a *Assembler, n AttemptNumber, at, length int64, numbered bool, got []int64) []int64 {
 	for ; at < length; at++ {
 		switch rapid.IntRange(0, 9).Draw(t, "event") {
@@ -53,19 +52,19 @@
 				continue
 			}
 		case 2:
-			if _, err := a.Token(n-1, at); !errors.Is(err, ErrLateAttempt) {
-				t.Fatalf("a late token gave %v", err)
+			if _, err := a.AddToken(n-1, at); !errors.Is(err, ErrLateAttempt) {
+				t.Fatalf("token of the previous attempt: %v, want ErrLateAttempt", err)
 			}
 		}
 		index := at
 		if !numbered {
 			index = Unindexed
 		}
-		verdict, err := a.Token(n, index)
+		action, err := a.AddToken(n, index)
 		if err != nil {
 			return got
 		}
-		if verdict == Deliver {
+		if action == Deliver {
 			got = append(got, at)
 		}
 	}
@@ -73,15 +72,15 @@
 	if !numbered {
 		total = Unindexed
 	}
-	_ = a.End(n, total)
+	_ = a.EndAttempt(n, total)
 	return got
 }
 
-func TestTokenVerdicts(t *testing.T) {
+func TestTokenActions(t *testing.T) {
 	type step struct {
 		begin bool
 		index int64
-		want  Verdict
+		want  TokenAction
 		err   error
 	}
 	tests := []struct {
@@ -90,7 +89,7 @@
 	}{
 		{"duplicates after a resume", []step{{begin: true}, {index: 0, want: Deliver}, {index: 1, want: Deliver}, {begin: true}, {index: 0, want: Duplicate}, {index: 1, want: Duplicate}, {index: 2, want: Deliver}}},
 		{"gap", []step{{begin: true}, {index: 0, want: Deliver}, {index: 2, err: ErrGap}}},
-		{"mixed", []step{{begin: true}, {index: 0, want: Deliver}, {index: Unindexed, err: ErrMixed}}},
+		{"mixed", []step{{begin: true}, {index: 0, want: Deliver}, {index: Unindexed, err: ErrMixedNumbering}}},
 		{"unnumbered after a numbered one", []step{{begin: true}, {index: 0, want: Deliver}, {begin: true}, {index: Unindexed, err: ErrNotResumable}}},
 	}
 	for _, tt := range tests {
@@ -99,10 +98,10 @@
 			var n AttemptNumber
 			for i, s := range tt.steps {
 				if s.begin {
-					n = a.Begin()
+					n = a.BeginAttempt()
 					continue
 				}
-				if got, err := a.Token(n, s.index); got != s.want || !errors.Is(err, s.err) {
+				if got, err := a.AddToken(n, s.index); got != s.want || !errors.Is(err, s.err) {
 					t.Errorf("step %d gave %v, %v; want %v, %v", i, got, err, s.want, s.err)
 				}
 			}
@@ -110,25 +109,24 @@
 	}
 }
 
-// The runner that takes over generates another, shorter answer from the start.
-// The caller holds more than all of it, so its end is not the end of what the
-// caller holds.
-func TestShorterAnswerIsNotTheEnd(t *testing.T) {
+// A runner that takes over a stream may generate a different, shorter answer. Its
+// end marker must not complete the answer, of which more tokens were delivered.
+func TestRefusesEndAtWrongLength(t *testing.T) {
 	var a Assembler
-	n := a.Begin()
+	n := a.BeginAttempt()
 	for i := range int64(5) {
-		_, _ = a.Token(n, i)
+		_, _ = a.AddToken(n, i)
 	}
-	n = a.Begin()
-	_, _ = a.Token(n, 0)
-	if err := a.End(n, Unindexed); !errors.Is(err, ErrShort) || a.Complete() {
-		t.Errorf("the end gave %v", err)
+	n = a.BeginAttempt()
+	_, _ = a.AddToken(n, 0)
+	if err := a.EndAttempt(n, Unindexed); !errors.Is(err, ErrWrongLength) || a.Complete() {
+		t.Errorf("EndAttempt returned %v", err)
 	}
-	n = a.Begin()
-	if err := a.End(n, 6); !errors.Is(err, ErrShort) || a.Complete() {
-		t.Errorf("the end gave %v", err)
+	n = a.BeginAttempt()
+	if err := a.EndAttempt(n, 6); !errors.Is(err, ErrWrongLength) || a.Complete() {
+		t.Errorf("EndAttempt returned %v", err)
 	}
-	if err := a.End(n, 5); err != nil || !a.Complete() {
-		t.Errorf("the end gave %v", err)
+	if err := a.EndAttempt(n, 5); err != nil || !a.Complete() {
+		t.Errorf("EndAttempt returned %v", err)
 	}
 }
