--- a/lab/replay/chooser.go
+++ b/lab/replay/chooser.go
@@ -107,7 +107,8 @@
 	c.c.LoadReported(id, l)
 }
 
-func (c *baseChooser) load(id fleet.EndpointID, l fleet.Load)             { c.c.LoadReported(id, l) }
+func (c *baseChooser) load(id fleet.EndpointID, l fleet.Load) { c.c.LoadReported(id, l) }
+
 func (c *baseChooser) gate(id fleet.EndpointID, g placement.Availability) { c.c.SetAvailability(id, g) }
 func (c *baseChooser) finished(time.Time, *job)                           {}
 func (c *baseChooser) failed(time.Time, *job, fleet.EndpointID)           {}
