--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -279,7 +279,7 @@
 	if p.Notes.Dispatcher != "" {
 		d.sendMessage(p.Notes.Dispatcher, kindAnswered, answeredMessage{ID: p.ID, Info: *info})
 	}
-	d.placer.Answered(p, info)
+	d.placer.AnswerStarted(p, info)
 }
 
 // AttemptEnded implements forward.Placer.
@@ -287,7 +287,7 @@
 	if p.Notes.Dispatcher != "" {
 		d.sendMessage(p.Notes.Dispatcher, kindEnded, endedMessage{ID: p.ID, End: end})
 	}
-	d.placer.Ended(p, end)
+	d.placer.AttemptEnded(p, end)
 }
 
 // expire ends placements for other daemons whose end was not reported in time.
@@ -302,6 +302,6 @@
 	}
 	d.mu.Unlock()
 	for _, o := range over {
-		d.placer.Ended(&o.Placement, forward.AttemptEnd{Left: true})
+		d.placer.AttemptEnded(&o.Placement, forward.AttemptEnd{Left: true})
 	}
 }
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -116,7 +116,7 @@
 			return err
 		}
 		if p := d.openFor(placementKey{from, m.ID}, false); p != nil {
-			d.placer.Answered(p, &m.Info)
+			d.placer.AnswerStarted(p, &m.Info)
 		}
 	case kindLoads:
 		var m []weights.EngineUpdate
@@ -130,7 +130,7 @@
 			return err
 		}
 		if p := d.openFor(placementKey{from, m.ID}, true); p != nil {
-			d.placer.Ended(p, m.End)
+			d.placer.AttemptEnded(p, m.End)
 		}
 	}
 	return nil
--- a/router/learn.go
+++ b/router/learn.go
@@ -106,8 +106,8 @@
 	maxQueriedEngines = 2
 )
 
-// Answered implements forward.Placer.
-func (p *placer) Answered(pl *forward.Placement, info *forward.AnswerInfo) {
+// AnswerStarted implements forward.Placer.
+func (p *placer) AnswerStarted(pl *forward.Placement, info *forward.AnswerInfo) {
 	now := time.Now()
 	if p.endpointLimits != nil && !info.Misplaced { // a misplaced answer may come from another endpoint
 		p.endpointLimits.Answered(pl.Target.Key, info.Limit)
@@ -186,8 +186,8 @@
 	}
 }
 
-// Ended implements forward.Placer.
-func (p *placer) Ended(pl *forward.Placement, end forward.AttemptEnd) {
+// AttemptEnded implements forward.Placer.
+func (p *placer) AttemptEnded(pl *forward.Placement, end forward.AttemptEnd) {
 	now := time.Now()
 	p.finishWaiting(now, pl.ID, false)
 	if end.Lost && end.Failure == retry.NotSent && pl.Notes.Dispatcher == "" {
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -52,7 +52,7 @@
 	s.view.SetPool("long", []fleet.Endpoint{{ID: "a", Zone: "z", State: fleet.VMLive}})
 	p := newPlacer(s, &Settings{}, nil, BootClock, rand.New(rand.NewPCG(3, 4)))
 	pl := forward.Placement{Target: forward.Target{Key: "a"}, Notes: forward.PlacerState{Prompt: int(subpoolShort), Engine: int(subpoolLong)}}
-	p.Answered(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
+	p.AnswerStarted(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
 	d, err := s.view.Select(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
 	if err != nil || d.ExpectedWait < 400*time.Millisecond {
 		t.Errorf("expected wait %v, %v", d.ExpectedWait, err)
