--- a/contract/admission.go
+++ b/contract/admission.go
@@ -153,7 +153,7 @@
 	r.Tokens = a.charge(o, &r)
 	o.seen = a.clock
 	o.counts.Offered++
-	o.demand.add(a.clock, r.Tokens, a.opts.Meter.Seconds())
+	o.demand.add(a.clock, r.Tokens, a.opts.MeterConstant.Seconds())
 	a.reweigh(o)
 	o.tag = a.startTag(o)
 	if a.startsAtOnce(o, r.Priority) {
@@ -211,7 +211,7 @@
 	o := e.org
 	a.learnCost(e, actualTokens)
 	correction := max(actualTokens, 0) - e.Tokens
-	o.use.add(a.clock, correction, a.opts.Meter.Seconds())
+	o.use.add(a.clock, correction, a.opts.MeterConstant.Seconds())
 	a.backlog.retag(o, o.tag+correction/o.weight)
 	a.release(e)
 	return true
@@ -275,7 +275,7 @@
 func (a *Admission) credit(o *organisation) float64 {
 	credit := a.opts.CreditTokens / o.weight
 	if a.weights > 0 {
-		credit = max(credit, a.opts.Credit.Seconds()*a.tokensPerSecond/a.weights)
+		credit = max(credit, a.opts.CreditDuration.Seconds()*a.tokensPerSecond/a.weights)
 	}
 	return credit
 }
@@ -312,7 +312,7 @@
 	} else {
 		a.virtual = max(a.virtual, started)
 	}
-	o.use.add(a.clock, e.Tokens, a.opts.Meter.Seconds())
+	o.use.add(a.clock, e.Tokens, a.opts.MeterConstant.Seconds())
 	o.running++
 	o.counts.Admitted++
 	a.running++
@@ -330,7 +330,7 @@
 // itself.
 func (a *Admission) holdUntil(e *entry) float64 {
 	if e.Deadline.IsZero() {
-		return a.clock + a.opts.Hold.Seconds()
+		return a.clock + a.opts.ReservationTTL.Seconds()
 	}
 	deadline := max(e.Deadline.Sub(a.start).Seconds(), a.clock) + deadlineGrace
 	return min(deadline, a.clock+maxHold)
--- a/contract/admission_test.go
+++ b/contract/admission_test.go
@@ -15,7 +15,7 @@
 
 func newAdmission(t testing.TB, opts Options, slots int, shares ...Share) *Admission {
 	t.Helper()
-	opts.FirstCost = orDefault(opts.FirstCost, 1) // what is asked is what is charged
+	opts.InitialCostRatio = orDefault(opts.InitialCostRatio, 1) // what is asked is what is charged
 	a := NewAdmission(opts)
 	a.SetContract(epoch, shares)
 	a.SetCapacity(epoch, 1000, slots)
@@ -110,7 +110,7 @@
 			}
 			a.Next(next, nil)
 		}
-		a.Next(at(3*DefaultHold), nil)
+		a.Next(at(3*DefaultReservationTTL), nil)
 		if a.Running() != 0 || a.Queued() != 0 || len(a.entries) != 0 {
 			t.Fatalf("left: %d running, %d queued, %d entries", a.Running(), a.Queued(), len(a.entries))
 		}
@@ -141,7 +141,7 @@
 // their bounds, whatever the order of events.
 func TestWorkIsConserved(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a := NewAdmission(Options{QueuedEach: 4, QueuedAll: 10})
+		a := NewAdmission(Options{MaxQueuedPerPriority: 4, MaxQueued: 10})
 		shares := []Share{{"a", 1}, {"b", 2}, {"c", 0.5}}
 		a.SetContract(epoch, shares)
 		slots := rapid.IntRange(1, 9).Draw(t, "slots")
@@ -289,7 +289,7 @@
 	}
 	next := serve(a, 32*time.Second, 18*time.Second, owner, both, std)
 	ahead := first["a"] + next["a"] - first["b"] - next["b"]
-	credit := max(DefaultCreditTokens, 0.5*1000*DefaultCredit.Seconds())
+	credit := max(DefaultCreditTokens, 0.5*1000*DefaultCreditDuration.Seconds())
 	if most := credit + 500; ahead > most {
 		t.Errorf("a got %.0f tokens more than b, its credit allows %.0f", ahead, most)
 	}
@@ -346,7 +346,7 @@
 	for i := range 20 {
 		shares = append(shares, Share{OrganisationID(fmt.Sprintf("loud%d", i)), 1})
 	}
-	a := newAdmission(t, Options{QueuedAll: 40, Refresh: time.Hour}, 2, shares...)
+	a := newAdmission(t, Options{MaxQueued: 40, RefreshInterval: time.Hour}, 2, shares...)
 	a.SetCapacity(epoch, 100_000, 2)
 	for i := range 400 {
 		a.Offer(epoch, request(i, fmt.Sprintf("loud%d", i%20), PriorityStandard, 100))
--- a/contract/cost.go
+++ b/contract/cost.go
@@ -30,7 +30,7 @@
 
 // charge is the expected work of a request.
 func (a *Admission) charge(o *organisation, r *Request) float64 {
-	all := a.costs[r.Priority].part(a.opts.FirstCost, costFirstPrior)
+	all := a.costs[r.Priority].part(a.opts.InitialCostRatio, costFirstPrior)
 	return max(r.Tokens*o.costs[r.Priority].part(all, costPrior), 1)
 }
 
@@ -54,7 +54,7 @@
 }
 
 func (a *Admission) prefillBegins(e *entry) {
-	if e.Unseen {
+	if e.StartUnobserved {
 		return
 	}
 	e.prefilling = true
@@ -84,7 +84,7 @@
 	if !a.startsKnown {
 		return true
 	}
-	ahead := a.localRate() * a.opts.Ahead.Seconds()
+	ahead := a.localRate() * a.opts.PrefillAhead.Seconds()
 	if urgent {
 		return a.prefillingUrgent < ahead
 	}
--- a/contract/cost_learn_test.go
+++ b/contract/cost_learn_test.go
@@ -25,7 +25,7 @@
 // other. Without a bound on what is sent ahead every first token comes late,
 // though no daemon has anything queued.
 func TestPromptsSentAheadAreBounded(t *testing.T) {
-	a := newAdmission(t, Options{Ahead: time.Second}, 1000, Share{"a", 1})
+	a := newAdmission(t, Options{PrefillAhead: time.Second}, 1000, Share{"a", 1})
 	a.Started(epoch, 0) // told for requests of this shell
 	for i := range 10 {
 		a.Offer(epoch, request(i, "a", PriorityStandard, 500))
@@ -38,7 +38,7 @@
 		t.Errorf("after a first token %d more are sent, want 1", len(got))
 	}
 	unseen := request(50, "a", PriorityStandard, 500)
-	unseen.Unseen = true
+	unseen.StartUnobserved = true
 	a.Cancel(epoch, 1)
 	a.Next(epoch, nil)
 	before := a.prefilling
@@ -59,7 +59,7 @@
 // prompts for wholly new it would refuse callers for seconds beside free
 // engines.
 func TestStartTakesPromptsForCached(t *testing.T) {
-	a := newAdmission(t, Options{FirstCost: DefaultFirstCost}, 1000, Share{"a", 1})
+	a := newAdmission(t, Options{InitialCostRatio: DefaultInitialCostRatio}, 1000, Share{"a", 1})
 	a.Started(epoch, 0)
 	for i := range 5 {
 		if d := a.Offer(epoch, request(i, "a", PriorityStandard, 4000)); d.Verdict != Admitted {
--- a/contract/cost_test.go
+++ b/contract/cost_test.go
@@ -19,7 +19,7 @@
 // taken.
 func loaded(n int) (*Admission, []Share) {
 	shares := manyShares(n)
-	a := NewAdmission(Options{Refresh: time.Hour})
+	a := NewAdmission(Options{RefreshInterval: time.Hour})
 	a.SetContract(epoch, shares)
 	a.SetCapacity(epoch, 1e6, 256)
 	for i := range n + 256 {
@@ -100,7 +100,7 @@
 	for b.Loop() {
 		shares := manyShares(n)
 		base := heap()
-		a := NewAdmission(Options{Refresh: time.Hour, Idle: time.Hour})
+		a := NewAdmission(Options{RefreshInterval: time.Hour, IdleTimeout: time.Hour})
 		a.SetContract(epoch, shares)
 		idle := heap()
 		a.SetCapacity(epoch, 1e9, 1e6)
--- a/contract/digest.go
+++ b/contract/digest.go
@@ -15,7 +15,7 @@
 // most of it. Each one is whole in itself, so that a lost, late or doubled one
 // does no harm; of two from the same peer the newer counts.
 type Digest struct {
-	Epoch    uint64 // of the daemon's start
+	Incarnation    uint64 // of the daemon's start
 	Sequence uint64 // within the epoch
 	Leaving  bool   // the daemon drains and will be silent soon
 	// Truncated tells that more organisations ask than are listed, each of
@@ -59,8 +59,8 @@
 func (a *Admission) Digest(now time.Time, leaving bool) Digest {
 	a.advance(now)
 	a.sequence++
-	constant := a.opts.Meter.Seconds()
-	d := Digest{Epoch: a.opts.Epoch, Sequence: a.sequence, Leaving: leaving}
+	constant := a.opts.MeterConstant.Seconds()
+	d := Digest{Incarnation: a.opts.Incarnation, Sequence: a.sequence, Leaving: leaving}
 	for _, o := range a.list {
 		demand := a.demand(o)
 		if demand < digestUnit || a.clashes[o.hash] {
@@ -72,10 +72,10 @@
 	slices.SortFunc(d.Entries, func(x, y DigestEntry) int {
 		return cmp.Or(cmp.Compare(y.Demand, x.Demand), cmp.Compare(x.Hash, y.Hash))
 	})
-	if len(d.Entries) > a.opts.DigestEntries {
+	if len(d.Entries) > a.opts.MaxDigestEntries {
 		d.Truncated = true
-		d.Floor = d.Entries[a.opts.DigestEntries].Demand
-		d.Entries = d.Entries[:a.opts.DigestEntries:a.opts.DigestEntries]
+		d.Floor = d.Entries[a.opts.MaxDigestEntries].Demand
+		d.Entries = d.Entries[:a.opts.MaxDigestEntries:a.opts.MaxDigestEntries]
 	}
 	slices.SortFunc(d.Entries, func(x, y DigestEntry) int { return cmp.Compare(x.Hash, y.Hash) })
 	return d
@@ -87,7 +87,7 @@
 	if len(d.Entries) > MaxDigestOrganisations {
 		return to, &DigestError{Fault: fmt.Sprintf("%d organisations, at most %d", len(d.Entries), MaxDigestOrganisations)}
 	}
-	to = binary.AppendUvarint(to, d.Epoch)
+	to = binary.AppendUvarint(to, d.Incarnation)
 	to = binary.AppendUvarint(to, d.Sequence)
 	flags := byte(0)
 	if d.Leaving {
@@ -122,7 +122,7 @@
 		return Digest{}, &DigestError{Fault: fmt.Sprintf("%d bytes, at most %d", len(from), MaxDigestBytes)}
 	}
 	r := digestReader{rest: from}
-	d := Digest{Epoch: r.uvarint(), Sequence: r.uvarint()}
+	d := Digest{Incarnation: r.uvarint(), Sequence: r.uvarint()}
 	flags := r.byte()
 	d.Leaving = flags&digestLeaving != 0
 	d.Truncated = flags&digestTruncated != 0
--- a/contract/digest_test.go
+++ b/contract/digest_test.go
@@ -14,7 +14,7 @@
 func TestDigestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Digest{
-			Epoch:     rapid.Uint64().Draw(t, "epoch"),
+			Incarnation:     rapid.Uint64().Draw(t, "epoch"),
 			Sequence:  rapid.Uint64().Draw(t, "sequence"),
 			Leaving:   rapid.Bool().Draw(t, "leaving"),
 			Truncated: rapid.Bool().Draw(t, "truncated"),
@@ -47,7 +47,7 @@
 }
 
 func FuzzParseDigest(f *testing.F) {
-	d := Digest{Epoch: 7, Sequence: 9, Truncated: true, Floor: 160, Entries: []DigestEntry{{Hash: 3, Demand: 320}, {Hash: 900, Demand: 64, Use: 32}}}
+	d := Digest{Incarnation: 7, Sequence: 9, Truncated: true, Floor: 160, Entries: []DigestEntry{{Hash: 3, Demand: 320}, {Hash: 900, Demand: 64, Use: 32}}}
 	wire, _ := d.AppendBinary(nil)
 	f.Add(wire)
 	f.Add(wire[:len(wire)-2])
@@ -68,7 +68,7 @@
 func daemons(n int) []*Admission {
 	all := make([]*Admission, n)
 	for i := range all {
-		all[i] = NewAdmission(Options{Daemon: daemonID(i), Epoch: 1})
+		all[i] = NewAdmission(Options{Daemon: daemonID(i), Incarnation: 1})
 		all[i].SetContract(epoch, []Share{{"a", 0.5}, {"b", 0.5}})
 		all[i].SetCapacity(epoch, 9000, 90)
 	}
@@ -149,7 +149,7 @@
 		for span := 20 * time.Second; span < 80*time.Second; span += 5 * time.Second {
 			for _, a := range all[:8] {
 				if told {
-					a.SetDaemons(at(span), 8)
+					a.SetDaemonCount(at(span), 8)
 				} else {
 					a.SetLoad(at(span), int(90*parts(all)), 90)
 				}
@@ -182,7 +182,7 @@
 	if sum := parts(all); sum > 1.05 {
 		t.Errorf("with all digests lost the daemons together spend %.3f of the fleet", sum)
 	}
-	restarted := Digest{Epoch: 2, Sequence: 1}
+	restarted := Digest{Incarnation: 2, Sequence: 1}
 	if !all[1].MergeDigest(at(50*time.Second), daemonID(0), restarted) {
 		t.Error("the first digest after a restart was dropped")
 	}
@@ -194,7 +194,7 @@
 	all := daemons(9)
 	exchange(all, 0, 20*time.Second, everyone)
 	back := daemons(1)[0]
-	back.opts.Epoch, back.opts.Daemon = 2, daemonID(8)
+	back.opts.Incarnation, back.opts.Daemon = 2, daemonID(8)
 	back.start = at(20 * time.Second)
 	all[8] = back
 	exchange(all, 20*time.Second, 3*time.Second, everyone)
@@ -206,7 +206,7 @@
 func TestPeersAreBounded(t *testing.T) {
 	a := NewAdmission(Options{Daemon: "self"})
 	for i := range 3 * MaxPeers {
-		a.MergeDigest(epoch, daemonID(i), Digest{Epoch: 1, Sequence: 1})
+		a.MergeDigest(epoch, daemonID(i), Digest{Incarnation: 1, Sequence: 1})
 	}
 	if len(a.peers) != MaxPeers {
 		t.Errorf("%d peers are kept", len(a.peers))
--- a/contract/meter.go
+++ b/contract/meter.go
@@ -30,7 +30,7 @@
 // their word would count itself as one with few callers, spend little of the
 // fleet and refuse most of them.
 func (a *Admission) demand(o *organisation) float64 {
-	constant := a.opts.Meter.Seconds()
+	constant := a.opts.MeterConstant.Seconds()
 	filled := 1 - math.Exp(-max(a.clock, meterMinAge)/constant)
 	return o.demand.value(a.clock, constant) / filled
 }
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -58,20 +58,20 @@
 		a.peers = slices.Insert(a.peers, i, &peer{id: from})
 	}
 	p := a.peers[i]
-	if known && (d.Epoch < p.epoch || (d.Epoch == p.epoch && d.Sequence <= p.sequence)) {
+	if known && (d.Incarnation < p.epoch || (d.Incarnation == p.epoch && d.Sequence <= p.sequence)) {
 		return false
 	}
 	*p = peer{
 		id:    from,
-		epoch: d.Epoch, sequence: d.Sequence, heard: a.clock, weight: 1, leaving: d.Leaving,
+		epoch: d.Incarnation, sequence: d.Sequence, heard: a.clock, weight: 1, leaving: d.Leaving,
 		truncated: d.Truncated, floor: d.Floor, entries: append(p.entries[:0], d.Entries...),
 	}
 	return true
 }
 
-// SetDaemons tells how many daemons are live by the platform's list, this one
+// SetDaemonCount tells how many daemons are live by the platform's list, this one
 // included; 0 when it isn't known.
-func (a *Admission) SetDaemons(now time.Time, live int) {
+func (a *Admission) SetDaemonCount(now time.Time, live int) {
 	a.advance(now)
 	a.daemons = max(live, 0)
 }
@@ -126,7 +126,7 @@
 			p.weight = 0
 		case fresh && a.load.part > loadFull && p.weight < 1:
 			p.weight = min(p.weight+returnStep, 1)
-		case fresh && heardMost && a.load.part < loadRoom && silence > a.opts.SilentHold.Seconds():
+		case fresh && heardMost && a.load.part < loadRoom && silence > a.opts.SilentGrace.Seconds():
 			p.weight *= releaseStep
 		}
 	}
@@ -155,7 +155,7 @@
 // refresh works out anew what part of the fleet this daemon spends and for
 // whom.
 func (a *Admission) refresh() {
-	a.refreshAt = a.clock + a.opts.Refresh.Seconds()
+	a.refreshAt = a.clock + a.opts.RefreshInterval.Seconds()
 	a.dropIdle()
 	a.releasePeers()
 	a.sumPeers()
@@ -187,7 +187,7 @@
 
 func (a *Admission) dropIdle() {
 	a.list = slices.DeleteFunc(a.list, func(o *organisation) bool {
-		gone := o.idle() && a.clock-o.seen > a.opts.Idle.Seconds()
+		gone := o.idle() && a.clock-o.seen > a.opts.IdleTimeout.Seconds()
 		if gone {
 			delete(a.active, o.id)
 		}
--- a/contract/pick.go
+++ b/contract/pick.go
@@ -32,7 +32,7 @@
 
 // localSlots is how many requests this daemon may have running.
 func (a *Admission) localSlots() int {
-	return min(max(int(math.Round(a.slots*a.part)), 1), a.opts.Running)
+	return min(max(int(math.Round(a.slots*a.part)), 1), a.opts.MaxRunning)
 }
 
 func (a *Admission) localRate() float64 { return a.tokensPerSecond * a.part }
@@ -48,7 +48,7 @@
 	mean := a.reserved.mean
 	spread := reserveDeviations * math.Sqrt(mean/(1+a.others))
 	want := int(math.Round(mean + spread))
-	return min(want, int(math.Ceil(a.opts.Reserve*float64(slots))), slots-1)
+	return min(want, int(math.Ceil(a.opts.MaxReserve*float64(slots))), slots-1)
 }
 
 // overcommit is how many urgent requests may go beyond the slots, for the first
@@ -87,7 +87,7 @@
 	}
 	slots := a.localSlots()
 	if urgent {
-		return a.running < min(slots+overcommit(slots), a.opts.Running)
+		return a.running < min(slots+overcommit(slots), a.opts.MaxRunning)
 	}
 	others := a.running - a.reserved.running
 	return a.running < slots && others < slots-a.reserve(slots)
@@ -100,7 +100,7 @@
 	if weight <= 0 {
 		return math.Inf(1)
 	}
-	return a.opts.Lead.Seconds() * a.localRate() / weight
+	return a.opts.MaxLead.Seconds() * a.localRate() / weight
 }
 
 // pick is the queued request to run next, or nil when there is none or no
--- a/contract/refusal.go
+++ b/contract/refusal.go
@@ -44,10 +44,10 @@
 // learns at once what it would learn later, while there is time to ask another
 // service or to come back.
 func (a *Admission) cannotQueue(o *organisation, r *Request) Reason {
-	if o.queues[r.Priority].n >= a.opts.QueuedEach {
+	if o.queues[r.Priority].n >= a.opts.MaxQueuedPerPriority {
 		return a.reason(o)
 	}
-	limit := a.opts.Wait[r.Priority].Seconds()
+	limit := a.opts.MaxWait[r.Priority].Seconds()
 	wait := a.wait(o, r.Priority)
 	if !r.Deadline.IsZero() && a.start.Add(seconds(a.clock+wait)).After(r.Deadline) {
 		return TooLate
@@ -58,7 +58,7 @@
 	if r.Priority == PriorityInteractive && a.aheadOfOthers(o) {
 		return OverShare
 	}
-	if a.backlog.queued >= a.opts.QueuedAll && !a.displace(o) {
+	if a.backlog.queued >= a.opts.MaxQueued && !a.displace(o) {
 		return NoCapacity
 	}
 	return NoReason
@@ -77,7 +77,7 @@
 // has had nothing yet.
 func (a *Admission) displace(o *organisation) bool {
 	far := a.backlog.furthest()
-	if far == nil || far == o || far.tag <= o.tag || len(a.refused) >= a.opts.QueuedAll {
+	if far == nil || far == o || far.tag <= o.tag || len(a.refused) >= a.opts.MaxQueued {
 		return false
 	}
 	for p := PriorityCount - 1; p >= 0; p-- {
@@ -91,7 +91,7 @@
 
 // waitUntil is when the queue gives the request up.
 func (a *Admission) waitUntil(r *Request) float64 {
-	until := a.clock + a.opts.Wait[r.Priority].Seconds()
+	until := a.clock + a.opts.MaxWait[r.Priority].Seconds()
 	if r.Deadline.IsZero() {
 		return until
 	}
--- a/contract/request.go
+++ b/contract/request.go
@@ -22,7 +22,7 @@
 	Priority     Priority
 	Tokens       float64   // estimated work: tokens to prefill (not cached) and to generate
 	Deadline     time.Time // the caller's; zero means none
-	Unseen       bool      // its first token won't be told by Started
+	StartUnobserved       bool      // its first token won't be told by Started
 }
 
 // Verdict is what became of a request.
--- a/contract/use.go
+++ b/contract/use.go
@@ -22,7 +22,7 @@
 
 // UseReport is the state of admission for the administration API and the dump.
 type UseReport struct {
-	Part          float64           `json:"part"` // of the fleet that this daemon spends
+	FleetFraction          float64           `json:"part"` // of the fleet that this daemon spends
 	Slots         int               `json:"slots"`
 	Reserve       int               `json:"reserve"`
 	Rate          float64           `json:"rate"`
@@ -39,7 +39,7 @@
 	a.advance(now)
 	slots := a.localSlots()
 	r := UseReport{
-		Part: a.part, Slots: slots, Reserve: a.reserve(slots), Rate: a.localRate(),
+		FleetFraction: a.part, Slots: slots, Reserve: a.reserve(slots), Rate: a.localRate(),
 		Running: a.running, Queued: a.backlog.queued, Daemons: a.liveDaemons(), Silent: a.silentPeers(),
 	}
 	for _, o := range a.list {
@@ -62,7 +62,7 @@
 }
 
 func (a *Admission) useOf(o *organisation) OrganisationUse {
-	constant := a.opts.Meter.Seconds()
+	constant := a.opts.MeterConstant.Seconds()
 	u := OrganisationUse{
 		Organisation: o.id, Fraction: o.fraction, Guarantee: a.guarantee(o),
 		Demand: a.demand(o), Use: o.use.value(a.clock, constant),
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -54,7 +54,7 @@
 	for i := range m.Models {
 		if a.pools[m.Models[i].ID] == nil {
 			p := a.newPool()
-			p.core.SetDaemons(a.now(), a.live)
+			p.core.SetDaemonCount(a.now(), a.live)
 			a.pools[m.Models[i].ID] = p
 		}
 	}
@@ -72,7 +72,7 @@
 		waiting: map[contract.RequestID]chan contract.Decision{},
 		core: contract.NewAdmission(contract.Options{
 			Daemon: contract.DaemonID(d.o.Settings.Daemon.ID),
-			Epoch:  uint64(d.life.UnixMilli()),
+			Incarnation:  uint64(d.life.UnixMilli()),
 			Rand:   rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.life), a.ids.next())),
 		}),
 	}
@@ -105,7 +105,7 @@
 	a.mu.Unlock()
 	for _, p := range pools {
 		p.mu.Lock()
-		p.core.SetDaemons(p.now(), live)
+		p.core.SetDaemonCount(p.now(), live)
 		p.mu.Unlock()
 	}
 }
@@ -137,7 +137,7 @@
 		Priority:     priorityOf(r.Priority),
 		Tokens:       float64(r.Tokens),
 		Deadline:     r.Deadline,
-		Unseen:       !r.Streamed,
+		StartUnobserved:       !r.Streamed,
 	})
 	if err != nil {
 		return gateway.Admission{}, err
--- a/daemon/usage_test.go
+++ b/daemon/usage_test.go
@@ -19,7 +19,7 @@
 	a := &admission{pools: map[string]*admissionPool{}}
 	const models, organisations = 30, 32
 	for m := range models {
-		p := &admissionPool{core: contract.NewAdmission(contract.Options{Daemon: "d", Epoch: 1})}
+		p := &admissionPool{core: contract.NewAdmission(contract.Options{Daemon: "d", Incarnation: 1})}
 		var shares []contract.Share
 		for o := range organisations {
 			shares = append(shares, contract.Share{Organisation: contract.OrganisationID(fmt.Sprintf("o%d", o)), Weight: 1})
--- a/lab/capacity/parts.go
+++ b/lab/capacity/parts.go
@@ -103,7 +103,7 @@
 }
 
 func admissionOf(n int) *contract.Admission {
-	a := contract.NewAdmission(contract.Options{Daemon: "d", Epoch: 1})
+	a := contract.NewAdmission(contract.Options{Daemon: "d", Incarnation: 1})
 	shares := make([]contract.Share, n)
 	for i := range shares {
 		shares[i] = contract.Share{Organisation: organisation(i), Weight: 1}
--- a/lab/fairness/admitter.go
+++ b/lab/fairness/admitter.go
@@ -20,7 +20,7 @@
 // the daemon itself does it.
 func NewAdmitter(daemon int, h trace.Header) replay.Admitter {
 	a := &admitter{core: contract.NewAdmission(contract.Options{
-		Daemon: daemonID(daemon), Epoch: 1, Rand: rand.New(rand.NewPCG(1, uint64(daemon))),
+		Daemon: daemonID(daemon), Incarnation: 1, Rand: rand.New(rand.NewPCG(1, uint64(daemon))),
 	})}
 	var shares []contract.Share
 	for _, o := range h.Organisations {
@@ -28,7 +28,7 @@
 	}
 	a.core.SetContract(time.Time{}, shares)
 	a.core.SetCapacity(time.Time{}, float64(h.Fleet.Runners)*h.Fleet.PrefillRate, h.Fleet.Runners*h.Fleet.Slots)
-	a.core.SetDaemons(time.Time{}, h.Fleet.Daemons)
+	a.core.SetDaemonCount(time.Time{}, h.Fleet.Daemons)
 	return a
 }
 
--- a/lab/fairness/world.go
+++ b/lab/fairness/world.go
@@ -88,7 +88,7 @@
 		d.gate = &Static{Rates: rates, Burst: 2}
 	default:
 		d.core = contract.NewAdmission(contract.Options{
-			Daemon: daemonID(i), Epoch: 1, Rand: rand.New(rand.NewPCG(w.s.Seed, uint64(i))),
+			Daemon: daemonID(i), Incarnation: 1, Rand: rand.New(rand.NewPCG(w.s.Seed, uint64(i))),
 		})
 		var shares []contract.Share
 		for _, o := range w.s.Organisations {
@@ -96,7 +96,7 @@
 		}
 		d.core.SetContract(epoch, shares)
 		d.core.SetCapacity(epoch, w.s.Rate, slots)
-		d.core.SetDaemons(epoch, w.s.Daemons)
+		d.core.SetDaemonCount(epoch, w.s.Daemons)
 		d.gate = d.core
 	}
 	return d
@@ -171,7 +171,7 @@
 			if i == w.s.Cut {
 				live = 1
 			}
-			d.core.SetDaemons(at(now), live)
+			d.core.SetDaemonCount(at(now), live)
 		}
 	}
 	if w.s.Policy == PolicyContract {
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -295,7 +295,7 @@
 
 // Usage makes the digest of the given number of organisations' use.
 func Usage(organisations int) []byte {
-	d := contract.Digest{Epoch: 1_700_000_000_000_000_000, Sequence: 100_000}
+	d := contract.Digest{Incarnation: 1_700_000_000_000_000_000, Sequence: 100_000}
 	for i := range organisations {
 		d.Entries = append(d.Entries, contract.DigestEntry{
 			Hash:   uint32(i+1) * (1 << 25),
