--- a/contract/admission.go
+++ b/contract/admission.go
@@ -9,12 +9,12 @@
 // daemon, for one pool of endpoints (those that serve the same models).
 //
 // Work is charged in tokens by start-time fair queueing: an organisation's
-// virtual time moves on by tokens over its weight, and the one with the least
-// goes first within a priority. An organisation that nobody competes with may
-// use all there is, and isn't made to pay for that later, as the system's
-// virtual time follows the least served of those that wait.
+// virtual time advances by tokens over its weight, and the one with the smallest
+// goes first within a priority. An organisation without competition may use the
+// full capacity and isn't charged for that later, as the system's virtual time
+// follows the least served organisation with queued requests.
 //
-// An Admission isn't safe for concurrent use. The shell guards it by one lock,
+// An Admission isn't safe for concurrent use. The caller guards it by one lock,
 // taken after the lock of the manifest in force and before the ones of
 // placement and of endpoints.
 type Admission struct {
@@ -22,57 +22,57 @@
 	start time.Time
 	clock float64 // seconds since start; never goes back
 
-	shares  map[OrganisationID]float64
-	weights float64 // all of the contract
-	byHash  map[uint32]float64
-	clashes map[uint32]bool // hashes that two organisations have in common
+	weightByOrganisation map[OrganisationID]float64
+	totalWeight          float64 // of all organisations of the contract
+	weightByHash         map[uint32]float64
+	collidingHashes      map[uint32]bool // hashes that several organisations share
 
 	tokensPerSecond float64 // of the whole fleet
 	slots           float64
 	load            fleetLoad
 
-	active   map[OrganisationID]*organisation
-	list     []*organisation // the active ones, in a stable order
-	entries  map[RequestID]*entry
-	free     *entry
-	due      indexedHeap[*entry]
-	backlog  *backlog
-	virtual  float64
-	running  int
-	reserved interactiveMeter
-	costs    [PriorityCount]cost // of all organisations
+	active      map[OrganisationID]*organisation
+	activeList  []*organisation // values of active, in a stable order
+	entries     map[RequestID]*entry
+	free        *entry
+	due         indexedHeap[*entry]
+	backlog     *backlog
+	virtualTime float64
+	running     int
+	urgentMeter concurrencyMeter
+	costs       [PriorityCount]costRatio // of all organisations
 
-	startsKnown      bool    // Started is called
-	prefilling       float64 // tokens of prompts sent whose first token hasn't come
-	prefillingUrgent float64
-	refused          []Outcome // given up outside Next, to be told by the next one
+	startsReported      bool    // Started was called at least once
+	prefillTokens       float64 // tokens of prompts sent that have no first token yet
+	urgentPrefillTokens float64
+	pendingRefusals     []Outcome // refused outside Next; the next call returns them
 
-	peers     []*peer // by ascending id
-	daemons   int     // told by the platform's list; 0 when it isn't known
-	part      float64
-	refreshAt float64
-	sums      map[uint32]peerDemand
-	floors    float64 // of the truncated digests
-	others    float64 // how many other daemons there seem to be
-	claims    []claim
-	sequence  uint64
+	peers         []*peer // by ascending ID
+	daemons       int     // on the platform's list; 0 when unknown
+	fleetFraction float64
+	refreshAt     float64
+	peerDemands   map[uint32]peerDemand
+	peerFloors    float64 // sum of the floors of the truncated digests
+	otherDaemons  float64 // estimated number of other daemons; fractional while one is taken over
+	fleetDemands  []fleetDemand
+	sequence      uint64
 }
 
-// NewAdmission returns an Admission without contract: it refuses everything
-// until SetContract.
+// NewAdmission returns an Admission without a contract: it refuses every request
+// until SetContract is called.
 func NewAdmission(opts Options) *Admission {
 	a := &Admission{
-		opts:            opts.withDefaults(),
-		shares:          map[OrganisationID]float64{},
-		byHash:          map[uint32]float64{},
-		clashes:         map[uint32]bool{},
-		tokensPerSecond: defaultTokensPerSec,
-		slots:           defaultSlots,
-		active:          map[OrganisationID]*organisation{},
-		entries:         map[RequestID]*entry{},
-		backlog:         newBacklog(),
-		sums:            map[uint32]peerDemand{},
-		part:            1,
+		opts:                 opts.withDefaults(),
+		weightByOrganisation: map[OrganisationID]float64{},
+		weightByHash:         map[uint32]float64{},
+		collidingHashes:      map[uint32]bool{},
+		tokensPerSecond:      defaultTokensPerSec,
+		slots:                defaultSlots,
+		active:               map[OrganisationID]*organisation{},
+		entries:              map[RequestID]*entry{},
+		backlog:              newBacklog(),
+		peerDemands:          map[uint32]peerDemand{},
+		fleetFraction:        1,
 	}
 	a.due.less = func(x, y *entry) bool {
 		if x.due != y.due {
@@ -80,12 +80,12 @@
 		}
 		return x.ID < y.ID
 	}
-	a.due.place = func(e *entry, i int) { e.dueAt = i }
+	a.due.setIndex = func(e *entry, i int) { e.dueIndex = i }
 	return a
 }
 
-// advance moves the clock on. A clock that steps back stands still, so that no
-// meter and no expiry runs backwards.
+// advance sets the clock to now. When now steps back the clock stands still, so
+// that no meter and no expiry runs backwards.
 func (a *Admission) advance(now time.Time) {
 	if a.start.IsZero() {
 		a.start = now
@@ -96,47 +96,47 @@
 	}
 }
 
-// SetContract takes the organisations and their weights of the manifest in
-// force. Shares beyond MaxOrganisations or without a weight are left out; the
-// manifest's own check refuses them before. Requests of organisations that
-// left the contract go on, if they run, and are refused, if they wait.
+// SetContract replaces the organisations and their weights by those of the
+// manifest in force. Shares beyond MaxOrganisations or without a weight are
+// ignored; validation of the manifest rejects them before. Running requests of
+// organisations that were removed continue, and queued ones are refused.
 func (a *Admission) SetContract(now time.Time, shares []Share) {
 	a.advance(now)
-	clear(a.shares)
-	clear(a.clashes)
-	clear(a.byHash)
-	a.weights = 0
+	clear(a.weightByOrganisation)
+	clear(a.collidingHashes)
+	clear(a.weightByHash)
+	a.totalWeight = 0
 	for _, s := range shares {
-		if s.Weight <= 0 || len(a.shares) >= MaxOrganisations {
+		if s.Weight <= 0 || len(a.weightByOrganisation) >= MaxOrganisations {
 			continue
 		}
 		h := organisationHash(s.Organisation)
-		if _, twice := a.byHash[h]; twice && a.shares[s.Organisation] == 0 {
-			a.clashes[h] = true
+		if _, twice := a.weightByHash[h]; twice && a.weightByOrganisation[s.Organisation] == 0 {
+			a.collidingHashes[h] = true
 		}
-		a.byHash[h] = s.Weight
-		a.weights += s.Weight - a.shares[s.Organisation]
-		a.shares[s.Organisation] = s.Weight
+		a.weightByHash[h] = s.Weight
+		a.totalWeight += s.Weight - a.weightByOrganisation[s.Organisation]
+		a.weightByOrganisation[s.Organisation] = s.Weight
 	}
-	for _, o := range a.list {
-		o.share = a.shares[o.id]
-		if o.share == 0 {
+	for _, o := range a.activeList {
+		o.contractWeight = a.weightByOrganisation[o.id]
+		if o.contractWeight == 0 {
 			a.refuseQueued(o, UnknownOrganisation)
 		}
 	}
 	a.refresh()
 }
 
-// SetCapacity tells what the whole fleet of live endpoints can do: tokens a
-// second, prefilled and generated, and requests at a time.
+// SetCapacity sets the capacity of all live endpoints together: tokens per
+// second, prefilled and generated, and concurrent requests.
 func (a *Admission) SetCapacity(now time.Time, tokensPerSecond float64, slots int) {
 	a.advance(now)
 	a.tokensPerSecond = max(tokensPerSecond, 1)
 	a.slots = max(float64(slots), 1)
 }
 
-// Offer asks for a place. What the request is charged until it ends is learnt
-// from what such requests really took.
+// Offer requests admission. Until it ends the request is charged with its expected
+// work, estimated from the actual work of earlier requests of its priority.
 func (a *Admission) Offer(now time.Time, r Request) Decision {
 	a.advance(now)
 	if _, twice := a.entries[r.ID]; twice {
@@ -151,48 +151,48 @@
 	}
 	asked := r.Tokens
 	r.Tokens = a.charge(o, &r)
-	o.seen = a.clock
+	o.lastActive = a.clock
 	o.counts.Offered++
 	o.demand.add(a.clock, r.Tokens, a.opts.MeterConstant.Seconds())
-	a.reweigh(o)
+	a.updateWeight(o)
 	o.tag = a.startTag(o)
-	if a.startsAtOnce(o, r.Priority) {
+	if a.canStartNow(o, r.Priority) {
 		a.admit(a.newEntry(o, r, asked))
 		return Decision{Verdict: Admitted}
 	}
-	if reason := a.cannotQueue(o, &r); reason != NoReason {
+	if reason := a.queueRefusal(o, &r); reason != NoReason {
 		return a.refuse(o, r.Tokens, reason)
 	}
 	e := a.newEntry(o, r, asked)
 	e.queued = true
-	e.due = a.waitUntil(&r)
+	e.due = a.queueExpiry(&r)
 	a.due.push(e)
 	a.backlog.push(e)
 	return Decision{Verdict: Queued}
 }
 
-// Next appends to out what became of queued requests since the last call: the
-// ones to send now and the ones given up. Call it after each Finish, Cancel
+// Next appends to out the outcomes of queued requests since the last call: the
+// ones to send now and the refused ones. Call it after each Finish, Cancel
 // and change of capacity, and at NextAt.
 func (a *Admission) Next(now time.Time, out []Outcome) []Outcome {
 	a.advance(now)
-	out = append(out, a.refused...)
-	a.refused = a.refused[:0]
+	out = append(out, a.pendingRefusals...)
+	a.pendingRefusals = a.pendingRefusals[:0]
 	out = a.expire(out)
 	for {
-		e := a.pick()
+		e := a.selectNext()
 		if e == nil {
 			return out
 		}
 		a.backlog.remove(e)
-		a.due.remove(e.dueAt)
+		a.due.remove(e.dueIndex)
 		a.admit(e)
 		out = append(out, Outcome{ID: e.ID, Decision: Decision{Verdict: Admitted}})
 	}
 }
 
-// NextAt is when Next has something to do even if nothing else happens. It is
-// false when nothing waits or runs.
+// NextAt returns the time of the next expiry, at which Next must be called even
+// if nothing else happens. It returns false when no request is queued or running.
 func (a *Admission) NextAt() (time.Time, bool) {
 	if a.due.len() == 0 {
 		return time.Time{}, false
@@ -200,8 +200,8 @@
 	return a.start.Add(seconds(a.due.min().due)), true
 }
 
-// Finish ends a reservation with the work that was really done. It reports
-// false for a reservation that had expired or never was.
+// Finish ends a reservation and corrects its charge to the actual work. It returns
+// false for a reservation that has expired or never existed.
 func (a *Admission) Finish(now time.Time, id RequestID, actualTokens float64) bool {
 	a.advance(now)
 	e := a.entries[id]
@@ -209,16 +209,17 @@
 		return false
 	}
 	o := e.org
-	a.learnCost(e, actualTokens)
+	a.recordCost(e, actualTokens)
 	correction := max(actualTokens, 0) - e.Tokens
 	o.use.add(a.clock, correction, a.opts.MeterConstant.Seconds())
-	a.backlog.retag(o, o.tag+correction/o.weight)
+	a.backlog.retag(o, o.tag+correction/o.localWeight)
 	a.release(e)
 	return true
 }
 
-// Cancel takes back a queued request, or ends one that runs with nothing done.
-// A caller that left is told by Finish when the endpoint did part of the work.
+// Cancel removes a queued request, or ends a running one that took no work. It
+// returns false for an unknown request. When a caller left after the endpoint did
+// part of the work, call Finish instead.
 func (a *Admission) Cancel(now time.Time, id RequestID) bool {
 	a.advance(now)
 	e := a.entries[id]
@@ -229,53 +230,53 @@
 		return a.Finish(now, id, 0)
 	}
 	a.backlog.remove(e)
-	a.due.remove(e.dueAt)
+	a.due.remove(e.dueIndex)
 	a.recycle(e)
 	return true
 }
 
-// Queued and Running are the requests that wait and the reservations.
+// Queued returns the number of queued requests.
 func (a *Admission) Queued() int { return a.backlog.queued }
 
-// Running is the number of reservations.
+// Running returns the number of reservations.
 func (a *Admission) Running() int { return a.running }
 
 func (a *Admission) organisation(id OrganisationID) *organisation {
 	if o := a.active[id]; o != nil {
-		if o.share <= 0 {
+		if o.contractWeight <= 0 {
 			return nil
 		}
 		return o
 	}
-	share := a.shares[id]
+	share := a.weightByOrganisation[id]
 	if share <= 0 || len(a.active) >= MaxOrganisations {
 		return nil
 	}
-	o := &organisation{id: id, hash: organisationHash(id), share: share}
-	o.demand.at, o.use.at = a.clock, a.clock
-	o.there = a.elsewhere(o.hash, 0)
+	o := &organisation{id: id, hash: organisationHash(id), contractWeight: share}
+	o.demand.updatedAt, o.use.updatedAt = a.clock, a.clock
+	o.remoteDemand = a.estimateRemoteDemand(o.hash, 0)
 	o.fraction = a.fraction(o)
-	o.weight = o.share * o.fraction
+	o.localWeight = o.contractWeight * o.fraction
 	a.active[id] = o
-	a.list = append(a.list, o)
+	a.activeList = append(a.activeList, o)
 	return o
 }
 
-// startTag is the virtual time at which the organisation's next request would
-// start: one that was idle starts before the others by no more than its credit.
+// startTag returns the virtual time at which the organisation's next request
+// starts. One that was idle starts at most its credit before the others.
 func (a *Admission) startTag(o *organisation) float64 {
 	if o.backlogged() {
 		return o.tag
 	}
-	return max(o.tag, a.virtual-a.credit(o))
+	return max(o.tag, a.virtualTime-a.credit(o))
 }
 
-// credit is in virtual time. Over its length the contract is kept though an
-// organisation's callers come in bursts.
+// credit returns the credit of an organisation that was idle, in virtual time. It
+// keeps the contract for organisations whose callers come in bursts.
 func (a *Admission) credit(o *organisation) float64 {
-	credit := a.opts.CreditTokens / o.weight
-	if a.weights > 0 {
-		credit = max(credit, a.opts.CreditDuration.Seconds()*a.tokensPerSecond/a.weights)
+	credit := a.opts.CreditTokens / o.localWeight
+	if a.totalWeight > 0 {
+		credit = max(credit, a.opts.CreditDuration.Seconds()*a.tokensPerSecond/a.totalWeight)
 	}
 	return credit
 }
@@ -287,7 +288,7 @@
 	} else {
 		a.free = e.next
 	}
-	*e = entry{Request: r, org: o, asked: asked, since: a.clock}
+	*e = entry{Request: r, org: o, requestedTokens: asked, since: a.clock}
 	a.entries[r.ID] = e
 	return e
 }
@@ -298,61 +299,61 @@
 	a.free = e
 }
 
-// admit charges the request and reserves its place. The reservation expires
-// when the caller's deadline has passed, or after the longest hold: a shell
-// that lost track of a request (a panic, a missed cancel) would otherwise take
-// the place for ever, seen as a daemon that admits less and less.
+// admit charges the request and reserves its slot. The reservation expires
+// after the caller's deadline, or after Options.ReservationTTL without one: a
+// request whose end is never reported (a panic, a missed cancel) would otherwise
+// hold its slot for ever, and the daemon would admit less and less.
 func (a *Admission) admit(e *entry) {
 	o := e.org
 	e.urgent = a.urgent(o, e.Priority)
 	started := o.tag
-	a.backlog.retag(o, o.tag+e.Tokens/o.weight)
+	a.backlog.retag(o, o.tag+e.Tokens/o.localWeight)
 	if least, waiting := a.backlog.least(); waiting {
-		a.virtual = max(a.virtual, least)
+		a.virtualTime = max(a.virtualTime, least)
 	} else {
-		a.virtual = max(a.virtual, started)
+		a.virtualTime = max(a.virtualTime, started)
 	}
 	o.use.add(a.clock, e.Tokens, a.opts.MeterConstant.Seconds())
 	o.running++
 	o.counts.Admitted++
 	a.running++
-	a.prefillBegins(e)
+	a.beginPrefill(e)
 	if e.urgent {
-		a.reserved.started(a.clock)
+		a.urgentMeter.started(a.clock)
 	}
 	e.queued = false
 	e.since = a.clock
-	e.due = a.holdUntil(e)
+	e.due = a.reservationExpiry(e)
 	a.due.push(e)
 }
 
-// holdUntil leaves the shell a little time after the deadline to tell the end
-// itself.
-func (a *Admission) holdUntil(e *entry) float64 {
+// reservationExpiry returns when the reservation expires, in seconds of the clock. It is
+// a little after the deadline, to give the caller time to report the end.
+func (a *Admission) reservationExpiry(e *entry) float64 {
 	if e.Deadline.IsZero() {
 		return a.clock + a.opts.ReservationTTL.Seconds()
 	}
 	deadline := max(e.Deadline.Sub(a.start).Seconds(), a.clock) + deadlineGrace
-	return min(deadline, a.clock+maxHold)
+	return min(deadline, a.clock+maxReservationSeconds)
 }
 
 const (
-	deadlineGrace = 5       // seconds
-	maxHold       = 60 * 60 // seconds, whatever the deadline
+	deadlineGrace         = 5       // seconds
+	maxReservationSeconds = 60 * 60 // bound for any deadline
 )
 
 func (a *Admission) release(e *entry) {
-	a.prefillEnded(e)
+	a.endPrefill(e)
 	e.org.running--
-	e.org.seen = a.clock
+	e.org.lastActive = a.clock
 	a.running--
-	if a.running == 0 { // nothing is left of rounding
-		a.prefilling, a.prefillingUrgent = 0, 0
+	if a.running == 0 { // drop accumulated rounding errors
+		a.prefillTokens, a.urgentPrefillTokens = 0, 0
 	}
 	if e.urgent {
-		a.reserved.ended(a.clock)
+		a.urgentMeter.ended(a.clock)
 	}
-	a.due.remove(e.dueAt)
+	a.due.remove(e.dueIndex)
 	a.recycle(e)
 }
 
@@ -364,14 +365,14 @@
 			a.release(e)
 			continue
 		}
-		out = append(out, a.giveUp(e, a.reason(e.org)))
+		out = append(out, a.refuseEntry(e, a.refusalReason(e.org)))
 	}
 	return out
 }
 
-func (a *Admission) giveUp(e *entry, reason Reason) Outcome {
+func (a *Admission) refuseEntry(e *entry, reason Reason) Outcome {
 	a.backlog.remove(e)
-	a.due.remove(e.dueAt)
+	a.due.remove(e.dueIndex)
 	result := Outcome{ID: e.ID, Decision: a.refuse(e.org, e.Tokens, reason)}
 	a.recycle(e)
 	return result
@@ -380,7 +381,7 @@
 func (a *Admission) refuseQueued(o *organisation, reason Reason) {
 	for p := range o.queues {
 		for o.queues[p].n > 0 {
-			a.refused = append(a.refused, a.giveUp(o.queues[p].head, reason))
+			a.pendingRefusals = append(a.pendingRefusals, a.refuseEntry(o.queues[p].head, reason))
 		}
 	}
 }
--- a/contract/admission_test.go
+++ b/contract/admission_test.go
@@ -15,7 +15,7 @@
 
 func newAdmission(t testing.TB, opts Options, slots int, shares ...Share) *Admission {
 	t.Helper()
-	opts.InitialCostRatio = orDefault(opts.InitialCostRatio, 1) // what is asked is what is charged
+	opts.InitialCostRatio = orDefault(opts.InitialCostRatio, 1) // charge exactly the requested tokens
 	a := NewAdmission(opts)
 	a.SetContract(epoch, shares)
 	a.SetCapacity(epoch, 1000, slots)
@@ -54,10 +54,10 @@
 	}
 }
 
-// An organisation's phones ask while long batch work of others fills the fleet
-// and more of it waits. Drivers would see the assistant hang behind whole
-// specification sheets.
-func TestInteractivePassesQueuedBatch(t *testing.T) {
+// Interactive requests arrive while long batch work of another organisation fills
+// the fleet and more of it is queued. They must start before the queued batch work,
+// and further slots must be reserved for them.
+func TestInteractiveStartsBeforeQueuedBatch(t *testing.T) {
 	a := newAdmission(t, Options{}, 4, Share{"phones", 1}, Share{"sheets", 1})
 	for i := range 10 {
 		a.Offer(epoch, request(i, "sheets", PriorityBatch, 500))
@@ -71,9 +71,9 @@
 	a.Finish(at(100*time.Millisecond), 0, 500)
 	got := a.Next(at(100*time.Millisecond), nil)
 	if len(got) != 1 || got[0].ID != 21 {
-		t.Errorf("the first to run after the phone is %+v", got)
+		t.Errorf("after a batch request ended, started %+v, want the interactive request 21", got)
 	}
-	for i := 1; i < 30; i++ { // phones go on asking, one at a time
+	for i := 1; i < 30; i++ { // further interactive requests, one at a time
 		now := at(time.Duration(i) * time.Second)
 		a.Finish(now, RequestID(19+i), 50)
 		a.Offer(now, request(21+i, "phones", PriorityInteractive, 50))
@@ -82,14 +82,14 @@
 		a.Finish(now, RequestID(99+i), 500)
 		a.Next(now, nil)
 	}
-	batch := a.Running() - a.reserved.running
+	batch := a.Running() - a.urgentMeter.running
 	if batch > 3 || a.Queued() == 0 {
-		t.Errorf("%d batch requests run and %d wait: no place is kept for the phones", batch, a.Queued())
+		t.Errorf("%d batch requests run and %d are queued: no slot is reserved for interactive ones", batch, a.Queued())
 	}
 }
 
-// A shell loses track of requests that it was told to send. Without an expiry
-// the daemon would admit less and less until it is restarted.
+// A caller never reports the end of admitted requests. Without an expiry their
+// slots would stay taken, and the daemon would admit less and less.
 func TestLostReservationsExpire(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAdmission(Options{})
@@ -117,29 +117,28 @@
 	})
 }
 
-// A caller allows half an hour for a long answer, and its request ends just
-// after the deadline. A reservation that had expired before would let more
-// requests run than the fleet has places, and be reported as a defect.
-func TestReservationLastsToTheDeadline(t *testing.T) {
+// A request with a deadline of half an hour ends just after it. If its
+// reservation expired earlier, more requests would run than the fleet has slots.
+func TestReservationLastsUntilDeadline(t *testing.T) {
 	a := newAdmission(t, Options{}, 1, Share{"a", 1})
 	r := request(1, "a", PriorityStandard, 10)
 	r.Deadline = at(30 * time.Minute)
 	a.Offer(epoch, r)
 	a.Next(at(30*time.Minute+time.Second), nil)
 	if !a.Finish(at(30*time.Minute+time.Second), 1, 10) {
-		t.Error("the reservation expired before the deadline's end was told")
+		t.Error("the reservation expired before the end after the deadline was reported")
 	}
 	r.ID, r.Deadline = 2, at(100*time.Hour)
 	a.Offer(at(time.Hour), r)
-	a.Next(at(time.Hour+maxHold*time.Second), nil)
+	a.Next(at(time.Hour+maxReservationSeconds*time.Second), nil)
 	if a.Running() != 0 {
 		t.Error("a reservation with a far deadline never expires")
 	}
 }
 
-// Every request offered ends in exactly one way, and the tables stay within
-// their bounds, whatever the order of events.
-func TestWorkIsConserved(t *testing.T) {
+// Every offered request has exactly one outcome, no request is queued while there
+// is a slot for it, and the tables stay within their bounds, in any order of events.
+func TestEveryOfferEndsOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAdmission(Options{MaxQueuedPerPriority: 4, MaxQueued: 10})
 		shares := []Share{{"a", 1}, {"b", 2}, {"c", 0.5}}
@@ -152,7 +151,7 @@
 			for _, o := range a.Next(now, nil) {
 				i := indexOf(waiting, o.ID)
 				if i < 0 {
-					t.Fatalf("outcome for %d, which doesn't wait", o.ID)
+					t.Fatalf("outcome for %d, which isn't queued", o.ID)
 				}
 				waiting = append(waiting[:i], waiting[i+1:]...)
 				if o.Verdict == Admitted {
@@ -165,8 +164,8 @@
 			if a.Queued() > 10 || a.Running() > slots+overcommit(slots) {
 				t.Fatalf("bounds: %d queued, %d running", a.Queued(), a.Running())
 			}
-			if a.Queued() > 0 && a.pick() != nil {
-				t.Fatal("requests wait beside a free place")
+			if a.Queued() > 0 && a.selectNext() != nil {
+				t.Fatal("requests are queued while there is a slot for one")
 			}
 		}
 		for i := range 120 {
@@ -190,7 +189,7 @@
 					running = append(running, RequestID(i))
 				}
 				if d.Verdict == Refused && (d.RetryAfter < time.Second || d.RetryAfter > time.Minute) {
-					t.Fatalf("refusal without a usable time: %+v", d)
+					t.Fatalf("refusal with a retry time out of range: %+v", d)
 				}
 			}
 			settle()
@@ -207,10 +206,9 @@
 	return -1
 }
 
-// serve keeps the organisations' demand up and finishes each request after a
-// fixed time, for the given span. It returns the tokens
-// admitted by organisation.
-func serve(a *Admission, from, span time.Duration, owner map[RequestID]string, offered map[string]float64, p map[string]Priority) map[string]float64 {
+// runLoad offers requests at the given rates of tokens per second for the span and
+// finishes each one after 400 ms. It returns the admitted tokens by organisation.
+func runLoad(a *Admission, from, span time.Duration, owner map[RequestID]string, offered map[string]float64, p map[string]Priority) map[string]float64 {
 	const step = 20 * time.Millisecond
 	type running struct {
 		id    RequestID
@@ -252,18 +250,18 @@
 	return got
 }
 
-// No organisation gets less than its share while it has demand and others get
-// more than theirs: tolerance 5% over 60 seconds.
+// Under overload no organisation gets less than the smaller of its demand and its
+// share, with a tolerance of 5% over 60 seconds.
 func TestShareHoldsUnderOverload(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a := NewAdmission(Options{})
 		a.SetContract(epoch, []Share{{"a", 0.5}, {"b", 0.3}, {"c", 0.2}})
-		a.SetCapacity(epoch, 1000, 8) // 8 places of 50 tokens in 0.4 s: 1,000 tokens/s
+		a.SetCapacity(epoch, 1000, 8) // 8 slots of 50 tokens in 0.4 s: 1,000 tokens/s
 		priorities := map[string]Priority{}
 		for _, org := range []string{"a", "b", "c"} {
 			priorities[org] = Priority(rapid.IntRange(1, 2).Draw(t, "priority "+org))
 		}
-		got := serve(a, 0, 60*time.Second, map[RequestID]string{}, map[string]float64{"a": 450, "b": 270, "c": 3000}, priorities)
+		got := runLoad(a, 0, 60*time.Second, map[RequestID]string{}, map[string]float64{"a": 450, "b": 270, "c": 3000}, priorities)
 		for org, want := range map[string]float64{"a": 450, "b": 270, "c": 200} {
 			if got[org] < 0.95*want*60 {
 				t.Fatalf("%s got %.0f tokens/s of %.0f (all: %v, priorities %v)", org, got[org]/60, want, got, priorities)
@@ -272,36 +270,36 @@
 	})
 }
 
-// An organisation was quiet and lent its share. When its callers come back they
-// get it within seconds, as if it had never been lent.
-func TestLentShareIsCalledBack(t *testing.T) {
+// Another organisation used the share of an idle one. When the callers of the idle
+// one return, they get their share within seconds, plus no more than its credit.
+func TestIdleShareIsRegained(t *testing.T) {
 	a := newAdmission(t, Options{}, 8, Share{"a", 0.5}, Share{"b", 0.5})
 	owner := map[RequestID]string{}
 	std := map[string]Priority{"a": PriorityStandard, "b": PriorityStandard}
-	alone := serve(a, 0, 30*time.Second, owner, map[string]float64{"b": 3000}, std)
+	alone := runLoad(a, 0, 30*time.Second, owner, map[string]float64{"b": 3000}, std)
 	if alone["b"] < 30*800 {
 		t.Errorf("b alone got %.0f tokens/s of 1000", alone["b"]/30)
 	}
 	both := map[string]float64{"a": 3000, "b": 3000}
-	first := serve(a, 30*time.Second, 2*time.Second, owner, both, std)
+	first := runLoad(a, 30*time.Second, 2*time.Second, owner, both, std)
 	if part := first["a"] / (first["a"] + first["b"]); part < 0.45 {
-		t.Errorf("in the first two seconds a got a part of %.2f, want its half or more", part)
+		t.Errorf("in the first two seconds a got a fraction of %.2f, want 0.45 or more", part)
 	}
-	next := serve(a, 32*time.Second, 18*time.Second, owner, both, std)
+	next := runLoad(a, 32*time.Second, 18*time.Second, owner, both, std)
 	ahead := first["a"] + next["a"] - first["b"] - next["b"]
 	credit := max(DefaultCreditTokens, 0.5*1000*DefaultCreditDuration.Seconds())
 	if most := credit + 500; ahead > most {
 		t.Errorf("a got %.0f tokens more than b, its credit allows %.0f", ahead, most)
 	}
-	last := serve(a, 50*time.Second, 20*time.Second, owner, both, std)
+	last := runLoad(a, 50*time.Second, 20*time.Second, owner, both, std)
 	if part := last["a"] / (last["a"] + last["b"]); math.Abs(part-0.5) > 0.05 {
-		t.Errorf("once its credit is spent a gets a part of %.2f, want 0.5", part)
+		t.Errorf("once its credit is spent a gets a fraction of %.2f, want 0.5", part)
 	}
 }
 
-// One organisation's callers are refused by the thousand in one second. If all
-// were told the same time to come back they would come as a herd.
-func TestRetryAfterSpreadsReturns(t *testing.T) {
+// Thousands of an organisation's callers are refused in one second. With the same
+// Retry-After for all, they would return together and be refused again.
+func TestRetryAfterSpreadsRetries(t *testing.T) {
 	a := newAdmission(t, Options{}, 1, Share{"a", 1})
 	times := map[time.Duration]int{}
 	for i := range 3000 {
@@ -312,17 +310,17 @@
 	}
 	for after, n := range times {
 		if after < DefaultMaxRetryAfter && n > 150 {
-			t.Errorf("%d callers are told to come back in %v, the organisation's rate allows 100", n, after)
+			t.Errorf("%d callers have a retry time of %v, the organisation's rate allows 100", n, after)
 		}
 	}
 	if len(times) < 20 {
-		t.Errorf("only %d different times", len(times))
+		t.Errorf("only %d different retry times, want 20 or more", len(times))
 	}
 }
 
-// The clock of a VM jumps an hour forward and then back. Nothing may run twice,
-// and the daemon goes on admitting.
-func TestClockJumps(t *testing.T) {
+// The clock of a VM jumps an hour forward and then back. What has expired must not
+// be finished later, and the daemon goes on admitting.
+func TestClockJumpsForwardAndBack(t *testing.T) {
 	a := newAdmission(t, Options{}, 2, Share{"a", 1})
 	a.Offer(epoch, request(1, "a", PriorityStandard, 10))
 	a.Offer(epoch, request(2, "a", PriorityStandard, 10))
@@ -339,9 +337,9 @@
 	}
 }
 
-// Many organisations over their shares fill the whole queue. One that has had
-// nothing yet must still get in.
-func TestFullQueueMakesRoomForUnderserved(t *testing.T) {
+// Many organisations over their shares fill the whole queue. A request of one that
+// has received nothing yet must displace one of theirs.
+func TestFullQueueDisplacesRequestForUnderserved(t *testing.T) {
 	shares := []Share{{"quiet", 1}}
 	for i := range 20 {
 		shares = append(shares, Share{OrganisationID(fmt.Sprintf("loud%d", i)), 1})
@@ -364,6 +362,6 @@
 	}
 	out := a.Next(epoch, nil)
 	if len(out) == 0 || out[0].Verdict != Refused {
-		t.Errorf("the one displaced isn't told: %+v", out)
+		t.Errorf("Next doesn't return the displaced request: %+v", out)
 	}
 }
--- a/contract/contract.go
+++ b/contract/contract.go
@@ -1,26 +1,28 @@
-// Package contract holds what an organisation was promised: its share of the
-// fixed fleet and the priorities it may use, and decides admission by them.
+// Package contract decides admission by weighted fair queueing: each
+// organisation's contract gives it a share of a fixed fleet and a set of
+// priorities.
 //
 // The package does no I/O and reads no clock. An Admission isn't safe for
-// concurrent use: its tables (organisations, requests, peers) are one unit under
-// one lock of the shell for each pool of runners. That lock is taken before the
-// ones of membership, placement, health and retries, and two pools' locks are
+// concurrent use: the caller guards its tables (organisations, requests, peers)
+// by one lock for each pool of runners. That lock is taken before the ones of
+// membership, placement, health and retries, and the locks of two pools are
 // never held together.
 package contract
 
 import "fmt"
 
-// OrganisationID names an organisation of the manifest.
+// OrganisationID identifies an organisation of the manifest.
 type OrganisationID string
 
-// Priority orders requests; a lower value is served first.
+// Priority is the scheduling priority of a request; lower values are served
+// first.
 type Priority int
 
 // The priorities, from the most urgent to the least.
 const (
-	PriorityInteractive Priority = iota // a person waits, such as a driver on a phone
+	PriorityInteractive Priority = iota // a person waits for the answer, such as a driver on a phone
 	PriorityStandard                    // the default
-	PriorityBatch                       // no one waits for the first token
+	PriorityBatch                       // latency of the first token doesn't matter
 	// PriorityCount is the number of priorities.
 	PriorityCount
 )
@@ -35,7 +37,8 @@
 	return priorityNames[p]
 }
 
-// ParsePriority returns the priority of the given name.
+// ParsePriority returns the priority of the given name, or an error if no
+// priority has that name.
 func ParsePriority(name string) (Priority, error) {
 	for p, n := range priorityNames {
 		if n == name {
--- a/contract/cost.go
+++ b/contract/cost.go
@@ -2,91 +2,91 @@
 
 import "time"
 
-// cost follows what requests really took of what they asked for. Most of a long
-// prompt is cached as a rule: a request that was charged all of it until it
-// ended would make its organisation look over its share for seconds.
-type cost struct {
-	asked  float64
-	actual float64
+// costRatio estimates the ratio of actual to requested work. Most of a long prompt
+// is usually cached: if a request was charged for all of it until its end, its
+// organisation would appear to exceed its share for seconds.
+type costRatio struct {
+	requested float64
+	actual    float64
 }
 
 const (
-	costKeep       = 0.99   // of the past, with each request
-	costPrior      = 20_000 // tokens asked that count as known from all organisations
-	costFirstPrior = 1_000  // the same before anything is known
-	costMin        = 0.01
+	costDecay              = 0.99   // of the past sums, with each request
+	costPriorTokens        = 20_000 // weight of the ratio of all organisations, in requested tokens
+	initialCostPriorTokens = 1_000  // weight of Options.InitialCostRatio, in requested tokens
+	minCostRatio           = 0.01
 )
 
-func (c *cost) learn(asked, actual float64) {
-	c.asked = c.asked*costKeep + asked
-	c.actual = c.actual*costKeep + actual
+func (c *costRatio) record(asked, actual float64) {
+	c.requested = c.requested*costDecay + asked
+	c.actual = c.actual*costDecay + actual
 }
 
-// part is the part of what is asked for that is really taken, given the one of
-// others, which counts as much as prior tokens.
-func (c *cost) part(others, prior float64) float64 {
-	return max((c.actual+prior*others)/(c.asked+prior), costMin)
+// ratio returns the expected ratio of actual to requested work. The ratio others is
+// the prior, with the weight of prior requested tokens.
+func (c *costRatio) ratio(others, prior float64) float64 {
+	return max((c.actual+prior*others)/(c.requested+prior), minCostRatio)
 }
 
-// charge is the expected work of a request.
+// charge returns the expected work of a request in tokens.
 func (a *Admission) charge(o *organisation, r *Request) float64 {
-	all := a.costs[r.Priority].part(a.opts.InitialCostRatio, costFirstPrior)
-	return max(r.Tokens*o.costs[r.Priority].part(all, costPrior), 1)
+	all := a.costs[r.Priority].ratio(a.opts.InitialCostRatio, initialCostPriorTokens)
+	return max(r.Tokens*o.costs[r.Priority].ratio(all, costPriorTokens), 1)
 }
 
-func (a *Admission) learnCost(e *entry, actual float64) {
+func (a *Admission) recordCost(e *entry, actual float64) {
 	if actual > 0 {
-		a.costs[e.Priority].learn(e.asked, actual)
-		e.org.costs[e.Priority].learn(e.asked, actual)
+		a.costs[e.Priority].record(e.requestedTokens, actual)
+		e.org.costs[e.Priority].record(e.requestedTokens, actual)
 	}
 }
 
-// Started tells that the first token of a running request has come, so that its
-// prompt burdens no engine any more. A shell that calls it for some calls it for
-// all: from the first call on, the prompts that were sent and have not started
-// are bounded.
+// Started records the first token of a running request, whose prompt then no
+// longer occupies the prefill of an engine. A caller that reports first tokens
+// must do so for all requests without StartUnobserved: from the first call on,
+// Options.PrefillAhead bounds the prompts that wait for their first token.
 func (a *Admission) Started(now time.Time, id RequestID) {
 	a.advance(now)
-	a.startsKnown = true
+	a.startsReported = true
 	if e := a.entries[id]; e != nil && !e.queued {
-		a.prefillEnded(e)
+		a.endPrefill(e)
 	}
 }
 
-func (a *Admission) prefillBegins(e *entry) {
+func (a *Admission) beginPrefill(e *entry) {
 	if e.StartUnobserved {
 		return
 	}
 	e.prefilling = true
-	a.prefilling += e.Tokens
+	a.prefillTokens += e.Tokens
 	if e.urgent {
-		a.prefillingUrgent += e.Tokens
+		a.urgentPrefillTokens += e.Tokens
 	}
 }
 
-func (a *Admission) prefillEnded(e *entry) {
+func (a *Admission) endPrefill(e *entry) {
 	if !e.prefilling {
 		return
 	}
 	e.prefilling = false
-	a.prefilling -= e.Tokens
+	a.prefillTokens -= e.Tokens
 	if e.urgent {
-		a.prefillingUrgent -= e.Tokens
+		a.urgentPrefillTokens -= e.Tokens
 	}
 }
 
-// roomToPrefill reports whether another prompt may be sent. Engines prefill one
-// prompt after the other; with places left in their batches they would be sent
-// prompts for many seconds ahead, and every first token would come late though
-// nothing waits here. Urgent prompts pass the others at the engines, so only
-// urgent ones count for them.
-func (a *Admission) roomToPrefill(urgent bool) bool {
-	if !a.startsKnown {
+// hasPrefillCapacity reports whether another prompt may be sent. Engines prefill
+// one prompt after the other: if only their batch slots were the limit, they would
+// queue prompts for many seconds ahead, and every first token would be late though
+// nothing is queued here. Engines prefill urgent prompts first, so only urgent
+// ones count against an urgent prompt.
+func (a *Admission) hasPrefillCapacity(urgent bool) bool {
+	if !a.startsReported {
 		return true
 	}
 	ahead := a.localRate() * a.opts.PrefillAhead.Seconds()
 	if urgent {
-		return a.prefillingUrgent < ahead
+		return a.urgentPrefillTokens < ahead
 	}
-	return a.prefilling < ahead
+	return a.prefillTokens < ahead
 }
--- a/contract/cost_learn_test.go
+++ b/contract/cost_learn_test.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Long prompts, nine tenths of them cached, are charged in full until they end.
-// The organisation would look over its share for as long as they run, and its
-// next requests would be refused.
-func TestChargeIsLearnt(t *testing.T) {
+// Long prompts that are mostly cached must not be charged in full: the
+// organisation would appear to exceed its share while they run, and its next
+// requests would be refused.
+func TestChargeFollowsActualCost(t *testing.T) {
 	a := newAdmission(t, Options{}, 1000, Share{"a", 1})
 	for i := range 200 {
 		a.Offer(at(time.Duration(i)*time.Second), request(i, "a", PriorityStandard, 20_000))
@@ -21,44 +21,44 @@
 	}
 }
 
-// Engines have places left in their batches but prefill one prompt after the
-// other. Without a bound on what is sent ahead every first token comes late,
-// though no daemon has anything queued.
-func TestPromptsSentAheadAreBounded(t *testing.T) {
+// Engines prefill one prompt after the other, even with free slots in their
+// batches. Without a bound on the pending prompts every first token is late, though
+// no daemon has requests queued.
+func TestPendingPrefillIsBounded(t *testing.T) {
 	a := newAdmission(t, Options{PrefillAhead: time.Second}, 1000, Share{"a", 1})
-	a.Started(epoch, 0) // told for requests of this shell
+	a.Started(epoch, 0) // from the first call on, pending prompts are bounded
 	for i := range 10 {
 		a.Offer(epoch, request(i, "a", PriorityStandard, 500))
 	}
 	if a.Running() != 2 {
-		t.Fatalf("%d prompts of 500 tokens are sent ahead at 1,000 tokens/s", a.Running())
+		t.Fatalf("%d prompts of 500 tokens are pending at 1,000 tokens/s, want 2", a.Running())
 	}
 	a.Started(epoch, 0)
 	if got := a.Next(epoch, nil); len(got) != 1 {
-		t.Errorf("after a first token %d more are sent, want 1", len(got))
+		t.Errorf("after a first token %d more requests are admitted, want 1", len(got))
 	}
 	unseen := request(50, "a", PriorityStandard, 500)
 	unseen.StartUnobserved = true
 	a.Cancel(epoch, 1)
 	a.Next(epoch, nil)
-	before := a.prefilling
+	before := a.prefillTokens
 	a.Offer(epoch, unseen)
-	if a.prefilling != before {
-		t.Error("a request whose first token isn't told holds others back")
+	if a.prefillTokens != before {
+		t.Error("a request with StartUnobserved counts as a pending prompt")
 	}
 	for id := range a.entries {
 		a.Cancel(epoch, id)
 		a.Next(epoch, nil)
 	}
-	if a.prefilling != 0 || a.prefillingUrgent != 0 {
-		t.Errorf("with nothing running %.0f tokens count as sent ahead", a.prefilling)
+	if a.prefillTokens != 0 || a.urgentPrefillTokens != 0 {
+		t.Errorf("with no request running %.0f tokens count as pending", a.prefillTokens)
 	}
 }
 
-// A daemon starts while engines have most of each prompt cached. If it took
-// prompts for wholly new it would refuse callers for seconds beside free
-// engines.
-func TestStartTakesPromptsForCached(t *testing.T) {
+// A daemon starts while engines have most of each prompt cached. If it assumed
+// that nothing is cached, it would refuse callers for seconds while engines are
+// free.
+func TestInitialCostAssumesCachedPrompts(t *testing.T) {
 	a := newAdmission(t, Options{InitialCostRatio: DefaultInitialCostRatio}, 1000, Share{"a", 1})
 	a.Started(epoch, 0)
 	for i := range 5 {
--- a/contract/cost_test.go
+++ b/contract/cost_test.go
@@ -15,9 +15,8 @@
 	return shares
 }
 
-// loaded returns an admission with all organisations active and the slots
-// taken.
-func loaded(n int) (*Admission, []Share) {
+// fullAdmission returns an Admission with n active organisations and all slots taken.
+func fullAdmission(n int) (*Admission, []Share) {
 	shares := manyShares(n)
 	a := NewAdmission(Options{RefreshInterval: time.Hour})
 	a.SetContract(epoch, shares)
@@ -28,12 +27,12 @@
 	return a, shares
 }
 
-// BenchmarkOfferFinishNext is one request's way through a full daemon: offered,
-// queued or refused, another finished and the next admitted.
+// BenchmarkOfferFinishNext measures a request at a full daemon: Offer, which
+// queues or refuses it, Finish of another request, and Next.
 func BenchmarkOfferFinishNext(b *testing.B) {
 	for _, n := range []int{8, 1000, 11_000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			a, shares := loaded(n)
+			a, shares := fullAdmission(n)
 			running := make([]RequestID, 0, 1024)
 			for id, e := range a.entries {
 				if !e.queued {
@@ -66,12 +65,12 @@
 	}
 }
 
-// BenchmarkRefresh is what each refresh costs, twice a second by default, with
+// BenchmarkRefresh measures a refresh, which runs twice a second by default, with
 // all organisations active and the digests of eight peers.
 func BenchmarkRefresh(b *testing.B) {
 	for _, n := range []int{8, 1000, 11_000} {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			a, _ := loaded(n)
+			a, _ := fullAdmission(n)
 			digest := a.Digest(epoch, false)
 			for i := range 8 {
 				a.MergeDigest(epoch, daemonID(i), digest)
@@ -93,8 +92,8 @@
 	return m.HeapAlloc
 }
 
-// BenchmarkMemory is the bytes for an organisation of the contract, for an
-// active one in addition, and for a queued request.
+// BenchmarkMemory measures the bytes for an organisation of the contract, the
+// additional bytes for an active one, and the bytes for a queued request.
 func BenchmarkMemory(b *testing.B) {
 	const n, queued = 11_000, 4096
 	for b.Loop() {
--- a/contract/digest.go
+++ b/contract/digest.go
@@ -11,29 +11,30 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Digest is what a daemon tells its neighbours of the organisations that ask
-// most of it. Each one is whole in itself, so that a lost, late or doubled one
-// does no harm; of two from the same peer the newer counts.
+// Digest is a daemon's summary of the organisations with the highest demand at
+// it, sent to its neighbours. Each one is complete in itself, so that lost, late
+// or duplicate ones do no harm: the newest of a peer replaces the others.
 type Digest struct {
-	Incarnation    uint64 // of the daemon's start
-	Sequence uint64 // within the epoch
-	Leaving  bool   // the daemon drains and will be silent soon
-	// Truncated tells that more organisations ask than are listed, each of
-	// them at most Floor tokens a second.
+	Incarnation uint64 // of the daemon, as Options.Incarnation
+	Sequence    uint64 // within the incarnation
+	Leaving     bool   // the daemon drains and will stop sending soon
+	// Truncated reports that further organisations are active than those listed,
+	// each with a demand of at most Floor tokens per second.
 	Truncated bool
 	Floor     float64
 	Entries   []DigestEntry // by ascending Hash
 }
 
-// DigestEntry is one organisation at one daemon, in tokens a second.
+// DigestEntry is the demand and use of one organisation at one daemon, in tokens
+// per second.
 type DigestEntry struct {
-	Hash   uint32 // of the organisation's id
+	Hash   uint32 // of the organisation's ID
 	Demand float64
 	Use    float64
 }
 
 const (
-	digestUnit       = 16 // tokens a second
+	digestUnit       = 16 // tokens per second
 	digestRateMax    = math.MaxUint32
 	digestHeaderMax  = 2*binary.MaxVarintLen64 + 1 + binary.MaxVarintLen32 + 1
 	digestEntryMax   = 3 * binary.MaxVarintLen32
@@ -44,29 +45,29 @@
 	MaxDigestBytes = digestHeaderMax + MaxDigestOrganisations*digestEntryMax
 )
 
-// DigestError tells why bytes are no digest.
+// DigestError reports why a digest can't be encoded or decoded.
 type DigestError struct{ Fault string }
 
-// Error names the fault.
+// Error implements error.
 func (e *DigestError) Error() string { return "contract: digest: " + e.Fault }
 
 func organisationHash(id OrganisationID) uint32 {
 	return uint32(xxhash.Sum64String(string(id)))
 }
 
-// Digest is the present state for the neighbours. Leaving marks a daemon that
-// drains.
+// Digest returns the current digest for the neighbours. Leaving marks a daemon
+// that drains.
 func (a *Admission) Digest(now time.Time, leaving bool) Digest {
 	a.advance(now)
 	a.sequence++
 	constant := a.opts.MeterConstant.Seconds()
 	d := Digest{Incarnation: a.opts.Incarnation, Sequence: a.sequence, Leaving: leaving}
-	for _, o := range a.list {
+	for _, o := range a.activeList {
 		demand := a.demand(o)
-		if demand < digestUnit || a.clashes[o.hash] {
+		if demand < digestUnit || a.collidingHashes[o.hash] {
 			continue
 		}
-		use := max(o.use.value(a.clock, constant), 0)
+		use := max(o.use.decayedRate(a.clock, constant), 0)
 		d.Entries = append(d.Entries, DigestEntry{Hash: o.hash, Demand: demand, Use: use})
 	}
 	slices.SortFunc(d.Entries, func(x, y DigestEntry) int {
@@ -81,8 +82,9 @@
 	return d
 }
 
-// AppendBinary appends the encoded digest: varints, hashes as differences,
-// rates in units of 16 tokens a second.
+// AppendBinary appends the encoded digest to the slice: varints, hashes as
+// differences, rates in units of 16 tokens per second. The error is a
+// *DigestError, for more than MaxDigestOrganisations entries.
 func (d *Digest) AppendBinary(to []byte) ([]byte, error) {
 	if len(d.Entries) > MaxDigestOrganisations {
 		return to, &DigestError{Fault: fmt.Sprintf("%d organisations, at most %d", len(d.Entries), MaxDigestOrganisations)}
@@ -116,7 +118,8 @@
 	return uint64(min(max(math.Round(tokensPerSecond/digestUnit), 0), digestRateMax))
 }
 
-// ParseDigest decodes what AppendBinary wrote. The error is a *DigestError.
+// ParseDigest decodes a digest written by AppendBinary. The error is a
+// *DigestError.
 func ParseDigest(from []byte) (Digest, error) {
 	if len(from) > MaxDigestBytes {
 		return Digest{}, &DigestError{Fault: fmt.Sprintf("%d bytes, at most %d", len(from), MaxDigestBytes)}
--- a/contract/digest_test.go
+++ b/contract/digest_test.go
@@ -14,11 +14,11 @@
 func TestDigestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := Digest{
-			Incarnation:     rapid.Uint64().Draw(t, "epoch"),
-			Sequence:  rapid.Uint64().Draw(t, "sequence"),
-			Leaving:   rapid.Bool().Draw(t, "leaving"),
-			Truncated: rapid.Bool().Draw(t, "truncated"),
-			Floor:     float64(rapid.IntRange(0, 1000).Draw(t, "floor")) * digestUnit,
+			Incarnation: rapid.Uint64().Draw(t, "epoch"),
+			Sequence:    rapid.Uint64().Draw(t, "sequence"),
+			Leaving:     rapid.Bool().Draw(t, "leaving"),
+			Truncated:   rapid.Bool().Draw(t, "truncated"),
+			Floor:       float64(rapid.IntRange(0, 1000).Draw(t, "floor")) * digestUnit,
 		}
 		hash := uint64(0)
 		for range rapid.IntRange(0, MaxDigestOrganisations).Draw(t, "n") {
@@ -59,13 +59,13 @@
 			t.Fatalf("untyped error %v", err)
 		}
 		if err == nil && len(d.Entries) > MaxDigestOrganisations {
-			t.Fatal("bound passed")
+			t.Fatal("more entries than MaxDigestOrganisations")
 		}
 	})
 }
 
-// daemons returns a group of daemons with one contract and fleet.
-func daemons(n int) []*Admission {
+// newDaemons returns n daemons with the same contract and fleet.
+func newDaemons(n int) []*Admission {
 	all := make([]*Admission, n)
 	for i := range all {
 		all[i] = NewAdmission(Options{Daemon: daemonID(i), Incarnation: 1})
@@ -77,8 +77,8 @@
 
 func daemonID(i int) DaemonID { return DaemonID(fmt.Sprintf("daemon-%d", i)) }
 
-// exchange runs the daemons for the span with even demand for a and hands on
-// the digests that pass allows.
+// exchange runs the daemons for the span with equal demand of organisation a, and
+// delivers the digests for which pass returns true.
 func exchange(all []*Admission, from, span time.Duration, pass func(from, to int) bool) {
 	for now := from; now < from+span; now += 50 * time.Millisecond {
 		for i, a := range all {
@@ -101,86 +101,85 @@
 	}
 }
 
-func everyone(int, int) bool { return true }
+func allPairs(int, int) bool { return true }
 
-func parts(all []*Admission) (sum float64) {
+func sumFleetFractions(all []*Admission) (sum float64) {
 	for _, a := range all {
 		if a != nil {
-			sum += a.part
+			sum += a.fleetFraction
 		}
 	}
 	return sum
 }
 
-func TestPartsAddUpToTheFleet(t *testing.T) {
-	all := daemons(9)
-	exchange(all, 0, 30*time.Second, everyone)
-	if sum := parts(all); math.Abs(sum-1) > 0.02 {
-		t.Errorf("the daemons together spend %.3f of the fleet", sum)
+func TestFleetFractionsSumToOne(t *testing.T) {
+	all := newDaemons(9)
+	exchange(all, 0, 30*time.Second, allPairs)
+	if sum := sumFleetFractions(all); math.Abs(sum-1) > 0.02 {
+		t.Errorf("the fleet fractions sum to %.3f, want 1", sum)
 	}
 }
 
-// A daemon is cut off from all others but goes on serving its callers. If the
-// others took its part over, or it took theirs, the endpoints would get more
-// than they can do and first tokens would be late for everyone.
-func TestCutOffDaemonIsNotTakenOver(t *testing.T) {
-	all := daemons(9)
-	exchange(all, 0, 20*time.Second, everyone)
+// A partitioned daemon goes on serving its callers. If the others took its
+// fraction of the fleet over, or it took theirs, the endpoints would be overloaded
+// and first tokens late for all callers.
+func TestShareOfPartitionedDaemonIsKept(t *testing.T) {
+	all := newDaemons(9)
+	exchange(all, 0, 20*time.Second, allPairs)
 	cut := func(from, to int) bool { return from != 8 && to != 8 }
 	for span := 20 * time.Second; span < 5*time.Minute; span += 10 * time.Second {
 		for _, a := range all {
 			a.SetLoad(at(span), 90, 90)
 		}
 		exchange(all, span, 10*time.Second, cut)
-		if sum := parts(all); sum > 1.03 {
-			t.Fatalf("after %v the daemons together spend %.3f of the fleet", span, sum)
+		if sum := sumFleetFractions(all); sum > 1.03 {
+			t.Fatalf("after %v the fleet fractions sum to %.3f, want at most 1.03", span, sum)
 		}
 	}
 }
 
-// A daemon dies without a word, and its callers come to the others through the
-// balancer. Their part of the fleet would stay unused for ever if it were
-// never taken over.
-func TestDeadDaemonIsTakenOver(t *testing.T) {
-	for _, told := range []bool{false, true} {
-		all := daemons(9)
-		exchange(all, 0, 20*time.Second, everyone)
+// A daemon dies without a leaving digest, and the balancer sends its callers to the
+// others. Its fraction of the fleet must be taken over, or it stays unused.
+func TestShareOfDeadDaemonIsTakenOver(t *testing.T) {
+	for _, listed := range []bool{false, true} {
+		all := newDaemons(9)
+		exchange(all, 0, 20*time.Second, allPairs)
 		all[8] = nil
 		for span := 20 * time.Second; span < 80*time.Second; span += 5 * time.Second {
 			for _, a := range all[:8] {
-				if told {
+				if listed {
 					a.SetDaemonCount(at(span), 8)
 				} else {
-					a.SetLoad(at(span), int(90*parts(all)), 90)
+					a.SetLoad(at(span), int(90*sumFleetFractions(all)), 90)
 				}
 			}
-			exchange(all, span, 5*time.Second, everyone)
+			exchange(all, span, 5*time.Second, allPairs)
 		}
-		if sum := parts(all); sum < 0.94 || sum > 1.06 {
-			t.Errorf("told by the list %v: a minute after the death the others spend %.3f of the fleet", told, sum)
+		if sum := sumFleetFractions(all); sum < 0.94 || sum > 1.06 {
+			t.Errorf("daemon count from the list %v: a minute after the death the fleet fractions sum to %.3f", listed, sum)
 		}
 	}
 }
 
-// The network loses, doubles and delays digests. Of an old one nothing may
-// remain that a newer one has replaced.
-func TestDigestsLostDoubledLate(t *testing.T) {
-	all := daemons(2)
+// The network loses, duplicates and delays digests. An older digest must not
+// replace a newer one, and the first one after a restart must.
+func TestMergeDigestLostDuplicateLate(t *testing.T) {
+	all := newDaemons(2)
 	old := all[0].Digest(epoch, false)
-	exchange(all, 0, 10*time.Second, everyone)
+	exchange(all, 0, 10*time.Second, allPairs)
 	newer := all[0].Digest(at(10*time.Second), false)
 	if !all[1].MergeDigest(at(10*time.Second), daemonID(0), newer) {
 		t.Fatal("a newer digest was dropped")
 	}
-	for name, d := range map[string]Digest{"late": old, "doubled": newer} {
+	for name, d := range map[string]Digest{"late": old, "duplicate": newer} {
 		if all[1].MergeDigest(at(10*time.Second), daemonID(0), d) {
-			t.Errorf("a %s digest was taken", name)
+			t.Errorf("a %s digest was accepted", name)
 		}
 	}
-	exchange(all, 10*time.Second, 7*time.Second, everyone)
+	exchange(all, 10*time.Second, 7*time.Second, allPairs)
 	exchange(all, 17*time.Second, 30*time.Second, func(int, int) bool { return false })
-	if sum := parts(all); sum > 1.05 {
-		t.Errorf("with all digests lost the daemons together spend %.3f of the fleet", sum)
+	if sum := sumFleetFractions(all); sum > 1.05 {
+		t.Errorf("with all digests lost the fleet fractions sum to %.3f", sum)
 	}
 	restarted := Digest{Incarnation: 2, Sequence: 1}
 	if !all[1].MergeDigest(at(50*time.Second), daemonID(0), restarted) {
@@ -188,18 +187,18 @@
 	}
 }
 
-// A daemon restarts, its meters empty, and its callers are there at once. If it
-// took itself for one with few callers it would refuse most of them.
-func TestRestartedDaemonHasItsPartAtOnce(t *testing.T) {
-	all := daemons(9)
-	exchange(all, 0, 20*time.Second, everyone)
-	back := daemons(1)[0]
+// A daemon restarts with empty meters while its callers send at their usual rate.
+// If it underestimated its demand it would refuse most of them.
+func TestRestartedDaemonRegainsFleetFraction(t *testing.T) {
+	all := newDaemons(9)
+	exchange(all, 0, 20*time.Second, allPairs)
+	back := newDaemons(1)[0]
 	back.opts.Incarnation, back.opts.Daemon = 2, daemonID(8)
 	back.start = at(20 * time.Second)
 	all[8] = back
-	exchange(all, 20*time.Second, 3*time.Second, everyone)
-	if back.part < 0.08 || back.part > 0.14 {
-		t.Errorf("three seconds after its start the daemon spends %.3f of the fleet, want 0.111", back.part)
+	exchange(all, 20*time.Second, 3*time.Second, allPairs)
+	if back.fleetFraction < 0.08 || back.fleetFraction > 0.14 {
+		t.Errorf("three seconds after its start the daemon's fleet fraction is %.3f, want 0.111", back.fleetFraction)
 	}
 }
 
@@ -209,6 +208,6 @@
 		a.MergeDigest(epoch, daemonID(i), Digest{Incarnation: 1, Sequence: 1})
 	}
 	if len(a.peers) != MaxPeers {
-		t.Errorf("%d peers are kept", len(a.peers))
+		t.Errorf("%d peers are kept, want MaxPeers", len(a.peers))
 	}
 }
--- a/contract/heap.go
+++ b/contract/heap.go
@@ -1,11 +1,11 @@
 package contract
 
-// indexedHeap is a binary heap whose items know their place, so that one can be
-// moved or taken out without a search. It allocates only to grow.
+// indexedHeap is a binary heap whose items know their index, so that an item can
+// be moved or removed without a search. It allocates only to grow.
 type indexedHeap[T any] struct {
-	items []T
-	less  func(a, b T) bool
-	place func(item T, index int) // index -1: no longer in the heap
+	items    []T
+	less     func(a, b T) bool
+	setIndex func(item T, index int) // index -1: no longer in the heap
 }
 
 func (h *indexedHeap[T]) len() int { return len(h.items) }
@@ -14,7 +14,7 @@
 
 func (h *indexedHeap[T]) push(item T) {
 	h.items = append(h.items, item)
-	h.place(item, len(h.items)-1)
+	h.setIndex(item, len(h.items)-1)
 	h.up(len(h.items) - 1)
 }
 
@@ -25,7 +25,7 @@
 	var zero T
 	h.items[last] = zero
 	h.items = h.items[:last]
-	h.place(item, -1)
+	h.setIndex(item, -1)
 	if index < last {
 		h.fix(index)
 	}
@@ -42,8 +42,8 @@
 		return
 	}
 	h.items[i], h.items[j] = h.items[j], h.items[i]
-	h.place(h.items[i], i)
-	h.place(h.items[j], j)
+	h.setIndex(h.items[i], i)
+	h.setIndex(h.items[j], j)
 }
 
 func (h *indexedHeap[T]) up(i int) {
--- a/contract/main_test.go
+++ b/contract/main_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests, so that each run gives the
-// same verdict.
+// TestMain fixes the seed of the property tests, so that every run has the same
+// result.
 func TestMain(m *testing.M) {
 	_ = flag.Set("rapid.seed", "20260301")
 	_ = flag.Set("rapid.nofailfile", "true")
--- a/contract/organisation.go
+++ b/contract/organisation.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// entry is one request that is queued or runs.
+// entry is one request that is queued or running.
 type entry struct {
 	Request
-	org        *organisation
-	queued     bool
-	urgent     bool // runs in a place kept for interactive requests
-	prefilling bool // admitted, and its first token has not come
-	asked      float64
-	due        float64 // when the queue gives it up, or its reservation expires
-	since      float64
-	dueAt      int // place in the heap of due times
-	next, prev *entry
+	org             *organisation
+	queued          bool
+	urgent          bool // may use the slots reserved for interactive requests
+	prefilling      bool // admitted, without a first token yet
+	requestedTokens float64
+	due             float64 // when its time in the queue or its reservation ends
+	since           float64
+	dueIndex        int // index in the heap of due times
+	next, prev      *entry
 }
 
 // fifo is a list of queued entries of one organisation and priority.
@@ -54,34 +54,34 @@
 	}
 }
 
-// organisation is the state of an organisation that has asked for something
-// lately. It goes when the organisation has been idle for a while.
+// organisation is the state of an active organisation. It is dropped after
+// Options.IdleTimeout without requests.
 type organisation struct {
-	id       OrganisationID
-	hash     uint32
-	share    float64 // weight of the contract
-	weight   float64 // share times the fraction of its demand that comes here
-	fraction float64
-	there    float64 // demand at the other daemons
-
-	tag     float64 // virtual time at which its next request starts
-	queues  [PriorityCount]fifo
-	inHeap  [PriorityCount]int
-	running int
-	demand  meter // offered
-	use     meter // admitted, corrected by the answers
-	seen    float64
-	costs   [PriorityCount]cost
-	backAt  float64 // the last time given to a refused caller to come back
-	counts  Counts
+	id             OrganisationID
+	hash           uint32
+	contractWeight float64 // weight in the contract
+	localWeight    float64 // contractWeight times fraction
+	fraction       float64
+	remoteDemand   float64 // estimated demand at the other daemons, tokens/s
+
+	tag         float64 // start tag: the virtual time at which its next request starts
+	queues      [PriorityCount]fifo
+	heapIndex   [PriorityCount]int
+	running     int
+	demand      meter // offered work
+	use         meter // admitted work, corrected by Finish
+	lastActive  float64
+	costs       [PriorityCount]costRatio
+	nextRetryAt float64 // latest retry time given to a refused caller
+	counts      Counts
 }
 
-// Counts are an organisation's requests since it became active.
+// Counts counts an organisation's requests since it became active.
 type Counts struct {
 	Offered  uint64 `json:"offered"`
 	Admitted uint64 `json:"admitted"`
 	Refused  uint64 `json:"refused"`
-	Expired  uint64 `json:"expired"` // reservations that no answer ended
+	Expired  uint64 `json:"expired"` // reservations that expired before Finish or Cancel
 }
 
 func (o *organisation) backlogged() bool {
@@ -95,7 +95,7 @@
 
 func (o *organisation) idle() bool { return o.running == 0 && !o.backlogged() }
 
-// queuedTokens is the work queued ahead of a new request of the priority.
+// queuedTokens returns the tokens queued ahead of a new request of the priority.
 func (o *organisation) queuedTokens(p Priority) float64 {
 	sum := 0.0
 	for q := PriorityInteractive; q <= p; q++ {
@@ -121,7 +121,7 @@
 			}
 			return x.id < y.id
 		}
-		b.heaps[p].place = func(o *organisation, i int) { o.inHeap[p] = i }
+		b.heaps[p].setIndex = func(o *organisation, i int) { o.heapIndex[p] = i }
 	}
 	return b
 }
@@ -129,7 +129,7 @@
 func (b *backlog) push(e *entry) {
 	o := e.org
 	if !o.backlogged() {
-		b.weight += o.weight
+		b.weight += o.localWeight
 	}
 	q := &o.queues[e.Priority]
 	q.push(e)
@@ -145,10 +145,10 @@
 	q.remove(e)
 	b.queued--
 	if q.n == 0 {
-		b.heaps[e.Priority].remove(o.inHeap[e.Priority])
+		b.heaps[e.Priority].remove(o.heapIndex[e.Priority])
 	}
 	if !o.backlogged() {
-		b.weight -= o.weight
+		b.weight -= o.localWeight
 	}
 	if b.queued == 0 {
 		b.weight = 0
@@ -159,12 +159,13 @@
 	o.tag = tag
 	for p := range o.queues {
 		if o.queues[p].n > 0 {
-			b.heaps[p].fix(o.inHeap[p])
+			b.heaps[p].fix(o.heapIndex[p])
 		}
 	}
 }
 
-// least is the smallest virtual time of the backlogged organisations.
+// least returns the smallest start tag of the backlogged organisations, and
+// false if there are none.
 func (b *backlog) least() (tag float64, ok bool) {
 	tag = math.Inf(1)
 	for p := range b.heaps {
@@ -175,7 +176,8 @@
 	return tag, !math.IsInf(tag, 1)
 }
 
-// furthest is the backlogged organisation with the largest virtual time.
+// furthest returns the backlogged organisation with the largest start tag, or
+// nil if there are none.
 func (b *backlog) furthest() *organisation {
 	var far *organisation
 	for p := range b.heaps {
--- a/contract/part.go
+++ b/contract/part.go
@@ -5,56 +5,57 @@
 	"slices"
 )
 
-// claim is an organisation's demand over the whole fleet and what the contract
-// gives it.
-type claim struct {
+// fleetDemand is one organisation's demand on the whole fleet, with its weight in the
+// contract.
+type fleetDemand struct {
 	weight float64
-	all    float64 // tokens a second, at all daemons
-	here   float64 // at this one
+	total  float64 // tokens/s at all daemons
+	local  float64 // tokens/s at this daemon
 }
 
-// partOfFleet is the part of the fleet that this daemon spends: for each
-// organisation what the contract gives it out of the whole fleet, times the
-// fraction of its demand that comes here. A small part is spread evenly
-// whatever the demand, so that a daemon with no callers yet has places for the
-// first of them.
-func (a *Admission) partOfFleet() float64 {
-	a.claims = a.claims[:0]
-	for _, o := range a.list {
+// computeFleetFraction returns the fraction of the fleet's capacity that this
+// daemon may use: for each organisation its max-min fair rate, times the
+// fraction of its demand that arrives here. priorFraction of the capacity is
+// divided evenly whatever the demand, so that a daemon without callers has slots
+// for the first ones.
+func (a *Admission) computeFleetFraction() float64 {
+	a.fleetDemands = a.fleetDemands[:0]
+	for _, o := range a.activeList {
 		here := a.demand(o)
-		there := a.elsewhere(o.hash, here)
-		if len(a.peers) == 0 || a.clashes[o.hash] {
-			there = here * a.others
+		there := a.estimateRemoteDemand(o.hash, here)
+		if len(a.peers) == 0 || a.collidingHashes[o.hash] {
+			there = here * a.otherDaemons
 		}
-		delete(a.sums, o.hash)
-		if here > 0 && o.share > 0 {
-			a.claims = append(a.claims, claim{weight: o.share, here: here, all: here + there})
+		delete(a.peerDemands, o.hash)
+		if here > 0 && o.contractWeight > 0 {
+			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: o.contractWeight, local: here, total: here + there})
 		}
 	}
-	for hash, s := range a.sums {
-		if share := a.byHash[hash]; share > 0 && s.demand > 0 {
-			a.claims = append(a.claims, claim{weight: share, all: s.demand})
+	for hash, s := range a.peerDemands {
+		if share := a.weightByHash[hash]; share > 0 && s.demand > 0 {
+			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: share, total: s.demand})
 		}
 	}
-	level := waterLevel(a.claims, a.tokensPerSecond)
-	all := priorPart * a.tokensPerSecond
-	here := all / (1 + a.others)
-	for _, c := range a.claims {
-		given := min(c.all, c.weight*level)
+	level := waterLevel(a.fleetDemands, a.tokensPerSecond)
+	all := priorFraction * a.tokensPerSecond
+	here := all / (1 + a.otherDaemons)
+	for _, c := range a.fleetDemands {
+		given := min(c.total, c.weight*level)
 		all += given
-		here += given * c.here / c.all
+		here += given * c.local / c.total
 	}
 	return here / all
 }
 
-// waterLevel is the rate for each unit of weight at which the claims use up the
-// capacity, each taking no more than it asks for (weighted max-min fairness).
-func waterLevel(claims []claim, capacity float64) float64 {
-	slices.SortFunc(claims, func(x, y claim) int {
+// waterLevel returns the rate per unit of weight at which the demands exhaust
+// the capacity, with each demand bounding its own rate (weighted max-min fairness
+// by water-filling).
+func waterLevel(claims []fleetDemand, capacity float64) float64 {
+	slices.SortFunc(claims, func(x, y fleetDemand) int {
 		return cmp.Or(
-			cmp.Compare(x.all/x.weight, y.all/y.weight),
+			cmp.Compare(x.total/x.weight, y.total/y.weight),
 			cmp.Compare(x.weight, y.weight),
-			cmp.Compare(x.here, y.here),
+			cmp.Compare(x.local, y.local),
 		)
 	})
 	weight := 0.0
@@ -67,11 +68,11 @@
 			return level
 		}
 		level = max(capacity/weight, 0)
-		if c.all > c.weight*level {
+		if c.total > c.weight*level {
 			return level
 		}
-		level = c.all / c.weight
-		capacity -= c.all
+		level = c.total / c.weight
+		capacity -= c.total
 		weight -= c.weight
 	}
 	return level
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -6,43 +6,44 @@
 	"time"
 )
 
-// peer is the last that another daemon said of itself.
+// peer is the last digest of another daemon.
 type peer struct {
-	id              DaemonID
-	epoch, sequence uint64
-	heard           float64
-	weight          float64 // 1, or less when its part is being taken over
-	leaving         bool
-	truncated       bool
-	floor           float64
-	entries         []DigestEntry
+	id                    DaemonID
+	incarnation, sequence uint64
+	lastReceived          float64
+	weight                float64 // 1, or less while its fraction of the fleet is taken over
+	leaving               bool
+	truncated             bool
+	floor                 float64
+	entries               []DigestEntry
 }
 
-// peerDemand is what the peers told of one organisation.
+// peerDemand is one organisation's demand at the peers, in tokens per second.
 type peerDemand struct {
 	demand float64
-	floors float64 // of the truncated digests that list it
+	floors float64 // sum of the floors of the truncated digests that list it
 }
 
-// fleetLoad is what the endpoints say of the whole fleet.
+// fleetLoad is the load of the whole fleet as the endpoints report it.
 type fleetLoad struct {
-	known bool
-	at    float64
-	part  float64 // running and waiting requests over the slots
+	known       bool
+	at          float64
+	utilisation float64 // running and waiting requests over the slots
 }
 
 const (
-	loadFresh     = 10   // seconds
-	loadRoom      = 0.95 // below it, a silent peer seems to spend nothing
-	loadFull      = 1.05 // above it, too much has been taken over
-	releaseStep   = 0.95 // a refresh
-	returnStep    = 0.1
-	forgetAfter   = 600 // seconds of silence
-	releasedBelow = 0.05
+	loadMaxAge      = 10   // seconds
+	takeoverBelow   = 0.95 // utilisation; below it, a silent peer is taken to send nothing
+	giveBackAbove   = 1.05 // utilisation; above it, too much has been taken over
+	takeoverFactor  = 0.95 // of a silent peer's weight, per refresh
+	giveBackStep    = 0.1  // added to a silent peer's weight, per refresh
+	forgetPeerAfter = 600  // seconds without a digest
+	forgetPeerBelow = 0.05 // weight
 )
 
-// MergeDigest takes a neighbour's digest. It reports false for one that is not
-// newer than what is known, and when MaxPeers are known already.
+// MergeDigest stores a neighbour's digest. It returns false for one that isn't
+// newer than the stored one, for the daemon's own, and for a new peer when
+// MaxPeers are known.
 func (a *Admission) MergeDigest(now time.Time, from DaemonID, d Digest) bool {
 	a.advance(now)
 	if from == a.opts.Daemon {
@@ -58,30 +59,30 @@
 		a.peers = slices.Insert(a.peers, i, &peer{id: from})
 	}
 	p := a.peers[i]
-	if known && (d.Incarnation < p.epoch || (d.Incarnation == p.epoch && d.Sequence <= p.sequence)) {
+	if known && (d.Incarnation < p.incarnation || (d.Incarnation == p.incarnation && d.Sequence <= p.sequence)) {
 		return false
 	}
 	*p = peer{
-		id:    from,
-		epoch: d.Incarnation, sequence: d.Sequence, heard: a.clock, weight: 1, leaving: d.Leaving,
+		id:          from,
+		incarnation: d.Incarnation, sequence: d.Sequence, lastReceived: a.clock, weight: 1, leaving: d.Leaving,
 		truncated: d.Truncated, floor: d.Floor, entries: append(p.entries[:0], d.Entries...),
 	}
 	return true
 }
 
-// SetDaemonCount tells how many daemons are live by the platform's list, this one
-// included; 0 when it isn't known.
+// SetDaemonCount sets the number of live daemons on the platform's list, this one
+// included; 0 means unknown.
 func (a *Admission) SetDaemonCount(now time.Time, live int) {
 	a.advance(now)
 	a.daemons = max(live, 0)
 }
 
-// SetLoad tells how full the endpoints say they are: requests that run or
-// wait, of all daemons, over the slots.
+// SetLoad sets the load that the endpoints report: requests of all daemons that
+// run or wait there, and the slots of all endpoints.
 func (a *Admission) SetLoad(now time.Time, runningAndWaiting, slots int) {
 	a.advance(now)
 	if slots > 0 {
-		a.load = fleetLoad{known: true, at: a.clock, part: float64(runningAndWaiting) / float64(slots)}
+		a.load = fleetLoad{known: true, at: a.clock, utilisation: float64(runningAndWaiting) / float64(slots)}
 	}
 }
 
@@ -93,7 +94,7 @@
 }
 
 func (a *Admission) silent(p *peer) bool {
-	return a.clock-p.heard > a.opts.SilentAfter.Seconds()
+	return a.clock-p.lastReceived > a.opts.SilentAfter.Seconds()
 }
 
 func (a *Admission) silentPeers() int {
@@ -106,44 +107,44 @@
 	return n
 }
 
-// releasePeers decides what becomes of the part of silent peers. Silence alone
-// frees nothing: a peer that is cut off, rather than dead, goes on spending its
-// part, and daemons that took it over would together send more than the fleet
-// can do, seen as waiting requests at the endpoints and shares that are off. A
-// part is taken over in small steps, only while the endpoints report room and
-// most of the peers are heard (else it is this daemon that is cut off), and is
-// given back when the endpoints fill up.
-func (a *Admission) releasePeers() {
+// adjustPeerWeights updates the weights of silent peers. Silence alone doesn't
+// lower a weight: a peer that is partitioned rather than dead goes on using its
+// fraction of the fleet, and daemons that took it over would overload the
+// endpoints, with requests waiting there and shares no longer kept. A weight is
+// lowered in small steps, only while the endpoints report free capacity and at
+// least half of the peers are heard from (otherwise this daemon is the partitioned
+// one), and is raised again when the endpoints fill up.
+func (a *Admission) adjustPeerWeights() {
 	silent := a.silentPeers()
 	heardMost := 2*silent <= len(a.peers)
-	fresh := a.load.known && a.clock-a.load.at <= loadFresh
+	fresh := a.load.known && a.clock-a.load.at <= loadMaxAge
 	for _, p := range a.peers {
-		silence := a.clock - p.heard
+		silence := a.clock - p.lastReceived
 		switch {
 		case !a.silent(p):
 			continue
 		case p.leaving:
 			p.weight = 0
-		case fresh && a.load.part > loadFull && p.weight < 1:
-			p.weight = min(p.weight+returnStep, 1)
-		case fresh && heardMost && a.load.part < loadRoom && silence > a.opts.SilentGrace.Seconds():
-			p.weight *= releaseStep
+		case fresh && a.load.utilisation > giveBackAbove && p.weight < 1:
+			p.weight = min(p.weight+giveBackStep, 1)
+		case fresh && heardMost && a.load.utilisation < takeoverBelow && silence > a.opts.SilentGrace.Seconds():
+			p.weight *= takeoverFactor
 		}
 	}
 	a.peers = slices.DeleteFunc(a.peers, func(p *peer) bool {
-		return a.clock-p.heard > forgetAfter && p.weight < releasedBelow
+		return a.clock-p.lastReceived > forgetPeerAfter && p.weight < forgetPeerBelow
 	})
-	a.dropDead()
+	a.dropSurplusPeers()
 }
 
-// dropDead forgets silent peers when the platform's list counts fewer daemons
-// than are known.
-func (a *Admission) dropDead() {
+// dropSurplusPeers removes silent peers, the longest silent first, while more
+// daemons are known than the platform lists.
+func (a *Admission) dropSurplusPeers() {
 	if a.daemons == 0 || len(a.peers) < a.daemons {
 		return
 	}
 	bySilence := slices.Clone(a.peers)
-	slices.SortStableFunc(bySilence, func(x, y *peer) int { return cmp.Compare(x.heard, y.heard) })
+	slices.SortStableFunc(bySilence, func(x, y *peer) int { return cmp.Compare(x.lastReceived, y.lastReceived) })
 	surplus := len(a.peers) + 1 - a.daemons
 	for _, p := range bySilence[:min(surplus, len(bySilence))] {
 		if a.silent(p) {
@@ -152,42 +153,43 @@
 	}
 }
 
-// refresh works out anew what part of the fleet this daemon spends and for
-// whom.
+// refresh recomputes the local weights of the active organisations and the
+// fraction of the fleet that this daemon may use.
 func (a *Admission) refresh() {
 	a.refreshAt = a.clock + a.opts.RefreshInterval.Seconds()
 	a.dropIdle()
-	a.releasePeers()
+	a.adjustPeerWeights()
 	a.sumPeers()
 	a.backlog.weight = 0
-	for _, o := range a.list {
-		o.there = a.elsewhere(o.hash, a.demand(o))
+	for _, o := range a.activeList {
+		o.remoteDemand = a.estimateRemoteDemand(o.hash, a.demand(o))
 		o.fraction = a.fraction(o)
-		o.weight = max(o.share*o.fraction, minWeight)
+		o.localWeight = max(o.contractWeight*o.fraction, minWeight)
 		if o.backlogged() {
-			a.backlog.weight += o.weight
+			a.backlog.weight += o.localWeight
 		}
 	}
-	a.part = a.partOfFleet()
+	a.fleetFraction = a.computeFleetFraction()
 }
 
-// reweigh takes a change of the organisation's demand here into account.
-func (a *Admission) reweigh(o *organisation) {
+// updateWeight recomputes the organisation's local weight after a change of its
+// demand here.
+func (a *Admission) updateWeight(o *organisation) {
 	o.fraction = a.fraction(o)
-	weight := max(o.share*o.fraction, minWeight)
+	weight := max(o.contractWeight*o.fraction, minWeight)
 	if o.backlogged() {
-		a.backlog.weight += weight - o.weight
+		a.backlog.weight += weight - o.localWeight
 	}
-	o.weight = weight
+	o.localWeight = weight
 }
 
-// minWeight keeps the arithmetic finite for an organisation that has left the
-// contract while its requests run.
+// minWeight avoids a division by zero for an organisation that was removed from
+// the contract while its requests run.
 const minWeight = 1e-12
 
 func (a *Admission) dropIdle() {
-	a.list = slices.DeleteFunc(a.list, func(o *organisation) bool {
-		gone := o.idle() && a.clock-o.seen > a.opts.IdleTimeout.Seconds()
+	a.activeList = slices.DeleteFunc(a.activeList, func(o *organisation) bool {
+		gone := o.idle() && a.clock-o.lastActive > a.opts.IdleTimeout.Seconds()
 		if gone {
 			delete(a.active, o.id)
 		}
@@ -195,55 +197,55 @@
 	})
 }
 
-// sumPeers adds up the peers' digests. Where only a sample of the daemons is
-// heard, the rest is taken to be like the sample, as the balancer spreads
-// callers evenly.
+// sumPeers adds up the peers' digests. When digests come from only a sample of the
+// daemons, the sums are scaled up to all of them, as the balancer spreads callers
+// evenly.
 func (a *Admission) sumPeers() {
-	clear(a.sums)
-	a.floors = 0
-	a.others = float64(a.liveDaemons() - 1)
+	clear(a.peerDemands)
+	a.peerFloors = 0
+	a.otherDaemons = float64(a.liveDaemons() - 1)
 	if len(a.peers) == 0 {
 		return
 	}
-	scale := a.others / float64(len(a.peers))
-	a.others = 0
+	scale := a.otherDaemons / float64(len(a.peers))
+	a.otherDaemons = 0
 	for _, p := range a.peers {
 		weight := p.weight * scale
-		a.others += weight
+		a.otherDaemons += weight
 		floor := 0.0
 		if p.truncated {
 			floor = p.floor * weight
-			a.floors += floor
+			a.peerFloors += floor
 		}
 		for _, e := range p.entries {
-			s := a.sums[e.Hash]
+			s := a.peerDemands[e.Hash]
 			s.demand += e.Demand * weight
 			s.floors += floor
-			a.sums[e.Hash] = s
+			a.peerDemands[e.Hash] = s
 		}
 	}
 }
 
-// elsewhere estimates an organisation's demand at the other daemons. One that
-// a full digest leaves out may ask for anything up to the digest's floor there.
-func (a *Admission) elsewhere(hash uint32, here float64) float64 {
-	s := a.sums[hash]
-	return s.demand + min(max(a.floors-s.floors, 0), here*a.others)
+// estimateRemoteDemand estimates an organisation's demand at the other daemons, in
+// tokens per second. Where a truncated digest doesn't list it, its demand may be
+// anything up to the digest's floor.
+func (a *Admission) estimateRemoteDemand(hash uint32, here float64) float64 {
+	s := a.peerDemands[hash]
+	return s.demand + min(max(a.peerFloors-s.floors, 0), here*a.otherDaemons)
 }
 
-// fraction is the part of an organisation's demand that comes to this daemon;
-// its weight here is that part of its share. With nothing known it is one over
-// the number of daemons, and priorDemand holds it there until there is enough
-// to tell.
+// fraction estimates the fraction of an organisation's demand that arrives at
+// this daemon. Without data it is one over the number of daemons; priorDemand is
+// the weight of that prior, so that a small demand doesn't move it.
 func (a *Admission) fraction(o *organisation) float64 {
-	daemons := 1 + a.others
-	if a.clashes[o.hash] {
+	daemons := 1 + a.otherDaemons
+	if a.collidingHashes[o.hash] {
 		return 1 / daemons
 	}
 	here := a.demand(o)
-	there := o.there
+	there := o.remoteDemand
 	if len(a.peers) == 0 {
-		there = here * a.others
+		there = here * a.otherDaemons
 	}
 	return (here + priorDemand/daemons) / (here + there + priorDemand)
 }
--- a/contract/refusal.go
+++ b/contract/refusal.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// guarantee is the rate in tokens a second that the contract gives the
+// guarantee returns the rate in tokens per second that the contract guarantees the
 // organisation at this daemon.
 func (a *Admission) guarantee(o *organisation) float64 {
-	if a.weights <= 0 {
+	if a.totalWeight <= 0 {
 		return 0
 	}
-	return a.tokensPerSecond * o.share / a.weights * o.fraction
+	return a.tokensPerSecond * o.contractWeight / a.totalWeight * o.fraction
 }
 
-// rate is what the organisation gets at this daemon now, when all that are
-// backlogged want as much as they can get.
+// rate returns the tokens per second that the organisation gets at this daemon
+// while all backlogged organisations are limited by their weights.
 func (a *Admission) rate(o *organisation) float64 {
 	all := a.backlog.weight
 	if !o.backlogged() {
-		all += o.weight
+		all += o.localWeight
 	}
-	return max(a.localRate()*o.weight/all, 1)
+	return max(a.localRate()*o.localWeight/all, 1)
 }
 
-// reason tells an organisation that asks for more than it was promised
-// (OverShare) from one that the fleet owes work (NoCapacity).
-func (a *Admission) reason(o *organisation) Reason {
+// refusalReason returns OverShare for an organisation whose demand exceeds its
+// guarantee, and otherwise NoCapacity.
+func (a *Admission) refusalReason(o *organisation) Reason {
 	if a.demand(o) > a.guarantee(o) {
 		return OverShare
 	}
 	return NoCapacity
 }
 
-// wait estimates in seconds how long a new request would be queued: until the
-// virtual time has come to what the organisation has queued ahead of it.
-func (a *Admission) wait(o *organisation, p Priority) float64 {
-	ahead := o.queuedTokens(p) + (o.tag-a.virtual)*o.weight
+// estimateWait estimates for how many seconds a new request would be queued: until
+// the virtual time passes the work that the organisation has queued ahead of it.
+func (a *Admission) estimateWait(o *organisation, p Priority) float64 {
+	ahead := o.queuedTokens(p) + (o.tag-a.virtualTime)*o.localWeight
 	return max(ahead, 0) / a.rate(o)
 }
 
-// cannotQueue tells why a request that can't start now may not wait: a caller
-// learns at once what it would learn later, while there is time to ask another
-// service or to come back.
-func (a *Admission) cannotQueue(o *organisation, r *Request) Reason {
+// queueRefusal returns why a request that can't start now may not be queued, or
+// NoReason if it may. A caller that would be refused later is refused at once, while
+// it has time to use another service or to retry.
+func (a *Admission) queueRefusal(o *organisation, r *Request) Reason {
 	if o.queues[r.Priority].n >= a.opts.MaxQueuedPerPriority {
-		return a.reason(o)
+		return a.refusalReason(o)
 	}
 	limit := a.opts.MaxWait[r.Priority].Seconds()
-	wait := a.wait(o, r.Priority)
+	wait := a.estimateWait(o, r.Priority)
 	if !r.Deadline.IsZero() && a.start.Add(seconds(a.clock+wait)).After(r.Deadline) {
 		return TooLate
 	}
 	if wait > limit {
-		return a.reason(o)
+		return a.refusalReason(o)
 	}
-	if r.Priority == PriorityInteractive && a.aheadOfOthers(o) {
+	if r.Priority == PriorityInteractive && a.exceedsLead(o) {
 		return OverShare
 	}
 	if a.backlog.queued >= a.opts.MaxQueued && !a.displace(o) {
@@ -64,33 +64,34 @@
 	return NoReason
 }
 
-// aheadOfOthers reports whether others, within their contract, come before
-// every request of the organisation. A person shouldn't wait behind batch work
-// only to be refused then.
-func (a *Admission) aheadOfOthers(o *organisation) bool {
-	return a.backlog.queued > 0 && o.tag > a.virtual+a.lead()
+// exceedsLead reports whether queued requests of organisations within their contract
+// go before every request of this one. An interactive request would then wait behind
+// batch work, only to be refused later.
+func (a *Admission) exceedsLead(o *organisation) bool {
+	return a.backlog.queued > 0 && o.tag > a.virtualTime+a.allowedLead()
 }
 
-// displace makes room in a full queue by giving up the newest and least urgent
-// request of the organisation that is furthest ahead. Without it, many
-// organisations over their shares could fill the queue and shut out one that
-// has had nothing yet.
+// displace frees a place in a full queue by refusing the newest and least urgent
+// request of the organisation that is furthest ahead. It returns false if no
+// organisation is further ahead than o. Without it, many organisations over their
+// shares could fill the queue and lock out one that has received nothing yet.
 func (a *Admission) displace(o *organisation) bool {
 	far := a.backlog.furthest()
-	if far == nil || far == o || far.tag <= o.tag || len(a.refused) >= a.opts.MaxQueued {
+	if far == nil || far == o || far.tag <= o.tag || len(a.pendingRefusals) >= a.opts.MaxQueued {
 		return false
 	}
 	for p := PriorityCount - 1; p >= 0; p-- {
 		if far.queues[p].n > 0 {
-			a.refused = append(a.refused, a.giveUp(far.queues[p].tail, a.reason(far)))
+			a.pendingRefusals = append(a.pendingRefusals, a.refuseEntry(far.queues[p].tail, a.refusalReason(far)))
 			return true
 		}
 	}
 	return false
 }
 
-// waitUntil is when the queue gives the request up.
-func (a *Admission) waitUntil(r *Request) float64 {
+// queueExpiry returns when the request is refused if it is still queued, in seconds of
+// the clock.
+func (a *Admission) queueExpiry(r *Request) float64 {
 	until := a.clock + a.opts.MaxWait[r.Priority].Seconds()
 	if r.Deadline.IsZero() {
 		return until
@@ -98,10 +99,9 @@
 	return min(until, max(r.Deadline.Sub(a.start).Seconds(), a.clock))
 }
 
-// refuse gives each refused caller of an organisation its own time to come
-// back: when what is queued is done, plus the work told to come back before.
-// Callers that were all told the same second would return as a herd and be
-// refused again.
+// refuse returns a refusal with a retry time of its own for each caller of an
+// organisation: after the queued work and the work of the callers refused before.
+// With one time for all, the callers would return together and be refused again.
 func (a *Admission) refuse(o *organisation, tokens float64, reason Reason) Decision {
 	o.counts.Refused++
 	if reason == UnknownOrganisation {
@@ -109,9 +109,9 @@
 	}
 	rate := a.rate(o)
 	queued := o.queuedTokens(PriorityCount - 1)
-	o.backAt = max(o.backAt, a.clock+queued/rate) + tokens/rate
-	o.backAt = min(o.backAt, a.clock+a.opts.MaxRetryAfter.Seconds())
-	wait := o.backAt - a.clock
+	o.nextRetryAt = max(o.nextRetryAt, a.clock+queued/rate) + tokens/rate
+	o.nextRetryAt = min(o.nextRetryAt, a.clock+a.opts.MaxRetryAfter.Seconds())
+	wait := o.nextRetryAt - a.clock
 	if a.opts.Rand != nil {
 		wait *= 1 + DefaultRetryJitter*a.opts.Rand.Float64()
 	}
@@ -119,7 +119,8 @@
 	return Decision{Reason: reason, RetryAfter: roundUp(after, time.Second)}
 }
 
-// roundUp gives whole seconds, as the Retry-After header has.
+// roundUp rounds d up to a multiple of unit; the Retry-After header holds whole
+// seconds.
 func roundUp(d, unit time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)/float64(unit))) * unit
 }
--- a/contract/request.go
+++ b/contract/request.go
@@ -2,36 +2,36 @@
 
 import "time"
 
-// RequestID names one request at one daemon. The shell hands them out; none
-// may be used again while the request is queued or runs.
+// RequestID identifies a request at one daemon. The caller of Offer chooses it;
+// it must not be reused while the request is queued or running.
 type RequestID uint64
 
-// DaemonID names a daemon of the deployment.
+// DaemonID identifies a daemon of the deployment.
 type DaemonID string
 
-// Share is one organisation's part of the contract.
+// Share is the weight of one organisation in the contract.
 type Share struct {
 	Organisation OrganisationID
-	Weight       float64 // among all weights; must be above zero
+	Weight       float64 // relative to the sum of all weights; must be above zero
 }
 
-// Request asks for a place on the fleet.
+// Request describes a request to admit.
 type Request struct {
-	ID           RequestID
-	Organisation OrganisationID
-	Priority     Priority
-	Tokens       float64   // estimated work: tokens to prefill (not cached) and to generate
-	Deadline     time.Time // the caller's; zero means none
-	StartUnobserved       bool      // its first token won't be told by Started
+	ID              RequestID
+	Organisation    OrganisationID
+	Priority        Priority
+	Tokens          float64   // estimated work: tokens to prefill (not cached) and to generate
+	Deadline        time.Time // of the caller; zero means none
+	StartUnobserved bool      // Started won't be called for it
 }
 
-// Verdict is what became of a request.
+// Verdict is the result of an admission decision.
 type Verdict uint8
 
 // The verdicts.
 const (
-	Refused  Verdict = iota // not run and never will be: answer the caller at once
-	Queued                  // a later Next gives the outcome
+	Refused  Verdict = iota // final: the request will not run
+	Queued                  // a later Next returns the outcome
 	Admitted                // send it; Finish must follow
 )
 
@@ -48,11 +48,11 @@
 	return "verdict(?)"
 }
 
-// Reason tells why a request was refused.
+// Reason is the cause of a refusal.
 type Reason uint8
 
-// The reasons. OverShare is the organisation's own doing (HTTP 429), the
-// others are the system's (503), but for UnknownOrganisation (403).
+// The reasons. OverShare is caused by the organisation's own demand (HTTP 429),
+// UnknownOrganisation by the caller (403), and the others by the system (503).
 const (
 	NoReason Reason = iota
 	OverShare
@@ -75,8 +75,8 @@
 	return reasonNames[r]
 }
 
-// Decision is the answer to an offer. RetryAfter is set on a refusal that a
-// later attempt may get past.
+// Decision is the answer to an Offer. RetryAfter is set on a refusal if a later
+// attempt may be admitted.
 type Decision struct {
 	Verdict    Verdict
 	Reason     Reason
