--- a/claims/partition.go
+++ b/claims/partition.go
@@ -49,7 +49,7 @@
 		Log: o.Log, Stream: p.stream, Sink: p, Poll: o.Poll, Seed: o.Seed + uint64(i), Wake: p.wake,
 	})
 	p.batch = logio.NewBatcher(logio.BatchOptions[ledger.ClaimOp]{
-		Log: o.Log, Stream: p.stream, Encode: p.encode, Items: o.BatchItems, Linger: o.Linger, Seed: o.Seed + uint64(i),
+		Log: o.Log, Stream: p.stream, Encode: p.encode, MaxItems: o.BatchItems, Linger: o.Linger, Seed: o.Seed + uint64(i),
 	})
 	return p
 }
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -101,7 +101,7 @@
 		Log:     o.Log,
 		Poll:    s.Platform.PollInterval,
 		Seed:    seedOf(s.Daemon.ID, d.life),
-		Changed: d.changed,
+		OnChange: d.changed,
 	})
 	client := engine.New(engine.Options{DialContext: o.Dial})
 	d.fleet = newFleetView(d, client)
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -36,7 +36,7 @@
 		TTL:    s.Orders.Lease,
 		Poll:   leasePolls * s.Platform.PollInterval,
 		Seed:   seedOf(s.Daemon.ID, d.life),
-		Want:   d.shutdown.ready,
+		ShouldHold:   d.shutdown.ready,
 	})
 	g.giver = orders.New(orders.Options{
 		Lease:     g.keeper,
--- a/daemon/publish.go
+++ b/daemon/publish.go
@@ -56,7 +56,7 @@
 		Outcome:   admin.OutcomeUnknown,
 		Revision:  admin.Revision{Offset: r.Offset, Digest: string(r.Digest)},
 		Base:      base,
-		RefusedBy: r.By,
+		RefusedBy: r.ConflictsWith,
 		Reason:    string(r.Reason),
 	}
 	if o, known := outcomes[r.Outcome]; known {
--- a/lab/history/publish_test.go
+++ b/lab/history/publish_test.go
@@ -30,7 +30,7 @@
 		log := plog.New(plog.Options{})
 		check := func(r logio.PublishResult, o logio.PublishOutcome, offset, by ports.Offset) {
 			t.Helper()
-			if r.Outcome != o || r.Offset != offset || r.By != by {
+			if r.Outcome != o || r.Offset != offset || r.ConflictsWith != by {
 				t.Fatalf("got %+v, expected %s at %d by %d", r, o, offset, by)
 			}
 		}
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -194,8 +194,8 @@
 // held is a lease that is held for the whole time.
 type held ports.Offset
 
-func (h held) Holding(now time.Time) (logio.Holding, bool) {
-	return logio.Holding{Fence: ports.Offset(h), Until: now.Add(time.Minute)}, true
+func (h held) Holding(now time.Time) (logio.HeldLease, bool) {
+	return logio.HeldLease{Fence: ports.Offset(h), ValidUntil: now.Add(time.Minute)}, true
 }
 
 func (held) Release(context.Context) {}
--- a/logio/batch.go
+++ b/logio/batch.go
@@ -13,11 +13,11 @@
 
 // Defaults of a Batcher.
 const (
-	DefaultBatchItems    = 100
-	DefaultBatchBytes    = 1 << 20
+	DefaultMaxBatchItems = 100
+	DefaultMaxBatchBytes = 1 << 20
 	DefaultLinger        = 2 * time.Millisecond
 	DefaultAppendTimeout = time.Second
-	DefaultQueue         = 4096
+	DefaultMaxQueued     = 4096
 )
 
 // ErrQueueFull says that an item was not taken, since the log is slower than
@@ -41,15 +41,15 @@
 
 // BatchOptions of a Batcher.
 type BatchOptions[T any] struct {
-	Log     ports.Log
-	Stream  ports.Stream
-	Encode  func([]T) ([]byte, error)
-	Items   int           // most in one record; 0 takes DefaultBatchItems
-	Bytes   int           // about the most in one record
-	Linger  time.Duration // waited for company; 0 takes DefaultLinger, negative: none
-	Timeout time.Duration // of one append
-	Queue   int           // items waiting
-	Seed    uint64
+	Log       ports.Log
+	Stream    ports.Stream
+	Encode    func([]T) ([]byte, error)
+	MaxItems  int           // most in one record; 0 takes DefaultBatchItems
+	MaxBytes  int           // about the most in one record
+	Linger    time.Duration // waited for company; 0 takes DefaultLinger, negative: none
+	Timeout   time.Duration // of one append
+	MaxQueued int           // items waiting
+	Seed      uint64
 }
 
 // Batcher puts many items into one append. While an append is under way the
@@ -113,12 +113,12 @@
 
 // NewBatcher returns a batcher; Run does the work.
 func NewBatcher[T any](o BatchOptions[T]) *Batcher[T] {
-	if o.Items == 0 {
-		o.Items = DefaultBatchItems
+	if o.MaxItems == 0 {
+		o.MaxItems = DefaultMaxBatchItems
 	}
-	o.Items = min(o.Items, ledger.MaxClaimOps)
-	if o.Bytes == 0 {
-		o.Bytes = DefaultBatchBytes
+	o.MaxItems = min(o.MaxItems, ledger.MaxClaimOps)
+	if o.MaxBytes == 0 {
+		o.MaxBytes = DefaultMaxBatchBytes
 	}
 	if o.Linger == 0 {
 		o.Linger = DefaultLinger
@@ -126,10 +126,10 @@
 	if o.Timeout == 0 {
 		o.Timeout = DefaultAppendTimeout
 	}
-	if o.Queue == 0 {
-		o.Queue = DefaultQueue
+	if o.MaxQueued == 0 {
+		o.MaxQueued = DefaultMaxQueued
 	}
-	return &Batcher[T]{opt: o, queue: make(chan *Item[T], o.Queue), back: backoff{random: newRand(o.Seed)}}
+	return &Batcher[T]{opt: o, queue: make(chan *Item[T], o.MaxQueued), back: backoff{random: newRand(o.Seed)}}
 }
 
 // Add queues an item. After ErrQueueFull its Done is not called.
@@ -215,7 +215,7 @@
 }
 
 func (b *Batcher[T]) linger(ctx context.Context, batch *[]*Item[T]) {
-	if b.opt.Linger < 0 || b.opt.Items == 1 {
+	if b.opt.Linger < 0 || b.opt.MaxItems == 1 {
 		return
 	}
 	timer := time.NewTimer(b.opt.Linger)
@@ -248,7 +248,7 @@
 	for _, it := range batch {
 		bytes += it.Bytes
 	}
-	return len(batch) < b.opt.Items && bytes < b.opt.Bytes
+	return len(batch) < b.opt.MaxItems && bytes < b.opt.MaxBytes
 }
 
 // expire gives up the items whose time is over.
--- a/logio/lease.go
+++ b/logio/lease.go
@@ -25,10 +25,10 @@
 	maxPending  = 16 // own records whose decision has not been read
 )
 
-// Holding is a lease as its holder may rely on it.
-type Holding struct {
-	Fence ports.Offset // goes with each order
-	Until time.Time    // by this process's clock; rely on nothing after
+// HeldLease is a lease as its holder may rely on it.
+type HeldLease struct {
+	Fence      ports.Offset // goes with each order
+	ValidUntil time.Time    // by this process's clock; rely on nothing after
 }
 
 // LeaseOptions of a LeaseKeeper.
@@ -39,9 +39,9 @@
 	TTL    time.Duration // 0 takes DefaultLeaseTTL
 	Poll   time.Duration
 	Seed   uint64
-	// Want tells whether this process should hold the lease now. May be nil,
+	// ShouldHold tells whether this process should hold the lease now. May be nil,
 	// which means always.
-	Want func() bool
+	ShouldHold func() bool
 }
 
 // LeaseKeeper competes for one lease and renews it while it is held.
@@ -71,8 +71,8 @@
 	if o.TTL == 0 {
 		o.TTL = DefaultLeaseTTL
 	}
-	if o.Want == nil {
-		o.Want = func() bool { return true }
+	if o.ShouldHold == nil {
+		o.ShouldHold = func() bool { return true }
 	}
 	k := &LeaseKeeper{opt: o, fold: ledger.NewLeases(), pending: make(map[int]time.Time), wake: make(chan struct{}, 1)}
 	k.tail = NewTail(TailOptions{Log: o.Log, Stream: ledger.StreamLeases, Sink: k, Poll: o.Poll, Seed: o.Seed, Wake: k.wake})
@@ -81,13 +81,13 @@
 
 // Holding returns the lease if it may be relied on at now. Ask right before
 // each order.
-func (k *LeaseKeeper) Holding(now time.Time) (Holding, bool) {
+func (k *LeaseKeeper) Holding(now time.Time) (HeldLease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.fence == 0 || passed(now, k.valid) {
-		return Holding{}, false
+		return HeldLease{}, false
 	}
-	return Holding{Fence: k.fence, Until: k.valid}, true
+	return HeldLease{Fence: k.fence, ValidUntil: k.valid}, true
 }
 
 // passed compares by both clocks and believes the later one.
@@ -95,8 +95,8 @@
 	return !now.Before(until) || !now.Round(0).Before(until.Round(0))
 }
 
-// Present returns who holds the lease, as far as the log says.
-func (k *LeaseKeeper) Present() (ledger.Lease, bool) {
+// CurrentLease returns who holds the lease, as far as the log says.
+func (k *LeaseKeeper) CurrentLease() (ledger.Lease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	l, ok, _ := k.fold.Holder(k.opt.Name, k.fold.Clock())
@@ -139,7 +139,7 @@
 
 // next is the record to append at now, if any.
 func (k *LeaseKeeper) next(now time.Time) (ledger.LeaseRecord, bool) {
-	want := k.opt.Want()
+	want := k.opt.ShouldHold()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.fence != 0 && passed(now, k.valid) {
--- a/logio/logio_test.go
+++ b/logio/logio_test.go
@@ -48,7 +48,7 @@
 
 func newBatcher(log ports.Log) *Batcher[int] {
 	encode := func(list []int) ([]byte, error) { return json.Marshal(list) }
-	return NewBatcher(BatchOptions[int]{Log: log, Encode: encode, Items: 3, Queue: 8})
+	return NewBatcher(BatchOptions[int]{Log: log, Encode: encode, MaxItems: 3, MaxQueued: 8})
 }
 
 func TestItemsAreToldWhatBecameOfThem(t *testing.T) {
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -37,9 +37,9 @@
 	// Retention is how long the platform is taken to keep records while no
 	// manifest says so; 0 takes DefaultRetention.
 	Retention time.Duration
-	// Changed is called after a newer manifest came into force, from one
+	// OnChange is called after a newer manifest came into force, from one
 	// goroutine at a time and in order. May be nil.
-	Changed func(*ledger.Version)
+	OnChange func(*ledger.Version)
 }
 
 // Manifests keeps the manifest in force: it follows the log, takes proofs of
@@ -232,7 +232,7 @@
 }
 
 func (m *Manifests) tell() {
-	if m.opt.Changed == nil {
+	if m.opt.OnChange == nil {
 		return
 	}
 	m.told.Lock()
@@ -242,7 +242,7 @@
 		return
 	}
 	m.reported = v.Revision.Offset
-	m.opt.Changed(v)
+	m.opt.OnChange(v)
 }
 
 // keep appends a checkpoint when one is due. Two daemons that do so at once
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -39,13 +39,13 @@
 
 // PublishResult tells what became of a publication.
 type PublishResult struct {
-	Outcome PublishOutcome  `json:"outcome"`
-	Offset  ports.Offset    `json:"offset,omitempty"` // of the record that brought the manifest
-	By      ports.Offset    `json:"by,omitempty"`     // refused: the record that came first
-	Latest  ports.Offset    `json:"latest,omitempty"` // the manifest in force when this was answered
-	Reason  ledger.Reason   `json:"reason,omitempty"`
-	Detail  string          `json:"detail,omitempty"`
-	Digest  manifest.Digest `json:"digest"`
+	Outcome       PublishOutcome  `json:"outcome"`
+	Offset        ports.Offset    `json:"offset,omitempty"` // of the record that brought the manifest
+	ConflictsWith ports.Offset    `json:"by,omitempty"`     // refused: the record that came first
+	Latest        ports.Offset    `json:"latest,omitempty"` // the manifest in force when this was answered
+	Reason        ledger.Reason   `json:"reason,omitempty"`
+	Detail        string          `json:"detail,omitempty"`
+	Digest        manifest.Digest `json:"digest"`
 }
 
 // Publish appends a manifest and reads the log until its fate is certain or
@@ -139,7 +139,7 @@
 		return r
 	}
 	if latest := p.state.Revision().Offset; latest != p.what.base && p.what.kind == ledger.KindManifest {
-		return PublishResult{Outcome: PublishRefused, Reason: ledger.ReasonStale, By: latest}
+		return PublishResult{Outcome: PublishRefused, Reason: ledger.ReasonStale, ConflictsWith: latest}
 	}
 	for {
 		offset, err := p.log.Append(ctx, ledger.StreamManifest, p.data)
@@ -186,7 +186,7 @@
 		case ledger.Repeated:
 			return PublishResult{Outcome: PublishAccepted, Offset: d.By}, true
 		case ledger.Refused:
-			found = PublishResult{Outcome: PublishRefused, Offset: d.Offset, By: d.By, Reason: d.Reason, Detail: d.Detail}
+			found = PublishResult{Outcome: PublishRefused, Offset: d.Offset, ConflictsWith: d.By, Reason: d.Reason, Detail: d.Detail}
 		}
 	}
 	if v := p.state.InForce(); found.Outcome == "" && v != nil && v.Revision.Digest == p.what.digest {
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -13,7 +13,7 @@
 type Lease interface {
 	// Holding returns the lease if it may be relied on at the given time. It is
 	// called by any goroutine.
-	Holding(now time.Time) (logio.Holding, bool)
+	Holding(now time.Time) (logio.HeldLease, bool)
 	// Release gives the lease up, so that the next holder need not wait for its
 	// end.
 	Release(ctx context.Context)
