--- a/logio/backoff.go
+++ b/logio/backoff.go
@@ -1,9 +1,10 @@
-// Package logio is the thin shell between the platform's log and the pure
-// folds of package ledger: it appends in batches, retries with jitter, follows
-// streams and reports gaps.
+// Package logio connects the platform's log to the pure state machines of
+// package ledger: it appends in batches, retries with jitter, follows streams
+// and reports gaps.
 //
-// Lock order: Follower's mutex is taken before the mutex of nothing else;
-// callbacks run without it.
+// Lock order: Manifests takes notifyMu before mu, and calls OnChange with only
+// notifyMu held. LeaseKeeper takes mu before the mutex of its random source, and
+// calls ShouldHold without a mutex.
 package logio
 
 import (
@@ -15,15 +16,15 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Bounds of the wait between two attempts at the log.
+// Bounds of the wait between two attempts to read or append.
 const (
 	minBackoff = 20 * time.Millisecond
 	maxBackoff = 2 * time.Second
 )
 
-// backoff doubles its wait with each failure and spreads it over half to the
-// whole, so that a thousand daemons do not come back to a log in step when
-// its outage ends.
+// backoff doubles its wait with each failure and draws it at random between half
+// and all of that, so that a thousand daemons do not retry in step when an
+// outage of the log ends.
 type backoff struct {
 	random *lockedRand
 	next   time.Duration
@@ -37,7 +38,7 @@
 	return pause.For(ctx, half+time.Duration(b.random.int64n(int64(half)+1)))
 }
 
-// lockedRand lets goroutines share one seeded source.
+// lockedRand is a seeded random source that is safe for concurrent use.
 type lockedRand struct {
 	mu sync.Mutex
 	r  *rand.Rand
--- a/logio/batch.go
+++ b/logio/batch.go
@@ -20,98 +20,98 @@
 	DefaultMaxQueued     = 4096
 )
 
-// ErrQueueFull says that an item was not taken, since the log is slower than
-// what comes in.
+// ErrQueueFull is returned for an item that was not queued, as items arrive
+// faster than the log takes them.
 var ErrQueueFull = errors.New("logio: too many items wait for the log")
 
-// Item is one thing to append together with others.
+// Item is a value to append in one record with others.
 type Item[T any] struct {
 	Value T
-	Bytes int // about what it takes in a record
-	// Deadline after which the item is given up. Zero: kept until it is in
+	Bytes int // approximate size in a record
+	// Deadline after which the item is dropped. Zero: retried until it is in
 	// the log, however long that takes.
 	Deadline time.Time
 	// Done is called once: with nil when the item is in the log, with
 	// ports.ErrNotAppended when it certainly is not and never will be, and
-	// with ports.ErrUnavailable when that is open.
+	// with ports.ErrUnavailable when the outcome is unknown.
 	Done func(error)
 
 	ambiguous bool
 }
 
-// BatchOptions of a Batcher.
+// BatchOptions configures a Batcher.
 type BatchOptions[T any] struct {
 	Log       ports.Log
 	Stream    ports.Stream
 	Encode    func([]T) ([]byte, error)
-	MaxItems  int           // most in one record; 0 takes DefaultBatchItems
-	MaxBytes  int           // about the most in one record
-	Linger    time.Duration // waited for company; 0 takes DefaultLinger, negative: none
-	Timeout   time.Duration // of one append
-	MaxQueued int           // items waiting
+	MaxItems  int           // in one record; 0 means DefaultMaxBatchItems
+	MaxBytes  int           // approximate bound of one record; 0 means DefaultMaxBatchBytes
+	Linger    time.Duration // wait for further items; 0 means DefaultLinger, negative: none
+	Timeout   time.Duration // of one append; 0 means DefaultAppendTimeout
+	MaxQueued int           // items; 0 means DefaultMaxQueued
 	Seed      uint64
 }
 
-// Batcher puts many items into one append. While an append is under way the
-// next batch gathers, so that batches grow by themselves as the log slows.
+// Batcher combines many items into one append. The next batch is collected while
+// an append is in flight, so that batches grow as the log slows down.
 //
-// It also spaces its appends: each refused one widens the space, each taken
-// one narrows it a little. All daemons together then stay near the rate that
-// the log takes, without knowing it or how many they are. Without the spacing
-// nine daemons offered the log three times its rate at half the calls that
-// batches can carry, and the backoff after each refusal cost callers seconds.
+// It also paces its appends: each refused one lengthens the interval between
+// appends, and each accepted one shortens it a little. All daemons together then
+// stay near the rate that the log accepts, without knowing that rate or their
+// number. Without the pacing, nine daemons sent three times the rate that the log
+// accepts at half the calls that batches can carry, and the backoff after each
+// refusal delayed callers by seconds.
 //
-// A batch whose answer was lost is appended again, so items must be such that
-// a second time changes nothing.
+// A batch whose answer was lost is appended again, so items must be idempotent.
 type Batcher[T any] struct {
-	opt   BatchOptions[T]
-	queue chan *Item[T]
-	back  backoff
-	space spacing
+	opt     BatchOptions[T]
+	queue   chan *Item[T]
+	backoff backoff
+	spacing spacing
 }
 
-// spacing is the pause between two appends.
+// spacing controls the interval between two appends.
 type spacing struct {
-	wide  time.Duration
-	since time.Time // of the last append
-	row   int       // refusals since the last append that was taken
+	interval   time.Duration
+	lastAppend time.Time // time of the last attempt
+	refusals   int       // failed attempts since the last accepted append
 }
 
-// Figures of the spacing.
+// Parameters of the spacing.
 const (
-	minSpacing   = 10 * time.Millisecond
-	maxSpacing   = 5 * time.Second // a thousand daemons on a few hundred appends a second
-	narrowOver   = 4 * time.Second // of appends that are taken, the space shrinks to a third
-	widenPart    = 4               // of the space, for one that was refused
-	outageInARow = 12              // refusals after which the log counts as out, and backoff applies
+	minSpacing     = 10 * time.Millisecond
+	maxSpacing     = 5 * time.Second // for a thousand daemons and a few hundred appends per second
+	narrowingTime  = 4 * time.Second // of accepted appends, in which the interval shrinks to a third
+	widenDivisor   = 4               // a refused append adds the interval over this to the interval
+	outageRefusals = 12              // refusals in a row from which on the log counts as down and backoff applies
 )
 
-func (s *spacing) taken(now time.Time) {
-	s.row = 0
-	passed := min(now.Sub(s.since), narrowOver)
-	s.wide -= time.Duration(float64(s.wide) * passed.Seconds() / narrowOver.Seconds())
-	if s.wide < minSpacing {
-		s.wide = 0
+func (s *spacing) accepted(now time.Time) {
+	s.refusals = 0
+	passed := min(now.Sub(s.lastAppend), narrowingTime)
+	s.interval -= time.Duration(float64(s.interval) * passed.Seconds() / narrowingTime.Seconds())
+	if s.interval < minSpacing {
+		s.interval = 0
 	}
-	s.since = now
+	s.lastAppend = now
 }
 
 func (s *spacing) refused(now time.Time) {
-	s.row++
-	s.wide = min(max(s.wide+s.wide/widenPart, minSpacing), maxSpacing)
-	s.since = now
+	s.refusals++
+	s.interval = min(max(s.interval+s.interval/widenDivisor, minSpacing), maxSpacing)
+	s.lastAppend = now
 }
 
-// left is how long to wait still, spread by up to a quarter so that daemons
-// do not append in step.
-func (s *spacing) left(now time.Time, random *lockedRand) time.Duration {
-	if s.wide == 0 {
+// remaining returns how long to wait before the next append, with jitter of up to a
+// quarter of the interval so that daemons do not append in step.
+func (s *spacing) remaining(now time.Time, random *lockedRand) time.Duration {
+	if s.interval == 0 {
 		return 0
 	}
-	return s.wide + time.Duration(random.int64n(int64(s.wide)/4+1)) - now.Sub(s.since)
+	return s.interval + time.Duration(random.int64n(int64(s.interval)/4+1)) - now.Sub(s.lastAppend)
 }
 
-// NewBatcher returns a batcher; Run does the work.
+// NewBatcher returns a Batcher, which appends while Run is called.
 func NewBatcher[T any](o BatchOptions[T]) *Batcher[T] {
 	if o.MaxItems == 0 {
 		o.MaxItems = DefaultMaxBatchItems
@@ -129,10 +129,10 @@
 	if o.MaxQueued == 0 {
 		o.MaxQueued = DefaultMaxQueued
 	}
-	return &Batcher[T]{opt: o, queue: make(chan *Item[T], o.MaxQueued), back: backoff{random: newRand(o.Seed)}}
+	return &Batcher[T]{opt: o, queue: make(chan *Item[T], o.MaxQueued), backoff: backoff{random: newRand(o.Seed)}}
 }
 
-// Add queues an item. After ErrQueueFull its Done is not called.
+// Add queues an item. If it returns ErrQueueFull the item's Done is not called.
 func (b *Batcher[T]) Add(it Item[T]) error {
 	select {
 	case b.queue <- &it:
@@ -142,8 +142,8 @@
 	}
 }
 
-// Run appends until the context ends. Items that wait then are given up as by
-// their deadline.
+// Run appends queued items until the context ends, and returns the context's
+// error. Items that are not appended by then are dropped as after their deadline.
 func (b *Batcher[T]) Run(ctx context.Context) error {
 	var batch []*Item[T]
 	for {
@@ -173,17 +173,17 @@
 
 // pace waits until the next append is due.
 func (b *Batcher[T]) pace(ctx context.Context) error {
-	if b.space.row >= outageInARow {
-		return b.back.wait(ctx)
+	if b.spacing.refusals >= outageRefusals {
+		return b.backoff.wait(ctx)
 	}
-	if left := b.space.left(time.Now(), b.back.random); left > 0 {
+	if left := b.spacing.remaining(time.Now(), b.backoff.random); left > 0 {
 		return pause.For(ctx, left)
 	}
 	return nil
 }
 
-// append appends the first items that fit one record, which is all of them
-// but after a failure. It reports success.
+// append appends the batch as one record and reports success. After a failure
+// whose outcome is unknown it marks the items as ambiguous.
 func (b *Batcher[T]) append(ctx context.Context, batch []*Item[T]) bool {
 	values := make([]T, len(batch))
 	for i, it := range batch {
@@ -198,14 +198,14 @@
 		err = errors.Join(ports.ErrNotAppended, err)
 	}
 	if err == nil {
-		b.back.reset()
-		b.space.taken(time.Now())
+		b.backoff.reset()
+		b.spacing.accepted(time.Now())
 		for _, it := range batch {
 			it.Done(nil)
 		}
 		return true
 	}
-	b.space.refused(time.Now())
+	b.spacing.refused(time.Now())
 	if !errors.Is(err, ports.ErrNotAppended) {
 		for _, it := range batch {
 			it.ambiguous = true
@@ -220,7 +220,7 @@
 	}
 	timer := time.NewTimer(b.opt.Linger)
 	defer timer.Stop()
-	for b.room(*batch) {
+	for b.belowLimits(*batch) {
 		select {
 		case it := <-b.queue:
 			*batch = append(*batch, it)
@@ -233,7 +233,7 @@
 }
 
 func (b *Batcher[T]) gather(batch *[]*Item[T]) {
-	for b.room(*batch) {
+	for b.belowLimits(*batch) {
 		select {
 		case it := <-b.queue:
 			*batch = append(*batch, it)
@@ -243,7 +243,7 @@
 	}
 }
 
-func (b *Batcher[T]) room(batch []*Item[T]) bool {
+func (b *Batcher[T]) belowLimits(batch []*Item[T]) bool {
 	bytes := 0
 	for _, it := range batch {
 		bytes += it.Bytes
@@ -251,7 +251,7 @@
 	return len(batch) < b.opt.MaxItems && bytes < b.opt.MaxBytes
 }
 
-// expire gives up the items whose time is over.
+// expire drops the items whose deadline has passed and returns the others.
 func expire[T any](batch []*Item[T], now time.Time) []*Item[T] {
 	kept := batch[:0]
 	for _, it := range batch {
--- a/logio/lease.go
+++ b/logio/lease.go
@@ -15,58 +15,58 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// DefaultLeaseTTL is how long a lease lasts without renewal.
+// DefaultLeaseTTL is the default duration of a lease without renewal.
 const DefaultLeaseTTL = 15 * time.Second
 
-// Parts of a lease's time.
+// Timing and bounds of a LeaseKeeper.
 const (
-	renewParts  = 3  // a holder renews after this part of the TTL
-	marginParts = 10 // a holder stops this part of the TTL early, against clocks that run unlike
-	maxPending  = 16 // own records whose decision has not been read
+	renewDivisor  = 3  // a holder renews after TTL/renewDivisor
+	marginDivisor = 10 // a holder stops TTL/marginDivisor early, as clocks run at different rates
+	maxPending    = 16 // own records without a decision read from the log
 )
 
-// HeldLease is a lease as its holder may rely on it.
+// HeldLease is a lease held by this process.
 type HeldLease struct {
-	Fence      ports.Offset // goes with each order
-	ValidUntil time.Time    // by this process's clock; rely on nothing after
+	Fence      ports.Offset // fencing token, sent with each order
+	ValidUntil time.Time    // by this process's clock; the lease must not be relied on afterwards
 }
 
-// LeaseOptions of a LeaseKeeper.
+// LeaseOptions configures a LeaseKeeper.
 type LeaseOptions struct {
 	Log    ports.Log
 	Name   string
-	Holder string        // unique to this life of the process
-	TTL    time.Duration // 0 takes DefaultLeaseTTL
+	Holder string        // unique to this run of the process
+	TTL    time.Duration // 0 means DefaultLeaseTTL
 	Poll   time.Duration
 	Seed   uint64
-	// ShouldHold tells whether this process should hold the lease now. May be nil,
-	// which means always.
+	// ShouldHold reports whether this process should hold the lease now; nil means
+	// always.
 	ShouldHold func() bool
 }
 
 // LeaseKeeper competes for one lease and renews it while it is held.
 //
-// A holder judges its lease by the time at which it sent the record that was
-// accepted, so that it stops before any reader of the log can see another
-// holder. It takes the later of monotonic and wall clock: a suspended VM's
-// monotonic clock stands still, and the holder would wake up believing that
-// its lease still runs.
+// A holder counts its lease from the time at which it sent the accepted record,
+// so that it stops before any reader of the log can see another holder. A lease
+// expires by the monotonic or the wall clock, whichever is earlier: the monotonic
+// clock of a suspended VM stands still, and by it alone the holder would consider
+// its lease valid after it is resumed.
 type LeaseKeeper struct {
 	opt  LeaseOptions
 	tail *Tail
 	wake chan struct{}
 
-	mu      sync.Mutex // guards what follows
-	fold    *ledger.Leases
-	caught  bool
-	serial  int
-	pending map[int]time.Time // send times of own records by serial
-	fence   ports.Offset      // 0: not held
-	valid   time.Time         // of the lease held
-	quiet   time.Time         // no attempt before, since another may hold it
+	mu         sync.Mutex // guards the fields below
+	state      *ledger.Leases
+	caughtUp   bool
+	serial     int
+	pending    map[int]time.Time // send times of own records by serial
+	fence      ports.Offset      // 0: not held
+	validUntil time.Time         // of the held lease
+	notBefore  time.Time         // no acquisition before, as another may hold the lease
 }
 
-// NewLeaseKeeper returns a keeper that holds nothing.
+// NewLeaseKeeper returns a LeaseKeeper without a lease; Run competes for it.
 func NewLeaseKeeper(o LeaseOptions) *LeaseKeeper {
 	if o.TTL == 0 {
 		o.TTL = DefaultLeaseTTL
@@ -74,36 +74,38 @@
 	if o.ShouldHold == nil {
 		o.ShouldHold = func() bool { return true }
 	}
-	k := &LeaseKeeper{opt: o, fold: ledger.NewLeases(), pending: make(map[int]time.Time), wake: make(chan struct{}, 1)}
+	k := &LeaseKeeper{opt: o, state: ledger.NewLeases(), pending: make(map[int]time.Time), wake: make(chan struct{}, 1)}
 	k.tail = NewTail(TailOptions{Log: o.Log, Stream: ledger.StreamLeases, Sink: k, Poll: o.Poll, Seed: o.Seed, Wake: k.wake})
 	return k
 }
 
-// Holding returns the lease if it may be relied on at now. Ask right before
-// each order.
+// Holding returns the lease if it is held and valid at now. Call it right before each
+// order.
 func (k *LeaseKeeper) Holding(now time.Time) (HeldLease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.fence == 0 || passed(now, k.valid) {
+	if k.fence == 0 || expired(now, k.validUntil) {
 		return HeldLease{}, false
 	}
-	return HeldLease{Fence: k.fence, ValidUntil: k.valid}, true
+	return HeldLease{Fence: k.fence, ValidUntil: k.validUntil}, true
 }
 
-// passed compares by both clocks and believes the later one.
-func passed(now, until time.Time) bool {
+// expired reports whether until has passed by the monotonic or the wall clock.
+func expired(now, until time.Time) bool {
 	return !now.Before(until) || !now.Round(0).Before(until.Round(0))
 }
 
-// CurrentLease returns who holds the lease, as far as the log says.
+// CurrentLease returns the lease by the records read so far, whoever holds it, and
+// false if nobody does.
 func (k *LeaseKeeper) CurrentLease() (ledger.Lease, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	l, ok, _ := k.fold.Holder(k.opt.Name, k.fold.Clock())
+	l, ok, _ := k.state.Holder(k.opt.Name, k.state.Clock())
 	return l, ok
 }
 
-// Run competes for the lease until the context ends.
+// Run competes for the lease until the context ends, and returns the context's
+// error.
 func (k *LeaseKeeper) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return k.tail.Run(ctx) })
@@ -111,8 +113,8 @@
 	return g.Wait()
 }
 
-// Release ends the lease early, so that another need not wait it out. Call it
-// after the last order has been answered.
+// Release ends the lease early, so that the next holder need not wait for its
+// expiry. Call it after the last order has been answered.
 func (k *LeaseKeeper) Release(ctx context.Context) {
 	k.mu.Lock()
 	fence := k.fence
@@ -124,41 +126,41 @@
 }
 
 func (k *LeaseKeeper) compete(ctx context.Context) error {
-	step := k.opt.TTL / (2 * renewParts)
+	step := k.opt.TTL / (2 * renewDivisor)
 	for {
-		if err := pause.For(ctx, step-time.Duration(k.tail.back.random.int64n(int64(step)/4+1))); err != nil {
+		if err := pause.For(ctx, step-time.Duration(k.tail.backoff.random.int64n(int64(step)/4+1))); err != nil {
 			return err
 		}
-		if r, ok := k.next(time.Now()); ok {
-			call, cancel := context.WithTimeout(ctx, k.opt.TTL/renewParts)
+		if r, ok := k.nextRecord(time.Now()); ok {
+			call, cancel := context.WithTimeout(ctx, k.opt.TTL/renewDivisor)
 			k.send(call, r)
 			cancel()
 		}
 	}
 }
 
-// next is the record to append at now, if any.
-func (k *LeaseKeeper) next(now time.Time) (ledger.LeaseRecord, bool) {
+// nextRecord returns the record to append at now, and false if there is none.
+func (k *LeaseKeeper) nextRecord(now time.Time) (ledger.LeaseRecord, bool) {
 	want := k.opt.ShouldHold()
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if k.fence != 0 && passed(now, k.valid) {
+	if k.fence != 0 && expired(now, k.validUntil) {
 		k.fence = 0
 	}
-	k.forget(now)
+	k.expirePending(now)
 	switch {
-	case !want || !k.caught || len(k.pending) >= maxPending:
+	case !want || !k.caughtUp || len(k.pending) >= maxPending:
 		return ledger.LeaseRecord{}, false
-	case k.fence != 0 && k.valid.Sub(now) < k.opt.TTL*(renewParts-1)/renewParts:
+	case k.fence != 0 && k.validUntil.Sub(now) < k.opt.TTL*(renewDivisor-1)/renewDivisor:
 		return ledger.LeaseRecord{Op: ledger.LeaseRenew, Fence: k.fence}, true
-	case k.fence == 0 && now.After(k.quiet):
+	case k.fence == 0 && now.After(k.notBefore):
 		return ledger.LeaseRecord{Op: ledger.LeaseAcquire}, true
 	default:
 		return ledger.LeaseRecord{}, false
 	}
 }
 
-func (k *LeaseKeeper) forget(now time.Time) {
+func (k *LeaseKeeper) expirePending(now time.Time) {
 	for serial, sent := range k.pending {
 		if now.Sub(sent) > k.opt.TTL {
 			delete(k.pending, serial)
@@ -195,74 +197,75 @@
 func (k *LeaseKeeper) Next() ports.Offset {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.fold.Next()
+	return k.state.Next()
 }
 
 // Gap implements Sink.
 func (k *LeaseKeeper) Gap(first ports.Offset) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.fold.Gap(first)
+	k.state.Gap(first)
 }
 
 // CaughtUp implements Sink.
 func (k *LeaseKeeper) CaughtUp(ports.Offset) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.caught = true
+	k.caughtUp = true
 }
 
 // Apply implements Sink.
 func (k *LeaseKeeper) Apply(r ports.Record) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	d := k.fold.Apply(r)
+	d := k.state.Apply(r)
 	if d.Record.Name != k.opt.Name {
 		return
 	}
 	if d.Record.Holder == k.opt.Holder {
-		k.own(d)
+		k.applyOwn(d)
 		return
 	}
 	if d.Outcome == ledger.Accepted && d.Record.Op == ledger.LeaseRelease {
-		k.quiet = time.Now().Add(k.spread())
+		k.notBefore = time.Now().Add(k.jitter())
 	} else if d.Outcome != ledger.Refused {
-		k.hush(d)
+		k.postpone(d)
 	}
 }
 
-// hush waits out a record that holds the lease, or may hold it behind a gap.
-// Attempts before would be refused; behind a gap each would also prolong the
-// time for which nobody can tell who holds the lease.
-func (k *LeaseKeeper) hush(d ledger.LeaseDecision) {
-	k.quiet = time.Now().Add(time.Duration(d.Record.TTL) + k.spread())
+// postpone delays acquisition for the TTL of a record that holds the lease, or may
+// hold it after a gap. Earlier attempts would be refused; after a gap each would
+// also prolong the time during which the holder is unknown.
+func (k *LeaseKeeper) postpone(d ledger.LeaseDecision) {
+	k.notBefore = time.Now().Add(time.Duration(d.Record.TTL) + k.jitter())
 }
 
-// spread keeps keepers from asking in step for a lease that came free.
-func (k *LeaseKeeper) spread() time.Duration {
-	return time.Duration(k.tail.back.random.int64n(int64(k.opt.TTL) / renewParts))
+// jitter returns a random delay, so that keepers do not compete in step for a lease
+// that becomes free.
+func (k *LeaseKeeper) jitter() time.Duration {
+	return time.Duration(k.tail.backoff.random.int64n(int64(k.opt.TTL) / renewDivisor))
 }
 
-// own takes the decision on one of this keeper's records.
-func (k *LeaseKeeper) own(d ledger.LeaseDecision) {
+// applyOwn applies the decision on a record of this keeper.
+func (k *LeaseKeeper) applyOwn(d ledger.LeaseDecision) {
 	sent, known := k.pending[d.Record.Serial]
 	delete(k.pending, d.Record.Serial)
 	switch {
 	case d.Outcome == ledger.Refused:
 		k.fence = 0
-		k.quiet = time.Now().Add(k.opt.TTL / renewParts)
+		k.notBefore = time.Now().Add(k.opt.TTL / renewDivisor)
 	case d.Outcome == ledger.Undecided:
-		k.hush(d)
+		k.postpone(d)
 	case d.Outcome == ledger.Accepted && known:
-		k.hold(d, sent.Add(time.Duration(d.Record.TTL)-k.opt.TTL/marginParts))
+		k.accept(d, sent.Add(time.Duration(d.Record.TTL)-k.opt.TTL/marginDivisor))
 	}
 }
 
-// hold takes an acceptance. A renewal that the log took late may be read after
-// a later one, whose time then stands.
-func (k *LeaseKeeper) hold(d ledger.LeaseDecision, until time.Time) {
-	if k.fence == d.Fence && until.Before(k.valid) {
+// accept applies an accepted record. A renewal that the log took late may be read
+// after a later one, and then does not shorten the lease.
+func (k *LeaseKeeper) accept(d ledger.LeaseDecision, until time.Time) {
+	if k.fence == d.Fence && until.Before(k.validUntil) {
 		return
 	}
-	k.fence, k.valid = d.Fence, until
+	k.fence, k.validUntil = d.Fence, until
 }
--- a/logio/logio_test.go
+++ b/logio/logio_test.go
@@ -12,18 +12,18 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// fakeLog answers appends with the errors that are due, and then takes them.
-// Its pages may have three records.
+// fakeLog fails appends with appendErrors in order and then accepts them. It
+// refuses reads of more than three records as too long.
 type fakeLog struct {
-	due     []error
-	records [][]byte
-	first   ports.Offset // oldest kept, less one
+	appendErrors []error
+	records      [][]byte
+	first        ports.Offset // newest expired offset
 }
 
 func (f *fakeLog) Append(_ context.Context, _ ports.Stream, data []byte) (ports.Offset, error) {
-	if len(f.due) > 0 {
-		err := f.due[0]
-		f.due = f.due[1:]
+	if len(f.appendErrors) > 0 {
+		err := f.appendErrors[0]
+		f.appendErrors = f.appendErrors[1:]
 		if err != nil {
 			return 0, err
 		}
@@ -51,10 +51,10 @@
 	return NewBatcher(BatchOptions[int]{Log: log, Encode: encode, MaxItems: 3, MaxQueued: 8})
 }
 
-func TestItemsAreToldWhatBecameOfThem(t *testing.T) {
-	// The log refuses, then loses an answer, then is well again. An item whose
-	// time is over meanwhile is told whether it may be in the log; one without
-	// a deadline is appended in the end.
+func TestBatcherReportsOutcomeOfItems(t *testing.T) {
+	// Appends to the log fail for a while. An item whose deadline passes meanwhile
+	// gets an error that tells whether it may be in the log; one without a deadline
+	// is appended when the log works again.
 	tests := []struct {
 		name string
 		due  error
@@ -69,7 +69,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				log := &fakeLog{}
 				for range 40 {
-					log.due = append(log.due, tt.due)
+					log.appendErrors = append(log.appendErrors, tt.due)
 				}
 				b := newBatcher(log)
 				brief, kept := make(chan error, 1), make(chan error, 1)
@@ -77,10 +77,10 @@
 				_ = b.Add(Item[int]{Value: 2, Done: func(err error) { kept <- err }})
 				go func() { _ = b.Run(ctx) }()
 				if err := <-brief; !errors.Is(err, tt.want) {
-					t.Fatalf("the item with a deadline was told %v", err)
+					t.Fatalf("Done of the item with a deadline got %v", err)
 				}
 				if err := <-kept; err != nil || string(log.records[0]) != "[2]" {
-					t.Fatalf("the other was told %v, the log has %s", err, log.records)
+					t.Fatalf("Done of the item without a deadline got %v, the log has %s", err, log.records)
 				}
 				cancel()
 				synctest.Wait()
@@ -89,7 +89,7 @@
 	}
 }
 
-func TestBatchesAndQueueAreBounded(t *testing.T) {
+func TestBatcherBoundsBatchesAndQueue(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log := &fakeLog{}
@@ -100,7 +100,7 @@
 			}
 		}
 		if err := b.Add(Item[int]{}); !errors.Is(err, ErrQueueFull) {
-			t.Fatalf("a full queue answered %v", err)
+			t.Fatalf("Add to a full queue returned %v", err)
 		}
 		go func() { _ = b.Run(ctx) }()
 		time.Sleep(time.Second)
@@ -112,7 +112,7 @@
 	})
 }
 
-// sink keeps what a tail delivers.
+// sink records what a Tail delivers.
 type sink struct {
 	next ports.Offset
 	got  []ports.Offset
@@ -124,10 +124,10 @@
 func (s *sink) Gap(first ports.Offset) { s.gaps, s.next = append(s.gaps, first), first }
 func (s *sink) Apply(r ports.Record)   { s.got, s.next = append(s.got, r.Offset), r.Offset+1 }
 
-func TestTailReportsAGapAndShortensItsPages(t *testing.T) {
-	// The log's pages are longer than the reader takes, and its oldest records
-	// have expired. The reader asks for fewer until they fit, and says what is
-	// missing rather than begin with what is there.
+func TestTailReportsGapAndShortensPages(t *testing.T) {
+	// The log's pages exceed the size limit, and its oldest records have expired.
+	// The Tail must request fewer records until a page fits, and report a gap
+	// before the first record that is left.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		log, s := &fakeLog{first: 4, records: make([][]byte, 9)}, &sink{next: 1}
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -15,56 +15,56 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// DefaultRetention is how long the platform is taken to keep records while no
-// manifest says otherwise.
+// DefaultRetention is the assumed retention of the platform's log while no
+// manifest sets it.
 const DefaultRetention = 6 * time.Hour
 
-// checkpointLook is how often a daemon looks whether a checkpoint is due.
-const checkpointLook = 30 * time.Second
+// checkpointInterval is the time between two checks whether a checkpoint is due.
+const checkpointInterval = 30 * time.Second
 
-// How long a manifest that a neighbour told of is waited for from the log, and
-// how often the log is asked meanwhile.
+// How long Await waits for a manifest from the log, and how often it requests a
+// read meanwhile.
 const (
-	awaitLog  = 1500 * time.Millisecond
-	awaitLook = 100 * time.Millisecond
+	awaitTimeout  = 1500 * time.Millisecond
+	awaitInterval = 100 * time.Millisecond
 )
 
-// ManifestsOptions of a Manifests.
+// ManifestsOptions configures a Manifests.
 type ManifestsOptions struct {
 	Log  ports.Log
-	Poll time.Duration // 0 takes DefaultPoll
+	Poll time.Duration // 0 means DefaultPoll
 	Seed uint64        // of the jitter; must differ between daemons
-	// Retention is how long the platform is taken to keep records while no
-	// manifest says so; 0 takes DefaultRetention.
+	// Retention is the assumed retention of the log while no manifest sets it; 0
+	// means DefaultRetention.
 	Retention time.Duration
 	// OnChange is called after a newer manifest came into force, from one
-	// goroutine at a time and in order. May be nil.
+	// goroutine at a time and in order of offsets. May be nil.
 	OnChange func(*ledger.Version)
 }
 
-// Manifests keeps the manifest in force: it follows the log, takes proofs of
-// neighbours and repeats the manifest in the log before its record expires.
+// Manifests maintains the manifest in force: it follows the log, adopts proofs of
+// neighbours, and appends a checkpoint before the manifest's record expires.
 type Manifests struct {
 	opt    ManifestsOptions
 	tail   *Tail
 	wake   chan struct{}
 	jitter float64
 
-	mu     sync.Mutex // guards state and caught
-	state  *ledger.State
-	caught bool          // has read to the end of the log once
-	news   chan struct{} // closed when state has taken a record or a proof
+	mu       sync.Mutex // guards state and caught
+	state    *ledger.State
+	caughtUp bool          // has read to the end of the log at least once
+	changed  chan struct{} // closed and replaced when a record is applied
 
-	told     sync.Mutex // taken before mu; orders Changed
-	reported ports.Offset
+	notifyMu sync.Mutex // taken before mu; orders the calls of OnChange
+	notified ports.Offset
 }
 
-// NewManifests returns a Manifests that knows nothing yet.
+// NewManifests returns a Manifests without a manifest; Run follows the log.
 func NewManifests(o ManifestsOptions) *Manifests {
 	if o.Retention == 0 {
 		o.Retention = DefaultRetention
 	}
-	m := &Manifests{opt: o, state: ledger.NewState(ledger.Options{Lazy: true}), wake: make(chan struct{}, 1), news: make(chan struct{})}
+	m := &Manifests{opt: o, state: ledger.NewState(ledger.Options{Lazy: true}), wake: make(chan struct{}, 1), changed: make(chan struct{})}
 	m.jitter = rand.New(rand.NewPCG(o.Seed, 1)).Float64()
 	m.tail = NewTail(TailOptions{
 		Log: o.Log, Stream: ledger.StreamManifest, Sink: m, Poll: o.Poll, Seed: o.Seed, Wake: m.wake,
@@ -72,58 +72,60 @@
 	return m
 }
 
-// Run follows the log until the context ends.
+// Run follows the log until the context ends, and returns the context's error.
 func (m *Manifests) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return m.tail.Run(ctx) })
-	g.Go(func() error { return m.keep(ctx) })
+	g.Go(func() error { return m.appendCheckpoints(ctx) })
 	return g.Wait()
 }
 
-// InForce returns the manifest in force, nil before the first is known.
+// InForce returns the manifest in force, or nil before the first is known.
 func (m *Manifests) InForce() *ledger.Version {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.InForce()
 }
 
-// NeedsProof tells whether records expired before they were read here, so that
-// only a checkpoint or a neighbour's proof lets this daemon decide again.
+// NeedsProof reports whether records expired before this daemon read them, so that
+// it can decide again only after a checkpoint or a neighbour's proof.
 func (m *Manifests) NeedsProof() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.state.Decided() && !m.state.Behind()
 }
 
-// Proof returns what a neighbour needs to take the manifest in force over.
+// Proof returns a checkpoint from which a neighbour can adopt the manifest in
+// force, and false if there is none.
 func (m *Manifests) Proof() (ledger.Checkpoint, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Proof()
 }
 
-// Adopt takes a neighbour's proof over. The error is a *ledger.RecordError;
-// one with ledger.ReasonConflict deserves an operator's attention.
+// Adopt applies a neighbour's proof. The error is a *ledger.RecordError; one with
+// ledger.ReasonConflict needs an operator's attention.
 func (m *Manifests) Adopt(c ledger.Checkpoint) error {
-	defer m.tell()
+	defer m.notifyChange()
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	_, err := m.state.Adopt(c)
 	return err
 }
 
-// Await reads the log at once and waits a moment for the manifest of the given
-// offset, of which a neighbour told. It is false when the manifest has to be
-// had from the neighbour: the log holds a change of one section among thousands
-// in a few hundred bytes, where a neighbour's proof holds them all.
+// Await reads the log at once and waits up to awaitTimeout for the manifest of the
+// given offset, which a neighbour has announced. It returns false when the manifest
+// must be fetched from the neighbour. The log is tried first because it holds a
+// change of one section in a few hundred bytes, while a neighbour's proof holds
+// all sections.
 func (m *Manifests) Await(ctx context.Context, offset ports.Offset) bool {
-	ctx, cancel := context.WithTimeout(ctx, awaitLog)
+	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
-	look := time.NewTicker(awaitLook)
+	look := time.NewTicker(awaitInterval)
 	defer look.Stop()
 	for {
 		m.mu.Lock()
-		have, news := m.state.Revision().Offset, m.news
+		have, news := m.state.Revision().Offset, m.changed
 		m.mu.Unlock()
 		if have >= offset {
 			return true
@@ -137,20 +139,20 @@
 		}
 		select {
 		case <-news:
-		case <-look.C: // the read may have failed meanwhile
+		case <-look.C: // check again whether reads fail
 		case <-ctx.Done():
 			return false
 		}
 	}
 }
 
-// Publish proposes a manifest, see the function of that name.
+// Publish proposes a manifest as the function Publish does, and adopts the result.
 func (m *Manifests) Publish(ctx context.Context, base ports.Offset, next manifest.Manifest, author string) (PublishResult, error) {
 	return m.propose(ctx, PublishRequest{Base: base, Manifest: next, Author: author})
 }
 
-// PublishSection proposes a change of one section, made with
-// ledger.NewSectionRecord from what is in force here.
+// PublishSection proposes a change of one section, made by
+// ledger.NewSectionRecord from the manifest in force here.
 func (m *Manifests) PublishSection(ctx context.Context, change *ledger.SectionRecord) (PublishResult, error) {
 	return m.propose(ctx, PublishRequest{Section: change})
 }
@@ -164,8 +166,8 @@
 	if err != nil {
 		return r, err
 	}
-	// What the publication has read is in force here at once, and goes on to
-	// the neighbours, even if the log fails the moment after.
+	// The state that the publication has read comes into force here at once, and
+	// reaches the neighbours even if the log fails right afterwards.
 	if c, ok := state.Proof(); ok {
 		_ = m.Adopt(c)
 	}
@@ -175,12 +177,12 @@
 // ManifestsStatus is the state of a Manifests for operators.
 type ManifestsStatus struct {
 	Revision  ledger.Revision   `json:"revision"`
-	Next      ports.Offset      `json:"next"`    // to be read
-	Decided   bool              `json:"decided"` // false: a gap or newer rules keep the fold from deciding
-	Behind    bool              `json:"behind"`  // newer rules than this release knows are in force
+	Next      ports.Offset      `json:"next"`    // offset to read next
+	Decided   bool              `json:"decided"` // false: a gap or newer rules prevent decisions
+	Behind    bool              `json:"behind"`  // rules newer than those of this release are in force
 	CaughtUp  bool              `json:"caught_up"`
 	Conflicts int               `json:"conflicts"`
-	Failures  int               `json:"failures"` // reads of the log that failed since the last good one
+	Failures  int               `json:"failures"` // failed reads of the log since the last successful one
 	History   []ledger.Decision `json:"history"`
 }
 
@@ -190,7 +192,7 @@
 	defer m.mu.Unlock()
 	return ManifestsStatus{
 		Revision: m.state.Revision(), Next: m.state.Next(), Decided: m.state.Decided(),
-		Behind: m.state.Behind(), CaughtUp: m.caught, Conflicts: m.state.Conflicts(),
+		Behind: m.state.Behind(), CaughtUp: m.caughtUp, Conflicts: m.state.Conflicts(),
 		Failures: m.tail.Failures(), History: m.state.History(),
 	}
 }
@@ -206,10 +208,10 @@
 func (m *Manifests) Apply(r ports.Record) {
 	m.mu.Lock()
 	m.state.Apply(r)
-	close(m.news)
-	m.news = make(chan struct{})
+	close(m.changed)
+	m.changed = make(chan struct{})
 	m.mu.Unlock()
-	m.tell()
+	m.notifyChange()
 }
 
 // Gap implements Sink.
@@ -217,46 +219,46 @@
 	m.mu.Lock()
 	m.state.Gap(first)
 	m.mu.Unlock()
-	m.tell()
+	m.notifyChange()
 }
 
 // CaughtUp implements Sink.
 func (m *Manifests) CaughtUp(ports.Offset) {
 	m.mu.Lock()
-	if !m.caught {
-		m.caught = true
+	if !m.caughtUp {
+		m.caughtUp = true
 		m.state.Settle()
 	}
 	m.mu.Unlock()
-	m.tell()
+	m.notifyChange()
 }
 
-func (m *Manifests) tell() {
+func (m *Manifests) notifyChange() {
 	if m.opt.OnChange == nil {
 		return
 	}
-	m.told.Lock()
-	defer m.told.Unlock()
+	m.notifyMu.Lock()
+	defer m.notifyMu.Unlock()
 	v := m.InForce()
-	if v == nil || v.Revision.Offset <= m.reported {
+	if v == nil || v.Revision.Offset <= m.notified {
 		return
 	}
-	m.reported = v.Revision.Offset
+	m.notified = v.Revision.Offset
 	m.opt.OnChange(v)
 }
 
-// keep appends a checkpoint when one is due. Two daemons that do so at once
-// do no harm.
-func (m *Manifests) keep(ctx context.Context) error {
+// appendCheckpoints appends a checkpoint whenever one is due. Duplicates by several
+// daemons do no harm.
+func (m *Manifests) appendCheckpoints(ctx context.Context) error {
 	for {
-		if err := pause.For(ctx, checkpointLook); err != nil {
+		if err := pause.For(ctx, checkpointInterval); err != nil {
 			return err
 		}
 		data := m.checkpoint(time.Now())
 		if data == nil {
 			continue
 		}
-		// A failed append is tried again at the next look.
+		// A failed append is retried at the next check.
 		_, _ = m.opt.Log.Append(ctx, ledger.StreamManifest, data)
 	}
 }
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -12,7 +12,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// PublishOutcome is what a publisher is told.
+// PublishOutcome is the result of a publication.
 type PublishOutcome string
 
 // The outcomes of a publication.
@@ -20,76 +20,76 @@
 	PublishAccepted    PublishOutcome = "accepted"
 	PublishRefused     PublishOutcome = "refused"
 	PublishNotAppended PublishOutcome = "not_appended" // certainly without effect, now and later
-	PublishUnknown     PublishOutcome = "unknown"      // may be accepted; publish the same again to learn
+	PublishUnknown     PublishOutcome = "unknown"      // may be accepted; publish the same again to find out
 )
 
 // PublishRequest proposes a manifest, or one section of it.
 type PublishRequest struct {
-	Base     ports.Offset // offset of the accepted manifest it was made against; 0 for the first
+	Base     ports.Offset // offset of the accepted manifest it is based on; 0 for the first
 	Manifest manifest.Manifest
-	// Section proposes one section in place of a whole manifest, whose fields
-	// above are then left out. See ledger.NewSectionRecord.
+	// Section proposes a change of one section instead of a whole manifest; Base
+	// and Manifest are then ignored. See ledger.NewSectionRecord.
 	Section *ledger.SectionRecord
 	Author  string
-	// Proof lets the publisher decide behind a log whose older records have
-	// expired. May be nil.
+	// Proof is a checkpoint to start from, needed when older records of the log
+	// have expired. May be nil.
 	Proof *ledger.Checkpoint
-	Seed  uint64 // of the retries' jitter
+	Seed  uint64 // of the jitter of retries
 }
 
-// PublishResult tells what became of a publication.
+// PublishResult is the outcome of a publication with its details.
 type PublishResult struct {
 	Outcome       PublishOutcome  `json:"outcome"`
-	Offset        ports.Offset    `json:"offset,omitempty"` // of the record that brought the manifest
-	ConflictsWith ports.Offset    `json:"by,omitempty"`     // refused: the record that came first
-	Latest        ports.Offset    `json:"latest,omitempty"` // the manifest in force when this was answered
+	Offset        ports.Offset    `json:"offset,omitempty"` // of the record with the manifest
+	ConflictsWith ports.Offset    `json:"by,omitempty"`     // refused: the record that was accepted first
+	Latest        ports.Offset    `json:"latest,omitempty"` // the manifest in force at the end of the publication
 	Reason        ledger.Reason   `json:"reason,omitempty"`
 	Detail        string          `json:"detail,omitempty"`
 	Digest        manifest.Digest `json:"digest"`
 }
 
-// Publish appends a manifest and reads the log until its fate is certain or
-// the context ends. It may be called again with the same request, and is told
-// the same: a record that was appended twice is accepted once. The error tells
-// of a manifest that no log would accept.
+// Publish appends a manifest and reads the log until the outcome is certain or
+// the context ends. It may be called again with the same request and then returns
+// the same outcome: a record that was appended twice is accepted once. It returns
+// an error only for a request that is invalid in itself.
 func Publish(ctx context.Context, log ports.Log, req PublishRequest) (PublishResult, error) {
 	r, _, err := publish(ctx, log, req)
 	return r, err
 }
 
-// publish also returns the fold that the result rests on.
+// publish is Publish; it also returns the state from which the result was read.
 func publish(ctx context.Context, log ports.Log, req PublishRequest) (PublishResult, *ledger.State, error) {
 	p, err := newPublisher(log, req)
 	if err != nil {
 		return PublishResult{}, nil, err
 	}
 	r := p.publish(ctx)
-	r.Digest = p.what.digest
+	r.Digest = p.proposal.digest
 	r.Latest = p.state.Revision().Offset
 	return r, p.state, nil
 }
 
 type publisher struct {
-	log    ports.Log
-	state  *ledger.State
-	what   proposal
-	data   []byte
-	reads  backoff
-	writes backoff // apart from reads, whose success says nothing of appends
-	sent   bool    // an append may have taken effect
-	limit  int     // records asked for in one read
+	log           ports.Log
+	state         *ledger.State
+	proposal      proposal
+	data          []byte
+	reads         backoff
+	writes        backoff // separate from reads, whose success does not imply that appends work
+	maybeAppended bool    // at least one append may have taken effect
+	limit         int     // records requested in one read
 }
 
-// proposal is how the fold's decisions name what is published.
+// proposal identifies the published record among the decisions of ledger.State.
 type proposal struct {
 	kind    ledger.Kind
 	section string
 	base    ports.Offset
 	digest  manifest.Digest
-	key     manifest.Digest // among acceptances
+	key     manifest.Digest // digest in the list of recent acceptances
 }
 
-func (w *proposal) is(d ledger.Decision) bool {
+func (w *proposal) matches(d ledger.Decision) bool {
 	return d.Kind == w.kind && d.Section == w.section && d.Base == w.base && d.Digest == w.digest
 }
 
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "logio: publish")
 	}
-	p := &publisher{log: log, what: what, data: data, state: ledger.NewState(ledger.Options{Lazy: true}), limit: pageLimit}
+	p := &publisher{log: log, proposal: what, data: data, state: ledger.NewState(ledger.Options{Lazy: true}), limit: maxPageRecords}
 	p.reads.random = newRand(req.Seed)
 	p.writes.random = p.reads.random
 	if req.Proof == nil {
@@ -130,56 +130,56 @@
 
 func (p *publisher) publish(ctx context.Context) PublishResult {
 	if err := p.catchUp(ctx, 0); err != nil {
-		return p.undecided(err.Error())
+		return p.unresolved(err.Error())
 	}
 	if !p.state.Decided() {
 		return PublishResult{Outcome: PublishNotAppended, Reason: ledger.ReasonGap}
 	}
-	if r, ok := p.verdict(); ok {
+	if r, ok := p.outcome(); ok {
 		return r
 	}
-	if latest := p.state.Revision().Offset; latest != p.what.base && p.what.kind == ledger.KindManifest {
+	if latest := p.state.Revision().Offset; latest != p.proposal.base && p.proposal.kind == ledger.KindManifest {
 		return PublishResult{Outcome: PublishRefused, Reason: ledger.ReasonStale, ConflictsWith: latest}
 	}
 	for {
 		offset, err := p.log.Append(ctx, ledger.StreamManifest, p.data)
-		p.sent = p.sent || !errors.Is(err, ports.ErrNotAppended)
-		if err == nil || p.sent {
-			// A lost answer is followed by a look at the log, which may
-			// already hold the record; if not, it is appended once more.
+		p.maybeAppended = p.maybeAppended || !errors.Is(err, ports.ErrNotAppended)
+		if err == nil || p.maybeAppended {
+			// After a lost answer the log may already hold the record; if
+			// not, it is appended again.
 			err = errors.Join(err, p.catchUp(ctx, offset))
 		}
-		if r, ok := p.verdict(); ok {
+		if r, ok := p.outcome(); ok {
 			return r
 		}
 		if ctx.Err() != nil {
-			return p.undecided(err.Error())
+			return p.unresolved(err.Error())
 		}
 		if waited := p.writes.wait(ctx); waited != nil {
-			return p.undecided(errors.Join(err, waited).Error())
+			return p.unresolved(errors.Join(err, waited).Error())
 		}
 	}
 }
 
-func (p *publisher) undecided(detail string) PublishResult {
-	if p.sent {
+func (p *publisher) unresolved(detail string) PublishResult {
+	if p.maybeAppended {
 		return PublishResult{Outcome: PublishUnknown, Detail: detail}
 	}
 	return PublishResult{Outcome: PublishNotAppended, Detail: detail}
 }
 
-// verdict looks for the fate of the manifest among the decisions read so far.
-// An acceptance counts before a refusal, since a repeat of an accepted record
-// may come too late to be recognised.
-func (p *publisher) verdict() (PublishResult, bool) {
+// outcome searches the decisions read so far for the proposal, and returns false if
+// there is none. An acceptance takes precedence over a refusal, as a repetition of
+// an accepted record may come too late to be recognised as one.
+func (p *publisher) outcome() (PublishResult, bool) {
 	for _, a := range p.state.Recent() {
-		if a.Digest == p.what.key && a.Base == p.what.base {
+		if a.Digest == p.proposal.key && a.Base == p.proposal.base {
 			return PublishResult{Outcome: PublishAccepted, Offset: a.Offset}, true
 		}
 	}
 	var found PublishResult
 	for _, d := range p.state.History() {
-		if !p.what.is(d) {
+		if !p.proposal.matches(d) {
 			continue
 		}
 		switch d.Outcome {
@@ -189,13 +189,14 @@
 			found = PublishResult{Outcome: PublishRefused, Offset: d.Offset, ConflictsWith: d.By, Reason: d.Reason, Detail: d.Detail}
 		}
 	}
-	if v := p.state.InForce(); found.Outcome == "" && v != nil && v.Revision.Digest == p.what.digest {
+	if v := p.state.InForce(); found.Outcome == "" && v != nil && v.Revision.Digest == p.proposal.digest {
 		return PublishResult{Outcome: PublishAccepted, Offset: v.Revision.Offset}, true
 	}
 	return found, found.Outcome != ""
 }
 
-// catchUp folds the log to its end, and at least through the given offset.
+// catchUp applies the log's records up to its end, and at least through the given
+// offset.
 func (p *publisher) catchUp(ctx context.Context, through ports.Offset) error {
 	for {
 		page, err := p.log.Read(ctx, ledger.StreamManifest, p.state.Next(), p.limit)
@@ -210,7 +211,7 @@
 			p.limit = max(1, p.limit/2)
 		case err == nil:
 			p.reads.reset()
-			p.fold(page.Records)
+			p.apply(page.Records)
 			if p.state.Next() >= page.Next && p.state.Next() > through {
 				p.state.Settle()
 				return nil
@@ -225,11 +226,11 @@
 	}
 }
 
-func (p *publisher) fold(records []ports.Record) {
+func (p *publisher) apply(records []ports.Record) {
 	for _, r := range records {
 		p.state.Apply(r)
 	}
 }
 
-// PublishTimeout is a sensible bound for the context of a Publish.
+// PublishTimeout is the recommended timeout for the context of Publish.
 const PublishTimeout = 15 * time.Second
--- a/logio/tail.go
+++ b/logio/tail.go
@@ -11,61 +11,64 @@
 
 // Defaults of a Tail.
 const (
-	DefaultPoll = time.Second // an idle read takes 324 bytes on the wire
-	pageLimit   = 256         // records asked for in one read
+	DefaultPoll    = time.Second // an idle read takes 324 bytes on the wire
+	maxPageRecords = 256         // records requested in one read
 )
 
-// Sink takes what a Tail reads. Its methods are called from one goroutine.
+// Sink receives the records that a Tail reads. Its methods are called from one
+// goroutine.
 type Sink interface {
-	// Next is the offset to read next. It may move forward by itself, when a
-	// neighbour's proof makes reading needless, never back.
+	// Next returns the offset to read next. It never decreases, and may advance
+	// without Apply when a neighbour's proof replaces the records before it.
 	Next() ports.Offset
-	// Apply takes one record.
+	// Apply is called with each record, in the order of offsets.
 	Apply(ports.Record)
-	// Gap says that the records from Next up to first have expired unread.
+	// Gap is called when the records from Next up to, but not including, first
+	// have expired unread.
 	Gap(first ports.Offset)
-	// CaughtUp says that everything before next has been delivered.
+	// CaughtUp is called at the end of the stream, when all records before next
+	// have been delivered.
 	CaughtUp(next ports.Offset)
 }
 
-// TailOptions of a Tail.
+// TailOptions configures a Tail.
 type TailOptions struct {
 	Log    ports.Log
 	Stream ports.Stream
 	Sink   Sink
-	Poll   time.Duration // between two reads at the end of the stream
+	Poll   time.Duration // between two reads at the end of the stream; 0 means DefaultPoll
 	Seed   uint64        // of the jitter
-	// Wake makes the tail read at once, for a reader that waits for its own
+	// Wake makes the Tail read at once, for a caller that waits for its own
 	// append. May be nil.
 	Wake <-chan struct{}
 }
 
-// Tail follows one stream and hands each record on in order. It never skips:
-// records that have expired are reported as a gap, and records delivered
-// twice are left to the sink, which knows the offset it wants.
+// Tail follows one stream and delivers its records to a Sink in order. It never
+// skips records silently: expired ones are reported as a gap. The Sink ignores
+// duplicates by their offset.
 type Tail struct {
-	opt    TailOptions
-	back   backoff
-	limit  int          // records asked for in the next read
-	failed atomic.Int64 // reads since the last good one
-	bytes  atomic.Int64
+	opt      TailOptions
+	backoff  backoff
+	limit    int          // records requested in the next read
+	failures atomic.Int64 // failed reads since the last successful one
+	bytes    atomic.Int64
 }
 
-// NewTail returns a tail; Run does the work.
+// NewTail returns a Tail; Run follows the stream.
 func NewTail(o TailOptions) *Tail {
 	if o.Poll == 0 {
 		o.Poll = DefaultPoll
 	}
-	return &Tail{opt: o, limit: pageLimit, back: backoff{random: newRand(o.Seed)}}
+	return &Tail{opt: o, limit: maxPageRecords, backoff: backoff{random: newRand(o.Seed)}}
 }
 
-// Failures is the number of reads that failed since the last good one.
-func (t *Tail) Failures() int { return int(t.failed.Load()) }
+// Failures returns the number of failed reads since the last successful one.
+func (t *Tail) Failures() int { return int(t.failures.Load()) }
 
-// Bytes is the number of record bytes read.
+// Bytes returns the number of record bytes read.
 func (t *Tail) Bytes() int64 { return t.bytes.Load() }
 
-// Run follows the stream until the context ends, and returns its error.
+// Run follows the stream until the context ends, and returns the context's error.
 func (t *Tail) Run(ctx context.Context) error {
 	for {
 		more, err := t.read(ctx)
@@ -73,11 +76,11 @@
 		case ctx.Err() != nil:
 			return ctx.Err()
 		case err != nil:
-			t.failed.Add(1)
-			err = t.back.wait(ctx)
+			t.failures.Add(1)
+			err = t.backoff.wait(ctx)
 		default:
-			t.failed.Store(0)
-			t.back.reset()
+			t.failures.Store(0)
+			t.backoff.reset()
 			if !more {
 				err = t.idle(ctx)
 			}
@@ -88,7 +91,7 @@
 	}
 }
 
-// read takes one page and tells whether there is more at once.
+// read delivers one page and reports whether more can be read at once.
 func (t *Tail) read(ctx context.Context) (bool, error) {
 	from := t.opt.Sink.Next()
 	page, err := t.opt.Log.Read(ctx, t.opt.Stream, from, t.limit)
@@ -98,15 +101,14 @@
 		return true, nil
 	}
 	if errors.Is(err, ports.ErrTooLong) {
-		// A page of whole manifests can be longer than is taken. Asked for the
-		// same again, the log would give the same, and the reader would stand
-		// still for ever.
+		// A page of whole manifests can exceed the size limit. The same request
+		// would fail again for ever, so the next one is for fewer records.
 		t.limit = max(1, t.limit/2)
 	}
 	if err != nil {
 		return false, err
 	}
-	t.limit = min(2*t.limit, pageLimit)
+	t.limit = min(2*t.limit, maxPageRecords)
 	for _, r := range page.Records {
 		t.bytes.Add(int64(len(r.Data)))
 		t.opt.Sink.Apply(r)
@@ -122,7 +124,7 @@
 // idle waits for the poll interval, shortened by up to a tenth, or for Wake.
 func (t *Tail) idle(ctx context.Context) error {
 	spread := int64(t.opt.Poll) / 10
-	timer := time.NewTimer(t.opt.Poll - time.Duration(t.back.random.int64n(spread+1)))
+	timer := time.NewTimer(t.opt.Poll - time.Duration(t.backoff.random.int64n(spread+1)))
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
