--- a/cacheevents/cacheevents.go
+++ b/cacheevents/cacheevents.go
@@ -29,13 +29,13 @@
 	MaxMessageBytes = 64 << 10 // one message of an endpoint
 	MaxEvents       = 1024     // in one message
 
-	DefaultMinWait    = 500 * time.Millisecond
-	DefaultMaxWait    = 30 * time.Second
-	DefaultUnknown    = 5 * time.Minute  // before one that knows no events is asked again
-	HeaderTimeout     = 2 * time.Second  // until an endpoint begins to answer
-	StallTimeout      = 30 * time.Second // without a message; one is due every ten seconds
-	steadyAfter       = 5 * time.Second  // a stream that lasted so long counts as working
-	messageFrameBytes = len("id: \ndata: \n\n")
+	DefaultMinWait         = 500 * time.Millisecond
+	DefaultMaxWait         = 30 * time.Second
+	DefaultUnsupportedWait = 5 * time.Minute  // before one that knows no events is asked again
+	HeaderTimeout          = 2 * time.Second  // until an endpoint begins to answer
+	StallTimeout           = 30 * time.Second // without a message; one is due every ten seconds
+	steadyAfter            = 5 * time.Second  // a stream that lasted so long counts as working
+	messageFrameBytes      = len("id: \ndata: \n\n")
 )
 
 // Sender sends attempts to endpoints; *engine.Client is one.
@@ -52,13 +52,13 @@
 
 // Options are what a Follower needs.
 type Options struct {
-	Client Sender // its bounds should be those of this package
-	Sink   Sink
-	Limit  int              // endpoints followed at most; with more, none is
-	Seed   uint64           // of the jitter
-	Now    func() time.Time // nil: time.Now
+	Client       Sender // its bounds should be those of this package
+	Sink         Sink
+	MaxEndpoints int              // endpoints followed at most; with more, none is
+	Seed         uint64           // of the jitter
+	Now          func() time.Time // nil: time.Now
 	// Waits between two streams; zero values take the defaults.
-	MinWait, MaxWait, Unknown time.Duration
+	MinWait, MaxWait, UnsupportedWait time.Duration
 }
 
 // Follower follows the events of a changing set of endpoints.
@@ -91,7 +91,7 @@
 	}
 	setDefault(&o.MinWait, DefaultMinWait)
 	setDefault(&o.MaxWait, DefaultMaxWait)
-	setDefault(&o.Unknown, DefaultUnknown)
+	setDefault(&o.UnsupportedWait, DefaultUnsupportedWait)
 	return &Follower{
 		o:    o,
 		open: make(map[fleet.EndpointID]*follow),
@@ -105,14 +105,14 @@
 	}
 }
 
-// Set says which endpoints to follow from now on. It does not wait.
-func (f *Follower) Set(endpoints []fleet.Endpoint) {
+// SetEndpoints says which endpoints to follow from now on. It does not wait.
+func (f *Follower) SetEndpoints(endpoints []fleet.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return
 	}
-	if len(endpoints) > f.o.Limit {
+	if len(endpoints) > f.o.MaxEndpoints {
 		endpoints = nil
 	}
 	for _, e := range endpoints {
@@ -190,7 +190,7 @@
 		if f.o.Now().Sub(began) >= steadyAfter {
 			wait = f.o.MinWait
 		}
-		pause := f.o.Unknown
+		pause := f.o.UnsupportedWait
 		if known {
 			pause = wait
 			wait = min(2*wait, f.o.MaxWait)
--- a/cacheevents/cacheevents_test.go
+++ b/cacheevents/cacheevents_test.go
@@ -80,8 +80,8 @@
 			HeaderTimeout: HeaderTimeout,
 			StallTimeout:  StallTimeout,
 		})
-		b.follower = New(Options{Client: client, Sink: b.sink, Limit: limit, Seed: 1})
-		b.follower.Set([]fleet.Endpoint{{ID: "runner-1", Address: "10.0.1.1:8000"}})
+		b.follower = New(Options{Client: client, Sink: b.sink, MaxEndpoints: limit, Seed: 1})
+		b.follower.SetEndpoints([]fleet.Endpoint{{ID: "runner-1", Address: "10.0.1.1:8000"}})
 		test(b)
 		b.follower.Close()
 		client.CloseIdle()
@@ -197,7 +197,7 @@
 // would answer 404 all day.
 func TestEndpointWithoutEventsIsNotAskedAgainSoon(t *testing.T) {
 	inBench(t, 1, func(_ int, w http.ResponseWriter, r *http.Request) { http.NotFound(w, r) }, func(b *bench) {
-		time.Sleep(DefaultUnknown/2 - time.Second) // virtual
+		time.Sleep(DefaultUnsupportedWait/2 - time.Second) // virtual
 		if n := b.count(); n != 1 {
 			t.Errorf("asked %d times", n)
 		}
@@ -220,7 +220,7 @@
 func TestLimitIsKept(t *testing.T) {
 	inBench(t, 1, hold1, func(b *bench) {
 		time.Sleep(time.Second) // virtual
-		b.follower.Set([]fleet.Endpoint{{ID: "a", Address: "10.0.1.1:8000"}, {ID: "b", Address: "10.0.1.2:8000"}})
+		b.follower.SetEndpoints([]fleet.Endpoint{{ID: "a", Address: "10.0.1.1:8000"}, {ID: "b", Address: "10.0.1.2:8000"}})
 		time.Sleep(time.Second) // virtual
 		_, lost := b.sink.got()
 		if s := b.follower.Stats(); s.Streams != 0 || lost != 1 {
--- a/cacheevents/stream.go
+++ b/cacheevents/stream.go
@@ -14,8 +14,8 @@
 
 // Faults of a message, for which a stream is given up.
 var (
-	ErrMessage  = errors.New("cacheevents: message is not what it must be")
-	ErrSequence = errors.New("cacheevents: sequence went back within one life")
+	ErrInvalidMessage = errors.New("cacheevents: message is not what it must be")
+	ErrSequenceReset  = errors.New("cacheevents: sequence went back within one life")
 )
 
 // stream follows one stream to its end. It returns false when the endpoint
@@ -82,12 +82,12 @@
 func (r *reader) read(ev engine.Event) (b placement.EventBatch, gap bool, err error) {
 	var m engine.CacheEvents
 	if err := json.Unmarshal(ev.Data, &m); err != nil {
-		return b, false, fmt.Errorf("%w: %w", ErrMessage, err)
+		return b, false, fmt.Errorf("%w: %w", ErrInvalidMessage, err)
 	}
 	// Without an incarnation nobody could tell the events of an engine that has
 	// come back empty from those of its former life.
 	if ev.Index == engine.NoIndex || m.Incarnation == 0 || len(m.Events) > MaxEvents {
-		return b, false, ErrMessage
+		return b, false, ErrInvalidMessage
 	}
 	if m.Incarnation != r.incarnation {
 		r.incarnation, r.next = m.Incarnation, 0
@@ -96,14 +96,14 @@
 	// A sequence that goes back counts anew without saying so. Placement would
 	// drop all up to the old number as repeated, and learn nothing meanwhile.
 	if r.next != 0 && seq < r.next {
-		return b, false, ErrSequence
+		return b, false, ErrSequenceReset
 	}
 	gap = r.next != 0 && seq > r.next
 	b = placement.EventBatch{Endpoint: r.endpoint, Incarnation: m.Incarnation, Seq: seq}
 	for _, e := range m.Events {
 		kind, ok := kinds[e.Kind]
 		if !ok {
-			return b, false, ErrMessage
+			return b, false, ErrInvalidMessage
 		}
 		b.Events = append(b.Events, placement.Event{Kind: kind, Key: e.Key})
 	}
--- a/caches/caches.go
+++ b/caches/caches.go
@@ -18,27 +18,27 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// Part names a piece of a prompt in the cache of a holder. Equal parts can stand
+// SegmentKey names a piece of a prompt in the cache of a holder. Equal parts can stand
 // for each other: they were read under the same weights, for the same readers.
-type Part uint64
+type SegmentKey uint64
 
-// PartOf names the piece with the id under the salt that keeps weights and
+// NewSegmentKey names the piece with the id under the salt that keeps weights and
 // organisations apart.
-func PartOf(salt, id string) Part { return Part(hash.Text(salt + "\x00" + id)) }
+func NewSegmentKey(salt, id string) SegmentKey { return SegmentKey(hash.Text(salt + "\x00" + id)) }
 
 // Event is one change of what a holder has of a part.
 type Event struct {
-	Number int64 // in the holder's sequence
-	Part   Part
-	Tokens int // that it holds now; 0: none
+	Sequence int64 // in the holder's sequence
+	Segment  SegmentKey
+	Tokens   int // that it holds now; 0: none
 }
 
 // Batch is the answer of a holder to one question.
 type Batch struct {
-	Epoch  int64 // changes when the holder starts again, with an empty cache
-	Next   int64 // where to ask on
-	Lost   bool  // events before these are not kept any more
-	Events []Event
+	Incarnation int64 // changes when the holder starts again, with an empty cache
+	Next        int64 // where to ask on
+	Lost        bool  // events before these are not kept any more
+	Events      []Event
 }
 
 // blockTokens is the least unit of a cache. The end of a part may not fill a block,
@@ -53,7 +53,7 @@
 	epoch    int64
 	capacity int // tokens; 0: not known
 	tokens   int
-	parts    map[Part]held
+	parts    map[SegmentKey]held
 	order    []arrival // of the parts, oldest first; some have gone since
 }
 
@@ -63,7 +63,7 @@
 }
 
 type arrival struct {
-	part   Part
+	part   SegmentKey
 	number int64
 }
 
@@ -76,10 +76,10 @@
 // Apply takes a batch of a holder with the given capacity in tokens; 0: not known.
 func (t *Table) Apply(name string, capacity int, b Batch) {
 	h := t.holders[name]
-	if h == nil || h.epoch != b.Epoch || b.Lost {
+	if h == nil || h.epoch != b.Incarnation || b.Lost {
 		// It began anew, or what went meanwhile is not known: only what comes from
 		// now on is sure.
-		h = &holder{epoch: b.Epoch, parts: map[Part]held{}}
+		h = &holder{epoch: b.Incarnation, parts: map[SegmentKey]held{}}
 		t.holders[name] = h
 	}
 	h.capacity = capacity
@@ -91,15 +91,15 @@
 }
 
 func (h *holder) apply(e Event) {
-	old, had := h.parts[e.Part]
+	old, had := h.parts[e.Segment]
 	h.tokens += e.Tokens - old.tokens
 	if e.Tokens <= 0 {
-		delete(h.parts, e.Part)
+		delete(h.parts, e.Segment)
 		return
 	}
-	h.parts[e.Part] = held{e.Tokens, e.Number}
-	if !had || old.number != e.Number {
-		h.order = append(h.order, arrival{e.Part, e.Number})
+	h.parts[e.Segment] = held{e.Tokens, e.Sequence}
+	if !had || old.number != e.Sequence {
+		h.order = append(h.order, arrival{e.Segment, e.Sequence})
 	}
 }
 
@@ -137,27 +137,27 @@
 	})
 }
 
-// Forget drops a holder that is followed no more.
-func (t *Table) Forget(name string) { delete(t.holders, name) }
+// Remove drops a holder that is followed no more.
+func (t *Table) Remove(name string) { delete(t.holders, name) }
 
 // Prompt is a prompt's parts as caches name them.
 type Prompt struct {
-	parts  []Part
+	parts  []SegmentKey
 	tokens []int
 }
 
-// PromptOf names the parts of a prompt under a salt.
-func PromptOf(salt string, parts []prefix.Segment) Prompt {
-	p := Prompt{parts: make([]Part, len(parts)), tokens: make([]int, len(parts))}
+// NewPrompt names the parts of a prompt under a salt.
+func NewPrompt(salt string, parts []prefix.Segment) Prompt {
+	p := Prompt{parts: make([]SegmentKey, len(parts)), tokens: make([]int, len(parts))}
 	for i := range parts {
-		p.parts[i], p.tokens[i] = PartOf(salt, parts[i].ID), parts[i].Tokens
+		p.parts[i], p.tokens[i] = NewSegmentKey(salt, parts[i].ID), parts[i].Tokens
 	}
 	return p
 }
 
-// Held returns how many leading tokens of the prompt the holder has; false if it
+// CachedTokens returns how many leading tokens of the prompt the holder has; false if it
 // is not followed. A part counts only if all parts before it are there.
-func (t *Table) Held(name string, p Prompt) (int, bool) {
+func (t *Table) CachedTokens(name string, p Prompt) (int, bool) {
 	h := t.holders[name]
 	if h == nil {
 		return 0, false
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -26,12 +26,12 @@
 
 // Errors of the look-ups.
 var (
-	ErrKeyUnknown       = errors.New("catalog: key is not known")
-	ErrModelUnknown     = errors.New("catalog: model is not known")
-	ErrModelForbidden   = errors.New("catalog: organisation may not use the model")
-	ErrAdapterUnknown   = errors.New("catalog: adapter is not known")
-	ErrAdapterForbidden = errors.New("catalog: organisation may not use the adapter")
-	ErrPriority         = errors.New("catalog: organisation may not ask for the priority")
+	ErrKeyUnknown        = errors.New("catalog: key is not known")
+	ErrModelUnknown      = errors.New("catalog: model is not known")
+	ErrModelForbidden    = errors.New("catalog: organisation may not use the model")
+	ErrAdapterUnknown    = errors.New("catalog: adapter is not known")
+	ErrAdapterForbidden  = errors.New("catalog: organisation may not use the adapter")
+	ErrPriorityForbidden = errors.New("catalog: organisation may not ask for the priority")
 )
 
 // Organisation is what the request path needs of one organisation.
@@ -229,7 +229,7 @@
 		return 0, err
 	}
 	if !o.priorities[p] {
-		return 0, fmt.Errorf("%w: %q", ErrPriority, name)
+		return 0, fmt.Errorf("%w: %q", ErrPriorityForbidden, name)
 	}
 	return p, nil
 }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -88,7 +88,7 @@
 	}{
 		{"registre", "", contract.PriorityStandard, nil},
 		{"registre", "batch", contract.PriorityBatch, nil},
-		{"registre", "interactive", 0, ErrPriority},
+		{"registre", "interactive", 0, ErrPriorityForbidden},
 		{"garage", "", contract.PriorityInteractive, nil},
 	}
 	for _, tt := range tests {
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -16,11 +16,11 @@
 		StallTimeout:  cacheevents.StallTimeout,
 	})
 	return cacheevents.New(cacheevents.Options{
-		Client: client,
-		Sink:   sink,
-		Limit:  d.o.Settings.Routing.EventEndpoints,
-		Seed:   seedOf(d.o.Settings.Daemon.ID, d.life),
-		Now:    d.o.Now,
+		Client:       client,
+		Sink:         sink,
+		MaxEndpoints: d.o.Settings.Routing.EventEndpoints,
+		Seed:         seedOf(d.o.Settings.Daemon.ID, d.life),
+		Now:          d.o.Now,
 	})
 }
 
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -198,7 +198,7 @@
 	loads := v.loads()
 	runners := v.runners()
 	v.mu.Unlock()
-	v.events.Set(runners)
+	v.events.SetEndpoints(runners)
 	v.countEvents()
 	for model, l := range loads {
 		v.daemon.admission.setLoad(model, l.requests, l.slots)
--- a/forward/handler.go
+++ b/forward/handler.go
@@ -177,14 +177,14 @@
 	c.ctx = ctx
 	c.work.In = &c.in
 	c.report.Tokens, c.report.OutputTokens = c.in.PromptTokens, c.in.OutputTokens
-	c.work.Service = t.Services[route.Backend(hash.Text(c.in.AttemptID))]
+	c.work.Service = t.Services[route.SelectBackend(hash.Text(c.in.AttemptID))]
 	if c.work.Service == nil {
 		c.refuse(http.StatusServiceUnavailable, "no_service", afterFailure)
 		return
 	}
 	c.retry = retry.Request{
 		Idempotent: route.Repeatable(), Resumable: route.Resumable,
-		Deadline: c.work.Deadline, MaxEndpoints: route.Attempts,
+		Deadline: c.work.Deadline, MaxEndpoints: route.MaxAttempts,
 	}
 	if c.outlivesProcess() {
 		c.refuse(http.StatusServiceUnavailable, "stopping", elsewhere)
@@ -277,7 +277,7 @@
 		limit = c.in.Patience
 	}
 	c.work.Deadline = c.work.Arrived.Add(limit)
-	c.report.Deadline, c.report.Target = limit, c.work.Route.Target
+	c.report.Deadline, c.report.Target = limit, c.work.Route.TargetLatency
 }
 
 // prepare makes the request that all attempts send, but for the headers that
--- a/forward/handler_test.go
+++ b/forward/handler_test.go
@@ -57,7 +57,7 @@
 		Services: map[string]*routes.Service{"s": {Name: "s"}},
 		Routes: []routes.Route{{
 			Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Resumable: resumable, Timeout: timeout,
-			Attempts: 2, Public: true, Backends: []routes.Backend{{Service: "s", Weight: 1}},
+			MaxAttempts: 2, Public: true, Backends: []routes.Backend{{Service: "s", Weight: 1}},
 		}},
 	}
 	return serveTable(t, table, p, nil, stops)
@@ -65,7 +65,7 @@
 
 func serveTable(t *testing.T, table *routes.Table, p Placer, l Limiter, stops time.Time) *httptest.Server {
 	t.Helper()
-	table.Index()
+	table.BuildIndex()
 	callers := NewCallers()
 	h := NewHandler(Options{
 		Wire: plainWire{}, Client: NewClient(plainWire{}, nil), Placer: p,
--- a/forward/limit_test.go
+++ b/forward/limit_test.go
@@ -57,7 +57,7 @@
 		Services: map[string]*routes.Service{"s": {Name: "s"}},
 		Routes: []routes.Route{{
 			Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Resumable: true, Timeout: 5 * time.Second,
-			Attempts: 2, Backends: []routes.Backend{{Service: "s", Weight: 1}},
+			MaxAttempts: 2, Backends: []routes.Backend{{Service: "s", Weight: 1}},
 		}},
 	}
 	return serveTable(t, table, p, l, time.Time{})
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -257,7 +257,7 @@
 func (c *call) bound(priority string, deadline time.Duration) (context.CancelFunc, *Refusal) {
 	p, err := c.org.Priority(priority)
 	switch {
-	case errors.Is(err, catalog.ErrPriority):
+	case errors.Is(err, catalog.ErrPriorityForbidden):
 		return nil, refused(http.StatusForbidden, CodeNotPermitted, "the organisation may not ask for priority %s", priority)
 	case err != nil:
 		return nil, refused(http.StatusBadRequest, CodeInvalidRequest, "priority %q is unknown, expected interactive, standard or batch", priority)
--- a/router/caches.go
+++ b/router/caches.go
@@ -120,7 +120,7 @@
 	for _, s := range t.Stores {
 		add(source{
 			name: s.Address, address: s.Address, zone: fleet.ZoneID(s.Zone), capacity: s.CapacityTokens,
-			rate: tokenRate(s.LinkMbps, perToken), followers: s.Followers,
+			rate: tokenRate(s.LinkMbps, perToken), followers: s.MaxFollowers,
 		})
 	}
 	return out
@@ -142,12 +142,12 @@
 			break
 		}
 		service := t.Services[e.Service]
-		if service == nil || service.Engine == nil || service.Engine.Followers <= 0 {
+		if service == nil || service.Engine == nil || service.Engine.MaxFollowers <= 0 {
 			continue
 		}
 		out = append(out, engineSource{perToken: service.Engine.BytesPerToken, source: source{
 			name: string(key), address: e.Address, zone: e.Zone, capacity: service.Engine.CapacityTokens,
-			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.Followers,
+			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.MaxFollowers,
 		}})
 	}
 	return out
@@ -181,7 +181,7 @@
 		if !wanted[name] {
 			w.cancel()
 			delete(c.watched, name)
-			c.table.Forget(name)
+			c.table.Remove(name)
 		}
 	}
 }
@@ -225,7 +225,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w.heard = 0
-	c.table.Forget(w.name)
+	c.table.Remove(w.name)
 	if failed == 0 {
 		c.log.Warn("Cache can't be followed.", "holder", w.name, "error", err.Error())
 	}
@@ -251,11 +251,11 @@
 func (c *cacheWatch) held(w *forward.Work, salt string) *placement.PrefixLocations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.PromptOf(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, w.In.Parts)
 	var out *placement.PrefixLocations
 	now := c.clock()
 	for name, h := range c.watched {
-		tokens, known := c.table.Held(name, prompt)
+		tokens, known := c.table.CachedTokens(name, prompt)
 		if !known || now-h.heard > eventTrusted {
 			continue
 		}
@@ -276,11 +276,11 @@
 func (c *cacheWatch) best(w *forward.Work, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.PromptOf(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, w.In.Parts)
 	now := c.clock()
 	var from *watched
 	for name, h := range c.watched {
-		have, known := c.table.Held(name, prompt)
+		have, known := c.table.CachedTokens(name, prompt)
 		if !known || have == 0 || now-h.heard > eventTrusted || !usable(name) {
 			continue
 		}
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -33,10 +33,10 @@
 	w := &dispatchWorld{lost: map[string]bool{}}
 	table := &routes.Table{
 		Version:  1,
-		Routes:   []routes.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Target: 600 * time.Millisecond, Attempts: 1}},
+		Routes:   []routes.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, TargetLatency: 600 * time.Millisecond, MaxAttempts: 1}},
 		Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{Slots: 16, CapacityTokens: 200_000, BytesPerToken: 18_432, LinkMbps: 370_000, Models: []string{"m"}}}},
 	}
-	table.Index()
+	table.BuildIndex()
 	var list []Neighbour
 	for i := range daemons {
 		name := string(rune('a' + i))
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -76,7 +76,7 @@
 		time.Sleep(time.Minute) // virtual, until everything has ended
 	})
 	route.Name, route.Host, route.PathPrefix, route.Timeout = "r", fleetHost, "/", fleetTimeout
-	route.Target, route.Attempts = 300*time.Millisecond, 2
+	route.TargetLatency, route.MaxAttempts = 300*time.Millisecond, 2
 	route.Backends = []routes.Backend{{Service: "s", Weight: 1}}
 	f.table = &routes.Table{
 		Version: 1, KeysRequired: true, Routes: []routes.Route{route},
@@ -85,7 +85,7 @@
 			fleetKey: {Name: "org"}, "other": {Name: "other"},
 		},
 	}
-	f.table.Index()
+	f.table.BuildIndex()
 	for i := range endpoints {
 		f.endpoints = append(f.endpoints, &memoryEndpoint{f: f, n: i, up: true, conns: map[net.Conn]bool{}})
 	}
--- a/router/placer.go
+++ b/router/placer.go
@@ -117,7 +117,7 @@
 	p.s.settle(now)
 	r := placement.Request{
 		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Avoid,
-		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
 	}
 	if w.Service.Engine != nil && w.In.Model != "" {
 		return p.placeModel(ctx, now, w, &r)
@@ -139,7 +139,7 @@
 func (p *placer) placeKnown(now time.Time, w *forward.Work) (forward.Placement, error) {
 	p.s.settle(now)
 	r := placement.Request{
-		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Tokens: w.In.PromptTokens, Avoid: w.Avoid, Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
 		Exclusive: true,
 	}
 	return p.placeModel(context.Background(), now, w, &r)
@@ -219,7 +219,7 @@
 		return forward.Placement{}, err
 	}
 	// A stream that goes on elsewhere is not refused: its caller has a part.
-	if !w.Resuming && best.decision.ExpectedWait > time.Duration(refuseParts[in]*float64(w.Route.Target)) {
+	if !w.Resuming && best.decision.ExpectedWait > time.Duration(refuseParts[in]*float64(w.Route.TargetLatency)) {
 		p.giveBack(best.decision.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{
 			Code: codeOverloaded, RetryAfter: p.spread(),
@@ -262,7 +262,7 @@
 	t := p.tries(r.Avoid, laneOf(w.In.PromptTokens) == laneShort)
 	for t.next() {
 		try.ID, try.Avoid = p.lastID.Add(1), t.avoid()
-		best, err := bestWay(now, p.s.view, try, all, w.Route.Target)
+		best, err := bestWay(now, p.s.view, try, all, w.Route.TargetLatency)
 		if err != nil && t.widen() {
 			continue
 		}
@@ -394,7 +394,7 @@
 	p.unansweredMu.Unlock()
 	out.Notes = forward.Notes{Prompt: int(laneOf(w.In.PromptTokens)), Engine: int(to.lane), Sole: r.Exclusive}
 	out.Out.CacheSalt = salt(w, to.version)
-	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
+	out.Out.Urgency = min(9, 1+2*w.Route.EffectivePriority(w.Organisation))
 	if at := prefix.AffinityLevel(r.Levels); at >= 0 {
 		out.Prefix = r.Levels[at].Key.String()[:prefixDigits]
 	}
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -201,7 +201,7 @@
 func tell(c *cacheWatch, name string, ids ...string) {
 	var b caches.Batch
 	for i, id := range ids {
-		b.Events = append(b.Events, caches.Event{Number: int64(i), Part: caches.PartOf("v1", id), Tokens: 500})
+		b.Events = append(b.Events, caches.Event{Sequence: int64(i), Segment: caches.NewSegmentKey("v1", id), Tokens: 500})
 	}
 	c.take(context.Background(), c.watched[name], b)
 }
@@ -278,7 +278,7 @@
 		set := Settings{Zone: "z"}
 		r := &Router{clock: fixed(time.Second), s: newState(&set, rand.New(rand.NewPCG(1, 2))), neighbours: newNeighbours(Neighbour{Name: "d"}, &set, forward.Dialer(), fixed(0), quiet())}
 		r.neighbours.set([]Neighbour{{Name: "d", Zone: "z"}})
-		r.s.table.Store(&routes.Table{Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{Followers: 8}}}})
+		r.s.table.Store(&routes.Table{Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{MaxFollowers: 8}}}})
 		for i := range engines {
 			r.s.roster.Put(directory.Entry{ID: fmt.Sprint("e", i), Service: "s"})
 		}
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -50,19 +50,19 @@
 
 // Route leads from a host and a path prefix to services.
 type Route struct {
-	Name       string
-	Host       string
-	PathPrefix string
-	Kind       Kind
-	Timeout    time.Duration // longest time that a caller is kept waiting
-	Target     time.Duration // until the answer, or the first event of a stream
-	EventGap   time.Duration // longest pause between events of a stream
-	Attempts   int           // endpoints that one request may be sent to
-	Priority   int           // 0 is the most urgent
-	Public     bool          // no API key needed
-	Prompted   bool          // requests name the parts of their prompt
-	Resumable  bool          // a stream may go on at another endpoint
-	Backends   []Backend
+	Name              string
+	Host              string
+	PathPrefix        string
+	Kind              Kind
+	Timeout           time.Duration // longest time that a caller is kept waiting
+	TargetLatency     time.Duration // until the answer, or the first event of a stream
+	EventGap          time.Duration // longest pause between events of a stream
+	MaxAttempts       int           // endpoints that one request may be sent to
+	Priority          int           // 0 is the most urgent
+	Public            bool          // no API key needed
+	HasPromptSegments bool          // requests name the parts of their prompt
+	Resumable         bool          // a stream may go on at another endpoint
+	Backends          []Backend
 }
 
 // Backend is one of the services of a route with its part of the requests.
@@ -86,7 +86,7 @@
 	CapacityTokens int     // KV cache of one endpoint
 	BytesPerToken  int     // of KV cache
 	LinkMbps       float64 // between endpoints
-	Followers      int     // daemons that may follow the events of one endpoint's cache
+	MaxFollowers   int     // daemons that may follow the events of one endpoint's cache
 	Models         []string
 }
 
@@ -96,7 +96,7 @@
 	Zone           string
 	CapacityTokens int
 	LinkMbps       float64
-	Followers      int // daemons that may follow its events
+	MaxFollowers   int // daemons that may follow its events
 }
 
 // Limits bound what callers may send and how long they may idle.
@@ -132,8 +132,8 @@
 	return out
 }
 
-// Index prepares the table for use. Call it once, when all else is filled in.
-func (t *Table) Index() {
+// BuildIndex prepares the table for use. Call it once, when all else is filled in.
+func (t *Table) BuildIndex() {
 	for _, s := range t.Services {
 		if s.Store != nil {
 			t.Stores = append(t.Stores, s.Store)
@@ -163,10 +163,10 @@
 	return best
 }
 
-// Backend returns the service for a request, by a uniform hash of its id. The
+// SelectBackend returns the service for a request, by a uniform hash of its id. The
 // same request always meets the same service. It returns "" for a route
 // without a service that has weight.
-func (r *Route) Backend(hash uint64) string {
+func (r *Route) SelectBackend(hash uint64) string {
 	total := 0
 	for _, b := range r.Backends {
 		total += b.Weight
@@ -189,9 +189,9 @@
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// Urgency is the priority of a request of the organisation on the route, 0
+// EffectivePriority is the priority of a request of the organisation on the route, 0
 // first. The organisation's own goes before the route's.
-func (r *Route) Urgency(o *Organisation) int {
+func (r *Route) EffectivePriority(o *Organisation) int {
 	if o != nil && o.HasPriority {
 		return o.Priority
 	}
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -16,7 +16,7 @@
 			"m":  {Name: "m"},
 		},
 	}
-	t.Index()
+	t.BuildIndex()
 	return t
 }
 
@@ -46,22 +46,22 @@
 	r := Route{Backends: []Backend{{"a", 90}, {"b", 0}, {"c", 10}}}
 	count := map[string]int{}
 	for h := range uint64(1000) {
-		count[r.Backend(h*2654435761)]++
+		count[r.SelectBackend(h*2654435761)]++
 	}
 	if count["a"] < 850 || count["c"] < 60 || count["b"] != 0 {
 		t.Errorf("parts %v", count)
 	}
-	if (&Route{Backends: []Backend{{"a", 0}}}).Backend(7) != "" {
+	if (&Route{Backends: []Backend{{"a", 0}}}).SelectBackend(7) != "" {
 		t.Error("a service without weight was chosen")
 	}
 }
 
 func TestOrganisationsPriorityGoesFirst(t *testing.T) {
 	r := Route{Priority: 2}
-	if got := r.Urgency(&Organisation{Priority: 0, HasPriority: true}); got != 0 {
+	if got := r.EffectivePriority(&Organisation{Priority: 0, HasPriority: true}); got != 0 {
 		t.Errorf("urgency %d", got)
 	}
-	if got := r.Urgency(&Organisation{}); got != 2 {
+	if got := r.EffectivePriority(&Organisation{}); got != 2 {
 		t.Errorf("urgency %d", got)
 	}
 }
