--- a/cacheevents/cacheevents.go
+++ b/cacheevents/cacheevents.go
@@ -1,11 +1,11 @@
-// Package cacheevents follows what engines tell of their caches and hands it to
-// placement.
+// Package cacheevents follows the streams of cache events of engines and passes the
+// events to placement.
 //
 // Each endpoint is followed by one goroutine with one connection, so their
-// number is bounded by Options.Limit; with more endpoints none is followed and
-// the daemon learns from answers alone. A stream that ends, stalls, goes back in
-// its sequence or cannot be read is given up: placement is told that events are
-// lost, and the endpoint is asked again after a growing, jittered wait.
+// number is bounded by Options.MaxEndpoints; with more endpoints none is followed
+// and placement observes caches from answers alone. A stream that ends, stalls, goes
+// back in its sequence or is malformed is closed: placement is notified of lost
+// events, and the endpoint is requested again after a growing, jittered wait.
 //
 // The Follower's mutex is not held while the Sink is called.
 package cacheevents
@@ -24,67 +24,67 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Bounds of a stream and of the waits between two.
+// Bounds of a stream and of the waits between two streams of an endpoint.
 const (
-	MaxMessageBytes = 64 << 10 // one message of an endpoint
+	MaxMessageBytes = 64 << 10 // of one message of an endpoint
 	MaxEvents       = 1024     // in one message
 
 	DefaultMinWait         = 500 * time.Millisecond
 	DefaultMaxWait         = 30 * time.Second
-	DefaultUnsupportedWait = 5 * time.Minute  // before one that knows no events is asked again
-	HeaderTimeout          = 2 * time.Second  // until an endpoint begins to answer
-	StallTimeout           = 30 * time.Second // without a message; one is due every ten seconds
-	steadyAfter            = 5 * time.Second  // a stream that lasted so long counts as working
-	messageFrameBytes      = len("id: \ndata: \n\n")
+	DefaultUnsupportedWait = 5 * time.Minute  // until an endpoint without event streams is requested again
+	HeaderTimeout          = 2 * time.Second  // until the headers of an answer
+	StallTimeout           = 30 * time.Second // without a message; endpoints send one every ten seconds
+	stableAfter            = 5 * time.Second  // a stream that lasted so long resets the wait
+	messageFramingBytes    = len("id: \ndata: \n\n")
 )
 
-// Sender sends attempts to endpoints; *engine.Client is one.
+// Sender sends requests to endpoints; *engine.Client implements it.
 type Sender interface {
 	Send(ctx context.Context, a *engine.Attempt) (*engine.Answer, error)
 }
 
-// Sink takes what was learnt; *placement.SharedView is one. It is called from
+// Sink receives the events; *placement.SharedView implements it. It is called from
 // several goroutines.
 type Sink interface {
 	CacheEvents(b placement.EventBatch)
 	EventsLost(id fleet.EndpointID)
 }
 
-// Options are what a Follower needs.
+// Options configures a Follower.
 type Options struct {
-	Client       Sender // its bounds should be those of this package
+	Client       Sender // should use the bounds and timeouts of this package
 	Sink         Sink
-	MaxEndpoints int              // endpoints followed at most; with more, none is
+	MaxEndpoints int              // with more endpoints than this, none is followed
 	Seed         uint64           // of the jitter
 	Now          func() time.Time // nil: time.Now
-	// Waits between two streams; zero values take the defaults.
+	// Waits between two streams of an endpoint; zero values mean the defaults.
 	MinWait, MaxWait, UnsupportedWait time.Duration
 }
 
-// Follower follows the events of a changing set of endpoints.
+// Follower follows the cache events of a changing set of endpoints.
 type Follower struct {
-	o        Options
+	opts     Options
 	bytes    atomic.Int64
 	events   atomic.Int64
 	gaps     atomic.Int64
 	failures atomic.Int64
 	streams  atomic.Int64
 
-	mu     sync.Mutex // guards what follows
-	closed bool
-	open   map[fleet.EndpointID]*follow
-	rng    *rand.Rand
-	group  sync.WaitGroup
+	mu            sync.Mutex // guards the fields below
+	closed        bool
+	subscriptions map[fleet.EndpointID]*subscription
+	rng           *rand.Rand
+	group         sync.WaitGroup
 }
 
-// follow is one endpoint that is followed.
-type follow struct {
+// subscription is the stream of one followed endpoint.
+type subscription struct {
 	endpoint fleet.Endpoint
 	cancel   context.CancelFunc
-	seen     bool
+	wanted   bool
 }
 
-// New returns a Follower of no endpoints. Close must be called.
+// New returns a Follower without endpoints. Close must be called to end it.
 func New(o Options) *Follower {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -93,9 +93,9 @@
 	setDefault(&o.MaxWait, DefaultMaxWait)
 	setDefault(&o.UnsupportedWait, DefaultUnsupportedWait)
 	return &Follower{
-		o:    o,
-		open: make(map[fleet.EndpointID]*follow),
-		rng:  rand.New(rand.NewPCG(o.Seed, o.Seed)),
+		opts:          o,
+		subscriptions: make(map[fleet.EndpointID]*subscription),
+		rng:           rand.New(rand.NewPCG(o.Seed, o.Seed)),
 	}
 }
 
@@ -105,63 +105,65 @@
 	}
 }
 
-// SetEndpoints says which endpoints to follow from now on. It does not wait.
+// SetEndpoints replaces the set of followed endpoints. It does not wait for streams
+// to open or close. After Close it does nothing.
 func (f *Follower) SetEndpoints(endpoints []fleet.Endpoint) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.closed {
 		return
 	}
-	if len(endpoints) > f.o.MaxEndpoints {
+	if len(endpoints) > f.opts.MaxEndpoints {
 		endpoints = nil
 	}
 	for _, e := range endpoints {
-		o := f.open[e.ID]
-		if o != nil && o.endpoint.Address != e.Address {
-			o.cancel()
-			o = nil
+		sub := f.subscriptions[e.ID]
+		if sub != nil && sub.endpoint.Address != e.Address {
+			sub.cancel()
+			sub = nil
 		}
-		if o == nil {
-			o = f.start(e)
+		if sub == nil {
+			sub = f.start(e)
 		}
-		o.seen = true
+		sub.wanted = true
 	}
-	for id, o := range f.open {
-		if !o.seen {
-			o.cancel()
-			delete(f.open, id)
+	for id, sub := range f.subscriptions {
+		if !sub.wanted {
+			sub.cancel()
+			delete(f.subscriptions, id)
 		}
-		o.seen = false
+		sub.wanted = false
 	}
 }
 
-// start begins to follow an endpoint. The caller holds mu.
-func (f *Follower) start(e fleet.Endpoint) *follow {
+// start starts the goroutine that follows an endpoint. The caller holds mu.
+func (f *Follower) start(e fleet.Endpoint) *subscription {
 	ctx, cancel := context.WithCancel(context.Background())
-	o := &follow{endpoint: e, cancel: cancel}
-	f.open[e.ID] = o
+	sub := &subscription{endpoint: e, cancel: cancel}
+	f.subscriptions[e.ID] = sub
 	f.group.Go(func() { f.run(ctx, e) })
-	return o
+	return sub
 }
 
-// Close ends all streams and waits for their goroutines.
+// Close closes all streams and waits for their goroutines.
 func (f *Follower) Close() {
 	f.mu.Lock()
 	f.closed = true
-	for id, o := range f.open {
-		o.cancel()
-		delete(f.open, id)
+	for id, sub := range f.subscriptions {
+		sub.cancel()
+		delete(f.subscriptions, id)
 	}
 	f.mu.Unlock()
 	f.group.Wait()
 }
 
-// Stats counts since the Follower was made; Streams are those open now.
+// Stats holds counts since the Follower was created; Streams is the number of
+// currently open streams.
 type Stats struct {
 	Bytes    int64 `json:"bytes"` // of messages read
 	Events   int64 `json:"events"`
-	Gaps     int64 `json:"gaps"`     // holes in sequences
-	Failures int64 `json:"failures"` // streams that could not be had or ended
+	Gaps     int64 `json:"gaps"`     // in sequence numbers
+	Failures int64 `json:"failures"` // streams that failed to open or ended
 	Streams  int64 `json:"streams"`
 }
 
@@ -178,33 +180,33 @@
 
 // run follows one endpoint until ctx ends.
 func (f *Follower) run(ctx context.Context, e fleet.Endpoint) {
-	wait := f.o.MinWait
+	wait := f.opts.MinWait
 	for {
-		began := f.o.Now()
-		known := f.stream(ctx, e)
-		f.o.Sink.EventsLost(e.ID)
+		began := f.opts.Now()
+		supported := f.stream(ctx, e)
+		f.opts.Sink.EventsLost(e.ID)
 		if ctx.Err() != nil {
 			return
 		}
 		f.failures.Add(1)
-		if f.o.Now().Sub(began) >= steadyAfter {
-			wait = f.o.MinWait
+		if f.opts.Now().Sub(began) >= stableAfter {
+			wait = f.opts.MinWait
 		}
-		pause := f.o.UnsupportedWait
-		if known {
-			pause = wait
-			wait = min(2*wait, f.o.MaxWait)
+		delay := f.opts.UnsupportedWait
+		if supported {
+			delay = wait
+			wait = min(2*wait, f.opts.MaxWait)
 		}
-		if !f.rest(ctx, pause) {
+		if !f.waitJittered(ctx, delay) {
 			return
 		}
 	}
 }
 
-// rest waits between half and one and a half of d, so that daemons whose
-// streams broke together do not come back together. It returns false when ctx
-// has ended.
-func (f *Follower) rest(ctx context.Context, d time.Duration) bool {
+// waitJittered waits between 0.5 and 1.5 times d, so that daemons whose streams
+// broke at the same time do not reconnect at the same time. It returns false when
+// ctx has ended.
+func (f *Follower) waitJittered(ctx context.Context, d time.Duration) bool {
 	f.mu.Lock()
 	d = d/2 + time.Duration(f.rng.Int64N(int64(d)))
 	f.mu.Unlock()
--- a/caches/caches.go
+++ b/caches/caches.go
@@ -1,14 +1,14 @@
-// Package caches folds what engines and stores tell of their caches to what each
-// of them holds, and answers where a prompt's beginning can be had.
+// Package caches tracks the contents of the KV caches of engines and stores from
+// their cache events, to find where a prompt's prefix is cached.
 //
-// The load pattern: prompts share beginnings, and whatever an engine has read for
-// one of them costs a hundredth to fetch of what it costs to read again. Placing by
-// a hash alone keeps a shared beginning at one engine, and whoever must go elsewhere
-// does not know what is there.
+// Prompts share prefixes, and fetching the KV cache of a prefix costs a hundredth
+// of its prefill. Placement by a hash alone keeps a shared prefix at one engine, and
+// gives no information about other engines for prompts that cannot go there.
 //
-// Events come late and some never come, so a Table is a belief: what it says is
-// held may be gone, and a fetch of what is gone costs a millisecond. The package
-// does no I/O and reads no clock. A Table is not safe for concurrent use.
+// Events arrive late and some are lost, so a Table is approximate: a segment that it
+// lists may have been evicted, and fetching an evicted segment costs a millisecond.
+// The package does no I/O and reads no clock. A Table is not safe for concurrent
+// use.
 package caches
 
 import (
@@ -18,153 +18,157 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// SegmentKey names a piece of a prompt in the cache of a holder. Equal parts can stand
-// for each other: they were read under the same weights, for the same readers.
+// SegmentKey identifies a segment of a prompt in the caches. Segments with the same
+// key are interchangeable: they were computed with the same weights, for the same
+// organisations.
 type SegmentKey uint64
 
-// NewSegmentKey names the piece with the id under the salt that keeps weights and
-// organisations apart.
+// NewSegmentKey returns the key of the segment with the ID. The salt separates
+// weights and organisations.
 func NewSegmentKey(salt, id string) SegmentKey { return SegmentKey(hash.Text(salt + "\x00" + id)) }
 
-// Event is one change of what a holder has of a part.
+// Event is a change of the cached tokens of one segment at a holder.
 type Event struct {
-	Sequence int64 // in the holder's sequence
+	Sequence int64 // event number at the holder
 	Segment  SegmentKey
-	Tokens   int // that it holds now; 0: none
+	Tokens   int // cached after the event; 0: removed
 }
 
-// Batch is the answer of a holder to one question.
+// Batch is a holder's answer to one request for events.
 type Batch struct {
-	Incarnation int64 // changes when the holder starts again, with an empty cache
-	Next        int64 // where to ask on
-	Lost        bool  // events before these are not kept any more
+	Incarnation int64 // changes when the holder restarts, with an empty cache
+	Next        int64 // sequence number to request next
+	Lost        bool  // some requested events before these have been discarded
 	Events      []Event
 }
 
-// blockTokens is the least unit of a cache. The end of a part may not fill a block,
-// and counts as held without it.
+// blockTokens is the allocation unit of a cache. A segment whose last, partial block
+// is missing counts as completely cached.
 const blockTokens = 16
 
-// leastTidy is the number of overtaken arrivals that are not worth dropping.
-const leastTidy = 64
+// minCompaction is the number of superseded updates from which on dropping them is
+// worthwhile.
+const minCompaction = 64
 
-// holder is one engine or store.
+// holder is the state of one engine or store.
 type holder struct {
-	epoch    int64
-	capacity int // tokens; 0: not known
-	tokens   int
-	parts    map[SegmentKey]held
-	order    []arrival // of the parts, oldest first; some have gone since
+	incarnation int64
+	capacity    int // tokens; 0: unknown
+	tokens      int
+	segments    map[SegmentKey]segmentState
+	updates     []update // oldest first; may include superseded ones
 }
 
-type held struct {
-	tokens int
-	number int64 // of the newest event
+type segmentState struct {
+	tokens   int
+	sequence int64 // of the newest event
 }
 
-type arrival struct {
-	part   SegmentKey
-	number int64
+type update struct {
+	segment  SegmentKey
+	sequence int64
 }
 
-// Table is what the holders that are followed hold, by name.
+// Table tracks the cached segments of holders by the holders' names.
 type Table struct{ holders map[string]*holder }
 
 // New returns an empty Table.
 func New() *Table { return &Table{holders: map[string]*holder{}} }
 
-// Apply takes a batch of a holder with the given capacity in tokens; 0: not known.
+// Apply applies a batch of events of a holder. The capacity is in tokens; 0 means
+// unknown.
 func (t *Table) Apply(name string, capacity int, b Batch) {
 	h := t.holders[name]
-	if h == nil || h.epoch != b.Incarnation || b.Lost {
-		// It began anew, or what went meanwhile is not known: only what comes from
-		// now on is sure.
-		h = &holder{epoch: b.Incarnation, parts: map[SegmentKey]held{}}
+	if h == nil || h.incarnation != b.Incarnation || b.Lost {
+		// After a restart or lost events, the earlier state may be out of date. Start
+		// from an empty one.
+		h = &holder{incarnation: b.Incarnation, segments: map[SegmentKey]segmentState{}}
 		t.holders[name] = h
 	}
 	h.capacity = capacity
 	for _, e := range b.Events {
 		h.apply(e)
 	}
-	h.bound()
-	h.tidy()
+	h.evictToCapacity()
+	h.compact()
 }
 
 func (h *holder) apply(e Event) {
-	old, had := h.parts[e.Segment]
+	old, had := h.segments[e.Segment]
 	h.tokens += e.Tokens - old.tokens
 	if e.Tokens <= 0 {
-		delete(h.parts, e.Segment)
+		delete(h.segments, e.Segment)
 		return
 	}
-	h.parts[e.Segment] = held{e.Tokens, e.Sequence}
-	if !had || old.number != e.Sequence {
-		h.order = append(h.order, arrival{e.Segment, e.Sequence})
+	h.segments[e.Segment] = segmentState{e.Tokens, e.Sequence}
+	if !had || old.sequence != e.Sequence {
+		h.updates = append(h.updates, update{e.Segment, e.Sequence})
 	}
 }
 
-// bound drops the oldest parts past the capacity.
+// evictToCapacity drops the oldest segments beyond the capacity.
 //
-// Some removals never come. What they removed would be believed in for ever, and
-// prompts would go to where nothing of them is; but no cache holds more than it
-// has room for.
-func (h *holder) bound() {
+// Some removal events are lost. Without a bound the removed segments would stay in
+// the table for ever, and prompts would be sent to holders without their prefixes.
+// What exceeds a holder's capacity can't be cached there.
+func (h *holder) evictToCapacity() {
 	drop := 0
-	for ; drop < len(h.order); drop++ {
-		a := h.order[drop]
-		now, have := h.parts[a.part]
+	for ; drop < len(h.updates); drop++ {
+		u := h.updates[drop]
+		now, have := h.segments[u.segment]
 		switch {
-		case !have || now.number != a.number:
-			continue // gone, or renewed since
+		case !have || now.sequence != u.sequence:
+			continue // removed, or updated since
 		case h.capacity <= 0 || h.tokens <= h.capacity:
-			h.order = h.order[drop:]
+			h.updates = h.updates[drop:]
 			return
 		}
 		h.tokens -= now.tokens
-		delete(h.parts, a.part)
+		delete(h.segments, u.segment)
 	}
-	h.order = h.order[:0]
+	h.updates = h.updates[:0]
 }
 
-// tidy drops arrivals that were overtaken, once they are most of the list.
-func (h *holder) tidy() {
-	if len(h.order) < 2*len(h.parts)+leastTidy {
+// compact drops superseded updates once they are most of the list.
+func (h *holder) compact() {
+	if len(h.updates) < 2*len(h.segments)+minCompaction {
 		return
 	}
-	h.order = slices.DeleteFunc(h.order, func(a arrival) bool {
-		now, have := h.parts[a.part]
-		return !have || now.number != a.number
+	h.updates = slices.DeleteFunc(h.updates, func(u update) bool {
+		now, have := h.segments[u.segment]
+		return !have || now.sequence != u.sequence
 	})
 }
 
-// Remove drops a holder that is followed no more.
+// Remove drops the state of a holder whose events are no longer followed.
 func (t *Table) Remove(name string) { delete(t.holders, name) }
 
-// Prompt is a prompt's parts as caches name them.
+// Prompt is a prompt as the keys and lengths of its segments.
 type Prompt struct {
-	parts  []SegmentKey
-	tokens []int
+	segments []SegmentKey
+	tokens   []int
 }
 
-// NewPrompt names the parts of a prompt under a salt.
-func NewPrompt(salt string, parts []prefix.Segment) Prompt {
-	p := Prompt{parts: make([]SegmentKey, len(parts)), tokens: make([]int, len(parts))}
-	for i := range parts {
-		p.parts[i], p.tokens[i] = NewSegmentKey(salt, parts[i].ID), parts[i].Tokens
+// NewPrompt returns the Prompt for the segments under a salt, see NewSegmentKey.
+func NewPrompt(salt string, segments []prefix.Segment) Prompt {
+	p := Prompt{segments: make([]SegmentKey, len(segments)), tokens: make([]int, len(segments))}
+	for i := range segments {
+		p.segments[i], p.tokens[i] = NewSegmentKey(salt, segments[i].ID), segments[i].Tokens
 	}
 	return p
 }
 
-// CachedTokens returns how many leading tokens of the prompt the holder has; false if it
-// is not followed. A part counts only if all parts before it are there.
+// CachedTokens returns how many leading tokens of the prompt the holder has cached,
+// and false if the holder is unknown. A segment counts only if all segments before it
+// are completely cached.
 func (t *Table) CachedTokens(name string, p Prompt) (int, bool) {
 	h := t.holders[name]
 	if h == nil {
 		return 0, false
 	}
 	tokens := 0
-	for i, part := range p.parts {
-		have := h.parts[part].tokens
+	for i, key := range p.segments {
+		have := h.segments[key].tokens
 		tokens += min(have, p.tokens[i])
 		if have == 0 || have+blockTokens <= p.tokens[i] {
 			break
--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -1,10 +1,10 @@
-// Package catalog indexes a manifest for the request path: which organisation
-// a key belongs to, which weights a request names and whether its organisation
-// may use them, and which plain service a path belongs to.
+// Package catalog indexes a manifest for look-ups on the request path: from API
+// keys to organisations, from model names to weight versions with their access
+// rights, and from paths to plain services.
 //
-// An Index is immutable, does no I/O and reads no clock; many goroutines may
-// use it at once. A request keeps the Index it began with, so that a manifest
-// accepted meanwhile cannot change its weights half-way.
+// An Index is immutable and safe for concurrent use, does no I/O and reads no
+// clock. A request uses the same Index from beginning to end, so that a manifest
+// accepted meanwhile cannot change its weights.
 package catalog
 
 import (
@@ -20,11 +20,11 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// AdapterSeparator parts the model from the adapter in a model name, as in
+// AdapterSeparator separates the model from the adapter in a model name, as in
 // "codes:registre-tags".
 const AdapterSeparator = ":"
 
-// Errors of the look-ups.
+// Errors returned by look-ups.
 var (
 	ErrKeyUnknown        = errors.New("catalog: key is not known")
 	ErrModelUnknown      = errors.New("catalog: model is not known")
@@ -34,25 +34,24 @@
 	ErrPriorityForbidden = errors.New("catalog: organisation may not ask for the priority")
 )
 
-// Organisation is what the request path needs of one organisation.
+// Organisation holds the share, priorities and models of an organisation.
 type Organisation struct {
-	ID         contract.OrganisationID
-	Share      float64
-	priorities [contract.PriorityCount]bool
-	lowest     contract.Priority
-	models     map[string]bool // nil: all
+	ID          contract.OrganisationID
+	Share       float64
+	priorities  [contract.PriorityCount]bool
+	leastUrgent contract.Priority
+	models      map[string]bool // allowed models; nil allows all
 }
 
-// Target names the weights that a request is bound to from its first attempt
-// to its last.
+// Target identifies the weights that all attempts of a request must use.
 type Target struct {
 	Model          string
 	Version        string // weight version of the model
-	Adapter        string // empty: none
+	Adapter        string // empty without an adapter
 	AdapterVersion string
 }
 
-// Service is a plain service of the manifest.
+// Service is a plain service, one without models, of the manifest.
 type Service struct {
 	ID     string
 	Prefix string // without a trailing slash
@@ -65,16 +64,16 @@
 	keys          map[[sha256.Size]byte]*Organisation
 	organisations map[contract.OrganisationID]*Organisation
 	models        map[string]*model
-	names         []string
+	modelNames    []string
 	services      []*Service // longest prefix first
 	classes       map[string]manifest.Class
 	fleet         manifest.Fleet
 }
 
 type model struct {
-	version  string
-	adapters map[string]*adapter
-	names    []string
+	version      string
+	adapters     map[string]*adapter
+	adapterNames []string
 }
 
 type adapter struct {
@@ -82,9 +81,8 @@
 	organisations map[contract.OrganisationID]bool
 }
 
-// New indexes a manifest that has passed its checks. It returns an error when
-// a key hash is not the hexadecimal SHA-256 it must be, or a priority has no
-// such name.
+// New indexes a validated manifest. It returns an error when a key hash is not a
+// hexadecimal SHA-256 or a priority name is unknown.
 func New(m *manifest.Manifest) (*Index, error) {
 	x := &Index{
 		keys:          make(map[[sha256.Size]byte]*Organisation),
@@ -107,9 +105,10 @@
 	for i := range m.Services {
 		x.addService(&m.Services[i])
 	}
-	// The longest prefix first, so that /receipts/archive wins over /receipts.
+	// Longest prefix first, so that /receipts/archive takes precedence over
+	// /receipts.
 	slices.SortStableFunc(x.services, func(a, b *Service) int { return len(b.Prefix) - len(a.Prefix) })
-	slices.Sort(x.names)
+	slices.Sort(x.modelNames)
 	return x, nil
 }
 
@@ -121,7 +120,7 @@
 			return fmt.Errorf("catalog: organisation %s: %w", o.ID, err)
 		}
 		org.priorities[p] = true
-		org.lowest = max(org.lowest, p)
+		org.leastUrgent = max(org.leastUrgent, p)
 	}
 	if len(o.Models) > 0 {
 		org.models = make(map[string]bool, len(o.Models))
@@ -148,11 +147,11 @@
 			rights[id] = true
 		}
 		entry.adapters[a.ID] = &adapter{version: a.Version, organisations: rights}
-		entry.names = append(entry.names, a.ID)
+		entry.adapterNames = append(entry.adapterNames, a.ID)
 	}
-	slices.Sort(entry.names)
+	slices.Sort(entry.adapterNames)
 	x.models[m.ID] = entry
-	x.names = append(x.names, m.ID)
+	x.modelNames = append(x.modelNames, m.ID)
 }
 
 func (x *Index) addService(s *manifest.Service) {
@@ -165,8 +164,8 @@
 }
 
 // Authenticate returns the organisation that an API key belongs to, or
-// ErrKeyUnknown. Only the key's hash is compared, so neither the manifest nor
-// the time taken tells anything of a key.
+// ErrKeyUnknown. It looks up the key's hash, so that neither the manifest nor the
+// time of the look-up reveals anything about a key.
 func (x *Index) Authenticate(key string) (*Organisation, error) {
 	org, ok := x.keys[sha256.Sum256([]byte(key))]
 	if !ok {
@@ -175,15 +174,17 @@
 	return org, nil
 }
 
-// Organisation returns the organisation of the given name.
+// Organisation returns the organisation with the given ID, and false if there is
+// none.
 func (x *Index) Organisation(id contract.OrganisationID) (*Organisation, bool) {
 	org, ok := x.organisations[id]
 	return org, ok
 }
 
-// Resolve returns the weights that a model name and an adapter name stand for.
-// The model name may carry the adapter after AdapterSeparator; then adapter
-// must be empty or the same.
+// Resolve returns the weights for a model name and an adapter name. The model name
+// may contain the adapter after AdapterSeparator; then adapterName must be empty
+// or the same. The errors are ErrModelUnknown, ErrModelForbidden,
+// ErrAdapterUnknown and ErrAdapterForbidden.
 func (x *Index) Resolve(org *Organisation, name, adapterName string) (Target, error) {
 	base, suffix, _ := strings.Cut(name, AdapterSeparator)
 	if suffix != "" && adapterName != "" && suffix != adapterName {
@@ -214,15 +215,15 @@
 	return t, nil
 }
 
-// Priority returns the priority that a request of the organisation gets when
-// it asks for the given one by name. With no name it is the standard one, or
-// the least urgent of the organisation's when it lacks that.
+// Priority returns the priority with the given name, or ErrPriorityForbidden if
+// the organisation may not use it. Without a name it returns the standard priority,
+// or the least urgent of the organisation if that one is not allowed.
 func (o *Organisation) Priority(name string) (contract.Priority, error) {
 	if name == "" {
 		if o.priorities[contract.PriorityStandard] {
 			return contract.PriorityStandard, nil
 		}
-		return o.lowest, nil
+		return o.leastUrgent, nil
 	}
 	p, err := contract.ParsePriority(name)
 	if err != nil {
@@ -234,17 +235,17 @@
 	return p, nil
 }
 
-// Models lists the model names the organisation may use, adapters included, in
-// the order of their names.
+// Models returns the model names that the organisation may use, with adapters,
+// in the order of their names.
 func (x *Index) Models(org *Organisation) []string {
 	var names []string
-	for _, base := range x.names {
+	for _, base := range x.modelNames {
 		if org.models != nil && !org.models[base] {
 			continue
 		}
 		names = append(names, base)
 		m := x.models[base]
-		for _, a := range m.names {
+		for _, a := range m.adapterNames {
 			if m.adapters[a].organisations[org.ID] {
 				names = append(names, base+AdapterSeparator+a)
 			}
@@ -253,8 +254,9 @@
 	return names
 }
 
-// Service returns the plain service that a path belongs to and the rest of the
-// path below its prefix, which is empty or begins with a slash.
+// Service returns the plain service with the longest prefix of the path, and the
+// rest of the path, which is empty or begins with a slash. It returns false if no
+// service matches.
 func (x *Index) Service(path string) (s *Service, rest string, ok bool) {
 	for _, s := range x.services {
 		rest, found := strings.CutPrefix(path, s.Prefix)
@@ -265,26 +267,26 @@
 	return nil, "", false
 }
 
-// Idempotent tells whether a call of the service may be repeated. The first
-// rule that matches counts; a call that no rule names may not be repeated,
-// whatever its method.
+// Idempotent reports whether a call of the service may be repeated. The first
+// matching rule decides; a call without a rule may not be repeated, whatever its
+// method.
 func (s *Service) Idempotent(method, rest string) bool {
 	for _, c := range s.calls {
-		if c.Method == method && matches(c.Path, rest) {
+		if c.Method == method && matchesPath(c.Path, rest) {
 			return c.Idempotent
 		}
 	}
 	return false
 }
 
-func matches(pattern, path string) bool {
+func matchesPath(pattern, path string) bool {
 	if stem, wild := strings.CutSuffix(pattern, "*"); wild {
 		return strings.HasPrefix(path, stem)
 	}
 	return pattern == path
 }
 
-// Serves tells whether endpoints of a class are of the given kind and, for
+// Serves reports whether endpoints of a class are of the given kind and, for
 // model engines, serve the model.
 func (x *Index) Serves(class string, kind fleet.Kind, model string) bool {
 	c, ok := x.classes[class]
@@ -294,5 +296,5 @@
 	return kind != fleet.KindModel || slices.Contains(c.Models, model)
 }
 
-// Fleet returns the manifest's figures for all endpoints.
+// Fleet returns the fleet settings of the manifest.
 func (x *Index) Fleet() manifest.Fleet { return x.fleet }
--- a/catalog/catalog_test.go
+++ b/catalog/catalog_test.go
@@ -12,7 +12,7 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-func sample(t *testing.T) *Index {
+func newTestIndex(t *testing.T) *Index {
 	t.Helper()
 	hash := func(key string) []string {
 		sum := sha256.Sum256([]byte(key))
@@ -43,7 +43,7 @@
 }
 
 func TestResolve(t *testing.T) {
-	x := sample(t)
+	x := newTestIndex(t)
 	tests := []struct {
 		key, model, adapter string
 		want                Target
@@ -78,8 +78,8 @@
 	}
 }
 
-func TestPriorityOfARequest(t *testing.T) {
-	x := sample(t)
+func TestPriority(t *testing.T) {
+	x := newTestIndex(t)
 	tests := []struct {
 		org  contract.OrganisationID
 		name string
@@ -100,7 +100,7 @@
 }
 
 func TestServiceByPath(t *testing.T) {
-	x := sample(t)
+	x := newTestIndex(t)
 	tests := []struct {
 		method, path, service string
 		idempotent            bool
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestNewRefusesWhatItCannotIndex(t *testing.T) {
+func TestNewRefusesInvalidOrganisation(t *testing.T) {
 	for _, o := range []manifest.Organisation{{ID: "a", KeyHashes: []string{"12"}}, {ID: "a", Priorities: []string{"first"}}} {
 		if _, err := New(&manifest.Manifest{Organisations: []manifest.Organisation{o}}); err == nil {
 			t.Errorf("%+v is taken", o)
--- a/routes/routes.go
+++ b/routes/routes.go
@@ -1,8 +1,9 @@
-// Package routes holds what operators configure for routed requests: which host
-// and path lead to which service, who may use them, and within which limits.
+// Package routes defines the operator configuration of routed requests: the
+// routes from hosts and paths to services, the organisations that may use them,
+// and the limits.
 //
-// A Table never changes once it is made, so that a request keeps the one it
-// began with. The package does no I/O and reads no clock.
+// A Table does not change after BuildIndex, so that a request can use the same one
+// from beginning to end. The package does no I/O and reads no clock.
 package routes
 
 import (
@@ -14,14 +15,14 @@
 	"github.com/merlindock/merlindock/quota"
 )
 
-// Kind says what may be repeated of a request.
+// Kind determines whether a request may be repeated at another endpoint.
 type Kind uint8
 
 // The kinds of request. The zero value is the strictest.
 const (
 	Unsafe Kind = iota // runs at most once
 	Safe               // may run more than once
-	Stream             // runs at most once, unless the route is resumable
+	Stream             // answered by a stream; runs at most once unless the route is resumable
 )
 
 var kindNames = [...]string{"unsafe", "safe", "stream"}
@@ -42,55 +43,55 @@
 	Limits        Limits
 	KeysRequired  bool                     // routes that are not public need an API key
 	Organisations map[string]*Organisation // by API key
-	// Stores are the stores of KV cache among the services, in the order of
-	// their addresses. Index sets it.
+	// Stores are the KV cache stores among the services, in the order of their
+	// addresses. BuildIndex sets it.
 	Stores []*Store
 	byHost map[string][]*Route
 }
 
-// Route leads from a host and a path prefix to services.
+// Route maps a host and a path prefix to services.
 type Route struct {
 	Name              string
 	Host              string
 	PathPrefix        string
 	Kind              Kind
-	Timeout           time.Duration // longest time that a caller is kept waiting
-	TargetLatency     time.Duration // until the answer, or the first event of a stream
+	Timeout           time.Duration // longest time that a caller waits
+	TargetLatency     time.Duration // latency objective: until the answer, or the first event of a stream
 	EventGap          time.Duration // longest pause between events of a stream
 	MaxAttempts       int           // endpoints that one request may be sent to
 	Priority          int           // 0 is the most urgent
 	Public            bool          // no API key needed
-	HasPromptSegments bool          // requests name the parts of their prompt
-	Resumable         bool          // a stream may go on at another endpoint
+	HasPromptSegments bool          // requests list the segments of their prompt
+	Resumable         bool          // a stream may continue at another endpoint
 	Backends          []Backend
 }
 
-// Backend is one of the services of a route with its part of the requests.
+// Backend is one of the services of a route with its weight.
 type Backend struct {
 	Service string
 	Weight  int
 }
 
-// Service is a group of endpoints that serve the same requests.
+// Service is a group of interchangeable endpoints.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int     // connections that one endpoint takes from all callers
+	MaxConns   int     // connections that one endpoint accepts from all callers
 	Engine     *Engine // nil for a plain service
-	Store      *Store  // set for a store of KV cache, which no route leads to
+	Store      *Store  // set for a KV cache store, which no route leads to
 }
 
-// Engine is what the endpoints of a model service have in common.
+// Engine holds the common properties of the endpoints of a model service.
 type Engine struct {
 	Slots          int     // requests in one batch
 	CapacityTokens int     // KV cache of one endpoint
-	BytesPerToken  int     // of KV cache
+	BytesPerToken  int     // of the KV cache
 	LinkMbps       float64 // between endpoints
 	MaxFollowers   int     // daemons that may follow the events of one endpoint's cache
 	Models         []string
 }
 
-// Store is a store of KV cache.
+// Store holds the properties of a KV cache store.
 type Store struct {
 	Address        string // IP:port
 	Zone           string
@@ -99,7 +100,7 @@
 	MaxFollowers   int // daemons that may follow its events
 }
 
-// Limits bound what callers may send and how long they may idle.
+// Limits bounds the size of requests and the idle time of connections.
 type Limits struct {
 	HeaderBytes   int
 	BodyBytes     int64
@@ -112,16 +113,15 @@
 	Name        string
 	Priority    int
 	HasPriority bool
-	// Isolated says that its KV cache may not be shared with any other
-	// organisation.
+	// Isolated means that its KV cache is not shared with other organisations.
 	Isolated bool
-	// Limit bounds the requests of the organisation over all daemons. The zero
-	// value is no limit.
+	// Limit bounds the requests of the organisation at all daemons together. The
+	// zero value is no limit.
 	Limit    quota.Limit
 	QuotaKey quota.Key // of Name
 }
 
-// RateLimits lists the limits of the organisations that have one.
+// RateLimits returns the limits of the organisations that have one.
 func (t *Table) RateLimits() map[quota.Key]quota.Limit {
 	out := map[quota.Key]quota.Limit{}
 	for _, o := range t.Organisations {
@@ -132,7 +132,8 @@
 	return out
 }
 
-// BuildIndex prepares the table for use. Call it once, when all else is filled in.
+// BuildIndex fills in the fields that are computed from the others. Call it once,
+// before Match.
 func (t *Table) BuildIndex() {
 	for _, s := range t.Services {
 		if s.Store != nil {
@@ -148,8 +149,9 @@
 	}
 }
 
-// Match returns the route with the longest prefix of the path among those of
-// the host, nil if there is none. The path is taken as it was sent.
+// Match returns the route of the host with the longest prefix of the path, or nil
+// if there is none. A port in host is ignored. The path is compared as it was sent,
+// without decoding or cleaning.
 func (t *Table) Match(host, path string) *Route {
 	if name, _, ok := strings.Cut(host, ":"); ok {
 		host = name
@@ -163,9 +165,9 @@
 	return best
 }
 
-// SelectBackend returns the service for a request, by a uniform hash of its id. The
-// same request always meets the same service. It returns "" for a route
-// without a service that has weight.
+// SelectBackend returns the service for a request, chosen by weight with a uniform
+// hash of the request's ID, so that all attempts of a request go to the same
+// service. It returns "" if no backend has a weight above 0.
 func (r *Route) SelectBackend(hash uint64) string {
 	total := 0
 	for _, b := range r.Backends {
@@ -184,13 +186,14 @@
 	return ""
 }
 
-// Repeatable tells whether a request of the route may run more than once.
+// Repeatable reports whether a request of the route may run more than once.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Stream && r.Resumable)
 }
 
-// EffectivePriority is the priority of a request of the organisation on the route, 0
-// first. The organisation's own goes before the route's.
+// EffectivePriority returns the priority of a request of the organisation on the
+// route; 0 is the most urgent. The organisation's priority takes precedence over
+// the route's.
 func (r *Route) EffectivePriority(o *Organisation) int {
 	if o != nil && o.HasPriority {
 		return o.Priority
--- a/routes/routes_test.go
+++ b/routes/routes_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func table() *Table {
+func newTestTable() *Table {
 	t := &Table{
 		Routes: []Route{
 			{Name: "all", Host: "a.example", PathPrefix: "/"},
@@ -20,7 +20,7 @@
 	return t
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchLongestPrefix(t *testing.T) {
 	for _, c := range []struct{ host, path, want string }{
 		{"a.example", "/x/y/z", "deep"},
 		{"a.example:8080", "/x/y", "shallow"},
@@ -33,7 +33,7 @@
 		{"a.example", "/x%2Fy/", "all"},
 	} {
 		got := ""
-		if r := table().Match(c.host, c.path); r != nil {
+		if r := newTestTable().Match(c.host, c.path); r != nil {
 			got = r.Name
 		}
 		if got != c.want {
@@ -42,31 +42,31 @@
 	}
 }
 
-func TestBackendsGetTheirPart(t *testing.T) {
+func TestSelectBackendByWeight(t *testing.T) {
 	r := Route{Backends: []Backend{{"a", 90}, {"b", 0}, {"c", 10}}}
 	count := map[string]int{}
 	for h := range uint64(1000) {
 		count[r.SelectBackend(h*2654435761)]++
 	}
 	if count["a"] < 850 || count["c"] < 60 || count["b"] != 0 {
-		t.Errorf("parts %v", count)
+		t.Errorf("requests by service: %v", count)
 	}
 	if (&Route{Backends: []Backend{{"a", 0}}}).SelectBackend(7) != "" {
 		t.Error("a service without weight was chosen")
 	}
 }
 
-func TestOrganisationsPriorityGoesFirst(t *testing.T) {
+func TestEffectivePriority(t *testing.T) {
 	r := Route{Priority: 2}
 	if got := r.EffectivePriority(&Organisation{Priority: 0, HasPriority: true}); got != 0 {
-		t.Errorf("urgency %d", got)
+		t.Errorf("priority %d with one of the organisation, want 0", got)
 	}
 	if got := r.EffectivePriority(&Organisation{}); got != 2 {
-		t.Errorf("urgency %d", got)
+		t.Errorf("priority %d without one of the organisation, want 2", got)
 	}
 }
 
-func TestOnlyWhatMayRunTwiceIsRepeatable(t *testing.T) {
+func TestRepeatable(t *testing.T) {
 	for _, c := range []struct {
 		r    Route
 		want bool
@@ -83,11 +83,11 @@
 	}
 }
 
-// Two daemons index the same configuration. A prefix that one sends to a store
-// must be looked for by the other in the same one.
-func TestStoresHaveOneOrder(t *testing.T) {
+// All daemons must index a configuration in the same order: a prefix that one
+// daemon sends to a store must be requested by the others from the same store.
+func TestBuildIndexSortsStores(t *testing.T) {
 	for range 20 {
-		s := table().Stores
+		s := newTestTable().Stores
 		if len(s) != 2 || s[0].Address != "10.0.0.1:1" {
 			t.Fatalf("stores %v %v", s[0], s[1])
 		}
