--- a/contract/cost.go
+++ b/contract/cost.go
@@ -17,8 +17,8 @@
 	minCostRatio           = 0.01
 )
 
-func (c *costRatio) record(asked, actual float64) {
-	c.requested = c.requested*costDecay + asked
+func (c *costRatio) record(requested, actual float64) {
+	c.requested = c.requested*costDecay + requested
 	c.actual = c.actual*costDecay + actual
 }
 
--- a/contract/fleet_fraction.go
+++ b/contract/fleet_fraction.go
@@ -39,10 +39,10 @@
 	level := waterLevel(a.fleetDemands, a.tokensPerSecond)
 	all := priorFraction * a.tokensPerSecond
 	here := all / (1 + a.otherDaemons)
-	for _, c := range a.fleetDemands {
-		given := min(c.total, c.weight*level)
-		all += given
-		here += given * c.local / c.total
+	for _, d := range a.fleetDemands {
+		granted := min(d.total, d.weight*level)
+		all += granted
+		here += granted * d.local / d.total
 	}
 	return here / all
 }
@@ -50,8 +50,8 @@
 // waterLevel returns the rate per unit of weight at which the demands exhaust
 // the capacity, with each demand bounding its own rate (weighted max-min fairness
 // by water-filling).
-func waterLevel(claims []fleetDemand, capacity float64) float64 {
-	slices.SortFunc(claims, func(x, y fleetDemand) int {
+func waterLevel(demands []fleetDemand, capacity float64) float64 {
+	slices.SortFunc(demands, func(x, y fleetDemand) int {
 		return cmp.Or(
 			cmp.Compare(x.total/x.weight, y.total/y.weight),
 			cmp.Compare(x.weight, y.weight),
@@ -59,21 +59,21 @@
 		)
 	})
 	weight := 0.0
-	for _, c := range claims {
-		weight += c.weight
+	for _, d := range demands {
+		weight += d.weight
 	}
 	level := 0.0
-	for _, c := range claims {
+	for _, d := range demands {
 		if weight <= 0 {
 			return level
 		}
 		level = max(capacity/weight, 0)
-		if c.total > c.weight*level {
+		if d.total > d.weight*level {
 			return level
 		}
-		level = c.total / c.weight
-		capacity -= c.total
-		weight -= c.weight
+		level = d.total / d.weight
+		capacity -= d.total
+		weight -= d.weight
 	}
 	return level
 }
--- a/contract/pick.go
+++ b/contract/pick.go
@@ -5,18 +5,18 @@
 // concurrencyMeter averages the number of urgent requests that run at a time,
 // from which reserve computes the slots kept free of long-running work.
 type concurrencyMeter struct {
-	running int
-	mean    float64
-	at      float64
+	running   int
+	mean      float64
+	updatedAt float64
 }
 
 const concurrencyTimeConstant = 10 // seconds
 
 func (m *concurrencyMeter) update(now float64) {
-	if now > m.at {
-		keep := math.Exp((m.at - now) / concurrencyTimeConstant)
+	if now > m.updatedAt {
+		keep := math.Exp((m.updatedAt - now) / concurrencyTimeConstant)
 		m.mean = m.mean*keep + float64(m.running)*(1-keep)
-		m.at = now
+		m.updatedAt = now
 	}
 }
 
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -50,7 +50,7 @@
 	wake   chan struct{}
 	jitter float64
 
-	mu       sync.Mutex // guards state and caught
+	mu       sync.Mutex // guards state, caughtUp and changed
 	state    *ledger.State
 	caughtUp bool          // has read to the end of the log at least once
 	changed  chan struct{} // closed and replaced when a record is applied
