--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -71,9 +71,9 @@
 		now:     a.now,
 		waiting: map[contract.RequestID]chan contract.Decision{},
 		core: contract.NewAdmission(contract.Options{
-			Daemon: contract.DaemonID(d.o.Settings.Daemon.ID),
-			Incarnation:  uint64(d.life.UnixMilli()),
-			Rand:   rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.life), a.ids.next())),
+			Daemon:      contract.DaemonID(d.o.Settings.Daemon.ID),
+			Incarnation: uint64(d.life.UnixMilli()),
+			Rand:        rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.life), a.ids.next())),
 		}),
 	}
 	p.timer = time.AfterFunc(time.Hour, p.wake)
@@ -132,12 +132,12 @@
 	id := contract.RequestID(a.ids.next())
 	rate := float64(c.endpoints) * a.daemon.o.Settings.Routing.RunnerTokens
 	d, err := p.admit(ctx, rate, c.slots, contract.Request{
-		ID:           id,
-		Organisation: r.Organisation,
-		Priority:     priorityOf(r.Priority),
-		Tokens:       float64(r.Tokens),
-		Deadline:     r.Deadline,
-		StartUnobserved:       !r.Streamed,
+		ID:              id,
+		Organisation:    r.Organisation,
+		Priority:        priorityOf(r.Priority),
+		Tokens:          float64(r.Tokens),
+		Deadline:        r.Deadline,
+		StartUnobserved: !r.Streamed,
 	})
 	if err != nil {
 		return gateway.Admission{}, err
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -98,9 +98,9 @@
 	d.shutdown = newShutdown(s.Drain, d.drainer, o.Now)
 	d.catalogue = newCatalogue(o.Logs.For(logging.PartManifest))
 	d.manifests = logio.NewManifests(logio.ManifestsOptions{
-		Log:     o.Log,
-		Poll:    s.Platform.PollInterval,
-		Seed:    seedOf(s.Daemon.ID, d.life),
+		Log:      o.Log,
+		Poll:     s.Platform.PollInterval,
+		Seed:     seedOf(s.Daemon.ID, d.life),
 		OnChange: d.changed,
 	})
 	client := engine.New(engine.Options{DialContext: o.Dial})
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -30,13 +30,13 @@
 	s := d.o.Settings
 	g := &orderGiver{daemon: d, log: d.o.Logs.For(logging.PartOrders)}
 	g.keeper = logio.NewLeaseKeeper(logio.LeaseOptions{
-		Log:    d.o.Log,
-		Name:   ordersLease,
-		Holder: fmt.Sprintf("%s/%d", s.Daemon.ID, d.life.UnixNano()),
-		TTL:    s.Orders.Lease,
-		Poll:   leasePolls * s.Platform.PollInterval,
-		Seed:   seedOf(s.Daemon.ID, d.life),
-		ShouldHold:   d.shutdown.ready,
+		Log:        d.o.Log,
+		Name:       ordersLease,
+		Holder:     fmt.Sprintf("%s/%d", s.Daemon.ID, d.life.UnixNano()),
+		TTL:        s.Orders.Lease,
+		Poll:       leasePolls * s.Platform.PollInterval,
+		Seed:       seedOf(s.Daemon.ID, d.life),
+		ShouldHold: d.shutdown.ready,
 	})
 	g.giver = orders.New(orders.Options{
 		Lease:     g.keeper,
