--- a/forward/handler.go
+++ b/forward/handler.go
@@ -178,14 +178,14 @@
 	c.ctx = ctx
 	c.req.In = &c.in
 	c.report.Tokens, c.report.OutputTokens = c.in.PromptTokens, c.in.OutputTokens
-	c.req.Service = t.Services[route.Backend(hash.Text(c.in.AttemptID))]
+	c.req.Service = t.Services[route.SelectBackend(hash.Text(c.in.AttemptID))]
 	if c.req.Service == nil {
 		c.refuse(http.StatusServiceUnavailable, "no_service", retryAfterFailure)
 		return
 	}
 	c.retryState = retry.Request{
 		Idempotent: route.Repeatable(), Resumable: route.Resumable,
-		Deadline: c.req.Deadline, MaxEndpoints: route.Attempts,
+		Deadline: c.req.Deadline, MaxEndpoints: route.MaxAttempts,
 	}
 	if c.exceedsShutdown() {
 		c.refuse(http.StatusServiceUnavailable, "stopping", retryAfterOtherDaemon)
@@ -280,7 +280,7 @@
 		limit = c.in.Patience
 	}
 	c.req.Deadline = c.req.Arrived.Add(limit)
-	c.report.Deadline, c.report.Target = limit, c.req.Route.Target
+	c.report.Deadline, c.report.Target = limit, c.req.Route.TargetLatency
 }
 
 // prepare sets the request that all attempts send, apart from the headers set by
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -258,7 +258,7 @@
 func (c *call) setPriorityAndDeadline(priority string, deadline time.Duration) (context.CancelFunc, *Refusal) {
 	p, err := c.org.Priority(priority)
 	switch {
-	case errors.Is(err, catalog.ErrPriority):
+	case errors.Is(err, catalog.ErrPriorityForbidden):
 		return nil, refusedf(http.StatusForbidden, CodeNotPermitted, "the organisation may not ask for priority %s", priority)
 	case err != nil:
 		return nil, refusedf(http.StatusBadRequest, CodeInvalidRequest, "priority %q is unknown, expected interactive, standard or batch", priority)
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -13,7 +13,7 @@
 type Lease interface {
 	// Holding returns the lease if it is valid at the given time. It is safe for
 	// concurrent use.
-	Holding(now time.Time) (logio.Holding, bool)
+	Holding(now time.Time) (logio.HeldLease, bool)
 	// Release releases the lease, so that the next holder need not wait for its
 	// expiry.
 	Release(ctx context.Context)
--- a/router/caches.go
+++ b/router/caches.go
@@ -125,7 +125,7 @@
 	for _, s := range t.Stores {
 		add(cacheSource{
 			name: s.Address, address: s.Address, zone: fleet.ZoneID(s.Zone), capacity: s.CapacityTokens,
-			rate: tokenRate(s.LinkMbps, perToken), followers: s.Followers,
+			rate: tokenRate(s.LinkMbps, perToken), followers: s.MaxFollowers,
 		})
 	}
 	return out
@@ -147,12 +147,12 @@
 			break
 		}
 		service := t.Services[e.Service]
-		if service == nil || service.Engine == nil || service.Engine.Followers <= 0 {
+		if service == nil || service.Engine == nil || service.Engine.MaxFollowers <= 0 {
 			continue
 		}
 		out = append(out, engineSource{perToken: service.Engine.BytesPerToken, cacheSource: cacheSource{
 			name: string(key), address: e.Address, zone: e.Zone, capacity: service.Engine.CapacityTokens,
-			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.Followers,
+			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.MaxFollowers,
 		}})
 	}
 	return out
@@ -187,7 +187,7 @@
 		if !wanted[name] {
 			w.cancel()
 			delete(c.followed, name)
-			c.table.Forget(name)
+			c.table.Remove(name)
 		}
 	}
 }
@@ -231,7 +231,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w.lastAnswer = 0
-	c.table.Forget(w.name)
+	c.table.Remove(w.name)
 	if failed == 0 {
 		c.log.Warn("Cache cannot be followed.", "holder", w.name, "error", err.Error())
 	}
@@ -259,11 +259,11 @@
 func (c *cacheTracker) locate(w *forward.PlacementRequest, salt string) *placement.PrefixLocations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.PromptOf(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, w.In.Parts)
 	var out *placement.PrefixLocations
 	now := c.clock()
 	for name, h := range c.followed {
-		tokens, known := c.table.Held(name, prompt)
+		tokens, known := c.table.CachedTokens(name, prompt)
 		if !known || now-h.lastAnswer > maxEventAge {
 			continue
 		}
@@ -284,11 +284,11 @@
 func (c *cacheTracker) bestSource(w *forward.PlacementRequest, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.PromptOf(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, w.In.Parts)
 	now := c.clock()
 	var from *followedHolder
 	for name, h := range c.followed {
-		have, known := c.table.Held(name, prompt)
+		have, known := c.table.CachedTokens(name, prompt)
 		if !known || have == 0 || now-h.lastAnswer > maxEventAge || !usable(name) {
 			continue
 		}
--- a/router/placer.go
+++ b/router/placer.go
@@ -118,7 +118,7 @@
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
 		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Excluded,
-		Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
 	}
 	if w.Service.Engine != nil && w.In.Model != "" {
 		return p.placeModel(ctx, now, w, &r)
@@ -140,7 +140,7 @@
 func (p *placer) placeAsDispatcher(now time.Time, w *forward.PlacementRequest) (forward.Placement, error) {
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
-		Tokens: w.In.PromptTokens, Avoid: w.Excluded, Priority: priorityOf(w.Route.Urgency(w.Organisation)),
+		Tokens: w.In.PromptTokens, Avoid: w.Excluded, Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
 		Exclusive: true,
 	}
 	return p.placeModel(context.Background(), now, w, &r)
@@ -223,7 +223,7 @@
 	}
 	// A stream that resumes on another engine is not refused, as its caller has
 	// received a part of it.
-	if !w.Resuming && best.decision.ExpectedWait > time.Duration(modelWaitFractions[in]*float64(w.Route.Target)) {
+	if !w.Resuming && best.decision.ExpectedWait > time.Duration(modelWaitFractions[in]*float64(w.Route.TargetLatency)) {
 		p.releaseLimit(best.decision.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{
 			Code: codeOverloaded, RetryAfter: p.overloadRetryAfter(),
@@ -267,7 +267,7 @@
 	t := p.newAttempts(r.Avoid, subpoolOf(w.In.PromptTokens) == subpoolShort)
 	for t.next() {
 		try.ID, try.Avoid = p.lastID.Add(1), t.excludedEndpoints()
-		best, err := bestCandidate(now, p.state.view, try, all, w.Route.Target)
+		best, err := bestCandidate(now, p.state.view, try, all, w.Route.TargetLatency)
 		if err != nil && t.includeReserved() {
 			continue
 		}
@@ -401,7 +401,7 @@
 	p.unansweredMu.Unlock()
 	out.Notes = forward.PlacerState{Prompt: int(subpoolOf(w.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Exclusive}
 	out.Out.CacheSalt = salt(w, to.version)
-	out.Out.Urgency = min(9, 1+2*w.Route.Urgency(w.Organisation))
+	out.Out.Urgency = min(9, 1+2*w.Route.EffectivePriority(w.Organisation))
 	if at := prefix.AffinityLevel(r.Levels); at >= 0 {
 		out.Prefix = r.Levels[at].Key.String()[:prefixDigits]
 	}
