--- a/cmd/merlindock/explain_test.go
+++ b/cmd/merlindock/explain_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-// A caller complains, and names the id of its request. Two daemons met it; the
-// reason lies in a line of one of them that does not carry the id.
-func TestExplainFindsTheWayOfARequest(t *testing.T) {
+// Two daemons logged the request. Guards against an explanation without the reason, which
+// is in a line that does not carry the request's id.
+func TestExplainPrintsRequestAndPrecedingLines(t *testing.T) {
 	dir := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(dir, name)
@@ -23,7 +23,7 @@
 {"time":"2026-02-03T10:58:01.100Z","endpoint":"i-2","message":"router: Endpoint changed."}
 {"time":"2026-02-03T10:58:02.000Z","id":"r1","status":200,"code":"stream_broken","attempt":"i-1@0 home v4","message":"router: Request ended."}
 {"time":"2026-02-03T10:58:02.000Z","id":"r2","message":"router: Request ended."}
-torn li`)
+trunc`)
 	b := write("b.log", `{"time":"2026-02-03T10:58:01.500Z","id":"r1","status":503,"code":"keys_not_confirmed","message":"router: Request ended."}
 `)
 	var out, errOut bytes.Buffer
@@ -36,7 +36,7 @@
 		t.Errorf("explained:\n%s", got)
 	}
 	if !strings.Contains(got, "1 lines are not") {
-		t.Errorf("the torn line is not counted:\n%s", got)
+		t.Errorf("the truncated line is not counted:\n%s", got)
 	}
 	out.Reset()
 	if code := run(t.Context(), []string{"explain", "r9", a}, streams{out: &out, err: &errOut}); code != exitFailed || !strings.Contains(out.String(), "no line has the id") {
--- a/cmd/merlindock/load.go
+++ b/cmd/merlindock/load.go
@@ -14,7 +14,7 @@
 	"github.com/merlindock/merlindock/lab/world"
 )
 
-// newLoad sends load to a daemon or a stand-in on this machine.
+// newLoad returns the command that sends load to a daemon or a stand-in on this machine.
 func newLoad(s streams) *ffcli.Command {
 	o := load.Options{}
 	var asJSON bool
@@ -33,9 +33,9 @@
 		fs.Uint64Var(&o.Seed, "seed", 1, "seed of the prompts")
 		fs.BoolVar(&asJSON, "json", false, "print the figures as JSON")
 	}
-	return command(s, "load", "merlindock load [flags]", "Send load to a daemon on this machine and measure what callers see.", flags,
+	return command(s, "load", "merlindock load [flags]", "Send load to a daemon on this machine and measure the answers.", flags,
 		func(ctx context.Context, _ []string) error {
-			if err := onLoopback(o.URL); err != nil {
+			if err := checkLoopback(o.URL); err != nil {
 				return err
 			}
 			o.Progress = func(done, of int) { fmt.Fprintf(s.err, "load: %d of %d\n", done, of) }
@@ -47,7 +47,7 @@
 				return err
 			}
 			if r.Answered < r.Requests {
-				return fmt.Errorf("%d of %d requests got no whole answer", r.Requests-r.Answered, r.Requests)
+				return fmt.Errorf("%d of %d requests got no complete answer", r.Requests-r.Answered, r.Requests)
 			}
 			return nil
 		})
@@ -63,16 +63,16 @@
 	return enc.Encode(r.Summary())
 }
 
-// onLoopback refuses to send load anywhere but to this machine: a mistyped
-// address would load somebody's service.
-func onLoopback(address string) error {
+// checkLoopback returns a usage error unless the address is on this machine: load sent to
+// a mistyped address would hit another service.
+func checkLoopback(address string) error {
 	u, err := url.Parse(address)
 	if err != nil {
-		return usageError("-url %q is no URL", address)
+		return usageError("-url %q is not a URL", address)
 	}
 	ip := net.ParseIP(u.Hostname())
 	if ip == nil || !ip.IsLoopback() {
-		return usageError("-url %q is not on the loopback address, expected such as http://127.0.0.1:8080", address)
+		return usageError("-url %q is not a loopback address, expected one such as http://127.0.0.1:8080", address)
 	}
 	return nil
 }
--- a/cmd/merlindock/main.go
+++ b/cmd/merlindock/main.go
@@ -1,6 +1,6 @@
-// Command merlindock is the operator's and developer's tool: it checks and
-// publishes manifests, shows and drains daemons, and runs the stand-ins, the
-// replay bench and the demo.
+// Command merlindock is the command-line tool for operators and developers. It checks and
+// publishes manifests, shows the state of daemons and drains them, explains requests from
+// logs, sends load, and runs the stand-ins, the replay bench and the demo.
 package main
 
 import (
@@ -20,18 +20,18 @@
 // Exit codes.
 const (
 	exitOK      = 0
-	exitFailed  = 1 // the command ran and its answer is no
+	exitFailed  = 1 // the command failed, or its result is negative
 	exitUsage   = 2 // the command line is wrong
-	exitUnknown = 3 // whether it took effect is not known
+	exitUnknown = 3 // it is unknown whether the command took effect
 )
 
 // version is set by the release build.
 var version = "dev"
 
-// envPrefix starts the environment variables that stand for flags.
+// envPrefix is the prefix of the environment variables that set flags.
 const envPrefix = "MERLINDOCK_CLI"
 
-// codedError is an error with the exit code it stands for.
+// codedError is an error with the exit code of the command.
 type codedError struct {
 	code int
 	err  error
@@ -51,7 +51,7 @@
 	os.Exit(code)
 }
 
-// streams are where a command writes: results to out, progress to err.
+// streams are the outputs of a command: out for results, err for progress and errors.
 type streams struct {
 	out io.Writer
 	err io.Writer
@@ -95,8 +95,7 @@
 	return root
 }
 
-// command makes a command whose flags can be given as environment variables
-// as well.
+// command returns a command whose flags can also be set by environment variables.
 func command(s streams, name, usage, help string, flags func(*flag.FlagSet), exec func(context.Context, []string) error) *ffcli.Command {
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
 	fs.SetOutput(s.err)
--- a/cmd/merlindock/main_test.go
+++ b/cmd/merlindock/main_test.go
@@ -26,7 +26,7 @@
 	return path
 }
 
-func TestWrongCommandLineIsAUsageError(t *testing.T) {
+func TestRefusesWrongCommandLine(t *testing.T) {
 	for _, args := range [][]string{
 		{},
 		{"check"},
@@ -41,10 +41,10 @@
 	}
 }
 
-// The daemon dies after it has appended the manifest and before it answers. A
-// pipeline that took this for a refusal would publish something else; exit code
-// 3 and the text tell it to publish the same again.
-func TestPublishWithoutAnswerIsUnknown(t *testing.T) {
+// The daemon crashes after it has appended the manifest and before it answers. If a
+// pipeline took this for a refusal, it would publish another manifest; exit code 3 and
+// the text ask it to publish the same one again.
+func TestPublishWithoutAnswerReportsUnknown(t *testing.T) {
 	srv := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		panic(http.ErrAbortHandler)
 	}))
--- a/cmd/merlindock/operate.go
+++ b/cmd/merlindock/operate.go
@@ -21,18 +21,18 @@
 // maxInputBytes bounds a file that a command reads.
 const maxInputBytes = 16 << 20
 
-// target says which daemon a command speaks to.
-type target struct {
+// adminTarget holds the flags for the daemon that a command calls.
+type adminTarget struct {
 	url       string
 	tokenFile string
 }
 
-func (t *target) flags(fs *flag.FlagSet) {
+func (t *adminTarget) flags(fs *flag.FlagSet) {
 	fs.StringVar(&t.url, "admin", "http://127.0.0.1:8081", "base URL of a daemon's administration API")
 	fs.StringVar(&t.tokenFile, "token-file", "", "file with the administration token")
 }
 
-func (t *target) client() (*client.Client, error) {
+func (t *adminTarget) client() (*client.Client, error) {
 	if t.tokenFile == "" {
 		return nil, usageError("-token-file is missing, expected the file that admin.token-file of the daemon names")
 	}
@@ -43,7 +43,8 @@
 	return &client.Client{BaseURL: t.url, Token: strings.TrimSpace(string(token))}, nil
 }
 
-// readInput reads a whole file, or standard input for "-".
+// readInput returns the content of the file, or of standard input if the path is "-". A
+// missing or too long file is a usage error.
 func readInput(path string) ([]byte, error) {
 	in := os.Stdin
 	if path != "-" {
@@ -64,7 +65,8 @@
 	return text, nil
 }
 
-func oneFile(args []string) (string, error) {
+// singleFile returns the only argument of a command.
+func singleFile(args []string) (string, error) {
 	if len(args) != 1 {
 		return "", usageError("expected one file, or - for standard input, got %d arguments", len(args))
 	}
@@ -74,7 +76,7 @@
 func newCheck(s streams) *ffcli.Command {
 	return command(s, "check", "merlindock check FILE", "Check a manifest, offline; exit code 1 if it has faults.", nil,
 		func(_ context.Context, args []string) error {
-			path, err := oneFile(args)
+			path, err := singleFile(args)
 			if err != nil {
 				return err
 			}
@@ -93,7 +95,7 @@
 }
 
 func newPublish(s streams) *ffcli.Command {
-	var t target
+	var t adminTarget
 	var base int64
 	flags := func(fs *flag.FlagSet) {
 		t.flags(fs)
@@ -102,7 +104,7 @@
 	return command(s, "publish", "merlindock publish -base N FILE",
 		"Publish a manifest; exit code 1 if refused, 3 if not known.", flags,
 		func(ctx context.Context, args []string) error {
-			path, err := oneFile(args)
+			path, err := singleFile(args)
 			if err != nil {
 				return err
 			}
@@ -118,13 +120,14 @@
 				return err
 			}
 			p, err := c.Publish(ctx, ports.Offset(base), text)
-			return told(s, p, err)
+			return printPublication(s, p, err)
 		})
 }
 
-// told prints what became of a publication. A daemon that gave no answer may
-// have published it, so that is told as unknown and never as refused.
-func told(s streams, p admin.Publication, err error) error {
+// printPublication prints the result of a publication and returns an error unless it was
+// accepted. If the daemon did not answer, the outcome is unknown and not refused, as the
+// daemon may have published the manifest.
+func printPublication(s streams, p admin.Publication, err error) error {
 	var status *client.StatusError
 	if errors.As(err, &status) {
 		return err
@@ -142,15 +145,15 @@
 	case admin.OutcomeAccepted:
 		return nil
 	case admin.OutcomeUnknown:
-		return &codedError{code: exitUnknown, err: errors.New("the outcome is unknown; publish the same file with the same base again to learn it")}
+		return &codedError{code: exitUnknown, err: errors.New("the outcome is unknown; publish the same file with the same base again to find out")}
 	default:
 		return errors.New("the manifest was refused")
 	}
 }
 
-// newShow makes a command that prints one document of the API.
-func newShow(s streams, name, help string, paths ...string) *ffcli.Command {
-	var t target
+// newGet returns a command that prints documents of the administration API.
+func newGet(s streams, name, help string, paths ...string) *ffcli.Command {
+	var t adminTarget
 	return command(s, name, "merlindock "+name+" [flags]", help, t.flags,
 		func(ctx context.Context, _ []string) error {
 			c, err := t.client()
@@ -173,7 +176,7 @@
 func printIndented(w io.Writer, path string, text json.RawMessage) error {
 	var value any
 	if err := json.Unmarshal(text, &value); err != nil {
-		return fmt.Errorf("%s gave no JSON: %w", path, err)
+		return fmt.Errorf("answer to %s is not JSON: %w", path, err)
 	}
 	enc := json.NewEncoder(w)
 	enc.SetIndent("", "  ")
@@ -181,16 +184,16 @@
 }
 
 func newStatus(s streams) *ffcli.Command {
-	return newShow(s, "status", "Show the manifest in force, the endpoints and each organisation's use.",
+	return newGet(s, "status", "Show the manifest in force, the endpoints and each organisation's use.",
 		"/v1/manifest/history", "/v1/endpoints", "/v1/organisations")
 }
 
 func newDump(s streams) *ffcli.Command {
-	return newShow(s, "dump", "Show the whole state of a daemon as JSON.", "/dump")
+	return newGet(s, "dump", "Show the complete state of a daemon as JSON.", "/dump")
 }
 
 func newDrain(s streams) *ffcli.Command {
-	var t target
+	var t adminTarget
 	return command(s, "drain", "merlindock drain [flags]", "Start a graceful shutdown of a daemon.", t.flags,
 		func(ctx context.Context, _ []string) error {
 			c, err := t.client()
--- a/cmd/merlindock/replay.go
+++ b/cmd/merlindock/replay.go
@@ -30,9 +30,9 @@
 
 func (f *replayFlags) register(fs *flag.FlagSet) {
 	fs.StringVar(&f.trace, "trace", "", "trace file, see docs/TRACES.md")
-	fs.StringVar(&f.policies, "policy", "all", "policies, separated by commas, or all: "+joined(replay.Policies()))
-	fs.StringVar(&f.faults, "fault", "", "faults, separated by commas: "+joined(replay.Faults()))
-	fs.StringVar(&f.admit, "admission", string(admitOpen), "how requests enter: "+joined(admissions)+" (by the organisations' shares)")
+	fs.StringVar(&f.policies, "policy", "all", "policies, separated by commas, or all: "+joinNames(replay.Policies()))
+	fs.StringVar(&f.faults, "fault", "", "faults, separated by commas: "+joinNames(replay.Faults()))
+	fs.StringVar(&f.admit, "admission", string(admitOpen), "how requests enter: "+joinNames(admissions)+" (by the organisations' shares)")
 	fs.IntVar(&f.daemons, "daemons", 0, "daemons that share the traffic; 0 for the trace's")
 	fs.Uint64Var(&f.seed, "seed", 1, "seed of the balancer and of what is lost")
 	fs.IntVar(&f.seeds, "seeds", 1, "seeds to run, from -seed on")
@@ -40,25 +40,25 @@
 	fs.BoolVar(&f.asJSON, "json", false, "print the whole reports as JSON")
 }
 
-// admission names how requests enter.
+// admission is a value of the flag -admission.
 type admission string
 
 const (
-	admitOpen     admission = "open"
-	admitContract admission = "contract"
+	admitOpen     admission = "open"     // every request is admitted
+	admitContract admission = "contract" // by the shares of the organisations
 )
 
 var admissions = []admission{admitOpen, admitContract}
 
-// newAdmitter returns the maker of each daemon's admission, nil for an open
-// door.
+// newAdmitter returns the constructor of the daemons' admitters, or nil if every request
+// is admitted.
 func (f *replayFlags) newAdmitter() (func(int, trace.Header) replay.Admitter, error) {
-	named, err := chosen(f.admit, admissions)
+	named, err := selectNames(f.admit, admissions)
 	if err != nil {
 		return nil, err
 	}
 	if len(named) != 1 {
-		return nil, usageError("-admission is %q, expected one of %s", f.admit, joined(admissions))
+		return nil, usageError("-admission is %q, expected one of %s", f.admit, joinNames(admissions))
 	}
 	if named[0] == admitOpen {
 		return nil, nil
@@ -71,7 +71,7 @@
 	}, nil
 }
 
-func joined[T ~string](list []T) string {
+func joinNames[T ~string](list []T) string {
 	texts := make([]string, len(list))
 	for i, t := range list {
 		texts[i] = string(t)
@@ -79,8 +79,8 @@
 	return strings.Join(texts, ", ")
 }
 
-// chosen returns the entries of a list that the flag names.
-func chosen[T ~string](text string, known []T) ([]T, error) {
+// selectNames splits a flag's value at commas. A name that is not known is a usage error.
+func selectNames[T ~string](text string, known []T) ([]T, error) {
 	var out []T
 	for name := range strings.SplitSeq(text, ",") {
 		name = strings.TrimSpace(name)
@@ -92,7 +92,7 @@
 			found = found || string(k) == name
 		}
 		if !found {
-			return nil, usageError("%q is unknown, expected one of %s", name, joined(known))
+			return nil, usageError("%q is unknown, expected one of %s", name, joinNames(known))
 		}
 		out = append(out, T(name))
 	}
@@ -129,7 +129,7 @@
 		})
 }
 
-// runs lists the replays that the flags ask for.
+// runs returns a replay for each seed and policy that the flags select.
 func (f *replayFlags) runs() ([]replay.Options, error) {
 	if f.trace == "" {
 		return nil, usageError("-trace is missing, expected a trace file such as lab/trace/testdata/registre-synthetic.jsonl")
@@ -143,7 +143,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", f.trace, err)
 	}
-	faults, err := chosen(f.faults, replay.Faults())
+	faults, err := selectNames(f.faults, replay.Faults())
 	if err != nil {
 		return nil, err
 	}
@@ -153,7 +153,7 @@
 	}
 	policies := replay.Policies()
 	if f.policies != "all" {
-		if policies, err = chosen(f.policies, policies); err != nil {
+		if policies, err = selectNames(f.policies, policies); err != nil {
 			return nil, err
 		}
 	}
--- a/cmd/merlindock/section.go
+++ b/cmd/merlindock/section.go
@@ -9,9 +9,10 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// newSection shows, changes or removes one section of the manifest in force.
+// newSection returns the command that shows, changes or removes one section of the
+// manifest in force.
 func newSection(s streams) *ffcli.Command {
-	var t target
+	var t adminTarget
 	var was string
 	var remove bool
 	flags := func(fs *flag.FlagSet) {
@@ -45,6 +46,6 @@
 				}
 			}
 			p, err := c.ChangeSection(ctx, args[0], args[1], was, text)
-			return told(s, p, err)
+			return printPublication(s, p, err)
 		})
 }
--- a/cmd/merlindock/standin.go
+++ b/cmd/merlindock/standin.go
@@ -16,14 +16,14 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Ports of the daemons that the stand-in's settings files name.
+// Ports in the settings files that are written for the daemons.
 const (
 	defaultFirstPort = 8080
 	portsPerDaemon   = 10
 )
 
-// newStandin runs the platform, runners and services as one plain process, so
-// that daemons can be tried as real processes.
+// newStandin returns the command that runs stand-ins of the platform, runners and
+// services in one process, to which daemons can connect.
 func newStandin(s streams) *ffcli.Command {
 	var o world.Options
 	var daemons, firstPort int
@@ -50,16 +50,18 @@
 				return err
 			}
 			defer w.Close()
-			if err := writeTrial(dir, w, daemons, firstPort); err != nil {
+			if err := writeTrialFiles(dir, w, daemons, firstPort); err != nil {
 				return err
 			}
-			tellTrial(s, dir, daemons, firstPort)
+			printTrialCommands(s, dir, daemons, firstPort)
 			return w.Wait(ctx)
 		})
 }
 
-// writeTrial writes what daemons and an operator need to try the stand-ins.
-func writeTrial(dir string, w *world.World, daemons, firstPort int) error {
+// writeTrialFiles writes a manifest, the administration token and the settings of the
+// daemons to dir, and puts the daemons on the platform's list. They use portsPerDaemon
+// ports each, from firstPort on.
+func writeTrialFiles(dir string, w *world.World, daemons, firstPort int) error {
 	text, err := manifest.Encode(w.Manifest())
 	if err != nil {
 		return err
@@ -105,7 +107,9 @@
 `, id, zone, port, port+1, port+2, platformURL, tokenFile)
 }
 
-func tellTrial(s streams, dir string, daemons, firstPort int) {
+// printTrialCommands prints the commands that start the daemons, publish the manifest and
+// send a request.
+func printTrialCommands(s streams, dir string, daemons, firstPort int) {
 	fmt.Fprintf(s.out, "Stand-ins are running. In other shells:\n\n")
 	for i := range daemons {
 		fmt.Fprintf(s.out, "  go run ./cmd/merlindockd -config %s/daemon-%d.ini\n", dir, i+1)
--- a/cmd/merlindockd/main.go
+++ b/cmd/merlindockd/main.go
@@ -1,13 +1,12 @@
 // Command merlindockd is the merlindock daemon. It serves callers, exchanges
 // digests with its neighbours and follows the platform's log.
 //
-// With the argument "routed" it serves routed requests instead, with routes,
-// organisations and endpoints from the platform's metadata store: see package
-// router.
+// With the argument "routed" it instead takes routes, organisations and endpoints
+// from the platform's metadata store: see package router.
 //
-// Settings come from an INI file (-config), environment variables and flags;
-// -check checks them and starts nothing. The first SIGTERM or SIGINT starts a
-// graceful shutdown, the second ends open streams with an explicit error.
+// Settings come from an INI file (-config), environment variables and flags. With
+// -check it validates them and exits. The first SIGTERM or SIGINT starts a graceful
+// shutdown, the second ends open streams with an explicit error.
 package main
 
 import (
@@ -67,8 +66,8 @@
 }
 
 func serve(s settings.Settings, logOut io.Writer) error {
-	// Without a limit the heap may grow to twice its live size between two
-	// collections, which at thousands of streams is more than a small VM has.
+	// Without a limit the heap may grow to twice its live size between two collections,
+	// which with thousands of streams exceeds the memory of a small VM.
 	debug.SetMemoryLimit(s.Daemon.MemoryBytes)
 	logs, err := logging.NewFactory(logOut, s.Log.Level)
 	if err != nil {
@@ -96,8 +95,8 @@
 	return d.Run(context.Background())
 }
 
-// readToken reads the token of the administration API. Without a file the
-// API's guarded calls are refused.
+// readToken returns the token of the administration API. Without a file it is empty, and
+// the API refuses all calls that need the token.
 func readToken(path string) (string, error) {
 	if path == "" {
 		return "", nil
--- a/cmd/merlindockd/main_test.go
+++ b/cmd/merlindockd/main_test.go
@@ -6,13 +6,13 @@
 	"testing"
 )
 
-func TestCheckAndWrongSettings(t *testing.T) {
+func TestSettingsExitCodes(t *testing.T) {
 	good := []string{"-check", "-daemon.id=d1", "-daemon.zone=a", "-platform.url=http://127.0.0.1:7400"}
 	tests := []struct {
-		name string
-		args []string
-		code int
-		says string
+		name   string
+		args   []string
+		code   int
+		output string
 	}{
 		{"valid settings", good, exitOK, "valid"},
 		{"no zone", good[:2], exitSettings, "daemon.zone"},
@@ -24,7 +24,7 @@
 		t.Run(test.name, func(t *testing.T) {
 			var out, errOut bytes.Buffer
 			code := run(test.args, nil, &out, &errOut)
-			if text := out.String() + errOut.String(); code != test.code || !strings.Contains(text, test.says) {
+			if text := out.String() + errOut.String(); code != test.code || !strings.Contains(text, test.output) {
 				t.Errorf("code %d, output %q", code, text)
 			}
 		})
--- a/cmd/merlindockd/routed.go
+++ b/cmd/merlindockd/routed.go
@@ -18,16 +18,16 @@
 	"github.com/merlindock/merlindock/router"
 )
 
-// routedCommand is the argument that starts a daemon whose configuration comes
-// from the platform's metadata store.
+// routedCommand is the argument that selects the daemon that is configured from the
+// platform's metadata store.
 const routedCommand = "routed"
 
-// memoryPart is the part of the process's memory that the heap may take before
-// the garbage collector works harder.
-const memoryPart = 0.5
+// heapFraction is the fraction of the process's memory that is set as the soft memory
+// limit of the Go runtime.
+const heapFraction = 0.5
 
-// runRouted serves until SIGTERM. Its settings come from the file that the
-// environment names.
+// runRouted serves until SIGTERM or SIGINT and returns the exit code. The settings file is
+// given by the environment variable platform.SettingsVariable; SIGHUP reloads it.
 func runRouted(args []string, out, errOut io.Writer) int {
 	set, err := platform.LoadSettings(os.Getenv(platform.SettingsVariable))
 	if err != nil {
@@ -38,19 +38,19 @@
 	if len(args) > 0 {
 		port = args[0]
 	}
-	debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryBytes)))
-	lines := logging.NewBounded(out, logging.BoundedBytes)
+	debug.SetMemoryLimit(int64(heapFraction * float64(set.MemoryBytes)))
+	output := logging.NewBounded(out, logging.BoundedBytes)
 	stop := make(chan struct{})
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		lines.Run(stop)
+		output.Run(stop)
 	}()
 	defer func() {
 		close(stop)
 		<-written
 	}()
-	logs, err := logging.NewFactory(lines, "info")
+	logs, err := logging.NewFactory(output, "info")
 	if err != nil {
 		fmt.Fprintln(errOut, err)
 		return exitFailed
