--- a/cmd/merlindock/explain_test.go
+++ b/cmd/merlindock/explain_test.go
@@ -19,7 +19,7 @@
 		}
 		return path
 	}
-	a := write("a.log", `{"time":"2026-02-03T10:58:01.000Z","endpoint":"i-1","message":"router: Endpoint's entry is gone."}
+	a := write("a.log", `{"time":"2026-02-03T10:58:01.000Z","endpoint":"i-1","message":"router: Endpoint's entry was removed."}
 {"time":"2026-02-03T10:58:01.100Z","endpoint":"i-2","message":"router: Endpoint changed."}
 {"time":"2026-02-03T10:58:02.000Z","id":"r1","status":200,"code":"stream_broken","attempt":"i-1@0 home v4","message":"router: Request ended."}
 {"time":"2026-02-03T10:58:02.000Z","id":"r2","message":"router: Request ended."}
@@ -32,7 +32,7 @@
 	}
 	got := out.String()
 	first, second := strings.Index(got, "keys_not_confirmed"), strings.Index(got, "stream_broken")
-	if first < 0 || second < first || !strings.Contains(got, "entry is gone") || strings.Contains(got, "r2") || strings.Contains(got, "i-2") {
+	if first < 0 || second < first || !strings.Contains(got, "entry was removed") || strings.Contains(got, "r2") || strings.Contains(got, "i-2") {
 		t.Errorf("explained:\n%s", got)
 	}
 	if !strings.Contains(got, "1 lines are not") {
