--- a/lab/metastore/address.go
+++ b/lab/metastore/address.go
@@ -14,8 +14,8 @@
 	portTries = 100
 )
 
-// Failer is the part of a test that FreeAddress needs.
-type Failer interface {
+// TestingT is the part of a test that FreeAddress needs.
+type TestingT interface {
 	Helper()
 	Fatalf(format string, args ...any)
 }
@@ -45,7 +45,7 @@
 // FreeAddress returns a loopback address that nobody listens on, and that is given to no
 // other test. It lies outside the ports of outgoing connections: one of those could take
 // it while a daemon restarts, and the daemon would find its address in use.
-func FreeAddress(t Failer) string {
+func FreeAddress(t TestingT) string {
 	t.Helper()
 	for range portTries {
 		port := firstPort + rand.IntN(ports)
--- a/lab/metastore/metastore.go
+++ b/lab/metastore/metastore.go
@@ -22,7 +22,7 @@
 
 // The faults.
 const (
-	None       Fault = iota
+	NoFault    Fault = iota
 	Busy             // every call is turned away
 	Silent           // no call is answered
 	LostAnswer       // appends are done and their connection breaks
@@ -142,7 +142,7 @@
 		_, _ = io.Copy(io.Discard, r.Body)
 		<-r.Context().Done()
 		panic(http.ErrAbortHandler)
-	case None, LostAnswer:
+	case NoFault, LostAnswer:
 	}
 	switch r.URL.Path {
 	case "/v1/log-append":
--- a/lab/metastore/runner.go
+++ b/lab/metastore/runner.go
@@ -45,23 +45,23 @@
 	r.version = v
 }
 
-// BreakAt has the next stream break off before the event, if it starts at the
+// BreakNextStreamAt has the next stream break off before the event, if it starts at the
 // first one.
-func (r *Runner) BreakAt(event int) {
+func (r *Runner) BreakNextStreamAt(event int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.breakAt = event
 }
 
-// TurnAway has the next n requests turned away without running.
-func (r *Runner) TurnAway(n int) {
+// RejectNext has the next n requests turned away without running.
+func (r *Runner) RejectNext(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.turnAway = n
 }
 
-// Fail has the next n requests run and answered with an error.
-func (r *Runner) Fail(n int) {
+// FailNext has the next n requests run and answered with an error.
+func (r *Runner) FailNext(n int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failNext = n
@@ -74,15 +74,15 @@
 	r.noOrders = true
 }
 
-// Ran returns what the runner worked on.
-func (r *Runner) Ran() []Run {
+// Runs returns what the runner worked on.
+func (r *Runner) Runs() []Run {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return append([]Run(nil), r.ran...)
 }
 
-// Cancelled is the number of streams whose connection ended before they did.
-func (r *Runner) Cancelled() int {
+// CancelledStreams is the number of streams whose connection ended before they did.
+func (r *Runner) CancelledStreams() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.cancelled
--- a/lab/routed/routed_test.go
+++ b/lab/routed/routed_test.go
@@ -113,7 +113,7 @@
 			if got := w.send(http.MethodGet, "/open/a", "", nil); got.status != http.StatusOK {
 				t.Errorf("public route: status %d", got.status)
 			}
-			w.store.SetFault(metastore.None)
+			w.store.SetFault(metastore.NoFault)
 			w.until("keys are believed again", func() bool {
 				return w.send(http.MethodGet, "/look/a", "key-a", nil).status == http.StatusOK
 			})
@@ -125,8 +125,8 @@
 // caller must get every event once and in order, as if nothing had happened.
 func TestResumableStreamGoesOnElsewhere(t *testing.T) {
 	w := newWorld(t)
-	w.runners["llm-1"].BreakAt(3)
-	w.runners["llm-2"].BreakAt(3)
+	w.runners["llm-1"].BreakNextStreamAt(3)
+	w.runners["llm-2"].BreakNextStreamAt(3)
 	got := w.talk("/talk/resume/x")
 	if got.err != nil || got.body != wholeStream(6) {
 		t.Errorf("error %v, body %q", got.err, got.body)
@@ -140,8 +140,8 @@
 // must not look complete, or a caller takes half an answer for a whole one.
 func TestBrokenStreamDoesNotLookComplete(t *testing.T) {
 	w := newWorld(t)
-	w.runners["llm-1"].BreakAt(3)
-	w.runners["llm-2"].BreakAt(3)
+	w.runners["llm-1"].BreakNextStreamAt(3)
+	w.runners["llm-2"].BreakNextStreamAt(3)
 	got := w.talk("/talk/x")
 	if got.err == nil {
 		t.Fatalf("the answer looks complete: %q", got.body)
@@ -158,8 +158,8 @@
 // run would book twice; the caller must get the runner's own failure.
 func TestUnsafeRequestRunsOnce(t *testing.T) {
 	w := newWorld(t)
-	w.runners["app-1"].Fail(1)
-	w.runners["app-2"].Fail(1)
+	w.runners["app-1"].FailNext(1)
+	w.runners["app-2"].FailNext(1)
 	got := w.send(http.MethodPost, "/book/x", "key-a", nil)
 	if got.status != http.StatusInternalServerError || got.header.Get("Response-Signature") == "" {
 		t.Errorf("status %d, header %v", got.status, got.header)
@@ -173,8 +173,8 @@
 // not run, so it must not have, and must tell when to come back.
 func TestRefusalThatSaysNotRunIsTrue(t *testing.T) {
 	w := newWorld(t)
-	w.runners["app-1"].TurnAway(1)
-	w.runners["app-2"].TurnAway(1)
+	w.runners["app-1"].RejectNext(1)
+	w.runners["app-2"].RejectNext(1)
 	got := w.send(http.MethodPost, "/book/x", "key-a", nil)
 	if got.status != http.StatusServiceUnavailable || got.header.Get("Retry-After") == "" {
 		t.Errorf("status %d, header %v", got.status, got.header)
@@ -188,7 +188,7 @@
 // and the caller notices nothing.
 func TestSafeRequestIsRepeated(t *testing.T) {
 	w := newWorld(t)
-	w.runners["app-1"].Fail(1)
+	w.runners["app-1"].FailNext(1)
 	for range 4 {
 		if got := w.send(http.MethodGet, "/look/x", "key-a", nil); got.status != http.StatusOK || !strings.HasPrefix(got.body, "whole answer") {
 			t.Errorf("status %d, body %q", got.status, got.body)
@@ -267,7 +267,7 @@
 	}
 	streamed := make(chan reply, 1)
 	go func() { streamed <- w.talk("/talk/x") }()
-	w.until("the stream runs", func() bool { return len(w.runners["llm-1"].Ran())+len(w.runners["llm-2"].Ran()) > 0 })
+	w.until("the stream runs", func() bool { return len(w.runners["llm-1"].Runs())+len(w.runners["llm-2"].Runs()) > 0 })
 	w.stop()
 	w.until("the daemon is not ready", func() bool { return !w.isReady() })
 	late := w.send(http.MethodGet, "/look/x", "key-a", nil)
@@ -307,7 +307,7 @@
 	}
 	_ = resp.Body.Close()
 	w.until("the runner has stopped", func() bool {
-		return w.runners["llm-1"].Cancelled()+w.runners["llm-2"].Cancelled() == 1
+		return w.runners["llm-1"].CancelledStreams()+w.runners["llm-2"].CancelledStreams() == 1
 	})
 }
 
@@ -320,13 +320,13 @@
 	w.addRunnerAgain("app-1", "app", 2)
 	w.until("the new process serves", func() bool {
 		got := w.send(http.MethodGet, "/look/x", "key-a", nil)
-		return got.status == http.StatusOK && len(w.runners["app-1"].Ran()) > 0
+		return got.status == http.StatusOK && len(w.runners["app-1"].Runs()) > 0
 	})
-	before := len(old.Ran())
+	before := len(old.Runs())
 	for range 20 {
 		w.send(http.MethodGet, "/look/x", "key-a", nil)
 	}
-	if n := len(old.Ran()) - before; n > 0 {
+	if n := len(old.Runs()) - before; n > 0 {
 		t.Errorf("%d requests went to the old process", n)
 	}
 }
--- a/lab/routed/world_test.go
+++ b/lab/routed/world_test.go
@@ -225,7 +225,7 @@
 func (w *world) ran(attempt string) []metastore.Run {
 	var out []metastore.Run
 	for _, r := range w.runners {
-		for _, run := range r.Ran() {
+		for _, run := range r.Runs() {
 			if run.Attempt == attempt {
 				out = append(out, run)
 			}
--- a/lab/soak/soak_test.go
+++ b/lab/soak/soak_test.go
@@ -341,7 +341,7 @@
 		return s.restart(d, syscall.SIGTERM)
 	case 7:
 		s.store.SetFault(metastore.Fault(1 + s.rng.IntN(3)))
-		return func() { s.store.SetFault(metastore.None) }
+		return func() { s.store.SetFault(metastore.NoFault) }
 	case 8:
 		s.rotateKeys()
 		s.store.Compact("keyed.op")
@@ -439,7 +439,7 @@
 func (s *soak) check() {
 	runs := map[string][]metastore.Run{}
 	for _, r := range s.runners {
-		for _, run := range r.Ran() {
+		for _, run := range r.Runs() {
 			runs[run.Attempt] = append(runs[run.Attempt], run)
 		}
 	}
