--- a/router/crash_test.go
+++ b/router/crash_test.go
@@ -13,44 +13,45 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// crashLoad is a request that ends the endpoints that run it, sent again and again
-// beside ordinary ones.
-type crashLoad struct {
-	every    time.Duration // between two of its repeats
-	ordinary time.Duration // between two ordinary requests
-	lasts    time.Duration
+// crashingLoad repeats a request that crashes every endpoint that runs it, in addition
+// to ordinary requests.
+type crashingLoad struct {
+	crashInterval    time.Duration // between two repeats of the crashing request
+	ordinaryInterval time.Duration // between two ordinary requests
+	duration         time.Duration
 
-	mu       sync.Mutex
-	asked    int // ordinary requests
-	unserved int
-	late     int // of these, sent after the settling time
+	mu           sync.Mutex
+	ordinarySent int // ordinary requests
+	unserved     int
+	lateUnserved int // unserved requests that were sent after the settling time
 }
 
-// play sends the load to all daemons.
-func (l *crashLoad) play(f *memoryFleet) {
+// run sends the load to random daemons and returns when all requests were answered.
+func (l *crashingLoad) run(f *simulatedFleet) {
 	var all sync.WaitGroup
-	for at := time.Duration(0); at < l.lasts; at += l.every {
+	for at := time.Duration(0); at < l.duration; at += l.crashInterval {
 		all.Go(func() {
 			time.Sleep(at)
-			f.ask(f.someDaemon(), fleetKey, crashBody)
+			f.request(f.randomDaemon(), fleetKey, crashBody)
 		})
 	}
-	f.load(l.ordinary, l.lasts, func(at time.Duration, got *httptest.ResponseRecorder) {
+	f.sendLoad(l.ordinaryInterval, l.duration, func(at time.Duration, got *httptest.ResponseRecorder) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.asked++
+		l.ordinarySent++
 		if got.Code != http.StatusOK {
 			l.unserved++
-			if at > 2*fleetStable+fleetBack {
-				l.late++
+			if at > 2*fleetSettleTime+fleetRestartTime {
+				l.lateUnserved++
 			}
 		}
 	})
 	all.Wait()
 }
 
-// crashes lists when the request reached endpoints, and when the third of them ended.
-func (f *memoryFleet) crashes() (reached []time.Time, third time.Time) {
+// crashArrivals returns the times at which the crashing request reached endpoints, and
+// the time at which the third endpoint crashed, which is zero if fewer did.
+func (f *simulatedFleet) crashArrivals() (reached []time.Time, third time.Time) {
 	var ends []time.Time
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -61,7 +62,7 @@
 			}
 			reached = append(reached, a.at)
 			if a.ran {
-				ends = append(ends, a.at.Add(fleetRun))
+				ends = append(ends, a.at.Add(fleetServiceTime))
 			}
 		}
 	}
@@ -73,98 +74,97 @@
 	return reached, ends[2]
 }
 
-// later counts the times after the given one.
-func later(all []time.Time, than time.Time) int {
+// countAfter returns the number of times in the sorted list that are after the given one.
+func countAfter(all []time.Time, than time.Time) int {
 	at, _ := slices.BinarySearchFunc(all, than, func(a, b time.Time) int {
 		return cmp.Compare(a.UnixNano(), b.UnixNano())
 	})
 	return len(all) - at
 }
 
-// Guards against a request that ends engine after engine because its caller repeats it
-// under new ids at other daemons.
-func TestRepeatedRequestThatCrashesEndpointsIsKeptFromThem(t *testing.T) {
+// Guards against a request that crashes one endpoint after another because its caller
+// repeats it with new attempt ids at other daemons.
+func TestQuarantinesRequestThatCrashesEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
-		route routes.Route
-		dark  bool
+		route           routes.Route
+		hostUnreachable bool
 	}{
 		"resumable stream":  {routes.Route{Kind: routes.Stream, Resumable: true}, false},
 		"stream":            {routes.Route{Kind: routes.Stream}, false},
 		"safe":              {routes.Route{Kind: routes.Safe}, false},
 		"unsafe":            {routes.Route{Kind: routes.Unsafe}, false},
-		"hosts fall silent": {routes.Route{Kind: routes.Safe}, true},
+		"hosts unreachable": {routes.Route{Kind: routes.Safe}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 9, 18, c.route)
 				for _, e := range f.endpoints {
-					e.dark = c.dark
+					e.hostUnreachable = c.hostUnreachable
 				}
-				l := crashLoad{every: 200 * time.Millisecond, ordinary: 20 * time.Millisecond, lasts: 30 * time.Second}
-				l.play(f)
-				if got := f.ask(0, fleetKey, crashBody); got.Code != http.StatusServiceUnavailable || got.Body.String() != "quarantined\n" || got.Header().Get("Retry-After") == "" {
-					t.Errorf("a repeat is answered with %d %q %v", got.Code, got.Body, got.Header())
+				l := crashingLoad{crashInterval: 200 * time.Millisecond, ordinaryInterval: 20 * time.Millisecond, duration: 30 * time.Second}
+				l.run(f)
+				if got := f.request(0, fleetKey, crashBody); got.Code != http.StatusServiceUnavailable || got.Body.String() != "quarantined\n" || got.Header().Get("Retry-After") == "" {
+					t.Errorf("a repeat of the crashing request was answered with %d %q %v", got.Code, got.Body, got.Header())
 				}
-				if got := f.ask(0, "other", "ordinary"); got.Code != http.StatusOK {
-					t.Errorf("another organisation's request is answered with %d %q", got.Code, got.Body)
+				if got := f.request(0, "other", "ordinary"); got.Code != http.StatusOK {
+					t.Errorf("another organisation's request was answered with %d %q", got.Code, got.Body)
 				}
-				reached, third := f.crashes()
+				reached, third := f.crashArrivals()
 				if third.IsZero() {
-					t.Fatal("no three endpoints ended")
+					t.Fatal("fewer than three endpoints crashed")
 				}
-				after := later(reached, third.Add(fleetStable))
-				t.Logf("reached endpoints %d times, %d after the settling time; %d of %d others not served, %d of them late", len(reached), after, l.unserved, l.asked, l.late)
+				after := countAfter(reached, third.Add(fleetSettleTime))
+				t.Logf("reached endpoints %d times, %d after the settling time; %d of %d other requests not served, %d of them after the settling time", len(reached), after, l.unserved, l.ordinarySent, l.lateUnserved)
 				if after > 3 {
-					t.Errorf("reached endpoints %d times more", after)
+					t.Errorf("reached endpoints %d times after the settling time", after)
 				}
-				if l.late > 0 {
-					t.Errorf("%d ordinary requests were not served after the settling time", l.late)
+				if l.lateUnserved > 0 {
+					t.Errorf("%d ordinary requests were not served after the settling time", l.lateUnserved)
 				}
 			})
 		})
 	}
 }
 
-// Guards against refusing a request that many callers send since it stood at endpoints
-// that ended together for another reason.
-func TestHotRequestIsServedAfterARackEnds(t *testing.T) {
+// Guards against quarantining a request that many callers send because it was running at
+// endpoints that crashed together for another reason.
+func TestServesFrequentRequestAfterManyEndpointsCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 9, 18, routes.Route{Kind: routes.Stream, Resumable: true})
 		var all sync.WaitGroup
 		var mu sync.Mutex
-		held := 0
+		quarantined := 0
 		for at := time.Duration(0); at < 10*time.Second; at += 5 * time.Millisecond {
 			all.Go(func() {
 				time.Sleep(at)
-				if got := f.ask(f.someDaemon(), fleetKey, "hot"); got.Body.String() == "quarantined\n" {
+				if got := f.request(f.randomDaemon(), fleetKey, "hot"); got.Body.String() == "quarantined\n" {
 					mu.Lock()
-					held++
+					quarantined++
 					mu.Unlock()
 				}
 			})
 		}
 		time.Sleep(4 * time.Second)
 		for _, e := range f.endpoints[:9] {
-			e.end(0)
+			e.crash(0)
 		}
 		all.Wait()
-		if held > 0 {
-			t.Errorf("%d requests were held", held)
+		if quarantined > 0 {
+			t.Errorf("%d requests were quarantined", quarantined)
 		}
 	})
 }
 
-// Guards against taking an answer that an endpoint cut short for the end of the
-// endpoint.
-func TestEndpointThatCutsAnswersHasNotEnded(t *testing.T) {
+// Guards against treating an answer that an endpoint truncated as a crash of the endpoint.
+func TestTruncatedAnswersCauseNoQuarantine(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 3, 6, routes.Route{Kind: routes.Safe})
 		for range 20 {
-			f.ask(f.someDaemon(), fleetKey, cutBody)
+			f.request(f.randomDaemon(), fleetKey, truncatedBody)
 			time.Sleep(100 * time.Millisecond)
 		}
-		if got := f.ask(0, fleetKey, cutBody); got.Body.String() == "quarantined\n" {
-			t.Error("the request is held")
+		if got := f.request(0, fleetKey, truncatedBody); got.Body.String() == "quarantined\n" {
+			t.Error("the request was quarantined")
 		}
 	})
 }
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -15,22 +15,23 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// dispatchWorld is some daemons before some engines, with messages that arrive at once.
-type dispatchWorld struct {
-	all  []*dispatchPlacer
-	lost map[string]bool // addresses that get no messages
+// dispatchCluster simulates daemons that dispatch prompts for one another. Messages
+// between them are delivered synchronously.
+type dispatchCluster struct {
+	daemons     []*dispatchPlacer
+	unreachable map[string]bool // addresses of daemons that neither send nor receive messages
 }
 
-// silentEngines tell nothing of their load.
-type silentEngines struct{ weights.Engines }
+// unresponsiveEngines are engines that do not answer load queries.
+type unresponsiveEngines struct{ weights.Engines }
 
-func (silentEngines) Report(context.Context, weights.Target, string) (weights.Report, error) {
+func (unresponsiveEngines) Report(context.Context, weights.Target, string) (weights.Report, error) {
 	return weights.Report{}, errors.New("no answer")
 }
 
-func newDispatchWorld(t testing.TB, daemons, engines int) *dispatchWorld {
+func newDispatchCluster(t testing.TB, daemons, engines int) *dispatchCluster {
 	t.Helper()
-	w := &dispatchWorld{lost: map[string]bool{}}
+	w := &dispatchCluster{unreachable: map[string]bool{}}
 	table := &routes.Table{
 		Version:  1,
 		Routes:   []routes.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, Target: 600 * time.Millisecond, Attempts: 1}},
@@ -57,221 +58,226 @@
 		s.refresh(now)
 		s.mu.Unlock()
 		from := list[i].Address
-		d := newDispatchPlacer(list[i], s, newPlacer(s, set, silentEngines{}, clock, rng), clock, quiet(), func(to string, data []byte) { w.send(from, to, data) })
+		d := newDispatchPlacer(list[i], s, newPlacer(s, set, unresponsiveEngines{}, clock, rng), clock, discardLog(), func(to string, data []byte) { w.send(from, to, data) })
 		d.setDaemons(list)
-		w.all = append(w.all, d)
+		w.daemons = append(w.daemons, d)
 	}
 	return w
 }
 
-func (w *dispatchWorld) send(from, to string, data []byte) {
-	if w.lost[from] || w.lost[to] {
+func (w *dispatchCluster) send(from, to string, data []byte) {
+	if w.unreachable[from] || w.unreachable[to] {
 		return
 	}
-	for _, d := range w.all {
+	for _, d := range w.daemons {
 		if d.self.Address == to {
 			d.receive(from, data)
 		}
 	}
 }
 
-// work is a long prompt with the given shared part.
-func (w *dispatchWorld) work(d *dispatchPlacer, part string) *forward.Work {
+// longPrompt returns the request of a long prompt with the given shared segment.
+func (w *dispatchCluster) longPrompt(d *dispatchPlacer, segment string) *forward.Work {
 	t := d.state.table.Load()
 	return &forward.Work{
 		Route: &t.Routes[0], Service: t.Services["s"], Table: t, Arrived: time.Now(), Deadline: time.Now().Add(6 * time.Second),
-		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Segment{{ID: part, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
+		In: &forward.Inbound{Model: "m", PromptTokens: 17_000, LastEvent: forward.NoEvent, Parts: []prefix.Segment{{ID: segment, Tokens: 13_000}, {ID: "own", Tokens: 4000}}},
 	}
 }
 
-func (w *dispatchWorld) place(t *testing.T, d *dispatchPlacer, part string) forward.Placement {
+// place places a long prompt at a daemon and fails the test on an error.
+func (w *dispatchCluster) place(t *testing.T, d *dispatchPlacer, segment string) forward.Placement {
 	t.Helper()
-	p, err := d.Place(context.Background(), w.work(d, part))
+	p, err := d.Place(context.Background(), w.longPrompt(d, segment))
 	if err != nil {
 		t.Fatal(err)
 	}
 	return p
 }
 
-// Eight daemons get a long prompt each at the same moment, and there are ten engines
-// for long prompts. None has heard of the others', so that each chooses by itself: some prompts
-// meet at one engine and are late while others idle.
-func TestPromptsOfManyDaemonsDoNotMeet(t *testing.T) {
-	w := newDispatchWorld(t, 8, 12)
-	met := map[fleet.EndpointID]int{}
-	for i, d := range w.all {
-		met[w.place(t, d, string(rune('a'+i))).Target.Key]++
+// Eight daemons receive one long prompt each at the same time, and there are ten engines
+// for long prompts. If each daemon placed its prompt without knowing of the others, some
+// prompts would be sent to the same engine and be late while other engines are idle.
+func TestDispatchSpreadsPromptsOfManyDaemons(t *testing.T) {
+	w := newDispatchCluster(t, 8, 12)
+	counts := map[fleet.EndpointID]int{}
+	for i, d := range w.daemons {
+		counts[w.place(t, d, string(rune('a'+i))).Target.Key]++
 	}
-	for key, n := range met {
+	for key, n := range counts {
 		if n > 1 {
-			t.Errorf("%d prompts meet at %s", n, key)
+			t.Errorf("%d prompts were placed on %s", n, key)
 		}
 	}
 }
 
-// Two daemons get prompts with the same shared part, one after the other. The second
-// goes to the engine that reads it, or fetches it from there once it is read.
-func TestSharedPartIsReadOnce(t *testing.T) {
-	w := newDispatchWorld(t, 6, 12)
-	first := w.place(t, w.all[0], "part")
-	second := w.place(t, w.all[3], "part")
+// Two daemons receive prompts with the same shared segment, one after the other. The
+// second prompt must be placed on the engine that reads the segment, or fetch it from
+// there.
+func TestSharedSegmentIsReadOnce(t *testing.T) {
+	w := newDispatchCluster(t, 6, 12)
+	first := w.place(t, w.daemons[0], "part")
+	second := w.place(t, w.daemons[3], "part")
 	if second.Target.Key != first.Target.Key && second.Out.FetchFrom != first.Target.Address {
-		t.Errorf("first at %s, second at %s, fetched from %q", first.Target.Key, second.Target.Key, second.Out.FetchFrom)
+		t.Errorf("first prompt on %s, second on %s, segment fetched from %q", first.Target.Key, second.Target.Key, second.Out.FetchFrom)
 	}
 }
 
-// The daemon that places prompts is dead or cut off. Callers must not wait for it, and
-// the next daemon takes its place.
-func TestLostDispatcherIsPassedOver(t *testing.T) {
-	w := newDispatchWorld(t, 6, 12)
-	asker := w.all[0]
-	first, _ := asker.dispatcher(asker.groupOf(w.work(asker, "p")))
-	if first == asker.self {
-		asker = w.all[1]
+// The dispatcher has failed or cannot be reached. Callers must not wait for it, and
+// another daemon must become the dispatcher.
+func TestUnreachableDispatcherIsAvoided(t *testing.T) {
+	w := newDispatchCluster(t, 6, 12)
+	client := w.daemons[0]
+	first, _ := client.dispatcher(client.groupOf(w.longPrompt(client, "p")))
+	if first == client.self {
+		client = w.daemons[1]
 	}
-	w.lost[first.Address] = true
+	w.unreachable[first.Address] = true
 	began := time.Now()
-	if p := w.place(t, asker, "p"); p.Notes.Dispatcher != "" {
+	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
 		t.Errorf("placed by %s", p.Notes.Dispatcher)
 	}
 	if took := time.Since(began); took > 10*dispatchTimeout {
 		t.Errorf("placed after %v", took)
 	}
-	next, _ := asker.dispatcher(asker.groupOf(w.work(asker, "p")))
+	next, _ := client.dispatcher(client.groupOf(w.longPrompt(client, "p")))
 	if next.Name == first.Name {
-		t.Error("asked again at once")
+		t.Error("the unreachable daemon is still the dispatcher")
 	}
 }
 
-// The message of an answer's end is lost. The dispatcher would count the prompt at its
-// engine for ever, and turn callers away from a fleet that idles.
-func TestPlacementWithoutWordEnds(t *testing.T) {
-	w := newDispatchWorld(t, 2, 1)
-	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
-	asker, dispatcher := w.all[0], w.all[1]
-	if to == asker.self {
-		asker, dispatcher = dispatcher, asker
+// The message that reports the end of an answer is lost. Without a timeout, the dispatcher
+// would count the prompt at its engine for ever and refuse callers though the fleet is
+// idle.
+func TestPlacementWithoutReportExpires(t *testing.T) {
+	w := newDispatchCluster(t, 2, 1)
+	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
+	client, dispatcher := w.daemons[0], w.daemons[1]
+	if to == client.self {
+		client, dispatcher = dispatcher, client
 	}
-	p := w.place(t, asker, "p")
+	p := w.place(t, client, "p")
 	if n := dispatcher.state.view.PendingPrompts(p.Target.Key); n != 1 {
-		t.Fatalf("%d prompts are unread", n)
+		t.Fatalf("%d prompts are pending", n)
 	}
 	dispatcher.expire(time.Now().Add(p.Wait + beginTimeoutSlack + time.Second))
 	if n := dispatcher.state.view.PendingPrompts(p.Target.Key); n != 0 || len(dispatcher.open) != 0 {
-		t.Errorf("%d prompts are unread, %d placements open", n, len(dispatcher.open))
+		t.Errorf("%d prompts are pending, %d placements open", n, len(dispatcher.open))
 	}
 }
 
-// A prompt was answered, and its engine is free for the next at once.
-func TestEndOfAnAnswerFreesItsEngine(t *testing.T) {
-	w := newDispatchWorld(t, 2, 1)
-	for _, d := range w.all {
+// After the end of an answer, neither the prompt nor its placement may count any more at
+// the engine.
+func TestEndOfAnswerFreesEngine(t *testing.T) {
+	w := newDispatchCluster(t, 2, 1)
+	for _, d := range w.daemons {
 		p := w.place(t, d, "p")
 		d.Answered(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
 		d.Ended(&p, forward.End{Whole: true})
 	}
-	for _, d := range w.all {
+	for _, d := range w.daemons {
 		if n := d.state.view.PendingPrompts("A@0"); n != 0 || len(d.open) != 0 {
-			t.Errorf("%s: %d prompts are unread, %d placements open", d.self.Name, n, len(d.open))
+			t.Errorf("%s: %d prompts are pending, %d placements open", d.self.Name, n, len(d.open))
 		}
 	}
 }
 
-// The dispatcher is cut off from the endpoints, and says that there is none. The daemon
-// that asked may reach them, and places the prompt itself.
-func TestDispatcherWithoutEndpointsDecidesNothing(t *testing.T) {
-	w := newDispatchWorld(t, 3, 4)
-	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
-	var asker *dispatchPlacer
-	for _, d := range w.all {
+// The dispatcher cannot reach any endpoint and answers that there is none. The daemon that
+// sent the request may reach them and must place the prompt itself.
+func TestDispatcherWithoutEndpointsIsIgnored(t *testing.T) {
+	w := newDispatchCluster(t, 3, 4)
+	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
+	var client *dispatchPlacer
+	for _, d := range w.daemons {
 		if d.self == to {
 			for key := range d.state.roster.All() {
 				d.state.roster.Rest(time.Now(), key, time.Minute)
 			}
 		} else {
-			asker = d
+			client = d
 		}
 	}
-	if p := w.place(t, asker, "p"); p.Notes.Dispatcher != "" {
+	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
 		t.Errorf("placed by %s", p.Notes.Dispatcher)
 	}
 }
 
-// Something that is no message comes to the port, and messages of placements that are
-// not known. Neither stops the daemon.
-func TestStrayMessagesAreIgnored(t *testing.T) {
-	w := newDispatchWorld(t, 2, 1)
-	d := w.all[0]
+// Malformed messages and messages for unknown placements must not stop the daemon.
+func TestMalformedAndUnknownMessagesAreIgnored(t *testing.T) {
+	w := newDispatchCluster(t, 2, 1)
+	d := w.daemons[0]
 	for _, m := range []string{"", "\x21", "\x21{", "\x22{\"id\":4}", "\x22{\"id\":5,\"place\":{}}", "\x23{\"id\":9,\"info\":{}}", "\x24{\"id\":9}", "\x21{\"id\":1,\"route\":\"none\",\"service\":\"none\"}"} {
 		d.receive("b", []byte(m))
 	}
 	if d.receive("b", []byte{kindPlace - 1}) || !d.receive("b", []byte{kindEnded}) {
-		t.Error("kinds of message")
+		t.Error("a message of another kind is accepted, or one of its own kinds is not")
 	}
-	if _, err := d.Place(context.Background(), w.work(d, "p")); err != nil {
+	if _, err := d.Place(context.Background(), w.longPrompt(d, "p")); err != nil {
 		t.Error(err)
 	}
 }
 
-// The daemon that gives orders is about to order an engine. Another daemon that hears of
-// it half a second later sends it a prompt meanwhile, which the engine turns away; the
-// route allows one attempt, and the caller gets nothing.
-func TestLoadsAreToldAtOnce(t *testing.T) {
-	w := newDispatchWorld(t, 3, 4)
+// The rollout leader is about to have an engine load weights. A daemon that learns of it
+// half a second later may send the engine a prompt meanwhile, which the engine refuses. If
+// the route allows one attempt, the request fails.
+func TestWeightLoadsAreAnnouncedAtOnce(t *testing.T) {
+	w := newDispatchCluster(t, 3, 4)
 	loading := weights.EngineUpdate{Engine: "B@0", Model: "m", Version: 2, Loading: true}
-	w.all[0].sendLoads([]weights.EngineUpdate{loading})
-	for _, d := range w.all[1:] {
+	w.daemons[0].sendLoads([]weights.EngineUpdate{loading})
+	for _, d := range w.daemons[1:] {
 		if !d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Unusable(time.Now(), "A@0") {
-			t.Errorf("%s: the engine that loads is used, or another is not", d.self.Name)
+			t.Errorf("%s: the engine that loads weights is usable, or another is not", d.self.Name)
 		}
 	}
 	done := loading
 	done.Loading = false
-	w.all[0].sendLoads([]weights.EngineUpdate{done})
-	for _, d := range w.all[1:] {
+	w.daemons[0].sendLoads([]weights.EngineUpdate{done})
+	for _, d := range w.daemons[1:] {
 		if d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Find("B@0").Versions["m"] != 2 {
-			t.Errorf("%s: the engine that has its weights is not used", d.self.Name)
+			t.Errorf("%s: the engine that has loaded its weights is not usable or has the old version", d.self.Name)
 		}
 	}
 }
 
-// The dispatcher has lost the store and does not know that new weights were named twenty
-// seconds ago. A daemon that knows must not send a prompt to the old ones by its word.
-func TestDispatcherThatLostTheStoreSendsNobodyToOldWeights(t *testing.T) {
-	w := newDispatchWorld(t, 3, 4)
-	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
-	for _, d := range w.all {
+// The dispatcher cannot reach the store and does not know that new weights were named
+// before the time bound. A daemon that knows must not follow a decision of the dispatcher
+// for the old weights.
+func TestVersionBoundAppliesToDispatcherDecisions(t *testing.T) {
+	w := newDispatchCluster(t, 3, 4)
+	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
+	for _, d := range w.daemons {
 		if d.self == to {
 			continue
 		}
 		d.state.named["m"] = versionHistory{{version: 2, since: d.clock() - time.Hour}}
-		if p, err := d.Place(context.Background(), w.work(d, "p")); err == nil {
+		if p, err := d.Place(context.Background(), w.longPrompt(d, "p")); err == nil {
 			t.Errorf("placed on version %d by %q", p.Out.Version, p.Notes.Dispatcher)
 		}
 		d.state.named["m"] = versionHistory{{version: 2, since: d.clock()}}
 		p := w.place(t, d, "p")
 		if left := time.Until(p.BeginBy); p.BeginBy.IsZero() || left > time.Minute {
-			t.Errorf("the prompt may begin until %v from now", left)
+			t.Errorf("the prompt may begin up to %v from now", left)
 		}
 	}
 }
 
-// What a long prompt costs both daemons together: the question, the choice among 72
-// engines, the answer, and the messages of its beginning and end.
+// BenchmarkDispatch measures the cost of a long prompt for both daemons together: the
+// request to the dispatcher, the choice among 72 engines, the reply, and the messages that
+// report the beginning and the end of the answer.
 func BenchmarkDispatch(b *testing.B) {
-	w := newDispatchWorld(b, 2, 72)
-	to, _ := w.all[0].dispatcher(w.all[0].groupOf(w.work(w.all[0], "p")))
-	asker := w.all[0]
-	if to == asker.self {
-		asker = w.all[1]
+	w := newDispatchCluster(b, 2, 72)
+	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
+	client := w.daemons[0]
+	if to == client.self {
+		client = w.daemons[1]
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		p, err := asker.Place(context.Background(), w.work(asker, string(rune('a'+i%500))))
+		p, err := client.Place(context.Background(), w.longPrompt(client, string(rune('a'+i%500))))
 		if err != nil {
 			b.Fatal(err)
 		}
-		asker.Answered(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
-		asker.Ended(&p, forward.End{Whole: true})
+		client.Answered(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
+		client.Ended(&p, forward.End{Whole: true})
 	}
 }
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -26,43 +26,43 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// memoryFleet is a deployment in virtual time: daemons with callers in front of
-// them, endpoints that run requests, and the messages between daemons.
-type memoryFleet struct {
+// simulatedFleet simulates a deployment in virtual time: daemons and their callers,
+// endpoints that run requests, and the messages between daemons.
+type simulatedFleet struct {
 	t     *testing.T
 	ctx   context.Context
 	began time.Time
 	table *routes.Table
 
-	mu        sync.Mutex
-	rng       *rand.Rand
-	daemons   []*Router
-	stops     []context.CancelFunc
-	endpoints []*memoryEndpoint
-	lost      float64                 // part of the messages between daemons that are lost
-	cut       map[netip.AddrPort]bool // daemons that no message reaches or leaves
-	sent      int                     // messages between daemons
-	bytes     int
+	mu           sync.Mutex
+	rng          *rand.Rand
+	daemons      []*Router
+	cancels      []context.CancelFunc
+	endpoints    []*simulatedEndpoint
+	lossRate     float64                 // fraction of the messages between daemons that are lost
+	disconnected map[netip.AddrPort]bool // daemons that can neither send nor receive messages
+	sentMessages int                     // between daemons
+	sentBytes    int
 }
 
 const (
-	fleetWay       = 1500 * time.Microsecond // one way, between any two
-	fleetRun       = 40 * time.Millisecond   // that an endpoint takes for a request
-	fleetBack      = 2 * time.Second         // until an endpoint that ended is back
-	fleetListed    = 500 * time.Millisecond  // until it is listed then
-	fleetUnlisted  = 3600 * time.Millisecond // until it is no more
-	fleetHost      = "h.example"
-	fleetKey       = "key"
-	fleetTimeout   = 4 * time.Second
-	fleetStable    = 3 * time.Second // without a fault, after which daemons answer for what they do
-	fleetRetryPart = 0.2
+	fleetLatency     = 1500 * time.Microsecond // one way, between any two hosts
+	fleetServiceTime = 40 * time.Millisecond   // of an endpoint for one request
+	fleetRestartTime = 2 * time.Second         // from the crash of an endpoint until it runs again
+	fleetListDelay   = 500 * time.Millisecond  // from its restart until daemons see its new entry
+	fleetUnlistDelay = 3600 * time.Millisecond // from its crash until daemons see that its entry is removed
+	fleetHost        = "h.example"
+	fleetKey         = "key"
+	fleetTimeout     = 4 * time.Second
+	fleetSettleTime  = 3 * time.Second // without a fault, after which limits and quarantine must hold
+	fleetRetryRatio  = 0.2
 )
 
-// newFleet starts daemons and endpoints of one service, with one route to it.
-func newFleet(t *testing.T, daemons, endpoints int, route routes.Route) *memoryFleet {
+// newFleet starts daemons and the endpoints of one service, with one route to it.
+func newFleet(t *testing.T, daemons, endpoints int, route routes.Route) *simulatedFleet {
 	ctx, cancel := context.WithCancel(t.Context())
-	f := &memoryFleet{
-		t: t, ctx: ctx, began: time.Now(), rng: rand.New(rand.NewPCG(uint64(daemons), 29)), cut: map[netip.AddrPort]bool{},
+	f := &simulatedFleet{
+		t: t, ctx: ctx, began: time.Now(), rng: rand.New(rand.NewPCG(uint64(daemons), 29)), disconnected: map[netip.AddrPort]bool{},
 	}
 	t.Cleanup(func() {
 		cancel()
@@ -87,10 +87,10 @@
 	}
 	f.table.Index()
 	for i := range endpoints {
-		f.endpoints = append(f.endpoints, &memoryEndpoint{f: f, n: i, up: true, conns: map[net.Conn]bool{}})
+		f.endpoints = append(f.endpoints, &simulatedEndpoint{f: f, index: i, up: true, conns: map[net.Conn]bool{}})
 	}
 	f.daemons = make([]*Router, daemons)
-	f.stops = make([]context.CancelFunc, daemons)
+	f.cancels = make([]context.CancelFunc, daemons)
 	for i := range daemons {
 		f.startDaemon(i)
 	}
@@ -101,28 +101,28 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(i >> 8), byte(i)}), 7340)
 }
 
-// startDaemon starts a daemon, or starts it anew without what it knew.
-func (f *memoryFleet) startDaemon(i int) {
+// startDaemon starts a daemon, or restarts it with empty state.
+func (f *simulatedFleet) startDaemon(i int) {
 	f.mu.Lock()
 	seed := f.rng.Uint64()
 	f.mu.Unlock()
 	r := newRouter(Options{
 		Settings: Settings{
 			Name: fmt.Sprint("front-", i), Zone: "z", PeerAddress: daemonAddress(i).String(),
-			DrainWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: time.Hour, RetryRatio: fleetRetryPart,
+			DrainWithin: 2 * time.Second, ConfigWithin: 2 * time.Second, RevokeWithin: time.Hour, RetryRatio: fleetRetryRatio,
 		},
-		Clock: f.clock, Dial: f.dial, Wire: memoryWire{}, Logs: logging.Discard(), Rand: rand.New(rand.NewPCG(seed, 1)),
-	}, noMeters())
+		Clock: f.clock, Dial: f.dial, Wire: testWire{}, Logs: logging.Discard(), Rand: rand.New(rand.NewPCG(seed, 1)),
+	}, noopMeters())
 	me := daemonAddress(i)
-	r.datagrams.write = func(to netip.AddrPort, data []byte) error { return f.carry(me, to, data) }
+	r.datagrams.write = func(to netip.AddrPort, data []byte) error { return f.deliver(me, to, data) }
 	r.state.table.Store(f.table)
 	r.state.operator.Answered(f.clock(), f.clock())
 	ctx, stop := context.WithCancel(f.ctx)
 	f.mu.Lock()
-	if f.stops[i] != nil {
-		f.stops[i]()
+	if f.cancels[i] != nil {
+		f.cancels[i]()
 	}
-	f.daemons[i], f.stops[i] = r, stop
+	f.daemons[i], f.cancels[i] = r, stop
 	all := make([]Neighbour, len(f.daemons))
 	for n := range all {
 		all[n] = Neighbour{Name: fmt.Sprint("front-", n), Zone: "z", Address: daemonAddress(n).String()}
@@ -139,27 +139,29 @@
 	r.endpointLimits.SetDaemons(peersOf(all))
 	r.dispatch.setDaemons(all)
 	for _, e := range up {
-		r.list(e)
+		r.addEndpoint(e)
 	}
 	go r.runPeriodic(ctx)
 	go r.quarantine.Run(ctx)
 	go r.endpointLimits.Run(ctx)
 }
 
-// list tells the daemon of an endpoint, as its entry in the store does.
-func (r *Router) list(e directory.Entry) {
+// addEndpoint adds an endpoint to the daemon's list, as its entry in the store does.
+func (r *Router) addEndpoint(e directory.Entry) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	r.state.roster.Put(e)
 }
 
-func (r *Router) unlist(id string) {
+// removeEndpoint removes an endpoint from the daemon's list, as the removal of its entry
+// from the store does.
+func (r *Router) removeEndpoint(id string) {
 	r.state.mu.Lock()
 	defer r.state.mu.Unlock()
 	r.state.roster.Remove(time.Now(), time.Now(), id)
 }
 
-func noMeters() *meters {
+func noopMeters() *meters {
 	s := tally.NoopScope
 	return &meters{
 		scope: s, storeFailures: s.Counter(""), orders: s.Counter(""), attempts: s.Counter(""),
@@ -167,22 +169,22 @@
 	}
 }
 
-// clock does not begin at zero, which is the time of nothing.
-func (f *memoryFleet) clock() time.Duration { return time.Hour + time.Since(f.began) }
+// clock starts at an hour, as zero stands for times that are not set.
+func (f *simulatedFleet) clock() time.Duration { return time.Hour + time.Since(f.began) }
 
-// carry delivers a message between daemons, unless it is lost.
-func (f *memoryFleet) carry(from, to netip.AddrPort, data []byte) error {
+// deliver delivers a message to another daemon after fleetLatency unless it is lost.
+func (f *simulatedFleet) deliver(from, to netip.AddrPort, data []byte) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.sent++
-	f.bytes += len(data)
-	if f.cut[from] || f.cut[to] || f.rng.Float64() < f.lost {
+	f.sentMessages++
+	f.sentBytes += len(data)
+	if f.disconnected[from] || f.disconnected[to] || f.rng.Float64() < f.lossRate {
 		return nil
 	}
 	b := to.Addr().As4()
 	i := int(b[2])<<8 + int(b[3])
 	data = bytes.Clone(data)
-	time.AfterFunc(fleetWay, func() {
+	time.AfterFunc(fleetLatency, func() {
 		f.mu.Lock()
 		r := f.daemons[i]
 		f.mu.Unlock()
@@ -191,8 +193,9 @@
 	return nil
 }
 
-// ask sends a request to a daemon and returns the answer. A broken answer has status 0.
-func (f *memoryFleet) ask(daemon int, key, body string) (answer *httptest.ResponseRecorder) {
+// request sends a request to a daemon and returns the answer. The status of an aborted
+// answer is 0.
+func (f *simulatedFleet) request(daemon int, key, body string) (answer *httptest.ResponseRecorder) {
 	f.mu.Lock()
 	r := f.daemons[daemon]
 	id := strconv.FormatUint(f.rng.Uint64(), 16)
@@ -203,9 +206,9 @@
 	req.Header.Set("Key", key)
 	answer = httptest.NewRecorder()
 	defer func() {
-		if broken := recover(); broken != nil {
-			if err, ok := broken.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
-				panic(broken)
+		if reason := recover(); reason != nil {
+			if err, ok := reason.(error); !ok || !errors.Is(err, http.ErrAbortHandler) {
+				panic(reason)
 			}
 			answer.Code = 0
 		}
@@ -214,35 +217,35 @@
 	return answer
 }
 
-// load sends ordinary requests, all different, to drawn daemons at a steady rate, tells
-// of each answer and returns when all are there.
-func (f *memoryFleet) load(step, lasts time.Duration, answered func(at time.Duration, got *httptest.ResponseRecorder)) {
+// sendLoad sends distinct ordinary requests to random daemons at a steady rate, passes
+// each answer to answered, and returns when all were answered.
+func (f *simulatedFleet) sendLoad(step, lasts time.Duration, answered func(at time.Duration, got *httptest.ResponseRecorder)) {
 	var all sync.WaitGroup
 	for at := time.Duration(0); at < lasts; at += step {
 		all.Go(func() {
 			time.Sleep(at)
-			answered(at, f.ask(f.someDaemon(), fleetKey, fmt.Sprint("ordinary ", at)))
+			answered(at, f.request(f.randomDaemon(), fleetKey, fmt.Sprint("ordinary ", at)))
 		})
 	}
 	all.Wait()
 }
 
-// someDaemon draws a daemon.
-func (f *memoryFleet) someDaemon() int {
+// randomDaemon returns the index of a random daemon.
+func (f *simulatedFleet) randomDaemon() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.rng.IntN(len(f.daemons))
 }
 
-// memoryEndpoint runs requests.
-type memoryEndpoint struct {
-	f     *memoryFleet
-	n     int
-	up    bool
-	life  int
-	conns map[net.Conn]bool
-	limit *float64 // requests a second that it names; nil: none
-	dark  bool     // it falls silent with its host instead of ending
+// simulatedEndpoint is an endpoint that runs requests and crashes on some of them.
+type simulatedEndpoint struct {
+	f               *simulatedFleet
+	index           int
+	up              bool
+	incarnation     int
+	conns           map[net.Conn]bool
+	limit           *float64 // requests/s that its answers state; nil: none
+	hostUnreachable bool     // its host is unreachable after a crash, instead of refusing connections
 
 	arrivals []arrival
 }
@@ -254,20 +257,20 @@
 	ran  bool
 }
 
-// Bodies of requests that end the endpoint, and whose answers it cuts short.
+// Bodies of requests that crash the endpoint or whose answers it truncates.
 const (
-	crashBody = "crash"
-	cutBody   = "cut"
+	crashBody     = "crash"
+	truncatedBody = "cut"
 )
 
-func (e *memoryEndpoint) id() string { return fmt.Sprintf("e%d-%d", e.n, e.life) }
+func (e *simulatedEndpoint) id() string { return fmt.Sprintf("e%d-%d", e.index, e.incarnation) }
 
-func (e *memoryEndpoint) entry() directory.Entry {
-	return directory.Entry{ID: e.id(), Service: "s", Address: fmt.Sprintf("e:%d", e.n), Zone: "z", Slots: 24}
+func (e *simulatedEndpoint) entry() directory.Entry {
+	return directory.Entry{ID: e.id(), Service: "s", Address: fmt.Sprintf("e:%d", e.index), Zone: "z", Slots: 24}
 }
 
-// dial is forward.Dial.
-func (f *memoryFleet) dial(_ context.Context, _, address string) (net.Conn, error) {
+// dial implements forward.Dial.
+func (f *simulatedFleet) dial(_ context.Context, _, address string) (net.Conn, error) {
 	_, port, err := net.SplitHostPort(address)
 	if err != nil {
 		return nil, err
@@ -276,12 +279,12 @@
 	if err != nil {
 		return nil, err
 	}
-	time.Sleep(2 * fleetWay)
+	time.Sleep(2 * fleetLatency)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	e := f.endpoints[n]
 	switch {
-	case !e.up && e.dark:
+	case !e.up && e.hostUnreachable:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ETIMEDOUT}
 	case !e.up:
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
@@ -289,25 +292,26 @@
 	near, far := net.Pipe()
 	e.conns[far] = true
 	go e.serve(far)
-	return &memoryConn{Conn: near, dark: e.dark}, nil
+	return &simulatedConn{Conn: near, hostUnreachable: e.hostUnreachable}, nil
 }
 
-// memoryConn is a daemon's side of a connection.
-type memoryConn struct {
+// simulatedConn is the daemon's side of a connection to an endpoint.
+type simulatedConn struct {
 	net.Conn
-	dark bool
+	hostUnreachable bool
 }
 
-// Read implements net.Conn. The end of a host that fell silent shows as a time-out.
-func (c *memoryConn) Read(b []byte) (int, error) {
+// Read implements net.Conn. If the host is unreachable, the end of the connection is
+// reported as a timeout.
+func (c *simulatedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if c.dark && errors.Is(err, io.EOF) {
+	if c.hostUnreachable && errors.Is(err, io.EOF) {
 		err = &net.OpError{Op: "read", Net: "tcp", Err: syscall.ETIMEDOUT}
 	}
 	return n, err
 }
 
-func (e *memoryEndpoint) serve(c net.Conn) {
+func (e *simulatedEndpoint) serve(c net.Conn) {
 	defer c.Close()
 	for in := bufio.NewReader(c); ; {
 		req, err := http.ReadRequest(in)
@@ -324,10 +328,10 @@
 	}
 }
 
-// run runs one request. It returns false if the connection has ended.
-func (e *memoryEndpoint) run(c net.Conn, req *http.Request, body string) bool {
+// run runs one request. It returns false if the connection has to be closed.
+func (e *simulatedEndpoint) run(c net.Conn, req *http.Request, body string) bool {
 	e.f.mu.Lock()
-	life, ours := e.life, req.Header.Get("Instance") == e.id()
+	life, ours := e.incarnation, req.Header.Get("Instance") == e.id()
 	e.arrivals = append(e.arrivals, arrival{at: time.Now(), body: body, ran: ours})
 	limit := e.limit
 	e.f.mu.Unlock()
@@ -339,12 +343,12 @@
 		_, err := io.WriteString(c, "HTTP/1.1 421 Misdirected Request\r\n"+head+"Content-Length: 0\r\n\r\n")
 		return err == nil
 	}
-	time.Sleep(fleetRun)
+	time.Sleep(fleetServiceTime)
 	if body == crashBody {
-		e.end(life)
+		e.crash(life)
 		return false
 	}
-	if body == cutBody {
+	if body == truncatedBody {
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\n"+head+"Content-Length: 99\r\n\r\nid: 0")
 		return false
 	}
@@ -353,12 +357,13 @@
 	return err == nil
 }
 
-// end ends the endpoint and everything that it runs. It comes back under another id.
-func (e *memoryEndpoint) end(life int) {
+// crash stops the endpoint and all requests that it runs, unless that incarnation has
+// stopped already. The endpoint restarts under another id.
+func (e *simulatedEndpoint) crash(life int) {
 	f := e.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !e.up || e.life != life {
+	if !e.up || e.incarnation != life {
 		return
 	}
 	e.up = false
@@ -367,19 +372,19 @@
 	}
 	clear(e.conns)
 	old := e.id()
-	f.tell(fleetUnlisted, func(r *Router) { r.unlist(old) })
-	time.AfterFunc(fleetBack, func() {
+	f.notifyDaemons(fleetUnlistDelay, func(r *Router) { r.removeEndpoint(old) })
+	time.AfterFunc(fleetRestartTime, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		e.life++
+		e.incarnation++
 		e.up = true
 		entry := e.entry()
-		f.tell(fleetListed, func(r *Router) { r.list(entry) })
+		f.notifyDaemons(fleetListDelay, func(r *Router) { r.addEndpoint(entry) })
 	})
 }
 
-// tell tells all daemons of a change of the list.
-func (f *memoryFleet) tell(after time.Duration, change func(r *Router)) {
+// notifyDaemons applies a change of the list of endpoints to all daemons after a delay.
+func (f *simulatedFleet) notifyDaemons(after time.Duration, change func(r *Router)) {
 	time.AfterFunc(after, func() {
 		f.mu.Lock()
 		all := append([]*Router(nil), f.daemons...)
@@ -390,16 +395,16 @@
 	})
 }
 
-// memoryWire names the headers of these tests.
-type memoryWire struct{}
+// testWire implements forward.Wire with headers that only these tests use.
+type testWire struct{}
 
-func (memoryWire) Inbound(h http.Header) forward.Inbound {
+func (testWire) Inbound(h http.Header) forward.Inbound {
 	return forward.Inbound{AttemptID: h.Get("Attempt-Id"), APIKey: h.Get("Key"), LastEvent: forward.NoEvent}
 }
 
-func (memoryWire) Outbound(h http.Header, o *forward.Outbound) { h.Set("Instance", o.EndpointID) }
+func (testWire) Outbound(h http.Header, o *forward.Outbound) { h.Set("Instance", o.EndpointID) }
 
-func (memoryWire) Answer(status int, h http.Header) forward.AnswerInfo {
+func (testWire) Answer(status int, h http.Header) forward.AnswerInfo {
 	misplaced := status == http.StatusMisdirectedRequest
 	var limit *float64
 	if v, err := strconv.ParseFloat(h.Get("Limit"), 64); err == nil {
@@ -411,7 +416,7 @@
 	}
 }
 
-func (memoryWire) Refusal(h http.Header, _ string, after time.Duration) {
+func (testWire) Refusal(h http.Header, _ string, after time.Duration) {
 	if after > 0 {
 		h.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	}
--- a/router/fold_test.go
+++ b/router/fold_test.go
@@ -7,34 +7,33 @@
 	"github.com/merlindock/merlindock/forward"
 )
 
-// A daemon gets five times its usual requests. If each wrote its line, the queue
-// of lines would drop some, and the one of the failed request that the operator
-// looks for may be among them.
-func TestOrdinaryLinesAreFoldedUnderLoad(t *testing.T) {
+// A daemon receives five times the bound of ordinary requests. If each wrote a line, the
+// log queue would drop lines, among them possibly those of failed requests.
+func TestLimitsOrdinaryLinesUnderLoad(t *testing.T) {
 	f := lineLimiter{perSecond: ordinaryPerSecond}
 	at := time.Unix(1_800_000_000, 0)
 	written := 0
 	for range 5 * ordinaryPerSecond {
-		if ok, told := f.allow(at); ok {
+		if ok, leftOut := f.allow(at); ok {
 			written++
-		} else if told != 0 {
-			t.Fatalf("told of %d too early", told)
+		} else if leftOut != 0 {
+			t.Fatalf("%d left-out lines reported before the second ended", leftOut)
 		}
 	}
 	if written != ordinaryPerSecond {
-		t.Errorf("%d lines", written)
+		t.Errorf("%d lines were written", written)
 	}
-	if ok, told := f.allow(at.Add(time.Second)); !ok || told != 4*ordinaryPerSecond {
-		t.Errorf("the next second writes %v and tells of %d", ok, told)
+	if ok, leftOut := f.allow(at.Add(time.Second)); !ok || leftOut != 4*ordinaryPerSecond {
+		t.Errorf("next second: allowed %v, %d lines left out before", ok, leftOut)
 	}
 }
 
-// Whatever a caller could complain of keeps its line.
+// The lines of failed, late, repeated and refused requests must never be left out.
 func TestFailuresAreNotOrdinary(t *testing.T) {
 	one := []forward.AttemptReport{{}}
 	good := forward.Report{Status: 200, Attempts: one, Duration: time.Second, FirstEvent: 100 * time.Millisecond, Target: 300 * time.Millisecond}
 	if !ordinary(&good) {
-		t.Error("a good answer is not ordinary")
+		t.Error("a timely answer without error does not count as ordinary")
 	}
 	for name, change := range map[string]func(*forward.Report){
 		"refused":   func(r *forward.Report) { r.Status, r.Code = 503, "overloaded" },
--- a/router/lanes_test.go
+++ b/router/lanes_test.go
@@ -9,7 +9,8 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-func members(prefix string, n int) []fleet.Endpoint {
+// testEngines returns n endpoints with the prefix and their number as id.
+func testEngines(prefix string, n int) []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for i := range n {
 		out = append(out, fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprint(prefix, i))})
@@ -17,10 +18,10 @@
 	return out
 }
 
-// During a rollout engines of both weights serve. If each version kept engines
-// of its own for short prompts, those of the older one would idle while long
-// prompts are turned away.
-func TestShortPromptsTakeEnginesOfTheNewestWeightsFirst(t *testing.T) {
+// During a rollout, engines with both weight versions serve. If each version had a short
+// subpool of its own, the one of the older version would be idle while long prompts are
+// refused.
+func TestShortSubpoolUsesNewestWeightsFirst(t *testing.T) {
 	for _, c := range []struct {
 		older, newer, k        int
 		shortOlder, shortNewer int
@@ -30,7 +31,7 @@
 		{0, 18, 3, 0, 3},
 		{18, 0, 3, 3, 0},
 	} {
-		engines := map[int64][]fleet.Endpoint{6: members("o", c.older), 7: members("n", c.newer)}
+		engines := map[int64][]fleet.Endpoint{6: testEngines("o", c.older), 7: testEngines("n", c.newer)}
 		short, long := splitVersions(engines, c.k, nil)
 		if len(short[6]) != c.shortOlder || len(short[7]) != c.shortNewer || len(long[6]) != c.older-c.shortOlder || len(long[7]) != c.newer-c.shortNewer {
 			t.Errorf("%+v: short %d and %d, long %d and %d", c, len(short[6]), len(short[7]), len(long[6]), len(long[7]))
@@ -38,21 +39,20 @@
 	}
 }
 
-// Callers state how many tokens they take at most, which is many times what they
-// get. Counted as work, that once gave a third of the fleet to short prompts that
-// kept it a tenth busy.
-func TestShortPartFollowsWhatIsRead(t *testing.T) {
+// The maximum output length that callers set is many times the actual length. Counted as
+// work, it would reserve a third of the fleet for short prompts that keep it a tenth busy.
+func TestShortFractionFollowsReadTokens(t *testing.T) {
 	l := subpoolSplit{meanAnswer: [subpoolCount]float64{subpoolShort: 0.15, subpoolLong: 0.8}}
 	short, long := l.estimateWork(subpoolShort, 370, 24), l.estimateWork(subpoolLong, 17_000, 24)
 	if n := pools.ShortCount(short/(short+long*47.5/189), 18); n < 2 || n > 3 {
-		t.Errorf("%d engines of 18", n)
+		t.Errorf("%d of 18 engines in the short subpool", n)
 	}
 }
 
-// With 16 places in a batch, 300 short prompts a second that stream for a quarter
-// of a second need five engines for their places, though two could read them. On
-// two, half of the callers would wait for a place past their objective.
-func TestShortPartFollowsThePlacesInTheBatch(t *testing.T) {
+// With 16 batch slots per engine, 300 short prompts a second whose answers stream for a
+// quarter of a second need the slots of five engines, though two could read the prompts.
+// On two engines, half of the callers would wait for a slot beyond their objective.
+func TestShortFractionFollowsBatchSlots(t *testing.T) {
 	var l subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
 	for range 3000 {
@@ -65,24 +65,24 @@
 		l.addAnswer(subpoolLong, 800*time.Millisecond)
 	}
 	if n := pools.ShortCount(l.shortFraction(), 14); n < 4 || n > 6 {
-		t.Errorf("%d engines of 14", n)
+		t.Errorf("%d of 14 engines in the short subpool", n)
 	}
 }
 
-// Guards against an engine that takes few requests a second and is kept for the short
-// prompts, of which there are many.
-func TestEnginesWithALimitServeLongPrompts(t *testing.T) {
-	all := members("a", 6)
+// Guards against assigning an engine with a request limit to the short subpool, whose
+// requests are many.
+func TestLimitedEnginesServeLongPrompts(t *testing.T) {
+	all := testEngines("a", 6)
 	short, _ := split(all, 2, nil)
 	limited := map[fleet.EndpointID]bool{short[0].ID: true}
-	now, long := split(all, 2, limited)
-	if len(now) != 2 || len(long) != 4 || now[0].ID != short[1].ID || limited[now[1].ID] {
-		t.Errorf("short prompts go to %v", now)
+	next, long := split(all, 2, limited)
+	if len(next) != 2 || len(long) != 4 || next[0].ID != short[1].ID || limited[next[1].ID] {
+		t.Errorf("short subpool %v", next)
 	}
 	for _, e := range all {
 		limited[e.ID] = true
 	}
-	if now, _ := split(all, 2, limited); len(now) != 2 {
-		t.Errorf("%d engines for short prompts if all have a limit", len(now))
+	if next, _ := split(all, 2, limited); len(next) != 2 {
+		t.Errorf("%d engines in the short subpool if all have a limit", len(next))
 	}
 }
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -10,13 +10,13 @@
 	"github.com/merlindock/merlindock/placement"
 )
 
-// The engine for short prompts has places left, and its batch is so large that
-// each token takes three times as long. Callers with long answers would reach
-// their limit in mid-answer, while the next engine has a small batch.
+// The batch of an engine has free slots but is so large that each token takes three times
+// as long. Callers with long answers would reach their time limit in mid-answer while
+// other engines have small batches.
 func TestLargeBatchCountsAsFull(t *testing.T) {
 	now := time.Unix(1_800_000_000, 0)
 	place := func(load *fleet.Load) placement.Decision {
-		v := placement.NewView(options())
+		v := placement.NewView(placementOptions())
 		v.SetPool("short", []fleet.Endpoint{{ID: "a", Zone: "z", State: fleet.VMLive}})
 		v.Answered(now, placement.Answer{ID: 1, Endpoint: "a", Load: load})
 		d, err := v.Select(now, placement.Request{ID: 2, Pool: "short", Tokens: 300})
@@ -27,7 +27,7 @@
 	}
 	raw := fleet.Load{At: now, Running: 110, Slots: 128}
 	if d := place(&raw); d.ExpectedWait != 0 {
-		t.Fatalf("waits %v with places left", d.ExpectedWait)
+		t.Fatalf("expected wait %v with free slots", d.ExpectedWait)
 	}
 	if d := place(capSlots(&raw)); d.ExpectedWait < 100*time.Millisecond {
 		t.Errorf("expected wait %v in a batch of 110", d.ExpectedWait)
@@ -37,15 +37,14 @@
 		t.Errorf("expected wait %v in a batch of 30", d.ExpectedWait)
 	}
 	if capSlots(nil) != nil {
-		t.Error("a load that was not told")
+		t.Error("capSlots returns a load for nil")
 	}
 }
 
-// A short prompt was answered by an engine for long ones, which says that three
-// requests wait there. They are long: counted at the length of the prompt that
-// asked, they would look like a wait of 14 ms, and this daemon's next prompts would
-// be sent behind 50,000 tokens.
-func TestQueueOfAnEngineIsCountedByItsOwnKind(t *testing.T) {
+// A short prompt was answered by an engine of the long subpool that reports three waiting
+// requests, which are long. Counted at the length of the short prompt, they would amount
+// to a wait of 14 ms, and the daemon would place its next prompts after 50,000 tokens.
+func TestQueueEstimateUsesSubpoolOfEngine(t *testing.T) {
 	now := time.Now()
 	s := newState(&Settings{Zone: "z"}, rand.New(rand.NewPCG(1, 2)))
 	s.subpools.meanTokens = [subpoolCount]float64{subpoolShort: 370, subpoolLong: 17_000}
--- a/router/load_test.go
+++ b/router/load_test.go
@@ -14,19 +14,20 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// These tests replay, in virtual time, the load at its worst of a fleet with a
-// few long prompts among many short ones, as nine daemons see it.
+// These tests replay, in virtual time, the peak load of a fleet with a few long prompts
+// among many short ones, placed by several daemons.
 
-// engineModel reads one prompt at a time, the urgent first.
+// engineModel simulates an engine that reads one prompt at a time, in order of priority.
 type engineModel struct {
-	id    fleet.EndpointID
-	queue []job
-	now   job           // being read
-	free  time.Duration // when it is read
+	id        fleet.EndpointID
+	queue     []promptJob
+	current   promptJob     // the prompt being read; its id is 0 if there is none
+	busyUntil time.Duration // when the current prompt is read
 }
 
-type job struct {
-	at       time.Duration
+// promptJob is a prompt that waits at an engine or is read there.
+type promptJob struct {
+	arrived  time.Duration
 	tokens   int
 	priority contract.Priority
 	daemon   int
@@ -34,41 +35,43 @@
 }
 
 const (
-	readRate    = 80_000 // tokens/s
+	readRate    = 80_000 // tokens/s of an engine
 	daemonCount = 9
 )
 
-// replay is one run of the load.
+// replay simulates engines and the daemons that place prompts on them.
 type replay struct {
-	rng     *rand.Rand
-	engines []*engineModel
-	views   []*placement.View
-	limit   time.Duration                 // of the expected wait of a long prompt; 0: none
-	ways    func(part string) []candidate // that a long prompt has; nil: the pool "long"
-	hot     float64                       // part of the long prompts that share one part
-	waited  bool                          // requests that wait tell of the queue
-
-	waits   [2][]time.Duration // short, long: until the prompt was read
-	refused int
-	lost    int // long prompts whose caller left before the first event
+	rng             *rand.Rand
+	engines         []*engineModel
+	views           []*placement.View
+	maxExpectedWait time.Duration                    // long prompts with a longer expected wait are refused; 0: none
+	candidates      func(segment string) []candidate // of a long prompt with the given segment; nil: the pool "long" only
+	hotFraction     float64                          // fraction of the long prompts that share one segment
+	reportWaits     bool                             // daemons observe the waits of their unanswered requests
+
+	waits     [2][]time.Duration // of short and of long prompts, until they were read
+	refused   int
+	abandoned int // prompts whose caller left before the first event
 }
 
-// callerPatience is how long a caller waits for the first event.
+// callerPatience is how long a caller waits for the first event before it leaves.
 const callerPatience = 2400 * time.Millisecond
 
-func newReplay(engines int, o placement.Options, part float64) *replay {
-	return newReplayOf(daemonCount, engines, o, part)
+// newReplay returns a replay with daemonCount daemons. shortFraction is the fraction of
+// the engines reserved for short prompts; 0: all engines read both.
+func newReplay(engines int, o placement.Options, shortFraction float64) *replay {
+	return newReplayWithDaemons(daemonCount, engines, o, shortFraction)
 }
 
-func newReplayOf(daemons, engines int, o placement.Options, part float64) *replay {
+func newReplayWithDaemons(daemons, engines int, o placement.Options, shortFraction float64) *replay {
 	r := &replay{rng: rand.New(rand.NewPCG(11, 4))}
 	for i := range engines {
 		r.engines = append(r.engines, &engineModel{id: fleet.EndpointID(fmt.Sprint("e", i))})
 	}
 	members := r.members()
 	short, long := members, members
-	if part > 0 {
-		short, long = split(members, int(math.Round(part*float64(engines))), nil)
+	if shortFraction > 0 {
+		short, long = split(members, int(math.Round(shortFraction*float64(engines))), nil)
 	}
 	for range daemons {
 		v := placement.NewView(o)
@@ -91,22 +94,24 @@
 	return r.engines[slices.IndexFunc(r.engines, func(e *engineModel) bool { return e.id == id })]
 }
 
-// load is what the engine says of itself when asked.
+// load returns the load that the engine reports. It counts waiting prompts at the average
+// length of long ones.
 func (e *engineModel) load(now time.Time) fleet.Load {
 	return fleet.Load{At: now, Waiting: len(e.queue), WaitingTokens: len(e.queue) * 17_000, Slots: 128}
 }
 
-func (r *replay) clock(at time.Duration) time.Time { return time.Unix(1_800_000_000, 0).Add(at) }
+func (r *replay) wallTime(at time.Duration) time.Time { return time.Unix(1_800_000_000, 0).Add(at) }
 
-// run plays the arrivals of some seconds.
+// run simulates some seconds with the given arrival rates of short and long prompts, in
+// prompts/s.
 func (r *replay) run(seconds int, shortRate, longRate float64) {
 	step := time.Millisecond
 	for now := time.Duration(0); now < time.Duration(seconds)*time.Second; now += step {
 		for _, e := range r.engines {
-			r.work(now, e)
+			r.advance(now, e)
 		}
-		if r.waited && now%(100*step) == 0 {
-			r.tell(now)
+		if r.reportWaits && now%(100*step) == 0 {
+			r.reportWaiting(now)
 		}
 		if r.rng.Float64() < shortRate/1000 {
 			r.arrive(now, 380, contract.PriorityInteractive)
@@ -122,75 +127,77 @@
 	request := placement.Request{ID: r.rng.Uint64(), Pool: "short", Tokens: tokens, Priority: p}
 	if tokens > maxShortTokens {
 		request.Pool = "long"
-		request.Levels = partLevels(r.part(), tokens)
+		request.Levels = segmentLevels(r.drawSegment(), tokens)
 	}
 	d := r.place(now, daemon, &request)
-	if r.limit > 0 && tokens > maxShortTokens && d.ExpectedWait > r.limit {
-		r.views[daemon].Finished(r.clock(now), request.ID)
+	if r.maxExpectedWait > 0 && tokens > maxShortTokens && d.ExpectedWait > r.maxExpectedWait {
+		r.views[daemon].Finished(r.wallTime(now), request.ID)
 		r.refused++
 		return
 	}
 	e := r.engine(d.Endpoint)
-	e.queue = append(e.queue, job{now, tokens, p, daemon, request.ID})
+	e.queue = append(e.queue, promptJob{now, tokens, p, daemon, request.ID})
 }
 
-// part draws the shared part of a long prompt.
-func (r *replay) part() string {
-	if r.hot > 0 && r.rng.Float64() < r.hot {
+// drawSegment returns the id of a random shared segment of a long prompt.
+func (r *replay) drawSegment() string {
+	if r.hotFraction > 0 && r.rng.Float64() < r.hotFraction {
 		return "hot"
 	}
 	return fmt.Sprint(r.rng.IntN(200))
 }
 
-func partLevels(part string, tokens int) []prefix.Level {
-	return prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: part, Tokens: tokens * 3 / 4}, {ID: "own", Tokens: tokens / 4}})
+func segmentLevels(segment string, tokens int) []prefix.Level {
+	return prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: segment, Tokens: tokens * 3 / 4}, {ID: "own", Tokens: tokens / 4}})
 }
 
-// place reserves the place of a request, by the ways if the replay has them.
+// place selects an engine for a request and reserves it, among the candidates if the
+// replay has them.
 func (r *replay) place(now time.Duration, daemon int, request *placement.Request) placement.Decision {
 	v := r.views[daemon]
-	if r.ways == nil || request.Pool != "long" {
-		d, err := v.Place(r.clock(now), *request)
+	if r.candidates == nil || request.Pool != "long" {
+		d, err := v.Place(r.wallTime(now), *request)
 		if err != nil {
 			panic(err)
 		}
 		return d
 	}
-	all := r.ways(request.Levels[0].Key.String())
+	all := r.candidates(request.Levels[0].Key.String())
 	for i := range all {
 		all[i].levels = func() []prefix.Level { return request.Levels }
 	}
 	first := *request
 	first.Pool = all[0].pool
-	for _, id := range v.StalePreferred(first, r.clock(now-freshLoadAge), maxQueriedEngines) {
-		v.LoadReported(id, r.engine(id).load(r.clock(now)))
+	for _, id := range v.StalePreferred(first, r.wallTime(now-freshLoadAge), maxQueriedEngines) {
+		v.LoadReported(id, r.engine(id).load(r.wallTime(now)))
 	}
-	best, err := bestCandidate(r.clock(now), v, *request, all, replayTarget)
+	best, err := bestCandidate(r.wallTime(now), v, *request, all, replayTarget)
 	if err != nil {
 		panic(err)
 	}
-	v.Reserve(r.clock(now), best.request, &best.decision)
+	v.Reserve(r.wallTime(now), best.request, &best.decision)
 	return best.decision
 }
 
-// replayTarget is the objective of the prompts that have ways.
+// replayTarget is the latency objective of prompts that have several candidates.
 const replayTarget = 500 * time.Millisecond
 
-// work reads prompts, and answers those that are read.
-func (r *replay) work(now time.Duration, e *engineModel) {
-	if now < e.free {
+// advance answers the engine's current prompt if it was read, drops prompts whose callers
+// have left, and starts the next one.
+func (r *replay) advance(now time.Duration, e *engineModel) {
+	if now < e.busyUntil {
 		return
 	}
-	if e.now.id != 0 {
-		r.answer(now, e, e.now)
-		e.now = job{}
+	if e.current.id != 0 {
+		r.finish(now, e, e.current)
+		e.current = promptJob{}
 	}
-	e.queue = slices.DeleteFunc(e.queue, func(j job) bool {
-		if now-j.at < callerPatience {
+	e.queue = slices.DeleteFunc(e.queue, func(j promptJob) bool {
+		if now-j.arrived < callerPatience {
 			return false
 		}
-		r.views[j.daemon].Finished(r.clock(now), j.id)
-		r.lost++
+		r.views[j.daemon].Finished(r.wallTime(now), j.id)
+		r.abandoned++
 		return true
 	})
 	if len(e.queue) == 0 {
@@ -202,40 +209,43 @@
 			first = i
 		}
 	}
-	e.now = e.queue[first]
+	e.current = e.queue[first]
 	e.queue = slices.Delete(e.queue, first, first+1)
-	e.free = now + time.Duration(float64(e.now.tokens)/readRate*float64(time.Second))
+	e.busyUntil = now + time.Duration(float64(e.current.tokens)/readRate*float64(time.Second))
 }
 
-func (r *replay) answer(now time.Duration, e *engineModel, j job) {
+func (r *replay) finish(now time.Duration, e *engineModel, j promptJob) {
 	kind := 0
 	if j.tokens > maxShortTokens {
 		kind = 1
 	}
-	r.waits[kind] = append(r.waits[kind], now-j.at)
+	r.waits[kind] = append(r.waits[kind], now-j.arrived)
 	v := r.views[j.daemon]
-	load := e.load(r.clock(now))
+	load := e.load(r.wallTime(now))
 	if kind == 0 {
 		load.WaitingTokens = len(e.queue) * 380
 	}
-	v.Answered(r.clock(now), placement.Answer{ID: j.id, Endpoint: e.id, Load: &load})
-	v.Finished(r.clock(now), j.id)
-	if r.waited && kind == 1 {
+	v.Answered(r.wallTime(now), placement.Answer{ID: j.id, Endpoint: e.id, Load: &load})
+	v.Finished(r.wallTime(now), j.id)
+	if r.reportWaits && kind == 1 {
 		reading := time.Duration(float64(j.tokens) / readRate * float64(time.Second))
-		v.ObserveWait(r.clock(now), e.id, j.priority, now-j.at-reading, true)
+		v.ObserveWait(r.wallTime(now), e.id, j.priority, now-j.arrived-reading, true)
 	}
 }
 
-// tell has the requests that wait tell of the queue, as placer.overdue does.
-func (r *replay) tell(now time.Duration) {
+// reportWaiting passes the waits of queued requests to their daemons, as
+// placer.reportWaiting does.
+func (r *replay) reportWaiting(now time.Duration) {
 	for _, e := range r.engines {
 		for _, j := range e.queue {
-			r.views[j.daemon].ObserveWait(r.clock(now), e.id, j.priority, now-j.at, false)
+			r.views[j.daemon].ObserveWait(r.wallTime(now), e.id, j.priority, now-j.arrived, false)
 		}
 	}
 }
 
-func (r *replay) within(kind int, d time.Duration) int {
+// countWithin returns how many prompts of a kind (0: short, 1: long) were read within the
+// time.
+func (r *replay) countWithin(kind int, d time.Duration) int {
 	n := 0
 	for _, w := range r.waits[kind] {
 		if w <= d {
@@ -245,82 +255,84 @@
 	return n
 }
 
-func options() placement.Options {
+func placementOptions() placement.Options {
 	return placement.Options{Zone: "z", PrefillRate: readRate, QueueHalfLife: queueHalfLife}
 }
 
-// Short prompts come among a few long ones, and each that meets one waits for as
-// long as the long one is read. With engines of their own, nearly all short
-// prompts are read in 50 ms.
-func TestLanesKeepShortPromptsFromLongOnes(t *testing.T) {
-	mixed, parted := newReplay(9, options(), 0), newReplay(9, options(), 0.2)
+// A short prompt that arrives at an engine after a long one waits until that was read.
+// With a subpool of their own, nearly all short prompts must be read within 50 ms.
+func TestSubpoolsShortenWaitOfShortPrompts(t *testing.T) {
+	mixed, divided := newReplay(9, placementOptions(), 0), newReplay(9, placementOptions(), 0.2)
 	mixed.run(20, 200, 20)
-	parted.run(20, 200, 20)
-	all := len(parted.waits[0])
-	before, after := mixed.within(0, 50*time.Millisecond), parted.within(0, 50*time.Millisecond)
-	t.Logf("short prompts in time: %d of %d mixed, %d of %d parted", before, len(mixed.waits[0]), after, all)
+	divided.run(20, 200, 20)
+	all := len(divided.waits[0])
+	before, after := mixed.countWithin(0, 50*time.Millisecond), divided.countWithin(0, 50*time.Millisecond)
+	t.Logf("short prompts in time: %d of %d in one pool, %d of %d with subpools", before, len(mixed.waits[0]), after, all)
 	if after < all*97/100 || before > all*90/100 {
-		t.Errorf("in time: %d mixed, %d parted of %d", before, after, all)
+		t.Errorf("in time: %d in one pool, %d with subpools of %d", before, after, all)
 	}
 }
 
-// Long prompts come faster than they can be read. Turned away by the expected
-// wait, fewer are read in vain and more callers get their first event within the
-// objective than when all are taken.
-func TestRefusingEarlyServesMoreInTime(t *testing.T) {
-	taken := newReplay(6, options(), 0)
-	taken.waited = true
-	taken.run(30, 0, 50)
-	refusing := newReplay(6, options(), 0)
-	refusing.waited, refusing.limit = true, 600*time.Millisecond
+// Long prompts arrive faster than engines can read them. If prompts with a long expected
+// wait are refused, engines read fewer prompts whose callers leave, and more callers get
+// their first event within the objective than if all prompts are accepted.
+func TestEarlyRefusalServesMoreInTime(t *testing.T) {
+	accepting := newReplay(6, placementOptions(), 0)
+	accepting.reportWaits = true
+	accepting.run(30, 0, 50)
+	refusing := newReplay(6, placementOptions(), 0)
+	refusing.reportWaits, refusing.maxExpectedWait = true, 600*time.Millisecond
 	refusing.run(30, 0, 50)
-	before, after := taken.within(1, 800*time.Millisecond), refusing.within(1, 800*time.Millisecond)
-	t.Logf("in time: %d of all taken (%d left), %d when refusing (%d left, %d refused)", before, taken.lost, after, refusing.lost, refusing.refused)
-	if after < before*3/2 || refusing.lost > taken.lost/2 {
-		t.Errorf("in time %d and %d, lost %d and %d", before, after, taken.lost, refusing.lost)
+	before, after := accepting.countWithin(1, 800*time.Millisecond), refusing.countWithin(1, 800*time.Millisecond)
+	t.Logf("in time: %d when accepting all (%d abandoned), %d when refusing (%d abandoned, %d refused)", before, accepting.abandoned, after, refusing.abandoned, refusing.refused)
+	if after < before*3/2 || refusing.abandoned > accepting.abandoned/2 {
+		t.Errorf("in time %d and %d, abandoned %d and %d", before, after, accepting.abandoned, refusing.abandoned)
 	}
 }
 
-// Seventy daemons place 160 long prompts a second on 58 engines, which is half of what
-// these read. None knows of the others' prompts until an engine tells its load, and they
-// meet: a sixth and more are late. One that places all for them knows where each went.
-func TestOneDaemonThatPlacesAllKeepsPromptsApart(t *testing.T) {
-	o := options()
+// Seventy daemons place 160 long prompts a second on 58 engines, half of what these can
+// read. As none knows of the others' prompts before an engine reports its load, several
+// prompts are sent to the same engine and at least a sixth are late. A single daemon that
+// places all prompts avoids most of these collisions.
+func TestCentralPlacementSpreadsPrompts(t *testing.T) {
+	o := placementOptions()
 	o.PreferredPrior = cachedPrior
 	late := func(daemons int) float64 {
-		r := newReplayOf(daemons, 58, o, 0)
-		r.waited = true
-		r.ways = func(string) []candidate {
+		r := newReplayWithDaemons(daemons, 58, o, 0)
+		r.reportWaits = true
+		r.candidates = func(string) []candidate {
 			return []candidate{{pool: "long"}, {pool: "long", nonPreferred: true, penalty: nonPreferredPenalty}}
 		}
 		r.run(20, 0, 160)
-		return 1 - float64(r.within(1, replayTarget))/float64(len(r.waits[1])+r.lost)
+		return 1 - float64(r.countWithin(1, replayTarget))/float64(len(r.waits[1])+r.abandoned)
 	}
-	many, one := late(70), late(1)
-	t.Logf("late: %.3f placed by seventy daemons, %.3f by one", many, one)
-	if many < 1.0/6 || one > many/3 {
-		t.Errorf("late: %.3f placed by seventy daemons, %.3f by one", many, one)
+	seventy, one := late(70), late(1)
+	t.Logf("fraction late: %.3f placed by seventy daemons, %.3f by one", seventy, one)
+	if seventy < 1.0/6 || one > seventy/3 {
+		t.Errorf("fraction late: %.3f placed by seventy daemons, %.3f by one", seventy, one)
 	}
 }
 
-// The same overload, seen only through what answers tell of the load, as if each
-// daemon were alone. The requests that wait must make the difference.
-func TestWaitingRequestsMakeRefusalsMeetTheOverload(t *testing.T) {
-	alone := options()
-	alone.QueueHalfLife = 0
-	blind := newReplay(6, alone, 0)
-	blind.limit = 600 * time.Millisecond
-	blind.run(30, 0, 50)
-	seeing := newReplay(6, options(), 0)
-	seeing.waited, seeing.limit = true, 600*time.Millisecond
-	seeing.run(30, 0, 50)
-	t.Logf("left before the first event: %d blind, %d seeing", blind.lost, seeing.lost)
-	if seeing.lost > blind.lost/2 {
-		t.Errorf("left: %d blind, %d seeing", blind.lost, seeing.lost)
+// Under overload, a daemon that sees only the load reported by answers to its own requests
+// underestimates the queues of engines. Once the waits of unanswered requests count as
+// well, at most half as many callers may leave before the first event.
+func TestReportedWaitsImproveRefusals(t *testing.T) {
+	answersOnly := placementOptions()
+	answersOnly.QueueHalfLife = 0
+	without := newReplay(6, answersOnly, 0)
+	without.maxExpectedWait = 600 * time.Millisecond
+	without.run(30, 0, 50)
+	with := newReplay(6, placementOptions(), 0)
+	with.reportWaits, with.maxExpectedWait = true, 600*time.Millisecond
+	with.run(30, 0, 50)
+	t.Logf("abandoned before the first event: %d without reported waits, %d with them", without.abandoned, with.abandoned)
+	if with.abandoned > without.abandoned/2 {
+		t.Errorf("abandoned: %d without reported waits, %d with them", without.abandoned, with.abandoned)
 	}
 }
 
-func TestSplitIsTheSameForAllDaemons(t *testing.T) {
+// Guards against daemons that divide the same engines differently.
+func TestSplitIsDeterministic(t *testing.T) {
 	var members []fleet.Endpoint
 	for i := range 10 {
 		members = append(members, fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprint("e", i))})
@@ -329,22 +341,22 @@
 	slices.Reverse(members)
 	again, _ := split(members, 3, nil)
 	if len(short) != 3 || len(long) != 7 || !slices.Equal(short, again) {
-		t.Errorf("%d and %d, %v and %v", len(short), len(long), short, again)
+		t.Errorf("%d short and %d long, short %v and %v in reverse order", len(short), len(long), short, again)
 	}
 	if s, l := split(members[:1], 1, nil); len(s) != 1 || len(l) != 1 {
-		t.Error("the only engine must serve both")
+		t.Error("a single engine is not in both subpools")
 	}
 	versions := map[int64][]fleet.Endpoint{2: members[:1], 1: members[1:]}
 	if s, l := splitVersions(versions, 1, nil); len(s[2]) != 1 || len(l[2]) != 0 {
-		t.Error("the first engine of a version is for short prompts")
+		t.Error("the first engine of the newer version is not in the short subpool, or also in the long one")
 	}
 }
 
-func TestShortPartFollowsTheWork(t *testing.T) {
+func TestShortFractionFollowsWork(t *testing.T) {
 	var l subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
 	if got := l.shortFraction(); got != initialShortFraction {
-		t.Errorf("part %v before anything was seen", got)
+		t.Errorf("short fraction %v before any request", got)
 	}
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
@@ -352,6 +364,6 @@
 		l.addRequest(now, subpoolLong, 2700, 1000)
 	}
 	if got := l.shortFraction(); got < 0.2 || got > 0.3 {
-		t.Errorf("part %v, want 0.25", got)
+		t.Errorf("short fraction %v, want 0.25", got)
 	}
 }
--- a/router/neighbours_test.go
+++ b/router/neighbours_test.go
@@ -18,10 +18,10 @@
 	"github.com/merlindock/merlindock/internal/hash"
 )
 
-// relayServer is a daemon that answers questions about the operator's topic.
+// relayServer starts a daemon that serves relayed reads, and returns its address.
 func relayServer(t *testing.T) (r *Router, address string) {
 	t.Helper()
-	r = &Router{clock: fixed(10 * time.Second), log: quiet()}
+	r = &Router{clock: fixedClock(10 * time.Second), log: discardLog()}
 	for topic := range r.feeds {
 		r.feeds[topic] = feed.New(Topic(topic) != TopicLease)
 	}
@@ -30,9 +30,9 @@
 	return r, server.Listener.Addr().String()
 }
 
-// A question loses a part on its way, or its answer does. The asker would count news
-// as newer than they are, or read on in the wrong place.
-func TestQuestionsAndAnswersArriveWhole(t *testing.T) {
+// Guards against a field of a query or an answer that is lost in encoding. The daemon that
+// sent the query would treat records as newer than they are, or continue at a wrong offset.
+func TestRelayedReadRoundTrip(t *testing.T) {
 	r, address := relayServer(t)
 	r.feeds[TopicOperator].Add(feed.Batch{All: true, Records: []Record{{Key: "k", Value: []byte("v"), Offset: 6}}, Next: 7, Whole: true, Confirmed: 8 * time.Second})
 	r.feeds[TopicOperator].Add(feed.Batch{From: 7, Records: []Record{{Key: "k", Value: []byte("w"), Offset: 7}}, Next: 8, Whole: true, Confirmed: 9 * time.Second})
@@ -43,13 +43,13 @@
 		all  bool
 		want string
 	}{
-		"everything":            {feed.Question{From: -1, Age: time.Hour}, true, "w"},
-		"behind what is kept":   {feed.Question{From: 3, Age: time.Hour}, true, "w"},
-		"the newest record":     {feed.Question{From: 7, Age: time.Hour}, false, "w"},
-		"nothing new":           {feed.Question{From: 8, Hold: time.Millisecond, Stamp: int64(9 * time.Second)}, false, ""},
-		"older than the asker":  {feed.Question{From: 8, Hold: time.Millisecond, Age: time.Millisecond}, false, ""},
-		"ahead of this daemon":  {feed.Question{From: 12, Age: time.Hour}, false, ""},
-		"a new stamp, no wait ": {feed.Question{From: 8, Stamp: 5}, false, ""},
+		"everything":           {feed.Question{From: -1, Age: time.Hour}, true, "w"},
+		"offset not kept":      {feed.Question{From: 3, Age: time.Hour}, true, "w"},
+		"the newest record":    {feed.Question{From: 7, Age: time.Hour}, false, "w"},
+		"nothing new":          {feed.Question{From: 8, Hold: time.Millisecond, Stamp: int64(9 * time.Second)}, false, ""},
+		"older than max age":   {feed.Question{From: 8, Hold: time.Millisecond, Age: time.Millisecond}, false, ""},
+		"offset beyond newest": {feed.Question{From: 12, Age: time.Hour}, false, ""},
+		"other stamp, no wait": {feed.Question{From: 8, Stamp: 5}, false, ""},
 	} {
 		got, err := requestNeighbour(t.Context(), client, address, TopicOperator, c.q)
 		if err != nil || got.All != c.all || got.Next != max(8, c.q.From) || got.Age != time.Second || got.Stamp != int64(9*time.Second) {
@@ -61,13 +61,13 @@
 	}
 	var refused *StatusError
 	if _, err := requestNeighbour(t.Context(), client, address, TopicEndpoints, feed.Question{From: -1}); !errors.As(err, &refused) || refused.Status != http.StatusGone {
-		t.Errorf("a daemon that knows nothing answers with %v", err)
+		t.Errorf("a daemon without records answers with %v", err)
 	}
 }
 
-// Something that is no daemon of ours asks. It gets a clear refusal, and cannot have a
-// connection held for longer than a daemon would.
-func TestMalformedQuestionsAreRefused(t *testing.T) {
+// A malformed query must be refused with a status, and no client may have a connection held
+// for longer than a daemon would.
+func TestMalformedQueriesAreRefused(t *testing.T) {
 	_, address := relayServer(t)
 	good := url.Values{"topic": {"0"}, "from": {"0"}, "hold_ns": {"0"}, "age_ns": {"0"}, "stamp": {"0"}}
 	for name, change := range map[string]func(url.Values){
@@ -93,10 +93,10 @@
 	}
 }
 
-// Weights are named, and all 295 daemons see at the same moment that engines are
-// behind. If they claim the lease of orders together, one gets it, and each other one
-// has made a claim and a read of the store in vain, 588 calls for each version.
-func TestOneDaemonClaimsTheLeaseFirst(t *testing.T) {
+// When weights are named, all daemons detect at the same time that engines have an old
+// version. If all 295 claimed the rollout lease at once, each one that does not get it
+// would make a claim and a read in vain: 588 calls to the store for each version.
+func TestClaimDelaysAreStaggered(t *testing.T) {
 	const daemons = 295
 	var all []Neighbour
 	for i := range daemons {
@@ -106,18 +106,18 @@
 	waits := make([]time.Duration, 0, daemons)
 	for _, me := range all {
 		r := &Router{
-			neighbours: newNeighbours(me, set, net.Dialer{}, fixed(0), quiet()),
-			placer:     newPlacer(newState(set, rand.New(rand.NewPCG(1, 2))), set, nil, fixed(0), rand.New(rand.NewPCG(3, hash.Text(me.Name)))),
+			neighbours: newNeighbours(me, set, net.Dialer{}, fixedClock(0), discardLog()),
+			placer:     newPlacer(newState(set, rand.New(rand.NewPCG(1, 2))), set, nil, fixedClock(0), rand.New(rand.NewPCG(3, hash.Text(me.Name)))),
 		}
 		r.neighbours.set(all)
 		waits = append(waits, r.claimDelay(false))
 		if last := r.claimDelay(true); last != 0 {
-			t.Errorf("the daemon that gave the last order waits %v", last)
+			t.Errorf("the previous rollout leader waits %v", last)
 		}
 	}
 	slices.Sort(waits)
-	// The first ones may be gone: the next of them must not wait for long, and not
-	// claim before the claim of the one before it is known.
+	// The first daemons may have failed. The next one must not wait for long, but must not
+	// claim before the claim of the previous one is known.
 	for i := range 10 {
 		if gap := waits[i+1] - waits[i]; gap < 100*time.Millisecond || gap > 500*time.Millisecond {
 			t.Errorf("%v between claim %d and the next", gap, i)
@@ -128,43 +128,43 @@
 	}
 }
 
-// The store did not answer a daemon's read once, and a neighbour did. From then on the
-// daemon reads through its neighbours as before; if it went on asking any daemon of the
-// zone, it would ask those that read through itself, and wait for news of its own.
-func TestAnAnswerOfANeighbourEndsTheSearch(t *testing.T) {
-	v := zoneOf(10, "j")
+// The store did not answer a read of a daemon, and a neighbour did. From then on the daemon
+// must read through the same neighbours as before. If any daemon of the zone remained a
+// candidate, it would also query those that read through itself.
+func TestNeighbourAnswerRestoresCandidates(t *testing.T) {
+	v := neighboursOf(10, "j")
 	v.request = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
 		return feed.Answer{Next: 5}, nil
 	}
 	s := &subscription{neighbours: v, topic: TopicOperator, known: true}
 	earlier := v.candidates(TopicOperator, false, 0.99)
 	if len(earlier) == 0 {
-		t.Fatal("this daemon reads the store itself")
+		t.Fatal("this daemon reads from the store itself")
 	}
 	s.failed()
 	if _, _, ok := s.read(t.Context(), 5, ""); !ok {
 		t.Fatal("the neighbour's answer was not taken")
 	}
 	if got := v.candidates(TopicOperator, s.storeLost, 0.99); !slices.Equal(got, earlier) {
-		t.Errorf("asks %v, and before it %v", got, earlier)
+		t.Errorf("candidates %v, before the failure %v", got, earlier)
 	}
 }
 
-// Guards against a zone that hears nothing new for seconds and then turns to the store
-// at once: the daemon that it reads through has lost the store, and hears from one that
-// reads through it.
-func TestDetachedNeighbourIsTheLastResort(t *testing.T) {
-	v := zoneOf(10, "j")
+// Guards against two daemons that cannot reach the store and read through each other: their
+// zone would get no updates for seconds, and then all its daemons would call the store at
+// once.
+func TestDetachedNeighbourIsLastResort(t *testing.T) {
+	v := neighboursOf(10, "j")
 	v.request = func(context.Context, string, Topic, feed.Question) (feed.Answer, error) {
 		return feed.Answer{Next: 5, Detached: true}, nil
 	}
 	s := &subscription{neighbours: v, topic: TopicOperator, known: true}
 	if _, _, ok := s.read(t.Context(), 5, ""); ok {
-		t.Error("taken for news while the store may answer")
+		t.Error("a detached answer was used while the store may answer")
 	}
 	s.failed()
 	if _, _, ok := s.read(t.Context(), 5, ""); !ok || !s.detached {
-		t.Error("not taken after the store had turned the daemon away")
+		t.Error("a detached answer was not used after the store had failed")
 	}
 	s.answered()
 	if s.detached {
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -16,62 +16,67 @@
 	"github.com/merlindock/merlindock/routes"
 )
 
-// reuseFleet is a fleet under a load of prompts that share their beginnings.
+// reuseFleet describes a simulated fleet and its load of prompts that share prefixes.
 type reuseFleet struct {
-	engines  int
-	readRate float64 // tokens/s of an engine
-	linkRate float64 // tokens/s between engines
-	shared   int     // tokens of a shared beginning
-	own      int     // tokens of the rest, on average
-	subjects int     // different beginnings
-	part     float64 // of the engines' reading that the load would take with nothing shared
+	engines      int
+	readRate     float64 // tokens/s of an engine
+	linkRate     float64 // tokens/s between engines
+	sharedTokens int     // tokens of a shared prefix
+	ownTokens    int     // average tokens of a prompt after the shared prefix
+	prefixes     int     // number of different shared prefixes
+	loadFraction float64 // fraction of the engines' read capacity that the load takes if nothing is reused
 }
 
-// drawFleet draws a fleet, so that no figure of one deployment decides.
+// drawFleet returns a random fleet, so that the test does not depend on the figures of one
+// deployment.
 func drawFleet(seed uint64) reuseFleet {
 	rng := rand.New(rand.NewPCG(seed, 9))
 	between := func(low, high float64) float64 { return low + rng.Float64()*(high-low) }
 	return reuseFleet{
 		engines: 6 + rng.IntN(14), readRate: between(30_000, 120_000), linkRate: between(150_000, 2_500_000),
-		shared: int(between(500, 12_000)), own: int(between(1000, 8000)), subjects: 20 + rng.IntN(200), part: between(0.6, 0.9),
+		sharedTokens: int(between(500, 12_000)), ownTokens: int(between(1000, 8000)), prefixes: 20 + rng.IntN(200), loadFraction: between(0.6, 0.9),
 	}
 }
 
-// Times of the model: an engine's word of its cache, and a fetch until it begins.
+// Parameters of the simulation.
 const (
-	reuseLag    = 150 * time.Millisecond
-	reuseSetup  = 3 * time.Millisecond
+	// reuseEventDelay is the time until daemons receive a cache event.
+	reuseEventDelay = 150 * time.Millisecond
+	// reuseFetchOverhead is the time to start a fetch.
+	reuseFetchOverhead = 3 * time.Millisecond
+	// reuseTarget is the latency objective.
 	reuseTarget = 800 * time.Millisecond
 )
 
-// reuseEngine reads one prompt at a time and keeps what it has read.
+// reuseEngine simulates an engine that reads one prompt at a time and keeps all prefixes
+// that it has read.
 type reuseEngine struct {
-	free  time.Duration
-	parts map[int]time.Duration // subject to when it was read
+	busyUntil time.Duration
+	prefixes  map[int]time.Duration // when each prefix was read
 }
 
-// knowledge is what a daemon has to go by.
-type knowledge int
+// placementMode is the information that placement uses.
+type placementMode int
 
 const (
-	waitsOnly knowledge = iota // prompts go where the wait is shortest
-	homesOnly                  // and to the home of their beginning, or fetch from there
-	allTold                    // engines tell what they hold
+	byWait        placementMode = iota // expected waits only
+	byPreferred                        // also the preferred endpoint of the prefix; other engines fetch the prefix from it
+	byCacheEvents                      // also the cache contents that engines report
 )
 
-// reuseResult is what became of a run.
-type reuseResult struct {
-	inTime, all int
-	again       int // shared tokens that were read though some engine had them
+// reuseStats is the result of a simulation run.
+type reuseStats struct {
+	inTime, all  int
+	rereadTokens int // prefix tokens that were read though some engine cached them
 }
 
-// run plays some seconds of the load.
-func (f *reuseFleet) run(seconds int, by knowledge) reuseResult {
+// run simulates some seconds of the load.
+func (f *reuseFleet) run(seconds int, by placementMode) reuseStats {
 	rng := rand.New(rand.NewPCG(3, 1))
 	engines := make([]reuseEngine, f.engines)
 	var members []fleet.Endpoint
 	for i := range engines {
-		engines[i].parts = map[int]time.Duration{}
+		engines[i].prefixes = map[int]time.Duration{}
 		members = append(members, fleet.Endpoint{ID: fleet.EndpointID(fmt.Sprint("e", i)), Zone: "z", State: fleet.VMLive})
 	}
 	const daemons = 8
@@ -81,16 +86,16 @@
 		v.SetPool("all", members)
 		views = append(views, v)
 	}
-	var out reuseResult
-	rate := f.part * float64(f.engines) * f.readRate / float64(f.shared+f.own)
+	var out reuseStats
+	rate := f.loadFraction * float64(f.engines) * f.readRate / float64(f.sharedTokens+f.ownTokens)
 	for now := time.Duration(0); now < time.Duration(seconds)*time.Second; now += time.Duration(rng.ExpFloat64() / rate * float64(time.Second)) {
-		subject, own := rng.IntN(f.subjects), 1+rng.IntN(2*f.own)
-		request := placement.Request{ID: rng.Uint64(), Pool: "all", Tokens: f.shared + own}
-		if by != waitsOnly {
-			request.Levels = prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: fmt.Sprint(subject), Tokens: f.shared}, {ID: fmt.Sprint("own", request.ID), Tokens: own}})
+		prefixID, own := rng.IntN(f.prefixes), 1+rng.IntN(2*f.ownTokens)
+		request := placement.Request{ID: rng.Uint64(), Pool: "all", Tokens: f.sharedTokens + own}
+		if by != byWait {
+			request.Levels = prefix.SegmentLevels(prefix.Seed{}, []prefix.Segment{{ID: fmt.Sprint(prefixID), Tokens: f.sharedTokens}, {ID: fmt.Sprint("own", request.ID), Tokens: own}})
 		}
-		if by == allTold {
-			request.Locations = f.held(engines, members, subject, now)
+		if by == byCacheEvents {
+			request.Locations = f.cacheLocations(engines, members, prefixID, now)
 		}
 		at := time.Unix(1_800_000_000, 0).Add(now)
 		v := views[rng.IntN(daemons)]
@@ -100,57 +105,59 @@
 		}
 		e := &engines[indexOf(members, d.Endpoint)]
 		fetches := request.Locations != nil && request.Locations.MaxTokens > 0
-		if home := indexOf(members, d.AlternateEndpoint); by == homesOnly && d.Reason == placement.ReasonSpill && home >= 0 {
-			at, ok := engines[home].parts[subject]
+		if preferred := indexOf(members, d.AlternateEndpoint); by == byPreferred && d.Reason == placement.ReasonSpill && preferred >= 0 {
+			at, ok := engines[preferred].prefixes[prefixID]
 			fetches = ok && at <= now
 		}
-		took := f.read(engines, e, subject, own, now, fetches, &out)
-		begin := max(now, e.free)
-		e.free = begin + took
+		took := f.readPrompt(engines, e, prefixID, own, now, fetches, &out)
+		begin := max(now, e.busyUntil)
+		e.busyUntil = begin + took
 		out.all++
-		if e.free-now <= reuseTarget {
+		if e.busyUntil-now <= reuseTarget {
 			out.inTime++
 		}
-		wait := fleet.Load{At: at, WaitingTokens: int((e.free - now).Seconds() * f.readRate), Slots: 64}
+		wait := fleet.Load{At: at, WaitingTokens: int((e.busyUntil - now).Seconds() * f.readRate), Slots: 64}
 		v.Answered(at, placement.Answer{ID: request.ID, Endpoint: d.Endpoint, Load: &wait})
 		v.Finished(at, request.ID)
 	}
 	return out
 }
 
-// held is what the engines told until now.
-func (f *reuseFleet) held(engines []reuseEngine, members []fleet.Endpoint, subject int, now time.Duration) *placement.PrefixLocations {
+// cacheLocations returns the cached tokens of a prefix by engine, as far as daemons have
+// received the cache events.
+func (f *reuseFleet) cacheLocations(engines []reuseEngine, members []fleet.Endpoint, prefixID int, now time.Duration) *placement.PrefixLocations {
 	h := &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}, FetchRate: f.linkRate}
 	for i := range engines {
 		h.Tokens[members[i].ID] = 0
-		if at, ok := engines[i].parts[subject]; ok && now-at > reuseLag {
-			h.Tokens[members[i].ID], h.MaxTokens = f.shared, f.shared
+		if at, ok := engines[i].prefixes[prefixID]; ok && now-at > reuseEventDelay {
+			h.Tokens[members[i].ID], h.MaxTokens = f.sharedTokens, f.sharedTokens
 		}
 	}
 	return h
 }
 
-// read returns how long the engine takes for a prompt, and keeps its beginning.
-func (f *reuseFleet) read(engines []reuseEngine, e *reuseEngine, subject, own int, now time.Duration, fetches bool, out *reuseResult) time.Duration {
+// readPrompt returns how long the engine takes for a prompt, and records the prefix as
+// cached there.
+func (f *reuseFleet) readPrompt(engines []reuseEngine, e *reuseEngine, prefixID, own int, now time.Duration, fetches bool, out *reuseStats) time.Duration {
 	seconds := float64(own) / f.readRate
-	done := max(now, e.free)
-	_, has := e.parts[subject]
+	done := max(now, e.busyUntil)
+	_, has := e.prefixes[prefixID]
 	switch {
 	case has:
 	case fetches:
-		seconds += reuseSetup.Seconds() + float64(f.shared)/f.linkRate
+		seconds += reuseFetchOverhead.Seconds() + float64(f.sharedTokens)/f.linkRate
 	default:
-		seconds += float64(f.shared) / f.readRate
+		seconds += float64(f.sharedTokens) / f.readRate
 		for i := range engines {
-			if at, ok := engines[i].parts[subject]; ok && at <= done {
-				out.again += f.shared
+			if at, ok := engines[i].prefixes[prefixID]; ok && at <= done {
+				out.rereadTokens += f.sharedTokens
 				break
 			}
 		}
 	}
 	took := time.Duration(seconds * float64(time.Second))
 	if !has {
-		e.parts[subject] = done + took
+		e.prefixes[prefixID] = done + took
 	}
 	return took
 }
@@ -164,28 +171,28 @@
 	return -1
 }
 
-// Prompts with shared beginnings come at eight daemons, each of which knows only
-// what it sent itself. Placed by the wait alone, a beginning is read at one engine
-// after the other, and callers wait for work that was done elsewhere. Where engines
-// tell what they hold, it is fetched. Fleets are drawn: reading rates, links,
-// lengths, numbers of subjects. Where they tell nothing, the home of a beginning, which
-// all daemons compute alike, has most of them.
-func TestBeginningsAreFetchedFromWhoeverHoldsThem(t *testing.T) {
+// Eight daemons, each of which knows only the prompts that it placed itself, receive
+// prompts with shared prefixes. Placed by the expected wait alone, a prefix is read at one
+// engine after another, and callers wait for work that was done elsewhere. If engines
+// report their cache contents, it is fetched instead. If they do not, most prefixes are
+// cached at their preferred endpoint, which is the same for all daemons.
+func TestSharedPrefixesAreFetchedFromHolders(t *testing.T) {
 	for seed := range uint64(6) {
 		f := drawFleet(seed)
-		blind, homes, told := f.run(20, waitsOnly), f.run(20, homesOnly), f.run(20, allTold)
-		t.Logf("%+v: read again %d, %d by homes, %d told; in time %d, %d, %d of %d", f, blind.again, homes.again, told.again, blind.inTime, homes.inTime, told.inTime, told.all)
-		if told.again*4 > blind.again || told.inTime < blind.inTime {
-			t.Errorf("seed %d: told, read again %d and %d tokens, in time %d and %d of %d", seed, blind.again, told.again, blind.inTime, told.inTime, told.all)
+		byWaits, preferred, reported := f.run(20, byWait), f.run(20, byPreferred), f.run(20, byCacheEvents)
+		t.Logf("%+v: tokens read again: %d by wait, %d by preferred endpoint, %d by cache events; in time: %d, %d, %d of %d", f, byWaits.rereadTokens, preferred.rereadTokens, reported.rereadTokens, byWaits.inTime, preferred.inTime, reported.inTime, reported.all)
+		if reported.rereadTokens*4 > byWaits.rereadTokens || reported.inTime < byWaits.inTime {
+			t.Errorf("seed %d: by wait and by cache events: read again %d and %d tokens, in time %d and %d of %d", seed, byWaits.rereadTokens, reported.rereadTokens, byWaits.inTime, reported.inTime, reported.all)
 		}
-		if homes.again*2 > blind.again || homes.inTime < blind.inTime {
-			t.Errorf("seed %d: by homes, read again %d and %d tokens, in time %d and %d of %d", seed, blind.again, homes.again, blind.inTime, homes.inTime, homes.all)
+		if preferred.rereadTokens*2 > byWaits.rereadTokens || preferred.inTime < byWaits.inTime {
+			t.Errorf("seed %d: by wait and by preferred endpoint: read again %d and %d tokens, in time %d and %d of %d", seed, byWaits.rereadTokens, preferred.rereadTokens, byWaits.inTime, preferred.inTime, preferred.all)
 		}
 	}
 }
 
-// watchOf returns a watch of two engines and a store.
-func watchOf(t *testing.T, now *time.Duration) *cacheTracker {
+// trackerWithHolders returns a cache tracker that follows two engines, near in zone a and
+// far in zone b, and a store in zone a.
+func trackerWithHolders(t *testing.T, now *time.Duration) *cacheTracker {
 	t.Helper()
 	c := newCacheTracker(nil, func() time.Duration { return *now }, nil)
 	for _, s := range []cacheSource{
@@ -198,7 +205,9 @@
 	return c
 }
 
-func tell(c *cacheTracker, name string, ids ...string) {
+// addCacheEvents applies events of a holder that caches the segments with the ids, of 500
+// tokens each.
+func addCacheEvents(c *cacheTracker, name string, ids ...string) {
 	var b caches.Batch
 	for i, id := range ids {
 		b.Events = append(b.Events, caches.Event{Number: int64(i), Part: caches.PartOf("v1", id), Tokens: 500})
@@ -206,49 +215,49 @@
 	c.applyEvents(context.Background(), c.followed[name], b)
 }
 
-// Several holders have the beginning of a prompt. It comes from the one that has
-// most of it, of equal ones from the nearest, and never from one that has said
-// nothing for a while: it may be gone, and the prompt would wait for it.
-func TestSourceOfABeginning(t *testing.T) {
+// Of several holders of a prompt's prefix, the one with most of it must be chosen, and of
+// equal ones the nearest. A holder whose last event is too old must not be chosen, as it may
+// have ended, and the prompt would wait for it.
+func TestBestSourceOfPrefix(t *testing.T) {
 	now := time.Hour
-	c := watchOf(t, &now)
+	c := trackerWithHolders(t, &now)
 	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Segment{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
 	if h := c.locate(w, "v1"); h != nil {
-		t.Errorf("%+v though nobody told anything", h)
+		t.Errorf("%+v without any cache event", h)
 	}
-	tell(c, "far", "x")
-	tell(c, "store", "x")
-	tell(c, "near", "x")
+	addCacheEvents(c, "far", "x")
+	addCacheEvents(c, "store", "x")
+	addCacheEvents(c, "near", "x")
 	if got, n := c.bestSource(w, "v1", "a", all); got != "1:1" || n != 500 {
 		t.Errorf("%q has %d", got, n)
 	}
 	if got, _ := c.bestSource(w, "v1", "b", all); got != "2:1" {
-		t.Errorf("%q is nearest to zone b", got)
+		t.Errorf("%q was chosen as nearest to zone b", got)
 	}
 	if got, _ := c.bestSource(w, "v1", "a", func(name string) bool { return name != "near" }); got != "3:1" {
-		t.Errorf("%q without the nearest", got)
+		t.Errorf("%q was chosen without the nearest", got)
 	}
 	if got, n := c.bestSource(w, "v2", "a", all); got != "" || n != 0 {
 		t.Errorf("%q has %d tokens of other weights", got, n)
 	}
 	now += time.Second
-	tell(c, "far", "x", "y")
+	addCacheEvents(c, "far", "x", "y")
 	if got, n := c.bestSource(w, "v1", "a", all); got != "2:1" || n != 1000 {
 		t.Errorf("%q has %d", got, n)
 	}
 	if h := c.locate(w, "v1"); h == nil || h.MaxTokens != 1000 || h.Tokens["near"] != 500 || h.Tokens["far"] != 1000 {
-		t.Errorf("held %+v", h)
+		t.Errorf("locations %+v", h)
 	}
 	now += maxEventAge - 500*time.Millisecond
 	if h := c.locate(w, "v1"); h == nil || len(h.Tokens) != 1 {
-		t.Errorf("held %+v when two of three are silent", h)
+		t.Errorf("locations %+v when the last events of two of three holders are old", h)
 	}
 }
 
-// More daemons run than an engine answers questions for. All come to the same
-// choice of those that follow it, without a word to each other.
-func TestDaemonsDivideTheHolders(t *testing.T) {
+// There are more daemons than may follow the cache events of one engine. All daemons must
+// choose the same followers without communication.
+func TestDaemonsDivideCacheHolders(t *testing.T) {
 	var all []Neighbour
 	for i := range 40 {
 		all = append(all, Neighbour{Name: fmt.Sprint("d", i), Zone: "z"})
@@ -256,9 +265,9 @@
 	for _, holder := range []string{"e1", "e2", "e3"} {
 		followers := 0
 		for _, d := range all {
-			n := newNeighbours(d, &Settings{}, forward.Dialer(), fixed(0), quiet())
+			n := newNeighbours(d, &Settings{}, forward.Dialer(), fixedClock(0), discardLog())
 			if n.isChosen(holder, 6) {
-				t.Errorf("%s follows before it knows the others", d.Name)
+				t.Errorf("%s follows before it knows the other daemons", d.Name)
 			}
 			n.set(all)
 			if n.isChosen(holder, 6) {
@@ -266,17 +275,17 @@
 			}
 		}
 		if followers != 6 {
-			t.Errorf("%d follow %s", followers, holder)
+			t.Errorf("%d daemons follow %s", followers, holder)
 		}
 	}
 }
 
-// Sixty engines tell of their caches. Following them all would cost a daemon more
-// than all other control together, so it follows none and goes by homes.
-func TestLargeFleetsAreNotFollowed(t *testing.T) {
+// Following the cache events of sixty engines would cost a daemon more than all other
+// control traffic. It must follow none and use preferred endpoints instead.
+func TestCachesOfLargeFleetAreNotFollowed(t *testing.T) {
 	sources := func(engines int) int {
 		set := Settings{Zone: "z"}
-		r := &Router{clock: fixed(time.Second), state: newState(&set, rand.New(rand.NewPCG(1, 2))), neighbours: newNeighbours(Neighbour{Name: "d"}, &set, forward.Dialer(), fixed(0), quiet())}
+		r := &Router{clock: fixedClock(time.Second), state: newState(&set, rand.New(rand.NewPCG(1, 2))), neighbours: newNeighbours(Neighbour{Name: "d"}, &set, forward.Dialer(), fixedClock(0), discardLog())}
 		r.neighbours.set([]Neighbour{{Name: "d", Zone: "z"}})
 		r.state.table.Store(&routes.Table{Services: map[string]*routes.Service{"s": {Name: "s", Engine: &routes.Engine{Followers: 8}}}})
 		for i := range engines {
@@ -284,7 +293,7 @@
 		}
 		r.state.refresh(time.Now())
 		if len(r.cacheSources()) > 0 {
-			t.Error("followed before the list is known")
+			t.Error("caches are followed before the list of endpoints is known")
 		}
 		r.state.endpoints.Answered(r.clock(), r.clock())
 		return len(r.cacheSources())
--- a/router/split_test.go
+++ b/router/split_test.go
@@ -9,24 +9,24 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-// poolSets keeps the members of pools, as placement does.
-type poolSets map[string][]fleet.Endpoint
+// poolMembers records the members of each pool, as placement does.
+type poolMembers map[string][]fleet.Endpoint
 
-func (s poolSets) Join(pool string, e fleet.Endpoint) { s[pool] = append(s[pool], e) }
+func (s poolMembers) Join(pool string, e fleet.Endpoint) { s[pool] = append(s[pool], e) }
 
-func (s poolSets) Leave(pool string, id fleet.EndpointID) {
+func (s poolMembers) Leave(pool string, id fleet.EndpointID) {
 	s[pool] = slices.DeleteFunc(s[pool], func(e fleet.Endpoint) bool { return e.ID == id })
 }
 
-// splitVersions returns which of the engines of one model, by version, are for short
-// prompts and which for long ones, if k are for short ones.
+// splitVersions divides the engines of one model, by version, between the short and the
+// long subpool, with k engines in the short one. Engines in limited have a request limit.
 func splitVersions(engines map[int64][]fleet.Endpoint, k int, limited map[fleet.EndpointID]bool) (short, long map[int64][]fleet.Endpoint) {
 	n := 0
 	for _, members := range engines {
 		n += len(members)
 	}
-	sets := poolSets{}
-	table := pools.New(sets, float64(k)/float64(n))
+	byPool := poolMembers{}
+	table := pools.New(byPool, float64(k)/float64(n))
 	for v, members := range engines {
 		for _, e := range members {
 			e.Class = "s"
@@ -35,13 +35,13 @@
 	}
 	short, long = map[int64][]fleet.Endpoint{}, map[int64][]fleet.Endpoint{}
 	for v, members := range engines {
-		plain := map[fleet.EndpointID]fleet.Endpoint{}
+		byID := map[fleet.EndpointID]fleet.Endpoint{}
 		for _, e := range members {
-			plain[e.ID] = e
+			byID[e.ID] = e
 		}
 		for l, into := range map[subpool]map[int64][]fleet.Endpoint{subpoolShort: short, subpoolLong: long} {
-			for _, e := range sets[pools.ModelPool("s", "m", v, l)] {
-				into[v] = append(into[v], plain[e.ID])
+			for _, e := range byPool[pools.ModelPool("s", "m", v, l)] {
+				into[v] = append(into[v], byID[e.ID])
 			}
 			slices.SortFunc(into[v], func(a, b fleet.Endpoint) int {
 				return cmp.Compare(hash.Text("lane/"+string(a.ID)), hash.Text("lane/"+string(b.ID)))
--- a/router/state_test.go
+++ b/router/state_test.go
@@ -13,9 +13,9 @@
 	"github.com/merlindock/merlindock/pools"
 )
 
-// entryOf is the entry of one of a large number of engines and other endpoints in five
-// zones.
-func entryOf(i int) directory.Entry {
+// testEntry returns the i-th entry of a deployment in five zones. One in 13 endpoints is
+// no engine.
+func testEntry(i int) directory.Entry {
 	e := directory.Entry{
 		ID: fmt.Sprintf("i-%010x", i), Born: 1_800_000_000_000 + int64(i), Service: "models", Slots: 12,
 		Address: fmt.Sprintf("10.%d.%d.%d:8265", i%5, i/5/250, i/5%250), Zone: fleet.ZoneID("zone-" + strconv.Itoa(i%5)),
@@ -27,24 +27,24 @@
 	return e
 }
 
-// stateOf knows a number of endpoints, all in force.
-func stateOf(endpoints int) *state {
+// stateWithEndpoints returns a state with that many endpoints, already refreshed.
+func stateWithEndpoints(endpoints int) *state {
 	s := newState(&Settings{Zone: "zone-0", DrainWithin: 5 * time.Second}, rand.New(rand.NewPCG(1, 2)))
 	for i := range endpoints {
-		s.roster.Put(entryOf(i))
+		s.roster.Put(testEntry(i))
 	}
 	s.refresh(time.Unix(1_800_000_000, 0))
 	return s
 }
 
-// fleetSizes are the endpoints of a small deployment, of larger ones, and of twice the
-// largest.
+// fleetSizes are numbers of endpoints: of a small deployment, of larger ones, and of one
+// twice the largest expected size.
 var fleetSizes = []int{72, 1_000, 10_003, 20_006}
 
-func BenchmarkTickWithNothingDue(b *testing.B) {
+func BenchmarkRefreshWithoutChange(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			s, now := stateOf(n), time.Unix(1_800_000_000, 0)
+			s, now := stateWithEndpoints(n), time.Unix(1_800_000_000, 0)
 			b.ReportAllocs()
 			for b.Loop() {
 				now = now.Add(refreshInterval)
@@ -54,13 +54,13 @@
 	}
 }
 
-func BenchmarkChangeOfOneEndpoint(b *testing.B) {
+func BenchmarkRefreshAfterOneChange(b *testing.B) {
 	for _, n := range fleetSizes {
 		b.Run(strconv.Itoa(n), func(b *testing.B) {
-			s, now := stateOf(n), time.Unix(1_800_000_000, 0)
+			s, now := stateWithEndpoints(n), time.Unix(1_800_000_000, 0)
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
-				e := entryOf(1 + 13*(i%(n/13)))
+				e := testEntry(1 + 13*(i%(n/13)))
 				e.State = directory.State(i / (n / 13) % 2)
 				s.roster.Put(e)
 				s.refresh(now)
@@ -69,29 +69,30 @@
 	}
 }
 
-// Guards against upkeep that grows with the fleet: a daemon with a fifth of a core that
-// looked at ten thousand endpoints ten times a second spent half of a core on it.
-func TestTickCostsTheSameHoweverManyEndpoints(t *testing.T) {
+// Guards against a refresh that visits every endpoint: for ten thousand endpoints, ten
+// refreshes a second would take half of a core, and a daemon may have a fifth of one.
+func TestRefreshWithoutChangeDoesNotAllocate(t *testing.T) {
 	for _, n := range fleetSizes {
-		s, now := stateOf(n), time.Unix(1_800_000_000, 0)
+		s, now := stateWithEndpoints(n), time.Unix(1_800_000_000, 0)
 		if got := testing.AllocsPerRun(100, func() {
 			now = now.Add(refreshInterval)
 			s.refresh(now)
 		}); got > 0 {
-			t.Errorf("%d endpoints: %v allocations on a tick with nothing due", n, got)
+			t.Errorf("%d endpoints: %v allocations in a refresh without changes", n, got)
 		}
 	}
 }
 
-// Guards against one endpoint's change that is paid for all of them.
-func TestChangeOfOneEndpointHardlyGrowsWithTheFleet(t *testing.T) {
+// Guards against a change of one endpoint whose cost is proportional to the number of all
+// endpoints.
+func TestChangeCostScalesWithChangeNotFleet(t *testing.T) {
 	least := func(n int) time.Duration {
-		s, now := stateOf(n), time.Unix(1_800_000_000, 0)
+		s, now := stateWithEndpoints(n), time.Unix(1_800_000_000, 0)
 		best := time.Hour
 		for range 5 {
 			began := time.Now()
 			for i := range 400 {
-				e := entryOf(1 + 13*(i/2%(n/13)))
+				e := testEntry(1 + 13*(i/2%(n/13)))
 				e.State = directory.State((i + 1) % 2)
 				s.roster.Put(e)
 				s.refresh(now)
@@ -107,11 +108,11 @@
 	}
 }
 
-// Guards against an engine that is in no pool for a moment while it changes its place:
-// a request that is placed just then would be refused beside an idle engine.
-func TestOnlyEngineIsFoundWhileItsPlaceChanges(t *testing.T) {
-	s, now := stateOf(0), time.Unix(1_800_000_000, 0)
-	e := entryOf(1)
+// Guards against an engine that is in no pool for a moment while it moves between pools: a
+// request placed at that moment would be refused though the engine is idle.
+func TestEngineStaysSelectableWhilePoolsChange(t *testing.T) {
+	s, now := stateWithEndpoints(0), time.Unix(1_800_000_000, 0)
+	e := testEntry(1)
 	s.roster.Put(e)
 	s.refresh(now)
 	key := directory.Key(e.ID, e.Born)
@@ -129,7 +130,7 @@
 		for l := range subpoolCount {
 			r := placement.Request{ID: n, Pool: pools.ModelPool(e.Service, "m0", 1, l), Tokens: 100}
 			if _, err := s.view.Select(now, r); err != nil {
-				t.Fatalf("request %d for lane %d: %v", n, l, err)
+				t.Fatalf("request %d for subpool %d: %v", n, l, err)
 			}
 		}
 		select {
--- a/router/tries_test.go
+++ b/router/tries_test.go
@@ -12,28 +12,28 @@
 	"github.com/merlindock/merlindock/room"
 )
 
-// Guards against sending a request again to an endpoint that it was lost at, since that
-// names a limit.
-func TestTriedEndpointIsNotTriedAgainForItsLimit(t *testing.T) {
+// Guards against sending a request again to an endpoint that failed it, when endpoints
+// with a limit are allowed because no others are left.
+func TestTriedEndpointStaysExcluded(t *testing.T) {
 	k := room.New(room.Options{
 		Clock: func() time.Duration { return time.Hour }, Rand: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope,
-		Log: quiet(), Send: func(string, []byte) {},
+		Log: discardLog(), Send: func(string, []byte) {},
 	})
 	limit := 100.0
 	for _, e := range []fleet.EndpointID{"tried", "spared"} {
 		k.Answered(e, &limit)
 	}
-	try := (&placer{endpointLimits: k}).newAttempts([]fleet.EndpointID{"tried"}, true)
-	if avoid := try.excludedEndpoints(); !slices.Contains(avoid, "tried") || !slices.Contains(avoid, "spared") {
-		t.Errorf("at first %v is avoided", avoid)
+	a := (&placer{endpointLimits: k}).newAttempts([]fleet.EndpointID{"tried"}, true)
+	if excluded := a.excludedEndpoints(); !slices.Contains(excluded, "tried") || !slices.Contains(excluded, "spared") {
+		t.Errorf("%v are excluded at first", excluded)
 	}
-	if !try.includeReserved() {
-		t.Fatal("nothing was spared")
+	if !a.includeReserved() {
+		t.Fatal("no endpoint was reserved")
 	}
-	if avoid := try.excludedEndpoints(); !slices.Contains(avoid, "tried") || slices.Contains(avoid, "spared") {
-		t.Errorf("then %v is avoided", avoid)
+	if excluded := a.excludedEndpoints(); !slices.Contains(excluded, "tried") || slices.Contains(excluded, "spared") {
+		t.Errorf("%v are excluded after the reserved endpoints were included", excluded)
 	}
-	if try.includeReserved() {
-		t.Error("it widens again")
+	if a.includeReserved() {
+		t.Error("reserved endpoints were included twice")
 	}
 }
--- a/router/versions_test.go
+++ b/router/versions_test.go
@@ -13,61 +13,60 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-const within = 15 * time.Second
+const versionBound = 15 * time.Second
 
-// allowed tells whether a request may still be bound to the version.
-func (n versionHistory) allowed(version int64, now time.Duration) bool {
-	return n.timeToBegin(version, now, within) > minBeginTime
+// mayBegin reports whether a request may still be placed on the version.
+func (n versionHistory) mayBegin(version int64, now time.Duration) bool {
+	return n.timeToBegin(version, now, versionBound) > minBeginTime
 }
 
-// Version 3 is named, and 13 seconds later version 4. An engine that still has
-// version 2 must get no more requests once version 3 is too old, though version
-// 4 is new: callers would get answers of weights that were replaced 16 seconds
-// before.
-func TestOvertakenVersionStillBoundsThoseBeforeIt(t *testing.T) {
+// Version 3 is named, and 13 seconds later version 4. The bound for version 2 counts from
+// the naming of version 3, not of version 4. Otherwise callers would get answers from
+// weights that were replaced 16 seconds before.
+func TestReplacedVersionStillBoundsOlderOnes(t *testing.T) {
 	n := versionHistory{{version: 3, since: 10 * time.Second}, {version: 4, since: 23 * time.Second}}
 	at := 26 * time.Second
-	if n.allowed(2, at) {
+	if n.mayBegin(2, at) {
 		t.Error("version 2 is allowed")
 	}
-	if !n.allowed(3, at) || !n.allowed(4, at) {
+	if !n.mayBegin(3, at) || !n.mayBegin(4, at) {
 		t.Error("version 3 or 4 is not allowed")
 	}
 }
 
-// A daemon restarts 14 seconds after a version was named. It reads the record
-// without its time; without the word of the daemon that gives orders it would
-// take the version for new and use the weights before it for another 12 seconds.
-func TestAgeOfAVersionSurvivesARestart(t *testing.T) {
+// A daemon restarts 14 seconds after a version was named and reads the record without its
+// time. Without the time reported by the rollout leader it would use a guess, and the
+// previous weights for another 12 seconds.
+func TestVersionAgeSurvivesRestart(t *testing.T) {
 	boot, wall := time.Hour, time.UnixMilli(1_800_000_000_000)
-	n := versionHistory{{version: 2, since: boot - time.Duration(guessedAgeFraction*float64(within)), guessed: true}}
-	if !n.allowed(1, boot) {
-		t.Fatal("a guess refuses at once")
+	n := versionHistory{{version: 2, since: boot - time.Duration(guessedAgeFraction*float64(versionBound)), guessed: true}}
+	if !n.mayBegin(1, boot) {
+		t.Fatal("the previous version may not begin with a guessed time")
 	}
 	n = n.withReported(boot, wall, weights.VersionTime{Version: 2, UnixMs: wall.Add(-14 * time.Second).UnixMilli()})
-	if n.allowed(1, boot) {
-		t.Error("still allowed")
+	if n.mayBegin(1, boot) {
+		t.Error("the previous version may begin after the reported time was applied")
 	}
 	fresh := versionHistory{{version: 2, since: boot}}
-	if got := fresh.withReported(boot, wall, weights.VersionTime{Version: 2, UnixMs: 0}); !got.allowed(1, boot) {
-		t.Error("what was read as it was named gave way to another daemon's clock")
+	if got := fresh.withReported(boot, wall, weights.VersionTime{Version: 2, UnixMs: 0}); !got.mayBegin(1, boot) {
+		t.Error("a time that was observed, not guessed, was replaced by another daemon's")
 	}
 }
 
-// A version was overtaken before the daemon started, and only the lease tells
-// of it.
-func TestOvertakenVersionIsLearntFromTheLease(t *testing.T) {
+// A version was replaced before the daemon started, so that only the rollout lease
+// contains it.
+func TestReplacedVersionIsReadFromLease(t *testing.T) {
 	boot, wall := time.Hour, time.UnixMilli(1_800_000_000_000)
 	n := versionHistory{{version: 5, since: boot}}
 	n = n.withReported(boot, wall, weights.VersionTime{Version: 4, UnixMs: wall.Add(-13 * time.Second).UnixMilli()})
-	if n.allowed(3, boot) || !n.allowed(4, boot) || n.newest() != 5 {
-		t.Errorf("named %v", n)
+	if n.mayBegin(3, boot) || !n.mayBegin(4, boot) || n.newest() != 5 {
+		t.Errorf("named versions %v", n)
 	}
 }
 
-func TestChooseVersion(t *testing.T) {
+func TestChooseVersions(t *testing.T) {
 	all := func(int64) bool { return true }
-	none := func(v int64) bool { return v >= 2 }
+	newOnly := func(v int64) bool { return v >= 2 }
 	for _, c := range []struct {
 		name    string
 		engines map[int64]int
@@ -75,13 +74,13 @@
 		hash    uint64
 		want    int64
 	}{
-		{"all done", map[int64]int{2: 4}, all, math.MaxUint64, 2},
-		{"low hash goes to the new ones", map[int64]int{1: 8, 2: 4}, all, 0, 2},
-		{"high hash stays", map[int64]int{1: 8, 2: 4}, all, math.MaxUint64, 1},
-		{"the old ones are not allowed", map[int64]int{1: 8, 2: 1}, none, math.MaxUint64, 2},
-		{"nobody has what is allowed", map[int64]int{1: 8}, none, 0, 0},
-		{"no engine at all", nil, all, 0, 0},
-		{"engines that are out do not count", map[int64]int{1: 3, 2: 0}, all, 0, 1},
+		{"rollout complete", map[int64]int{2: 4}, all, math.MaxUint64, 2},
+		{"low hash chooses the new version", map[int64]int{1: 8, 2: 4}, all, 0, 2},
+		{"high hash chooses the old version", map[int64]int{1: 8, 2: 4}, all, math.MaxUint64, 1},
+		{"old version not allowed", map[int64]int{1: 8, 2: 1}, newOnly, math.MaxUint64, 2},
+		{"no engine with an allowed version", map[int64]int{1: 8}, newOnly, 0, 0},
+		{"no engines", nil, all, 0, 0},
+		{"no usable engine with the new version", map[int64]int{1: 3, 2: 0}, all, 0, 1},
 	} {
 		if got := chooseVersions(c.engines, c.allowed, c.hash, newestVersionFactor); got.first != c.want {
 			t.Errorf("%s: %d, want %d", c.name, got.first, c.want)
@@ -89,17 +88,17 @@
 	}
 }
 
-// Versions are named every few seconds, and nobody gives orders for a while. Fifty of
-// sixty engines have weights that were replaced twice. If only the newest two versions
-// counted, they would idle while all prompts queue at the other ten.
-func TestWeightsReplacedTwiceStillServe(t *testing.T) {
+// Versions are named every few seconds while there is no rollout leader. Fifty of sixty
+// engines have weights that were replaced twice. If only the newest two versions were
+// candidates, these would be idle while all prompts queue at the other ten.
+func TestWeightsReplacedTwiceStillGetPrompts(t *testing.T) {
 	engines := map[int64]int{3: 50, 4: 3, 5: 7}
 	first := map[int64]int{}
 	for i := range uint64(1000) {
 		v := chooseVersions(engines, func(int64) bool { return true }, i*(math.MaxUint64/1000), newestVersionFactor)
 		first[v.first]++
 		if len(v.others) != 2 {
-			t.Fatalf("%d other versions are weighed", len(v.others))
+			t.Fatalf("%d other versions are candidates", len(v.others))
 		}
 	}
 	if first[3] < 700 || first[4] > 100 || first[5] < 100 {
@@ -107,43 +106,43 @@
 	}
 }
 
-// A rollout has reached one engine, which is now the only one for short prompts.
-// It fails or fills up, and callers would be turned away beside a dozen engines of
-// the older weights.
-func TestOlderWeightsAreAWayForShortPrompts(t *testing.T) {
+// During a rollout, the only engine with the newest weights is the whole short subpool. If
+// it fails or is full, short prompts must be placed on the dozen engines with the older
+// weights instead of being refused.
+func TestOlderWeightsAreCandidatesForShortPrompts(t *testing.T) {
 	all := func(int64) bool { return true }
-	lane := chooseVersions(map[int64]int{2: 1}, all, 0, newestVersionFactor)
+	short := chooseVersions(map[int64]int{2: 1}, all, 0, newestVersionFactor)
 	model := chooseVersions(map[int64]int{1: 12, 2: 1}, all, 0, newestVersionFactor)
-	if v := lane.fillFrom(model); v.first != 2 || !slices.Equal(v.others, []otherVersion{{version: 1, penalty: oldVersionPenalty}}) {
+	if v := short.fillFrom(model); v.first != 2 || !slices.Equal(v.others, []otherVersion{{version: 1, penalty: oldVersionPenalty}}) {
 		t.Errorf("versions %+v", v)
 	}
 	if v := (versionChoice{}).fillFrom(model); v.first == 0 {
-		t.Error("no way for a lane without engines")
+		t.Error("no version for a subpool without engines")
 	}
-	if v := lane.fillFrom(versionChoice{first: 2}); len(v.others) != 0 {
-		t.Errorf("another version out of nothing: %+v", v)
+	if v := short.fillFrom(versionChoice{first: 2}); len(v.others) != 0 {
+		t.Errorf("other versions though the model has none: %+v", v)
 	}
 }
 
-// Of two engines one is out. The other must take long prompts too.
-func TestSingleUsableEngineServesBoth(t *testing.T) {
-	engines := map[int64][]fleet.Endpoint{5: members("a", 1), 4: nil}
+// One of two engines is suspended. The other must serve short and long prompts.
+func TestSingleUsableEngineServesBothSubpools(t *testing.T) {
+	engines := map[int64][]fleet.Endpoint{5: testEngines("a", 1), 4: nil}
 	short, long := splitVersions(engines, pools.ShortCount(0.3, 1), nil)
 	if len(short[5]) != 1 || len(long[5]) != 1 {
 		t.Errorf("short %d, long %d", len(short[5]), len(long[5]))
 	}
 	if n := pools.ShortCount(0.5, 2); n != 1 {
-		t.Errorf("%d of two engines for short prompts", n)
+		t.Errorf("%d of two engines in the short subpool", n)
 	}
 }
 
-// Three engines have the newest weights and are full; one idles with weights whose
-// bound ends in 400 ms, and another way there takes 300 ms to the first event. A
-// prompt that may be placed anew may go there, one that may run once only must
-// not: withdrawn from the engine's queue at the bound it would be lost.
-func TestOlderWeightsAreLeftInTime(t *testing.T) {
+// The engines with the newest weights are full, and one with older weights, whose time
+// bound ends soon, has a short wait. A repeatable prompt may be placed there. One that must
+// not run twice may not, if its wait could exceed the bound: it would be withdrawn from the
+// engine's queue at the bound and lost.
+func TestOlderWeightsAreAvoidedNearTheirBound(t *testing.T) {
 	none := func() []prefix.Level { return nil }
-	pools := fakePools{"new": time.Second, "old": 200 * time.Millisecond}
+	waits := fakePools{"new": time.Second, "old": 200 * time.Millisecond}
 	for _, c := range []struct {
 		name string
 		left time.Duration
@@ -152,12 +151,12 @@
 	}{
 		{"long before the bound", 2 * time.Second, true, "old"},
 		{"no bound", noTimeLimit, true, "old"},
-		{"may be placed anew", 400 * time.Millisecond, false, "old"},
-		{"runs once", 400 * time.Millisecond, true, "new"},
-		{"too late for both", 250 * time.Millisecond, false, "new"},
+		{"repeatable, near the bound", 400 * time.Millisecond, false, "old"},
+		{"not repeatable, near the bound", 400 * time.Millisecond, true, "new"},
+		{"repeatable, too close to the bound", 250 * time.Millisecond, false, "new"},
 	} {
 		all := []candidate{{pool: "new", levels: none, beginWithin: noTimeLimit}, {pool: "old", levels: none, beginWithin: c.left, notRepeatable: c.once}}
-		got, err := bestCandidate(time.Time{}, pools, placement.Request{}, all, 500*time.Millisecond)
+		got, err := bestCandidate(time.Time{}, waits, placement.Request{}, all, 500*time.Millisecond)
 		if err != nil || got.pool != c.want {
 			t.Errorf("%s: %q, %v", c.name, got.pool, err)
 		}
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -27,40 +27,42 @@
 	"github.com/merlindock/merlindock/weights"
 )
 
-// zoneWorld is a zone of daemons that follow a store, in virtual time. Only what
-// reads is run: no callers, no orders.
-type zoneWorld struct {
+// simulatedZone simulates, in virtual time, the daemons of a zone that follow a store.
+// Only the followers, the quarantine and the lease of the rollout leader run; there are no
+// callers.
+type simulatedZone struct {
 	t     *testing.T
 	ctx   context.Context
 	began time.Time
-	stop  func() // ends the daemons
-
-	mu      sync.Mutex
-	all     []*Router
-	topics  [topicCount][]Record
-	newest  [topicCount]map[string]Record
-	woken   chan struct{}
-	calls   int
-	away    map[string]bool // daemons that the store does not answer
-	refuses map[string]bool // daemons that the store turns away
-	dead    map[string]bool // daemons that answer nobody
-	down    map[string]bool // daemons that do not run: their machines refuse connections
-	// mbps is each daemon's link in Mbit/s, and busy until when it carries something;
-	// nil: bytes take no time.
-	mbps  func(name string) float64
-	busy  map[string]time.Duration
-	bytes int // that the store sent
-	page  int // the most records of one page of the store
-	// follow follows the endpoints in place of the daemon.
-	follow func(ctx context.Context, r *Router)
+	stop  func() // stops the running daemons
+
+	mu           sync.Mutex
+	daemons      []*Router
+	topics       [topicCount][]Record
+	newest       [topicCount]map[string]Record
+	appended     chan struct{}
+	storeCalls   int
+	storeSilent  map[string]bool // daemons whose calls the store does not answer
+	storeRefuses map[string]bool // daemons whose calls the store refuses
+	frozen       map[string]bool // daemons that do not answer and get no answers
+	stopped      map[string]bool // daemons that do not run; connections to them are refused
+	// mbps returns the link rate of a daemon in Mbit/s; nil: transfers take no time.
+	// linkBusyUntil is when the last transfer on each link ends.
+	mbps          func(name string) float64
+	linkBusyUntil map[string]time.Duration
+	storeBytes    int // sent by the store
+	pageSize      int // maximum number of records in a page of the store
+	// followEndpoints replaces Router.followEndpoints.
+	followEndpoints func(ctx context.Context, r *Router)
 }
 
 const (
-	storeWay     = 4 * time.Millisecond
-	neighbourWay = 2 * time.Millisecond
-	// heartbeats and endpoints are those of a fleet of 128 engines and 11 services.
-	heartbeat = 1200 * time.Millisecond
-	endpoints = 139
+	storeRoundTrip   = 4 * time.Millisecond
+	neighbourLatency = 2 * time.Millisecond
+	// heartbeatInterval and zoneEndpoints are those of a fleet of 128 engines and 11 other
+	// services.
+	heartbeatInterval = 1200 * time.Millisecond
+	zoneEndpoints     = 139
 )
 
 var zoneSettings = Settings{
@@ -68,25 +70,26 @@
 	VersionWithin: 20 * time.Second, OrderLease: 3 * time.Second,
 }
 
-// newZone starts daemons within 0.3 s.
-func newZone(t *testing.T, daemons int) *zoneWorld {
-	w := newWorld(t)
-	go w.beat()
-	w.start(daemons)
+// newZoneWithHeartbeats returns a zone in which endpoints write heartbeats and the given
+// number of daemons start.
+func newZoneWithHeartbeats(t *testing.T, daemons int) *simulatedZone {
+	w := newEmptyZone(t)
+	go w.writeHeartbeats()
+	w.startDaemons(daemons)
 	return w
 }
 
-// newWorld is a zone without daemons.
-func newWorld(t *testing.T) *zoneWorld {
+// newEmptyZone returns a zone without daemons, whose store has one configuration.
+func newEmptyZone(t *testing.T) *simulatedZone {
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(func() {
 		cancel()
 		time.Sleep(time.Minute) // virtual, until everything has ended
 	})
-	w := &zoneWorld{
-		t: t, ctx: ctx, began: time.Now(), woken: make(chan struct{}),
-		away: map[string]bool{}, refuses: map[string]bool{}, dead: map[string]bool{}, down: map[string]bool{},
-		page: storePage, busy: map[string]time.Duration{}, follow: func(ctx context.Context, r *Router) { r.followEndpoints(ctx) },
+	w := &simulatedZone{
+		t: t, ctx: ctx, began: time.Now(), appended: make(chan struct{}),
+		storeSilent: map[string]bool{}, storeRefuses: map[string]bool{}, frozen: map[string]bool{}, stopped: map[string]bool{},
+		pageSize: storePageSize, linkBusyUntil: map[string]time.Duration{}, followEndpoints: func(ctx context.Context, r *Router) { r.followEndpoints(ctx) },
 	}
 	for topic := range w.newest {
 		w.newest[topic] = map[string]Record{}
@@ -95,8 +98,8 @@
 	return w
 }
 
-// start starts the daemons, and ends those that ran before.
-func (w *zoneWorld) start(daemons int) {
+// startDaemons stops the running daemons and starts new ones within 0.3 s.
+func (w *simulatedZone) startDaemons(daemons int) {
 	if w.stop != nil {
 		w.stop()
 	}
@@ -104,20 +107,20 @@
 	w.stop = stop
 	all := make([]*Router, daemons)
 	for i := range all {
-		all[i] = w.daemon(i)
+		all[i] = w.newDaemon(i)
 	}
 	w.mu.Lock()
-	w.all = all
+	w.daemons = all
 	w.mu.Unlock()
 	rng := rand.New(rand.NewPCG(uint64(daemons), 7))
 	for i, r := range all {
-		w.set(w.down, true, r.options.Settings.Name)
+		w.setFlag(w.stopped, true, r.options.Settings.Name)
 		go func(after time.Duration) {
 			time.Sleep(after)
-			w.set(w.down, false, r.options.Settings.Name)
+			w.setFlag(w.stopped, false, r.options.Settings.Name)
 			go r.followDaemons(ctx)
 			go r.followOperator(ctx)
-			go w.follow(ctx, r)
+			go w.followEndpoints(ctx, r)
 			go r.quarantine.Run(ctx)
 			go r.holdStore.run(ctx)
 			l := &leader{router: r, lease: weights.NewLease(all[i].options.Settings.Name, time.Second), subscription: &subscription{neighbours: r.neighbours, topic: TopicLease}}
@@ -126,31 +129,31 @@
 	}
 }
 
-func (w *zoneWorld) daemon(i int) *Router {
+func (w *simulatedZone) newDaemon(i int) *Router {
 	set := zoneSettings
 	set.Name, set.PeerAddress = fmt.Sprintf("front-%d", i), strconv.Itoa(i)
 	r := &Router{
 		options: Options{Settings: set, Codec: zoneCodec{}}, clock: w.clock,
-		state: newState(&set, rand.New(rand.NewPCG(1, uint64(i)))), log: quiet(),
+		state: newState(&set, rand.New(rand.NewPCG(1, uint64(i)))), log: discardLog(),
 		metrics: &meters{scope: tally.NoopScope, storeFailures: tally.NoopScope.Counter("")},
 	}
-	store := &zoneStore{w: w, me: set.Name}
+	store := &zoneStore{zone: w, daemon: set.Name}
 	r.options.Store, r.options.Lease, r.options.DaemonRegistry = store, store, store
 	me := Neighbour{Name: set.Name, Zone: set.Zone, Address: set.PeerAddress}
 	if w.mbps != nil {
 		me.LinkMbps = w.mbps(set.Name)
 	}
-	r.neighbours = newNeighbours(me, &set, net.Dialer{}, w.clock, quiet())
-	unsent := func(string, []byte) {}
-	r.limits = newLimiter(r.neighbours.self, &set, w.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, quiet(), unsent)
+	r.neighbours = newNeighbours(me, &set, net.Dialer{}, w.clock, discardLog())
+	discard := func(string, []byte) {}
+	r.limits = newLimiter(r.neighbours.self, &set, w.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, discardLog(), discard)
 	r.options.Rand, r.options.Clock = rand.New(rand.NewPCG(3, uint64(i))), w.clock
-	r.datagrams = newDatagrams(tally.NoopScope, quiet())
-	r.options.Dial = w.dialEnded
+	r.datagrams = newDatagrams(tally.NoopScope, discardLog())
+	r.options.Dial = w.refuseDial
 	r.quarantine = r.newQuarantineGuard(r.neighbours.self)
 	r.endpointLimits = r.newEndpointLimits(r.neighbours.self)
-	r.dispatch = newDispatchPlacer(r.neighbours.self, r.state, r.placer, w.clock, quiet(), unsent)
+	r.dispatch = newDispatchPlacer(r.neighbours.self, r.state, r.placer, w.clock, discardLog(), discard)
 	r.neighbours.request = func(ctx context.Context, address string, t Topic, q feed.Question) (feed.Answer, error) {
-		return w.ask(ctx, set.Name, address, t, q)
+		return w.query(ctx, set.Name, address, t, q)
 	}
 	for t := range r.feeds {
 		r.feeds[t] = feed.New(Topic(t) != TopicLease)
@@ -158,23 +161,23 @@
 	return r
 }
 
-// dialEnded is a connection to an endpoint that has ended.
-func (w *zoneWorld) dialEnded(context.Context, string, string) (net.Conn, error) {
+// refuseDial fails like a connection to an endpoint that has ended.
+func (w *simulatedZone) refuseDial(context.Context, string, string) (net.Conn, error) {
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 }
 
-// clock does not begin at zero, which is the time of nothing.
-func (w *zoneWorld) clock() time.Duration { return time.Hour + time.Since(w.began) }
+// clock starts at an hour, as zero stands for times that are not set.
+func (w *simulatedZone) clock() time.Duration { return time.Hour + time.Since(w.began) }
 
-// beat writes each endpoint's entry again and again, as endpoints do.
-func (w *zoneWorld) beat() {
+// writeHeartbeats writes the entry of each endpoint every heartbeatInterval.
+func (w *simulatedZone) writeHeartbeats() {
 	for n := 0; w.ctx.Err() == nil; n++ {
-		w.write(TopicEndpoints, fmt.Sprint("e", n%endpoints), strconv.Itoa(n))
-		time.Sleep(heartbeat / endpoints)
+		w.write(TopicEndpoints, fmt.Sprint("e", n%zoneEndpoints), strconv.Itoa(n))
+		time.Sleep(heartbeatInterval / zoneEndpoints)
 	}
 }
 
-func (w *zoneWorld) write(t Topic, key, value string) {
+func (w *simulatedZone) write(t Topic, key, value string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	r := Record{Key: key, Value: []byte(value), Offset: int64(len(w.topics[t]))}
@@ -183,11 +186,11 @@
 	if value == "" {
 		delete(w.newest[t], key)
 	}
-	close(w.woken)
-	w.woken = make(chan struct{})
+	close(w.appended)
+	w.appended = make(chan struct{})
 }
 
-func (w *zoneWorld) set(where map[string]bool, on bool, names ...string) {
+func (w *simulatedZone) setFlag(where map[string]bool, on bool, names ...string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, name := range names {
@@ -195,38 +198,38 @@
 	}
 }
 
-func (w *zoneWorld) is(where map[string]bool, name string) bool {
+func (w *simulatedZone) flag(where map[string]bool, name string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return where[name]
 }
 
-func (w *zoneWorld) made() int {
+func (w *simulatedZone) countStoreCalls() int {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	return w.calls
+	return w.storeCalls
 }
 
-// ask carries a question from one daemon to another.
-func (w *zoneWorld) ask(ctx context.Context, me, address string, t Topic, q feed.Question) (feed.Answer, error) {
+// query sends a relayed read from one daemon to another.
+func (w *simulatedZone) query(ctx context.Context, from, address string, t Topic, q feed.Question) (feed.Answer, error) {
 	i, err := strconv.Atoi(address)
 	if err != nil {
 		return feed.Answer{}, err
 	}
-	time.Sleep(neighbourWay)
+	time.Sleep(neighbourLatency)
 	w.mu.Lock()
-	to := w.all[i]
+	to := w.daemons[i]
 	w.mu.Unlock()
-	if w.is(w.down, to.options.Settings.Name) {
+	if w.flag(w.stopped, to.options.Settings.Name) {
 		return feed.Answer{}, errNoAnswer
 	}
-	if w.is(w.dead, to.options.Settings.Name) || w.is(w.dead, me) {
+	if w.flag(w.frozen, to.options.Settings.Name) || w.flag(w.frozen, from) {
 		<-ctx.Done()
 		return feed.Answer{}, ctx.Err()
 	}
 	got, err := to.feeds[t].Read(ctx, w.clock, q)
-	w.carry(to.options.Settings.Name, me, len(got.Append(nil)))
-	time.Sleep(neighbourWay)
+	w.transfer(to.options.Settings.Name, from, len(got.Append(nil)))
+	time.Sleep(neighbourLatency)
 	var unknown *feed.UnknownError
 	switch {
 	case ctx.Err() != nil:
@@ -237,42 +240,43 @@
 	return got, err
 }
 
-// carry waits until bytes have come from one daemon, or the store, to another. Each
-// carries them one after another, as fast as its link does.
-func (w *zoneWorld) carry(from, to string, bytes int) {
+// transfer waits until bytes were transferred from a daemon or the store to a daemon. Each
+// link carries one transfer after another; the store's link is not limited.
+func (w *simulatedZone) transfer(from, to string, bytes int) {
 	if w.mbps == nil {
 		return
 	}
-	takes := func(mbps float64) time.Duration {
+	duration := func(mbps float64) time.Duration {
 		const bits, mega = 8, 1e6
 		return time.Duration(bits * float64(bytes) / mbps / mega * float64(time.Second))
 	}
 	w.mu.Lock()
 	begin := time.Since(w.began)
 	if from != storeName {
-		begin = max(begin, w.busy[from])
-		w.busy[from] = begin + takes(w.mbps(from))
+		begin = max(begin, w.linkBusyUntil[from])
+		w.linkBusyUntil[from] = begin + duration(w.mbps(from))
 	}
-	w.busy[to] = max(begin, w.busy[to]) + takes(w.mbps(to))
-	end := max(w.busy[to], w.busy[from])
+	w.linkBusyUntil[to] = max(begin, w.linkBusyUntil[to]) + duration(w.mbps(to))
+	end := max(w.linkBusyUntil[to], w.linkBusyUntil[from])
 	if from == storeName {
-		w.bytes += bytes
+		w.storeBytes += bytes
 	}
 	w.mu.Unlock()
 	time.Sleep(end - time.Since(w.began))
 }
 
-// storeName is the store where bytes come from.
+// storeName is the sender of transfers from the store.
 const storeName = "store"
 
-// inOrder lists the daemons by how soon they come in the zone's tree.
-func (w *zoneWorld) inOrder() []*Router {
-	out := make([]*Router, len(w.all))
+// treeOrder returns the daemons in the order of the zone's tree of readers. The first one
+// reads from the store.
+func (w *simulatedZone) treeOrder() []*Router {
+	out := make([]*Router, len(w.daemons))
 	var zone []readers.Daemon
-	for _, r := range w.all {
+	for _, r := range w.daemons {
 		zone = append(zone, readers.Daemon{Name: r.options.Settings.Name, Address: r.options.Settings.PeerAddress})
 	}
-	for _, r := range w.all {
+	for _, r := range w.daemons {
 		c := readers.New(readers.Daemon{Name: r.options.Settings.Name})
 		c.Set(zone)
 		out[len(c.Candidates(0, len(zone)))] = r
@@ -280,16 +284,16 @@
 	return out
 }
 
-// configure writes a configuration and returns the longest time until a daemon has
-// it that is not left out.
-func (w *zoneWorld) configure(version int64, leftOut map[string]bool) time.Duration {
+// publishConfig writes a configuration and returns the time until all daemons have it,
+// except those left out. It gives up after a minute.
+func (w *simulatedZone) publishConfig(version int64, leftOut map[string]bool) time.Duration {
 	at := time.Now()
 	w.write(TopicOperator, "config", strconv.FormatInt(version, 10))
 	for {
 		behind := 0
-		for _, r := range w.all {
+		for _, r := range w.daemons {
 			t := r.state.table.Load()
-			if !w.is(leftOut, r.options.Settings.Name) && (t == nil || t.Version < version) {
+			if !w.flag(leftOut, r.options.Settings.Name) && (t == nil || t.Version < version) {
 				behind++
 			}
 		}
@@ -300,49 +304,49 @@
 	}
 }
 
-// oldest is the greatest age of the keys of the daemons that are not left out.
-func (w *zoneWorld) oldest(leftOut map[string]bool) time.Duration {
+// maxKeysAge returns the largest age of the keys of all daemons, except those left out.
+func (w *simulatedZone) maxKeysAge(leftOut map[string]bool) time.Duration {
 	var oldest time.Duration
-	for _, r := range w.all {
-		if !w.is(leftOut, r.options.Settings.Name) {
+	for _, r := range w.daemons {
+		if !w.flag(leftOut, r.options.Settings.Name) {
 			oldest = max(oldest, r.keysAge())
 		}
 	}
 	return oldest
 }
 
-// watch returns the greatest age of keys seen within a time.
-func (w *zoneWorld) watch(d time.Duration, leftOut map[string]bool) time.Duration {
+// watchKeysAge returns the largest value of maxKeysAge within a time.
+func (w *simulatedZone) watchKeysAge(d time.Duration, leftOut map[string]bool) time.Duration {
 	var oldest time.Duration
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		oldest = max(oldest, w.oldest(leftOut))
+		oldest = max(oldest, w.maxKeysAge(leftOut))
 	}
 	return oldest
 }
 
-// zoneStore is the store as one daemon reaches it.
+// zoneStore implements Store, LeaseLog and DaemonRegistry for one daemon.
 type zoneStore struct {
-	w  *zoneWorld
-	me string
+	zone   *simulatedZone
+	daemon string
 }
 
 var errNoAnswer = errors.New("no answer")
 
-// call counts a call, and fails as the store does for this daemon.
+// call counts a call. It fails or blocks if the store does not serve this daemon.
 func (s *zoneStore) call(ctx context.Context) error {
-	s.w.mu.Lock()
-	s.w.calls++
-	away, refuses := s.w.away[s.me] || s.w.dead[s.me], s.w.refuses[s.me]
-	s.w.mu.Unlock()
+	s.zone.mu.Lock()
+	s.zone.storeCalls++
+	silent, refuses := s.zone.storeSilent[s.daemon] || s.zone.frozen[s.daemon], s.zone.storeRefuses[s.daemon]
+	s.zone.mu.Unlock()
 	switch {
-	case away:
+	case silent:
 		<-ctx.Done()
 		return errNoAnswer
 	case refuses:
-		time.Sleep(storeWay)
+		time.Sleep(storeRoundTrip)
 		return ErrStoreBusy
 	}
-	time.Sleep(storeWay / 2)
+	time.Sleep(storeRoundTrip / 2)
 	return nil
 }
 
@@ -350,48 +354,48 @@
 	if err := s.call(ctx); err != nil {
 		return Page{}, err
 	}
-	s.w.mu.Lock()
-	out := Page{End: int64(len(s.w.topics[t]))}
+	s.zone.mu.Lock()
+	out := Page{End: int64(len(s.zone.topics[t]))}
 	bytes := 0
-	for _, key := range slices.Sorted(maps.Keys(s.w.newest[t])) {
+	for _, key := range slices.Sorted(maps.Keys(s.zone.newest[t])) {
 		if key <= after {
 			continue
 		}
-		if out.More = len(out.Records) == s.w.page; out.More {
+		if out.More = len(out.Records) == s.zone.pageSize; out.More {
 			break
 		}
-		r := s.w.newest[t][key]
+		r := s.zone.newest[t][key]
 		out.Records = append(out.Records, r)
 		bytes += len(r.Key) + len(r.Value)*4/3
 	}
-	s.w.mu.Unlock()
-	s.w.carry(storeName, s.me, bytes)
-	time.Sleep(storeWay / 2)
+	s.zone.mu.Unlock()
+	s.zone.transfer(storeName, s.daemon, bytes)
+	time.Sleep(storeRoundTrip / 2)
 	return out, ctx.Err()
 }
 
-// storePage is the most records of one page of the store, unless a test says otherwise.
-const storePage = 500
+// storePageSize is the default of simulatedZone.pageSize.
+const storePageSize = 500
 
 func (s *zoneStore) Read(ctx context.Context, t Topic, from int64, wait time.Duration) (Records, error) {
 	if err := s.call(ctx); err != nil {
 		return Records{}, err
 	}
-	defer time.Sleep(storeWay / 2)
+	defer time.Sleep(storeRoundTrip / 2)
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
-	for over := wait == 0; ; {
-		s.w.mu.Lock()
-		end, woken := int64(len(s.w.topics[t])), s.w.woken
-		out := Records{Records: append([]Record(nil), s.w.topics[t][from:]...), Next: end, End: end}
-		s.w.mu.Unlock()
-		if over || len(out.Records) > 0 {
+	for waited := wait == 0; ; {
+		s.zone.mu.Lock()
+		end, appended := int64(len(s.zone.topics[t])), s.zone.appended
+		out := Records{Records: append([]Record(nil), s.zone.topics[t][from:]...), Next: end, End: end}
+		s.zone.mu.Unlock()
+		if waited || len(out.Records) > 0 {
 			return out, nil
 		}
 		select {
-		case <-woken:
+		case <-appended:
 		case <-timer.C:
-			over = true
+			waited = true
 		case <-ctx.Done():
 			return Records{}, errNoAnswer
 		}
@@ -413,7 +417,7 @@
 	if err := s.call(ctx); err != nil {
 		return err
 	}
-	s.w.write(TopicDaemons, n.Name, fmt.Sprint(n.Zone, " ", n.Address, " ", n.LinkMbps))
+	s.zone.write(TopicDaemons, n.Name, fmt.Sprint(n.Zone, " ", n.Address, " ", n.LinkMbps))
 	return nil
 }
 
@@ -421,11 +425,11 @@
 	if err := s.call(ctx); err != nil {
 		return err
 	}
-	s.w.write(TopicDaemons, key, string(value))
+	s.zone.write(TopicDaemons, key, string(value))
 	return nil
 }
 
-// zoneCodec reads the records of a zoneWorld.
+// zoneCodec decodes the records of a simulatedZone.
 type zoneCodec struct{}
 
 func (zoneCodec) Operator(_ string, value []byte) (OperatorChange, error) {
@@ -447,31 +451,32 @@
 	return Neighbour{Name: name, Zone: zoneSettings.Zone, Address: fields[1], LinkMbps: mbps}, err
 }
 
-// settled is when a zone that starts together has found its order.
-const settled = 5 * time.Second
+// zoneSettleTime is the time after which all daemons of a zone that were started together
+// have the list of daemons and read through their neighbours.
+const zoneSettleTime = 5 * time.Second
 
-// Sixty daemons of a zone read what one of them reads. If they turn to the store now
-// and then all the same, its calls grow with the fleet, and past its limits it turns
-// away those who bring news: a zone of 65 made 690 reads of the operator's topic in 22 s.
-func TestAZoneReadsTheStoreAsOneDaemon(t *testing.T) {
-	quiet := func(daemons int) (start, later int) {
+// One daemon of a zone reads the store for all others. If these still called the store now
+// and then, the number of calls would grow with the fleet, and beyond its limits the store
+// would refuse the daemons that read for their zones.
+func TestZoneReadsStoreAsOneDaemon(t *testing.T) {
+	count := func(daemons int) (start, later int) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newZone(t, daemons)
-			time.Sleep(settled)
-			start = w.made()
-			if oldest := w.watch(time.Minute, nil); oldest > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) {
-				t.Errorf("%d daemons: keys were %v old in a calm minute", daemons, oldest)
+			w := newZoneWithHeartbeats(t, daemons)
+			time.Sleep(zoneSettleTime)
+			start = w.countStoreCalls()
+			if oldest := w.watchKeysAge(time.Minute, nil); oldest > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) {
+				t.Errorf("%d daemons: keys were %v old in a minute without faults", daemons, oldest)
 			}
-			later = w.made() - start
+			later = w.countStoreCalls() - start
 		})
 		return start, later
 	}
-	start, small := quiet(16)
+	start, small := count(16)
 	t.Logf("16 daemons: %d calls at the start, %d in a minute", start, small)
 	for _, daemons := range []int{65, 220} {
-		start, later := quiet(daemons)
+		start, later := count(daemons)
 		t.Logf("%d daemons: %d calls at the start, %d in a minute", daemons, start, later)
-		if start > 2*daemons+zoneStart {
+		if start > 2*daemons+zoneStartCalls {
 			t.Errorf("%d daemons made %d calls to start", daemons, start)
 		}
 		if later > small+small/10 {
@@ -480,29 +485,29 @@
 	}
 }
 
-// zoneStart are the calls of a zone that starts: the first daemon reads four topics
-// again and again for five seconds, and the few that know of no other read them once.
-// Beside them each daemon reads the list and puts itself on it.
-const zoneStart = 50
+// zoneStartCalls bounds the calls to the store while a zone starts: the first daemon reads
+// four topics repeatedly for five seconds, and the few that know no other daemon yet read
+// them once. In addition, each daemon reads the list of daemons and adds itself to it.
+const zoneStartCalls = 50
 
-// All machines lose power and are back together. If each daemon reads everything from
-// the store, 1,100 of them pass the calls that it answers in a second, and those turned
-// away serve nobody meanwhile. They are on the list already, so that one call is enough.
-func TestAZoneRestartsWithOneCallForEachDaemon(t *testing.T) {
+// All daemons restart together after a power failure. If each one made a full read from
+// the store, 1,100 daemons would exceed the store's calls per second, and those refused
+// could not serve callers. As the daemons are on the list already, one call is enough.
+func TestZoneRestartsWithOneCallPerDaemon(t *testing.T) {
 	for _, daemons := range []int{16, 65, 220} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newZone(t, daemons)
-			time.Sleep(settled)
-			before, back := w.made(), time.Now()
-			w.start(daemons)
-			for w.oldest(nil) > zoneSettings.RevokeWithin && time.Since(back) < time.Minute {
+			w := newZoneWithHeartbeats(t, daemons)
+			time.Sleep(zoneSettleTime)
+			before, back := w.countStoreCalls(), time.Now()
+			w.startDaemons(daemons)
+			for w.maxKeysAge(nil) > zoneSettings.RevokeWithin && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			took := time.Since(back)
-			time.Sleep(settled - took)
-			calls := w.made() - before
-			t.Logf("%d daemons: %d calls, and keys known after %v", daemons, calls, took)
-			if calls > daemons+zoneStart {
+			time.Sleep(zoneSettleTime - took)
+			calls := w.countStoreCalls() - before
+			t.Logf("%d daemons: %d calls, keys known after %v", daemons, calls, took)
+			if calls > daemons+zoneStartCalls {
 				t.Errorf("%d daemons made %d calls", daemons, calls)
 			}
 			if took > 2*time.Second {
@@ -512,13 +517,13 @@
 	}
 }
 
-// Guards against a zone that never gets to know ten thousand endpoints: 210 of its 220
-// daemons have links of 20 Mbit/s, and a list that is sent whole, or read whole within a
-// time for all of it, is begun again and again.
-func TestAZoneOfSmallLinksLearnsALargeList(t *testing.T) {
+// Guards against a zone that never completes the list of ten thousand endpoints: 210 of
+// its 220 daemons have links of 20 Mbit/s. If the list were sent in one message, or had
+// one timeout for all of it, reading it would start again and again.
+func TestZoneWithSlowLinksReadsLargeList(t *testing.T) {
 	const daemons, large, listed = 220, 10, 10_003
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
+		w := newEmptyZone(t)
 		w.mbps = func(name string) float64 {
 			if n, _ := strconv.Atoi(strings.TrimPrefix(name, "front-")); n < large {
 				return 1000
@@ -533,7 +538,7 @@
 		}
 		var mu sync.Mutex
 		known := map[string]time.Duration{}
-		w.follow = func(ctx context.Context, r *Router) {
+		w.followEndpoints = func(ctx context.Context, r *Router) {
 			f := r.newFollower(TopicEndpoints)
 			f.apply = func(record Record) (Record, bool) { return record, true }
 			f.onSnapshot = func(present map[string]bool) {
@@ -545,7 +550,7 @@
 			}
 			r.pollTopic(ctx, f)
 		}
-		w.start(daemons)
+		w.startDaemons(daemons)
 		time.Sleep(8 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
@@ -553,33 +558,33 @@
 		for _, at := range known {
 			last = max(last, at)
 		}
-		t.Logf("%d of %d daemons know the list, the last after %v; %d calls and %d bytes of the store", len(known), daemons, last, w.made(), w.bytes)
+		t.Logf("%d of %d daemons have the list, the last after %v; %d calls to the store, which sent %d bytes", len(known), daemons, last, w.countStoreCalls(), w.storeBytes)
 		if len(known) < daemons {
-			t.Errorf("%d of %d daemons know the list after 8 s", len(known), daemons)
+			t.Errorf("%d of %d daemons have the list after 8 s", len(known), daemons)
 		}
-		if most := 2*daemons + zoneStart + listed/storePage + 1; w.made() > most || w.bytes > 8_000_000 {
-			t.Errorf("%d calls and %d bytes of the store", w.made(), w.bytes)
+		if most := 2*daemons + zoneStartCalls + listed/storePageSize + 1; w.countStoreCalls() > most || w.storeBytes > 8_000_000 {
+			t.Errorf("%d calls to the store, which sent %d bytes", w.countStoreCalls(), w.storeBytes)
 		}
 	})
 }
 
-// Guards against a daemon that takes the first page of the list of daemons for the whole:
-// those on later pages knew of nobody after a restart of all, announced themselves once
-// more, and each read everything from the store.
-func TestAZoneRestartsWithAListOfManyPages(t *testing.T) {
+// Guards against a daemon that treats the first page of the list of daemons as the whole
+// list. After a restart of all daemons, those on later pages would know no other daemon,
+// announce themselves again, and each make a full read from the store.
+func TestZoneRestartsWithPagedDaemonList(t *testing.T) {
 	const daemons, page = 220, 50
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		w.page = page
-		go w.beat()
-		w.start(daemons)
-		time.Sleep(settled)
-		before, appended := w.made(), len(w.topics[TopicDaemons])
-		w.start(daemons)
-		time.Sleep(settled)
+		w := newEmptyZone(t)
+		w.pageSize = page
+		go w.writeHeartbeats()
+		w.startDaemons(daemons)
+		time.Sleep(zoneSettleTime)
+		before, appended := w.countStoreCalls(), len(w.topics[TopicDaemons])
+		w.startDaemons(daemons)
+		time.Sleep(zoneSettleTime)
 		pages := daemons/page + 1
-		t.Logf("%d calls", w.made()-before)
-		if calls := w.made() - before; calls > daemons*pages+zoneStart*2 {
+		t.Logf("%d calls", w.countStoreCalls()-before)
+		if calls := w.countStoreCalls() - before; calls > daemons*pages+zoneStartCalls*2 {
 			t.Errorf("%d daemons made %d calls", daemons, calls)
 		}
 		if again := len(w.topics[TopicDaemons]) - appended; again > 0 {
@@ -588,55 +593,55 @@
 	})
 }
 
-// Guards against a zone that turns to the store at once when that is slow to answer the
-// first daemon: it then answers nobody.
-func TestAZoneStartsOneAfterTheOtherWithoutItsFirst(t *testing.T) {
+// Guards against a zone whose daemons all call the store at once when it does not answer
+// the first daemon. The store would then be too busy to answer any of them.
+func TestZoneStartsGraduallyWithoutFirstDaemon(t *testing.T) {
 	const daemons = 220
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t)
-		go w.beat()
-		w.start(daemons)
-		time.Sleep(settled)
-		first := w.inOrder()[0].options.Settings.Name
-		w.set(w.away, true, first)
-		before, began := w.made(), time.Now()
-		w.start(daemons)
-		for w.oldest(map[string]bool{first: true}) > zoneSettings.RevokeWithin && time.Since(began) < time.Minute {
+		w := newEmptyZone(t)
+		go w.writeHeartbeats()
+		w.startDaemons(daemons)
+		time.Sleep(zoneSettleTime)
+		first := w.treeOrder()[0].options.Settings.Name
+		w.setFlag(w.storeSilent, true, first)
+		before, began := w.countStoreCalls(), time.Now()
+		w.startDaemons(daemons)
+		for w.maxKeysAge(map[string]bool{first: true}) > zoneSettings.RevokeWithin && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
 		took := time.Since(began)
-		calls := w.made() - before
+		calls := w.countStoreCalls() - before
 		t.Logf("keys known after %v, %d calls", took, calls)
-		if took > 4*time.Second || calls > daemons+zoneStart {
+		if took > 4*time.Second || calls > daemons+zoneStartCalls {
 			t.Errorf("keys known after %v, %d calls", took, calls)
 		}
 	})
 }
 
-// A configuration must be in force everywhere within its bound, whatever happens to
-// the daemons that read for others: one keeps its neighbours and loses the store,
-// one stands still, or the store turns a third of the daemons away. Those that the
-// store does answer must not all ask it.
-func TestNewsReachAZoneWhoseReadersFail(t *testing.T) {
-	// In 10 s the daemon that reads for the zone makes some 25 calls; the eight readers
-	// of a lost daemon may make one each for a topic, and some once more later.
+// A configuration must be in force on all daemons within its bound when daemons that read
+// for others fail: one cannot reach the store, one freezes, or the store refuses the calls
+// of a third of the daemons. The remaining daemons must not all call the store.
+func TestConfigReachesZoneWhenReadersFail(t *testing.T) {
+	// In 10 s the daemon that reads for the zone makes some 25 calls. Each of the eight
+	// daemons that read through a failed one may make one call per topic, and some make
+	// another one later.
 	const calls = 100
-	faults := map[string]func(w *zoneWorld, order []*Router) (leftOut map[string]bool){
-		"the first loses the store": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.away, true, order[0].options.Settings.Name)
-			return w.away
+	faults := map[string]func(w *simulatedZone, order []*Router) (leftOut map[string]bool){
+		"the first loses the store": func(w *simulatedZone, order []*Router) map[string]bool {
+			w.setFlag(w.storeSilent, true, order[0].options.Settings.Name)
+			return w.storeSilent
 		},
-		"the first stands still": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.dead, true, order[0].options.Settings.Name)
-			return w.dead
+		"the first freezes": func(w *simulatedZone, order []*Router) map[string]bool {
+			w.setFlag(w.frozen, true, order[0].options.Settings.Name)
+			return w.frozen
 		},
-		"two of the first level stand still": func(w *zoneWorld, order []*Router) map[string]bool {
-			w.set(w.dead, true, order[1].options.Settings.Name, order[2].options.Settings.Name)
-			return w.dead
+		"two of the first level freeze": func(w *simulatedZone, order []*Router) map[string]bool {
+			w.setFlag(w.frozen, true, order[1].options.Settings.Name, order[2].options.Settings.Name)
+			return w.frozen
 		},
-		"a third is turned away, and has what the others know": func(w *zoneWorld, order []*Router) map[string]bool {
+		"a third is refused and reads through the others": func(w *simulatedZone, order []*Router) map[string]bool {
 			for i := 0; i < len(order); i += 3 {
-				w.set(w.refuses, true, order[i].options.Settings.Name)
+				w.setFlag(w.storeRefuses, true, order[i].options.Settings.Name)
 			}
 			return nil
 		},
@@ -645,21 +650,21 @@
 		for name, fault := range faults {
 			t.Run(fmt.Sprintf("%d daemons, %s", daemons, name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newZone(t, daemons)
-					time.Sleep(settled)
-					before := w.made()
-					leftOut := fault(w, w.inOrder())
+					w := newZoneWithHeartbeats(t, daemons)
+					time.Sleep(zoneSettleTime)
+					before := w.countStoreCalls()
+					leftOut := fault(w, w.treeOrder())
 					version := int64(2)
 					for end := time.Now().Add(10 * time.Second); time.Now().Before(end); version++ {
-						if took := w.configure(version, leftOut); took > zoneSettings.ConfigWithin {
+						if took := w.publishConfig(version, leftOut); took > zoneSettings.ConfigWithin {
 							t.Errorf("configuration %d was in force everywhere after %v", version, took)
 						}
 						time.Sleep(300 * time.Millisecond)
 					}
-					if made := w.made() - before; made > calls {
+					if made := w.countStoreCalls() - before; made > calls {
 						t.Errorf("%d calls to the store", made)
 					}
-					if oldest := w.watch(10*time.Second, leftOut); oldest > zoneSettings.ConfigWithin {
+					if oldest := w.watchKeysAge(10*time.Second, leftOut); oldest > zoneSettings.ConfigWithin {
 						t.Errorf("keys were %v old", oldest)
 					}
 				})
@@ -668,25 +673,25 @@
 	}
 }
 
-// A daemon is cut off from all others of its zone while the store turns calls away for
-// a second. If it left the store alone as long as daemons do that others tell of its
-// return, it would refuse callers for seconds after the store is back.
-func TestADaemonWithoutNeighboursAsksTheStoreAgain(t *testing.T) {
+// A daemon cannot reach any other daemon of its zone while the store refuses calls. If it
+// backed off as long as daemons that learn from neighbours when the store is back, it
+// would refuse callers for seconds after that.
+func TestIsolatedDaemonRetriesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newZone(t, 65)
-		time.Sleep(settled)
-		order := w.inOrder()
-		alone := order[40]
+		w := newZoneWithHeartbeats(t, 65)
+		time.Sleep(zoneSettleTime)
+		order := w.treeOrder()
+		isolated := order[40]
 		for _, r := range order {
-			w.set(w.refuses, true, r.options.Settings.Name)
-			if r != alone {
-				w.set(w.down, true, r.options.Settings.Name)
+			w.setFlag(w.storeRefuses, true, r.options.Settings.Name)
+			if r != isolated {
+				w.setFlag(w.stopped, true, r.options.Settings.Name)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		w.set(w.refuses, false, alone.options.Settings.Name)
+		w.setFlag(w.storeRefuses, false, isolated.options.Settings.Name)
 		back := time.Now()
-		for alone.keysAge() > time.Second && time.Since(back) < time.Minute {
+		for isolated.keysAge() > time.Second && time.Since(back) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
 		if took := time.Since(back); took > time.Second {
@@ -695,105 +700,106 @@
 	})
 }
 
-// An engine's entry runs out while the store has lost its history, so that only a read
-// of everything shows that it is missing. The engine lives, and writes the same entry
-// again. A daemon that takes it for a repeat uses the engine itself and never tells those
-// that read through it: they send it nothing until its entry changes.
-func TestAnEntryThatIsBackIsToldToReaders(t *testing.T) {
+// An engine's entry lapses while the store has lost its history, so that only a full read
+// shows that it is missing. The engine still runs and writes the same entry again. A daemon
+// that treats this entry as unchanged does not relay it to the daemons that read through
+// it, and they do not use the engine until its entry changes.
+func TestRestoredEntryIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newZone(t, 1)
-		f := w.all[0].newEndpointsFollower()
+		w := newZoneWithHeartbeats(t, 1)
+		f := w.daemons[0].newEndpointsFollower()
 		entry := []Record{{Key: "e1", Value: []byte("1")}}
 		f.applyPage("", w.clock(), Page{Records: entry})
 		if got, err := f.feed().Read(t.Context(), w.clock, feed.Question{From: -1}); err != nil || len(got.Records) != 1 {
-			t.Fatal("everything is told at first")
+			t.Fatal("the entry of the first full read is not relayed")
 		}
-		if told := f.applyRecords(entry); len(told) != 0 {
-			t.Error("a repeat is told")
+		if relayed := f.applyRecords(entry); len(relayed) != 0 {
+			t.Error("an unchanged entry is relayed")
 		}
 		f.applyPage("", w.clock(), Page{})
-		if told := f.applyRecords(entry); len(told) != 1 {
-			t.Error("the entry that is back is not told")
+		if relayed := f.applyRecords(entry); len(relayed) != 1 {
+			t.Error("the restored entry is not relayed")
 		}
 	})
 }
 
-// The store is down for 8 s. Each daemon by itself would ask it several times a
-// second all the while, calls that are counted like others, and when it is back its
-// first answers would be refusals. The daemons that read for their zone find it again,
-// and the others hear of it from them.
-func TestAZoneWaitsForTheStoreAsOneDaemon(t *testing.T) {
+// The store is unavailable for 8 s. If each daemon retried it several times a second, the
+// calls would count towards the store's limits, and its first answers would be refusals.
+// Only the daemon that reads for the zone retries often; the others receive its records
+// once the store is back.
+func TestZoneProbesLostStoreAsOneDaemon(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			const daemons, down = 65, 8 * time.Second
-			w := newZone(t, daemons)
-			time.Sleep(settled)
-			fault := w.refuses
+			w := newZoneWithHeartbeats(t, daemons)
+			time.Sleep(zoneSettleTime)
+			fault := w.storeRefuses
 			if silent {
-				fault = w.away
+				fault = w.storeSilent
 			}
-			for _, r := range w.all {
-				w.set(fault, true, r.options.Settings.Name)
+			for _, r := range w.daemons {
+				w.setFlag(fault, true, r.options.Settings.Name)
 			}
-			before := w.made()
+			before := w.countStoreCalls()
 			time.Sleep(down)
-			// One read for each topic and daemon finds that the store is lost; after it
-			// each daemon asks at its turn, and the one that reads for the zone as before.
+			// One read per topic and daemon detects that the store is unavailable. After
+			// that each daemon retries after its backoff, and the one that reads for the
+			// zone after minRetryPause.
 			perTopic := daemons + int(down/storeBackoffPerDaemon)*2 + int(down/minRetryPause)
-			calls := w.made() - before
+			calls := w.countStoreCalls() - before
 			t.Logf("silent %v: %d calls while the store was down", silent, calls)
 			if calls > perTopic*int(topicCount) {
 				t.Errorf("silent %v: %d calls while the store was down", silent, calls)
 			}
-			for _, r := range w.all {
-				w.set(fault, false, r.options.Settings.Name)
+			for _, r := range w.daemons {
+				w.setFlag(fault, false, r.options.Settings.Name)
 			}
-			before = w.made()
+			before = w.countStoreCalls()
 			back := time.Now()
-			for w.oldest(nil) > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
+			for w.maxKeysAge(nil) > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 2*time.Second {
 				t.Errorf("silent %v: all keys were confirmed %v after the store was back", silent, took)
 			}
-			if calls := w.made() - before; calls > daemons {
-				t.Errorf("silent %v: %d calls until then", silent, calls)
+			if calls := w.countStoreCalls() - before; calls > daemons {
+				t.Errorf("silent %v: %d calls until all keys were confirmed", silent, calls)
 			}
 		})
 	}
 }
 
-// Guards against a request that is sent again after all daemons were restarted
-// together, as none remembers that it is held.
-func TestHoldsOutliveARestartOfAllDaemons(t *testing.T) {
+// Guards against running a quarantined request again after all daemons were restarted
+// together and have lost their state.
+func TestQuarantineSurvivesRestartOfAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons = 9
-		w := newZone(t, daemons)
-		time.Sleep(settled)
+		w := newZoneWithHeartbeats(t, daemons)
+		time.Sleep(zoneSettleTime)
 		f := quarantine.FingerprintOf("org", "POST", "h", "/x", nil)
 		lifted := quarantine.FingerprintOf("org", "POST", "h", "/y", nil)
 		for _, end := range []fleet.EndpointID{"a", "b", "c"} {
-			w.all[0].quarantine.Lost(f, end, "e")
-			w.all[0].quarantine.Lost(lifted, end, "e")
+			w.daemons[0].quarantine.Lost(f, end, "e")
+			w.daemons[0].quarantine.Lost(lifted, end, "e")
 		}
-		time.Sleep(settled)
-		w.all[0].quarantine.Answered(lifted)
-		time.Sleep(settled)
-		w.start(daemons)
-		time.Sleep(settled)
-		for i, r := range w.all {
+		time.Sleep(zoneSettleTime)
+		w.daemons[0].quarantine.Answered(lifted)
+		time.Sleep(zoneSettleTime)
+		w.startDaemons(daemons)
+		time.Sleep(zoneSettleTime)
+		for i, r := range w.daemons {
 			if _, held := r.quarantine.Held(f); !held {
-				t.Errorf("daemon %d does not hold the request", i)
+				t.Errorf("daemon %d does not quarantine the request", i)
 			}
 			if _, held := r.quarantine.Held(lifted); held {
-				t.Errorf("daemon %d holds a request that was cleared", i)
+				t.Errorf("daemon %d quarantines a request that was cleared", i)
 			}
 		}
 		time.Sleep(quarantine.HoldTime)
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		if n := len(w.newest[TopicDaemons]); n > daemons {
-			t.Errorf("%d records are left of %d daemons", n, daemons)
+			t.Errorf("%d records are left for %d daemons", n, daemons)
 		}
 	})
 }
