--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -135,10 +135,10 @@
 	w.unreachable[first.Address] = true
 	began := time.Now()
 	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
-		t.Errorf("placed by %s", p.Notes.Dispatcher)
+		t.Errorf("the prompt was placed by %s", p.Notes.Dispatcher)
 	}
 	if took := time.Since(began); took > 10*dispatchTimeout {
-		t.Errorf("placed after %v", took)
+		t.Errorf("the prompt was placed after %v", took)
 	}
 	next, _ := client.dispatcher(client.groupOf(w.longPrompt(client, "p")))
 	if next.Name == first.Name {
@@ -198,7 +198,7 @@
 		}
 	}
 	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
-		t.Errorf("placed by %s", p.Notes.Dispatcher)
+		t.Errorf("the prompt was placed by %s", p.Notes.Dispatcher)
 	}
 }
 
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -107,7 +107,7 @@
 			s := &subscription{neighbours: v, topic: TopicOperator}
 			got, confirmed, ok := s.read(t.Context(), 4, "")
 			if ok != c.ok || (ok && (len(got.Records) != 1 || string(got.Records[0].Value) != "v" || confirmed != time.Millisecond-oldest)) {
-				t.Errorf("%+v of %v, %v", got, confirmed, ok)
+				t.Errorf("answer %+v confirmed at %v, accepted: %v", got, confirmed, ok)
 			}
 		})
 	}
--- a/router/fold_test.go
+++ b/router/fold_test.go
@@ -36,12 +36,12 @@
 		t.Error("a timely answer without error does not count as ordinary")
 	}
 	for name, change := range map[string]func(*forward.Report){
-		"refused":   func(r *forward.Report) { r.Status, r.Code = 503, "overloaded" },
-		"late":      func(r *forward.Report) { r.FirstEvent = 400 * time.Millisecond },
-		"repeated":  func(r *forward.Report) { r.Attempts = make([]forward.AttemptReport, 2) },
-		"broken":    func(r *forward.Report) { r.Code = "endpoint_lost" },
-		"an error":  func(r *forward.Report) { r.Status = 500 },
-		"a refusal": func(r *forward.Report) { r.Attempts = nil },
+		"refused":      func(r *forward.Report) { r.Status, r.Code = 503, "overloaded" },
+		"late":         func(r *forward.Report) { r.FirstEvent = 400 * time.Millisecond },
+		"repeated":     func(r *forward.Report) { r.Attempts = make([]forward.AttemptReport, 2) },
+		"broken":       func(r *forward.Report) { r.Code = "endpoint_lost" },
+		"error status": func(r *forward.Report) { r.Status = 500 },
+		"no attempt":   func(r *forward.Report) { r.Attempts = nil },
 	} {
 		r := good
 		change(&r)
--- a/router/lanes_test.go
+++ b/router/lanes_test.go
@@ -34,7 +34,7 @@
 		engines := map[int64][]fleet.Endpoint{6: testEngines("o", c.older), 7: testEngines("n", c.newer)}
 		short, long := splitVersions(engines, c.k, nil)
 		if len(short[6]) != c.shortOlder || len(short[7]) != c.shortNewer || len(long[6]) != c.older-c.shortOlder || len(long[7]) != c.newer-c.shortNewer {
-			t.Errorf("%+v: short %d and %d, long %d and %d", c, len(short[6]), len(short[7]), len(long[6]), len(long[7]))
+			t.Errorf("%+v: %d and %d engines in the short subpool, %d and %d in the long one", c, len(short[6]), len(short[7]), len(long[6]), len(long[7]))
 		}
 	}
 }
--- a/router/learn_test.go
+++ b/router/learn_test.go
@@ -54,6 +54,6 @@
 	p.Answered(&pl, &forward.AnswerInfo{Load: &fleet.Load{Running: 4, Waiting: 3, Slots: 24}})
 	d, err := s.view.Select(now, placement.Request{ID: 1, Pool: "long", Tokens: 300})
 	if err != nil || d.ExpectedWait < 400*time.Millisecond {
-		t.Errorf("expected wait %v, %v", d.ExpectedWait, err)
+		t.Errorf("expected wait %v, error %v", d.ExpectedWait, err)
 	}
 }
--- a/router/neighbours_test.go
+++ b/router/neighbours_test.go
@@ -53,7 +53,7 @@
 	} {
 		got, err := requestNeighbour(t.Context(), client, address, TopicOperator, c.q)
 		if err != nil || got.All != c.all || got.Next != max(8, c.q.From) || got.Age != time.Second || got.Stamp != int64(9*time.Second) {
-			t.Errorf("%s: %+v, %v", name, got, err)
+			t.Errorf("%s: answer %+v, error %v", name, got, err)
 		}
 		if some := len(got.Records) > 0; some != (c.want != "") || some && string(got.Records[0].Value) != c.want {
 			t.Errorf("%s: records %v", name, got.Records)
@@ -88,7 +88,7 @@
 			t.Fatal(err)
 		}
 		if err := resp.Body.Close(); err != nil || resp.StatusCode != http.StatusBadRequest {
-			t.Errorf("%s: status %d, %v", name, resp.StatusCode, err)
+			t.Errorf("%s: status %d, error %v", name, resp.StatusCode, err)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 		}
 	}
 	if waits[0] != 0 || waits[daemons-1] > 2*maxClaimDelay {
-		t.Errorf("claims from %v to %v", waits[0], waits[daemons-1])
+		t.Errorf("claim delays from %v to %v", waits[0], waits[daemons-1])
 	}
 }
 
@@ -143,7 +143,7 @@
 	}
 	s.failed()
 	if _, _, ok := s.read(t.Context(), 5, ""); !ok {
-		t.Fatal("the neighbour's answer was not taken")
+		t.Fatal("the neighbour's answer was not used")
 	}
 	if got := v.candidates(TopicOperator, s.storeLost, 0.99); !slices.Equal(got, earlier) {
 		t.Errorf("candidates %v, before the failure %v", got, earlier)
--- a/router/parts_test.go
+++ b/router/parts_test.go
@@ -17,13 +17,13 @@
 	x, now := newSegmentIndex(), time.Unix(1_800_000_000, 0)
 	x.recordPlacement(now, prefix.Key{1}, 13_000, 17_000, 200_000, "a", now.Add(200*time.Millisecond))
 	if h, from := x.locate(now, prefix.Key{1}, 200_000, anyEngine); h.Tokens["a"] != 13_000 || h.MaxTokens != 0 || from != "" {
-		t.Errorf("%+v from %q while the segment is read", h, from)
+		t.Errorf("locations %+v, fetch from %q while the segment is read", h, from)
 	}
 	if h, from := x.locate(now.Add(time.Second), prefix.Key{1}, 200_000, anyEngine); h.MaxTokens != 13_000 || from != "a" {
-		t.Errorf("%+v from %q after the segment was read", h, from)
+		t.Errorf("locations %+v, fetch from %q after the segment was read", h, from)
 	}
 	if h, from := x.locate(now.Add(time.Second), prefix.Key{1}, 200_000, func(fleet.EndpointID) bool { return false }); len(h.Tokens) > 0 || from != "" {
-		t.Errorf("%+v from %q, which is not usable", h, from)
+		t.Errorf("locations %+v, fetch from %q though no engine is usable", h, from)
 	}
 }
 
@@ -38,7 +38,7 @@
 	}
 	later := now.Add(time.Second)
 	if h, from := x.locate(later, prefix.Key{1}, 200_000, anyEngine); len(h.Tokens) > 0 || from != "" {
-		t.Errorf("%+v from %q after the segment was evicted", h, from)
+		t.Errorf("locations %+v, fetch from %q after the segment was evicted", h, from)
 	}
 	if _, from := x.locate(later, prefix.Key{2, 8}, 200_000, anyEngine); from != "a" {
 		t.Error("the newest segment was evicted as well")
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -224,13 +224,13 @@
 	w := &forward.Work{In: &forward.Inbound{Parts: []prefix.Segment{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
 	if h := c.locate(w, "v1"); h != nil {
-		t.Errorf("%+v without any cache event", h)
+		t.Errorf("locations %+v without any cache event", h)
 	}
 	addCacheEvents(c, "far", "x")
 	addCacheEvents(c, "store", "x")
 	addCacheEvents(c, "near", "x")
 	if got, n := c.bestSource(w, "v1", "a", all); got != "1:1" || n != 500 {
-		t.Errorf("%q has %d", got, n)
+		t.Errorf("%q was chosen with %d tokens", got, n)
 	}
 	if got, _ := c.bestSource(w, "v1", "b", all); got != "2:1" {
 		t.Errorf("%q was chosen as nearest to zone b", got)
@@ -239,12 +239,12 @@
 		t.Errorf("%q was chosen without the nearest", got)
 	}
 	if got, n := c.bestSource(w, "v2", "a", all); got != "" || n != 0 {
-		t.Errorf("%q has %d tokens of other weights", got, n)
+		t.Errorf("%q was chosen with %d tokens of another weight version", got, n)
 	}
 	now += time.Second
 	addCacheEvents(c, "far", "x", "y")
 	if got, n := c.bestSource(w, "v1", "a", all); got != "2:1" || n != 1000 {
-		t.Errorf("%q has %d", got, n)
+		t.Errorf("%q was chosen with %d tokens", got, n)
 	}
 	if h := c.locate(w, "v1"); h == nil || h.MaxTokens != 1000 || h.Tokens["near"] != 500 || h.Tokens["far"] != 1000 {
 		t.Errorf("locations %+v", h)
@@ -299,6 +299,6 @@
 		return len(r.cacheSources())
 	}
 	if small, large := sources(18), sources(60); small != 18 || large != 0 {
-		t.Errorf("%d of 18 and %d of 60 followed", small, large)
+		t.Errorf("%d of 18 and %d of 60 engines are followed", small, large)
 	}
 }
--- a/router/versions_test.go
+++ b/router/versions_test.go
@@ -27,10 +27,10 @@
 	n := versionHistory{{version: 3, since: 10 * time.Second}, {version: 4, since: 23 * time.Second}}
 	at := 26 * time.Second
 	if n.mayBegin(2, at) {
-		t.Error("version 2 is allowed")
+		t.Error("a request may begin on version 2")
 	}
 	if !n.mayBegin(3, at) || !n.mayBegin(4, at) {
-		t.Error("version 3 or 4 is not allowed")
+		t.Error("a request may not begin on version 3 or 4")
 	}
 }
 
@@ -129,7 +129,7 @@
 	engines := map[int64][]fleet.Endpoint{5: testEngines("a", 1), 4: nil}
 	short, long := splitVersions(engines, pools.ShortCount(0.3, 1), nil)
 	if len(short[5]) != 1 || len(long[5]) != 1 {
-		t.Errorf("short %d, long %d", len(short[5]), len(long[5]))
+		t.Errorf("%d engines in the short subpool, %d in the long one", len(short[5]), len(long[5]))
 	}
 	if n := pools.ShortCount(0.5, 2); n != 1 {
 		t.Errorf("%d of two engines in the short subpool", n)
@@ -158,7 +158,7 @@
 		all := []candidate{{pool: "new", levels: none, beginWithin: noTimeLimit}, {pool: "old", levels: none, beginWithin: c.left, notRepeatable: c.once}}
 		got, err := bestCandidate(time.Time{}, waits, placement.Request{}, all, 500*time.Millisecond)
 		if err != nil || got.pool != c.want {
-			t.Errorf("%s: %q, %v", c.name, got.pool, err)
+			t.Errorf("%s: pool %q, error %v", c.name, got.pool, err)
 		}
 	}
 }
--- a/router/ways_test.go
+++ b/router/ways_test.go
@@ -100,11 +100,11 @@
 	} {
 		got, err := bestCandidate(time.Time{}, fakePools{"new": c.new, "old": c.old}, placement.Request{}, all, target)
 		if err != nil || got.pool != c.want {
-			t.Errorf("%s: %q, %v", c.name, got.pool, err)
+			t.Errorf("%s: pool %q, error %v", c.name, got.pool, err)
 		}
 	}
 	if got, err := bestCandidate(time.Time{}, fakePools{"old": time.Minute}, placement.Request{}, all, target); err != nil || got.pool != "old" {
-		t.Errorf("no engine for the first candidate: %q, %v", got.pool, err)
+		t.Errorf("no engine for the first candidate: pool %q, error %v", got.pool, err)
 	}
 	if _, err := bestCandidate(time.Time{}, fakePools{}, placement.Request{}, all, target); err == nil {
 		t.Error("a candidate was chosen though there are no engines")
@@ -119,11 +119,11 @@
 	short[pools.ModelPool("s", "m", 3, subpoolShort)] = time.Second
 	got, err := bestCandidate(time.Time{}, short, placement.Request{}, listCandidates(w, versionChoice{first: 3}, subpoolLong, nil), replayTarget)
 	if err != nil || got.pool != pools.ModelPool("s", "m", 3, subpoolShort) {
-		t.Errorf("long prompt: %q, %v", got.pool, err)
+		t.Errorf("long prompt: pool %q, error %v", got.pool, err)
 	}
 	long := fakePools{pools.ModelPool("s", "m", 2, subpoolLong): time.Second}
 	got, err = bestCandidate(time.Time{}, long, placement.Request{}, listCandidates(w, versionChoice{first: 3, others: []otherVersion{{version: 2}}}, subpoolShort, nil), replayTarget)
 	if err != nil || got.version != 2 {
-		t.Errorf("short prompt: %q, %v", got.pool, err)
+		t.Errorf("short prompt: pool %q, error %v", got.pool, err)
 	}
 }
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -627,7 +627,7 @@
 	// another one later.
 	const calls = 100
 	faults := map[string]func(w *simulatedZone, order []*Router) (leftOut map[string]bool){
-		"the first loses the store": func(w *simulatedZone, order []*Router) map[string]bool {
+		"the first cannot reach the store": func(w *simulatedZone, order []*Router) map[string]bool {
 			w.setFlag(w.storeSilent, true, order[0].options.Settings.Name)
 			return w.storeSilent
 		},
@@ -730,7 +730,7 @@
 func TestZoneProbesLostStoreAsOneDaemon(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			const daemons, down = 65, 8 * time.Second
+			const daemons, outage = 65, 8 * time.Second
 			w := newZoneWithHeartbeats(t, daemons)
 			time.Sleep(zoneSettleTime)
 			fault := w.storeRefuses
@@ -741,15 +741,15 @@
 				w.setFlag(fault, true, r.options.Settings.Name)
 			}
 			before := w.countStoreCalls()
-			time.Sleep(down)
+			time.Sleep(outage)
 			// One read per topic and daemon detects that the store is unavailable. After
 			// that each daemon retries after its backoff, and the one that reads for the
 			// zone after minRetryPause.
-			perTopic := daemons + int(down/storeBackoffPerDaemon)*2 + int(down/minRetryPause)
+			perTopic := daemons + int(outage/storeBackoffPerDaemon)*2 + int(outage/minRetryPause)
 			calls := w.countStoreCalls() - before
-			t.Logf("silent %v: %d calls while the store was down", silent, calls)
+			t.Logf("silent %v: %d calls while the store was unavailable", silent, calls)
 			if calls > perTopic*int(topicCount) {
-				t.Errorf("silent %v: %d calls while the store was down", silent, calls)
+				t.Errorf("silent %v: %d calls while the store was unavailable", silent, calls)
 			}
 			for _, r := range w.daemons {
 				w.setFlag(fault, false, r.options.Settings.Name)
