--- a/admin/admin_test.go
+++ b/admin/admin_test.go
@@ -47,7 +47,7 @@
 func (s *fakeSystem) Dump() any          { return s.dump }
 
 func serve(s *fakeSystem, method, path, body string, header ...string) *httptest.ResponseRecorder {
-	h := New(Options{System: s, Token: token, Metrics: http.NotFoundHandler(), Log: logging.Discard().For(logging.PartAdmin)})
+	h := New(Options{System: s, Token: token, Metrics: http.NotFoundHandler(), Log: logging.Discard().For(logging.ComponentAdmin)})
 	req := httptest.NewRequest(method, path, strings.NewReader(body))
 	req.Header.Set("Authorization", "Bearer "+token)
 	for i := 0; i+1 < len(header); i += 2 {
--- a/cmd/merlindockd/routed.go
+++ b/cmd/merlindockd/routed.go
@@ -39,7 +39,7 @@
 		port = args[0]
 	}
 	debug.SetMemoryLimit(int64(memoryPart * float64(set.MemoryBytes)))
-	lines := logging.NewBounded(out, logging.BoundedBytes)
+	lines := logging.NewBoundedWriter(out, logging.DefaultBufferBytes)
 	stop := make(chan struct{})
 	written := make(chan struct{})
 	go func() {
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -34,7 +34,7 @@
 }
 
 func newClaimer(d *Daemon) *claimer {
-	return &claimer{daemon: d, log: d.o.Logs.For(logging.PartClaims)}
+	return &claimer{daemon: d, log: d.o.Logs.For(logging.ComponentClaims)}
 }
 
 // setManifest begins anew when the window has changed. The log's marks keep
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -43,9 +43,9 @@
 	Listeners Listeners
 	// Dial opens connections to endpoints and neighbours; nil: TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// NoNotices keeps placement's notices from other daemons, to measure what
+	// DisableAnnouncements keeps placement's notices from other daemons, to measure what
 	// they are worth.
-	NoNotices bool
+	DisableAnnouncements bool
 	// Now is the clock; nil: time.Now.
 	Now func() time.Time
 }
@@ -91,12 +91,12 @@
 	d := &Daemon{
 		o:       o,
 		life:    o.Now(),
-		log:     o.Logs.For(logging.PartDaemon),
+		log:     o.Logs.For(logging.ComponentDaemon),
 		metrics: telemetry.New(s.Daemon.ID, string(s.Daemon.Zone)),
 		drainer: gateway.NewDrainer(),
 	}
 	d.shutdown = newShutdown(s.Drain, d.drainer, o.Now)
-	d.catalogue = newCatalogue(o.Logs.For(logging.PartManifest))
+	d.catalogue = newCatalogue(o.Logs.For(logging.ComponentManifest))
 	d.manifests = logio.NewManifests(logio.ManifestsOptions{
 		Log:     o.Log,
 		Poll:    s.Platform.PollInterval,
@@ -129,7 +129,7 @@
 		Admitter:   d.admission,
 		Claimer:    d.claimer,
 		Retry:      d.retries,
-		Observer:   newObserver(d.metrics.Scope, d.o.Logs.For(logging.PartGateway)),
+		Observer:   newObserver(d.metrics.Scope, d.o.Logs.For(logging.ComponentGateway)),
 		Drainer:    d.drainer,
 		Quarantine: d.guard,
 		Limits: gateway.Limits{
@@ -151,7 +151,7 @@
 		System:  (*system)(d),
 		Token:   d.o.Token,
 		Metrics: d.metrics.Handler,
-		Log:     d.o.Logs.For(logging.PartAdmin),
+		Log:     d.o.Logs.For(logging.ComponentAdmin),
 	})
 }
 
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -78,7 +78,7 @@
 	v := &fleetView{
 		daemon:  d,
 		client:  client,
-		log:     d.o.Logs.For(logging.PartFleet),
+		log:     d.o.Logs.For(logging.ComponentFleet),
 		now:     d.o.Now,
 		members: fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
 		pools:   map[string][]fleet.Endpoint{},
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -18,7 +18,7 @@
 	}
 	return guard.New(guard.Options{
 		Me: d.peer(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
-		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
+		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.relay,
 	})
 }
 
@@ -26,7 +26,7 @@
 func (d *Daemon) newRoom() *room.Limiter {
 	return room.New(room.Options{
 		Me: d.peer(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
-		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
+		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.relay,
 	})
 }
 
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -18,7 +18,7 @@
 // question on the same document follows to the same endpoint.
 func (v *fleetView) notify() {
 	notices := v.placement.TakeAnnouncements(nil)
-	if v.daemon.o.NoNotices {
+	if v.daemon.o.DisableAnnouncements {
 		return
 	}
 	if v.daemon.peers.AnnouncePlacements(v.now(), notices) > 0 {
--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -52,8 +52,8 @@
 			prompt:     s.Counter("prompt_tokens"),
 			cached:     s.Counter("cached_tokens"),
 			tokens:     s.Counter("generated_tokens"),
-			firstToken: s.Histogram("first_token_seconds", telemetry.Durations()),
-			duration:   s.Histogram("request_seconds", telemetry.Durations()),
+			firstToken: s.Histogram("first_token_seconds", telemetry.DurationBuckets()),
+			duration:   s.Histogram("request_seconds", telemetry.DurationBuckets()),
 		}
 	}
 	return o
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -28,7 +28,7 @@
 
 func newOrderGiver(d *Daemon) *orderGiver {
 	s := d.o.Settings
-	g := &orderGiver{daemon: d, log: d.o.Logs.For(logging.PartOrders)}
+	g := &orderGiver{daemon: d, log: d.o.Logs.For(logging.ComponentOrders)}
 	g.keeper = logio.NewLeaseKeeper(logio.LeaseOptions{
 		Log:    d.o.Log,
 		Name:   ordersLease,
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -111,7 +111,7 @@
 	if e.Err != nil {
 		fields = append(fields, "error", e.Err.Error())
 	}
-	log := d.o.Logs.For(logging.PartPeers)
+	log := d.o.Logs.For(logging.ComponentPeers)
 	if e.Kind == peer.EventConflict || e.Kind == peer.EventRejected {
 		log.Warn("Neighbour's manifest is not taken.", fields...)
 		return
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -16,7 +16,7 @@
 // watch keeps the gauges up to date and logs when the platform's log goes down
 // or comes back, until ctx ends.
 func (d *Daemon) watch(ctx context.Context) error {
-	log := d.o.Logs.For(logging.PartLog)
+	log := d.o.Logs.For(logging.ComponentLog)
 	down := false
 	ticker := time.NewTicker(watchEvery)
 	defer ticker.Stop()
--- a/directory/wire.go
+++ b/directory/wire.go
@@ -51,18 +51,18 @@
 
 // DecodeEntry decodes the entry of the endpoint with the ID. The error is ErrMalformed.
 func DecodeEntry(id string, data []byte) (Entry, error) {
-	r := wire.Reader{Rest: data}
+	r := wire.Reader{Remaining: data}
 	format := r.Byte()
 	e := Entry{ID: id, State: State(r.Byte()), Models: map[string]int64{}}
 	e.Born, e.Orders = r.Varint(), r.Varint()
 	e.Slots = int(r.Uvarint(math.MaxInt32))
 	e.Service, e.Address = r.Text(maxTextBytes), r.Text(maxTextBytes)
 	e.Zone = fleet.ZoneID(r.Text(maxTextBytes))
-	for n := r.Byte(); n > 0 && !r.Bad; n-- {
+	for n := r.Byte(); n > 0 && !r.Malformed; n-- {
 		name := r.Text(maxTextBytes)
 		e.Models[name] = r.Varint()
 	}
-	if r.Bad || len(r.Rest) > 0 || format != entryFormat || e.State > Draining || id == "" {
+	if r.Malformed || len(r.Remaining) > 0 || format != entryFormat || e.State > Draining || id == "" {
 		return Entry{}, ErrMalformed
 	}
 	return e, nil
--- a/feed/wire.go
+++ b/feed/wire.go
@@ -89,12 +89,12 @@
 			return Answer{}, fmt.Errorf("%w: %w", ErrMalformed, err)
 		}
 	}
-	r := wire.Reader{Rest: body}
+	r := wire.Reader{Remaining: body}
 	out := Answer{Snapshot: flags&flagAll != 0, More: flags&flagMore != 0, Detached: flags&flagDetached != 0}
 	out.Next = r.Varint()
 	out.Age, out.Waited = time.Duration(r.Varint()), time.Duration(r.Varint())
 	out.Stamp = r.Varint()
-	n := r.Uvarint(uint64(len(r.Rest) / minRecordBytes))
+	n := r.Uvarint(uint64(len(r.Remaining) / minRecordBytes))
 	out.Records = make([]Record, 0, n)
 	offset := int64(0)
 	for range n {
@@ -102,11 +102,11 @@
 		key := string(lengthPrefixed(&r))
 		out.Records = append(out.Records, Record{Key: key, Value: lengthPrefixed(&r), Offset: offset})
 	}
-	if r.Bad || len(r.Rest) > 0 {
+	if r.Malformed || len(r.Remaining) > 0 {
 		return Answer{}, ErrMalformed
 	}
 	return out, nil
 }
 
 // lengthPrefixed reads a length and as many bytes.
-func lengthPrefixed(r *wire.Reader) []byte { return r.Bytes(int(r.Uvarint(uint64(len(r.Rest))))) }
+func lengthPrefixed(r *wire.Reader) []byte { return r.Bytes(int(r.Uvarint(uint64(len(r.Remaining))))) }
--- a/guard/guard_test.go
+++ b/guard/guard_test.go
@@ -28,7 +28,7 @@
 		Me: gossip.Peer{Name: "a"}, Rand: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope,
 		Clock: func() time.Duration { return time.Hour + time.Since(began) },
 		Dial:  func(context.Context, string, string) (net.Conn, error) { return dial() },
-		Log:   logging.Discard().For(logging.PartRouter), Send: func(string, []byte) {},
+		Log:   logging.Discard().For(logging.ComponentRouter), Send: func(string, []byte) {},
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan struct{})
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -9,23 +9,23 @@
 // Reader reads the fields of a message one after another. A field that is missing or out
 // of its bounds ends the message and sets Bad; the reads return zero values from then on.
 type Reader struct {
-	Rest []byte
-	Bad  bool
+	Remaining []byte
+	Malformed bool
 }
 
-func (r *Reader) fail() { r.Bad, r.Rest = true, nil }
+func (r *Reader) fail() { r.Malformed, r.Remaining = true, nil }
 
 // More tells whether there is a further field.
-func (r *Reader) More() bool { return !r.Bad && len(r.Rest) > 0 }
+func (r *Reader) More() bool { return !r.Malformed && len(r.Remaining) > 0 }
 
 // Bytes reads n bytes. They stay those of the message.
 func (r *Reader) Bytes(n int) []byte {
-	if n > len(r.Rest) {
+	if n > len(r.Remaining) {
 		r.fail()
 		return make([]byte, n)
 	}
-	v := r.Rest[:n]
-	r.Rest = r.Rest[n:]
+	v := r.Remaining[:n]
+	r.Remaining = r.Remaining[n:]
 	return v
 }
 
@@ -37,23 +37,23 @@
 
 // Uvarint reads a number of variable length, at most the given one.
 func (r *Reader) Uvarint(most uint64) uint64 {
-	v, n := binary.Uvarint(r.Rest)
+	v, n := binary.Uvarint(r.Remaining)
 	if n <= 0 || v > most {
 		r.fail()
 		return 0
 	}
-	r.Rest = r.Rest[n:]
+	r.Remaining = r.Remaining[n:]
 	return v
 }
 
 // Varint reads a signed number of variable length.
 func (r *Reader) Varint() int64 {
-	v, n := binary.Varint(r.Rest)
+	v, n := binary.Varint(r.Remaining)
 	if n <= 0 {
 		r.fail()
 		return 0
 	}
-	r.Rest = r.Rest[n:]
+	r.Remaining = r.Remaining[n:]
 	return v
 }
 
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -16,22 +16,22 @@
 		"duration": func(r *Reader) { r.Millis(time.Second) },
 	} {
 		r := &Reader{}
-		if read(r); !r.Bad || r.More() {
+		if read(r); !r.Malformed || r.More() {
 			t.Errorf("%s of nothing is not noticed", name)
 		}
 	}
 	for name, b := range map[string][]byte{"length past the end": {3, 'a'}, "too long": {5, 'a', 'b', 'c', 'd', 'e'}} {
-		r := &Reader{Rest: b}
-		if got := r.Text(4); !r.Bad || got != "" && name == "too long" {
+		r := &Reader{Remaining: b}
+		if got := r.Text(4); !r.Malformed || got != "" && name == "too long" {
 			t.Errorf("%s: %q", name, got)
 		}
 	}
-	r := &Reader{Rest: []byte{200, 1, 2}}
-	if r.Uvarint(100); !r.Bad {
+	r := &Reader{Remaining: []byte{200, 1, 2}}
+	if r.Uvarint(100); !r.Malformed {
 		t.Error("a number beyond its bound is taken")
 	}
-	r = &Reader{Rest: []byte{2, 'a', 'b', 7}}
-	if text, b := r.Text(4), r.Byte(); text != "ab" || b != 7 || r.Bad || r.More() {
+	r = &Reader{Remaining: []byte{2, 'a', 'b', 7}}
+	if text, b := r.Text(4), r.Byte(); text != "ab" || b != 7 || r.Malformed || r.More() {
 		t.Errorf("%q, %d, %+v", text, b, r)
 	}
 }
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -286,7 +286,7 @@
 	}
 	n.Daemon, err = daemon.New(daemon.Options{
 		Settings:  s,
-		NoNotices: c.o.NoNotices,
+		DisableAnnouncements: c.o.NoNotices,
 		Token:     c.o.Token,
 		Log:       n.Way,
 		VMs:       c.VMs,
--- a/lab/standin/plog/http.go
+++ b/lab/standin/plog/http.go
@@ -39,7 +39,7 @@
 		return
 	}
 	offset, err := l.Append(r.Context(), ports.Stream(r.PathValue("stream")), body)
-	answer(w, httplog.Appended{Offset: offset}, err)
+	answer(w, httplog.AppendResult{Offset: offset}, err)
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -63,7 +63,7 @@
 	case err == nil:
 		writeJSON(w, http.StatusOK, v)
 	case errors.As(err, &truncated):
-		writeJSON(w, http.StatusGone, httplog.Truncated{First: truncated.First})
+		writeJSON(w, http.StatusGone, httplog.TruncatedBody{First: truncated.First})
 	case errors.Is(err, ports.ErrNotAppended):
 		w.Header().Set(httplog.HeaderNotAppended, "true")
 		http.Error(w, err.Error(), http.StatusServiceUnavailable)
--- a/limits/message.go
+++ b/limits/message.go
@@ -45,7 +45,7 @@
 }
 
 func decode(b []byte) ([]update, error) {
-	r := &wire.Reader{Rest: b}
+	r := &wire.Reader{Remaining: b}
 	if r.Byte() != kindUpdates {
 		return nil, ErrMalformed
 	}
@@ -57,7 +57,7 @@
 		}
 		out = append(out, u)
 	}
-	if r.Bad || len(out) > maxUpdates {
+	if r.Malformed || len(out) > maxUpdates {
 		return nil, ErrMalformed
 	}
 	return out, nil
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -9,20 +9,20 @@
 
 // Bounds of a Bounded writer.
 const (
-	// BoundedBytes are held while the output is slow: some thousand lines.
-	BoundedBytes = 512 << 10
+	// DefaultBufferBytes are held while the output is slow: some thousand lines.
+	DefaultBufferBytes = 512 << 10
 	// flushEvery gathers the lines of a while in one write. A process that is
 	// killed loses no more than that.
 	flushEvery = 50 * time.Millisecond
 )
 
-// Bounded is an io.Writer that never blocks: it holds a bounded amount of lines
+// BoundedWriter is an io.Writer that never blocks: it holds a bounded amount of lines
 // and drops those that do not fit, counting them.
 //
 // A standard output that nobody reads fills its pipe. If a request had to wait
 // for its log line, the whole process would stand still with nothing to show
 // why. What was dropped is reported in a line of its own once there is room.
-type Bounded struct {
+type BoundedWriter struct {
 	to   io.Writer
 	size int
 
@@ -33,12 +33,14 @@
 	total   uint64
 }
 
-// NewBounded returns a writer that holds at most size bytes. Run must be called
+// NewBoundedWriter returns a writer that holds at most size bytes. Run must be called
 // for anything to come out.
-func NewBounded(to io.Writer, size int) *Bounded { return &Bounded{to: to, size: size} }
+func NewBoundedWriter(to io.Writer, size int) *BoundedWriter {
+	return &BoundedWriter{to: to, size: size}
+}
 
 // Write takes one line. It never fails and never waits.
-func (b *Bounded) Write(line []byte) (int, error) {
+func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if len(b.held)+len(line) > b.size {
@@ -51,14 +53,14 @@
 }
 
 // Dropped is the number of lines lost so far.
-func (b *Bounded) Dropped() uint64 {
+func (b *BoundedWriter) Dropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.total
 }
 
 // Run writes what is held until stop is closed, and then what is left.
-func (b *Bounded) Run(stop <-chan struct{}) {
+func (b *BoundedWriter) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(flushEvery)
 	defer tick.Stop()
 	for {
@@ -73,7 +75,7 @@
 }
 
 // Flush writes what is held. Only one goroutine may call it at a time.
-func (b *Bounded) Flush() {
+func (b *BoundedWriter) Flush() {
 	b.mu.Lock()
 	out := b.held
 	b.held = b.spare[:0]
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -22,7 +22,7 @@
 func TestUnreadOutputBlocksNobody(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := stuck{make(chan struct{})}
-		b := NewBounded(out, 1000)
+		b := NewBoundedWriter(out, 1000)
 		stop, ended := make(chan struct{}), make(chan struct{})
 		go func() {
 			b.Run(stop)
@@ -48,7 +48,7 @@
 
 func TestDroppedLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out, 10)
+	b := NewBoundedWriter(&out, 10)
 	_, _ = b.Write([]byte("12345678\n"))
 	_, _ = b.Write([]byte("abcdefgh\n"))
 	b.Flush()
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -12,27 +12,27 @@
 	"github.com/phuslu/log"
 )
 
-// Part names one part of the process. Its name is the prefix of each line.
-type Part string
+// Component names one part of the process. Its name is the prefix of each line.
+type Component string
 
 // The parts that log.
 const (
-	PartDaemon   Part = "daemon"
-	PartGateway  Part = "gateway"
-	PartLog      Part = "log"
-	PartManifest Part = "manifest"
-	PartClaims   Part = "claims"
-	PartFleet    Part = "fleet"
-	PartPeers    Part = "peers"
-	PartOrders   Part = "orders"
-	PartAdmin    Part = "admin"
-	PartRouter   Part = "router"
+	ComponentDaemon   Component = "daemon"
+	ComponentGateway  Component = "gateway"
+	ComponentLog      Component = "log"
+	ComponentManifest Component = "manifest"
+	ComponentClaims   Component = "claims"
+	ComponentFleet    Component = "fleet"
+	ComponentPeers    Component = "peers"
+	ComponentOrders   Component = "orders"
+	ComponentAdmin    Component = "admin"
+	ComponentRouter   Component = "router"
 )
 
 // Logger writes the lines of one part.
 type Logger struct {
 	out  *log.Logger
-	part Part
+	part Component
 }
 
 // Factory makes the loggers of one process.
@@ -57,7 +57,7 @@
 }
 
 // For returns the logger of one part.
-func (f *Factory) For(part Part) *Logger {
+func (f *Factory) For(part Component) *Logger {
 	return &Logger{out: f.out, part: part}
 }
 
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -13,8 +13,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.For(PartPeers).Info("Neighbour is back.", "daemon", "d2", "after_ms", 12)
-	f.For(PartPeers).Debug("Not written.")
+	f.For(ComponentPeers).Info("Neighbour is back.", "daemon", "d2", "after_ms", 12)
+	f.For(ComponentPeers).Debug("Not written.")
 	var line map[string]any
 	if err := json.Unmarshal(buf.Bytes(), &line); err != nil {
 		t.Fatalf("%q: %v", buf.String(), err)
--- a/ports/httplog/httplog.go
+++ b/ports/httplog/httplog.go
@@ -40,13 +40,13 @@
 // DefaultTimeout bounds one call.
 const DefaultTimeout = 10 * time.Second
 
-// Appended is the answer to an append.
-type Appended struct {
+// AppendResult is the answer to an append.
+type AppendResult struct {
 	Offset ports.Offset `json:"offset"`
 }
 
-// Truncated is the body of the answer 410 to a read of expired records.
-type Truncated struct {
+// TruncatedBody is the body of the answer 410 to a read of expired records.
+type TruncatedBody struct {
 	First ports.Offset `json:"first"`
 }
 
@@ -87,7 +87,7 @@
 
 // Append implements ports.Log.
 func (c *Client) Append(ctx context.Context, s ports.Stream, data []byte) (ports.Offset, error) {
-	var a Appended
+	var a AppendResult
 	err := c.call(ctx, http.MethodPost, c.records(s), data, &a)
 	if err == nil {
 		return a.Offset, nil
@@ -128,7 +128,7 @@
 }
 
 func truncated(s ports.Stream, from ports.Offset, body []byte) error {
-	var t Truncated
+	var t TruncatedBody
 	if err := json.Unmarshal(body, &t); err != nil || t.First <= from {
 		return eris.Wrap(ports.ErrUnavailable, "httplog: answer 410 without the first offset")
 	}
--- a/quarantine/message.go
+++ b/quarantine/message.go
@@ -77,7 +77,7 @@
 // decodeAll reads the entries of a message with the given type. More than most entries
 // are an error.
 func decodeAll[T any](b []byte, kind byte, most int, entry func(*wire.Reader) T) ([]T, error) {
-	r := &wire.Reader{Rest: b}
+	r := &wire.Reader{Remaining: b}
 	if r.Byte() != kind {
 		return nil, ErrMalformed
 	}
@@ -85,7 +85,7 @@
 	for r.More() {
 		out = append(out, entry(r))
 	}
-	if r.Bad || len(out) > most {
+	if r.Malformed || len(out) > most {
 		return nil, ErrMalformed
 	}
 	return out, nil
--- a/quota/message.go
+++ b/quota/message.go
@@ -114,14 +114,14 @@
 func (r *reader) shard() int {
 	s := int(r.Byte())
 	if s >= Shards {
-		r.Bad = true
+		r.Malformed = true
 		return 0
 	}
 	return s
 }
 
 func decodeAsk(b []byte) (ask, error) {
-	r := &reader{wire.Reader{Rest: b}}
+	r := &reader{wire.Reader{Remaining: b}}
 	if r.Byte() != kindAsk {
 		return ask{}, ErrMalformed
 	}
@@ -134,14 +134,14 @@
 		}
 		a.Entries = append(a.Entries, askEntry{Key: Key(r.Uint64()), Need: r.units(), Expected: r.units(), Rejected: r.units()})
 	}
-	if r.Bad {
+	if r.Malformed {
 		return ask{}, ErrMalformed
 	}
 	return a, nil
 }
 
 func decodeReply(b []byte) (reply, error) {
-	r := &reader{wire.Reader{Rest: b}}
+	r := &reader{wire.Reader{Remaining: b}}
 	if r.Byte() != kindReply {
 		return reply{}, ErrMalformed
 	}
@@ -152,7 +152,7 @@
 		}
 		out.Entries = append(out.Entries, replyEntry{Key: Key(r.Uint64()), Lent: r.units() / lentScale, AskAfter: r.Millis(maxReplyDelay), RetryAfter: r.Millis(maxReplyDelay), Used: r.units() / usedScale})
 	}
-	if r.Bad {
+	if r.Malformed {
 		return reply{}, ErrMalformed
 	}
 	return out, nil
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -20,7 +20,7 @@
 // fixed is a clock that stands at a time.
 func fixed(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-func quiet() *logging.Logger { return logging.Discard().For(logging.PartRouter) }
+func quiet() *logging.Logger { return logging.Discard().For(logging.ComponentRouter) }
 
 // bounds are those on news of the topics.
 var bounds = &Settings{ConfigWithin: 2 * time.Second, DrainWithin: 2 * time.Second}
--- a/router/report.go
+++ b/router/report.go
@@ -31,8 +31,8 @@
 		storeFailures: m.Scope.Counter("store_failures"),
 		orders:        m.Scope.Counter("orders"),
 		attempts:      m.Scope.Counter("attempts"),
-		duration:      m.Scope.Histogram("request_seconds", telemetry.Durations()),
-		firstEvent:    m.Scope.Histogram("first_event_seconds", telemetry.Durations()),
+		duration:      m.Scope.Histogram("request_seconds", telemetry.DurationBuckets()),
+		firstEvent:    m.Scope.Histogram("first_event_seconds", telemetry.DurationBuckets()),
 	}
 }
 
--- a/router/router.go
+++ b/router/router.go
@@ -132,7 +132,7 @@
 		placer:     newPlacer(s, &o.Settings, o.Engines, o.Clock, o.Rand),
 		client:     forward.NewClient(o.Wire, o.Dial),
 		callers:    forward.NewCallerConns(),
-		log:        o.Logs.For(logging.PartRouter),
+		log:        o.Logs.For(logging.ComponentRouter),
 		metrics:    metrics,
 		requestLog: lineLimiter{perSecond: ordinaryPerSecond}, endpointLog: lineLimiter{perSecond: readyPerSecond},
 	}
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -22,9 +22,9 @@
 	closer  io.Closer
 }
 
-// Durations are the buckets for times, in seconds, around the target of 0.98 s
+// DurationBuckets are the buckets for times, in seconds, around the target of 0.98 s
 // to the first token and 52 ms between tokens.
-func Durations() tally.Buckets {
+func DurationBuckets() tally.Buckets {
 	return tally.DurationBuckets{
 		time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
 		10 * time.Millisecond, 25 * time.Millisecond, 52 * time.Millisecond,
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -10,7 +10,7 @@
 func TestScraperReadsCountersAndHistograms(t *testing.T) {
 	m := New("d1", "zone-a")
 	m.Scope.Counter("requests").Inc(3)
-	m.Scope.Histogram("first_token", Durations()).RecordDuration(40 * time.Millisecond)
+	m.Scope.Histogram("first_token", DurationBuckets()).RecordDuration(40 * time.Millisecond)
 	if err := m.Close(); err != nil {
 		t.Fatal(err)
 	}
