--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -19,13 +19,13 @@
 	now    func() time.Time
 	ids    requestIDs
 
-	mu     sync.Mutex // guards the fields below, not the pools' own state
-	shares []contract.Share
-	pools  map[string]*admissionPool
-	live   int // daemons on the platform's list; 0: not known
+	mu          sync.Mutex // guards the fields below, not the pools' own state
+	shares      []contract.Share
+	pools       map[string]*admissionPool
+	liveDaemons int // daemons on the platform's list; 0: not known
 
-	turnMu sync.Mutex
-	turn   int // the pool that the next digest to the neighbours begins with
+	digestMu sync.Mutex
+	nextPool int // the pool that the next digest to the neighbours begins with
 }
 
 // admissionPool guards the decisions for one pool and wakes those that wait.
@@ -35,7 +35,7 @@
 	mu      sync.Mutex
 	core    *contract.Admission
 	waiting map[contract.RequestID]chan contract.Decision
-	out     []contract.Outcome
+	outcomes []contract.Outcome
 	timer   *time.Timer
 }
 
@@ -54,11 +54,11 @@
 	for i := range m.Models {
 		if a.pools[m.Models[i].ID] == nil {
 			p := a.newPool()
-			p.core.SetDaemons(a.now(), a.live)
+			p.core.SetDaemons(a.now(), a.liveDaemons)
 			a.pools[m.Models[i].ID] = p
 		}
 	}
-	pools := a.snapshot()
+	pools := a.clonePools()
 	a.mu.Unlock()
 	for _, p := range pools {
 		p.setContract(shares)
@@ -72,16 +72,16 @@
 		waiting: map[contract.RequestID]chan contract.Decision{},
 		core: contract.NewAdmission(contract.Options{
 			Daemon: contract.DaemonID(d.o.Settings.Daemon.ID),
-			Epoch:  uint64(d.life.UnixMilli()),
-			Rand:   rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.life), a.ids.next())),
+			Epoch:  uint64(d.startedAt.UnixMilli()),
+			Rand:   rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.startedAt), a.ids.next())),
 		}),
 	}
-	p.timer = time.AfterFunc(time.Hour, p.wake)
+	p.timer = time.AfterFunc(time.Hour, p.onTimer)
 	return p
 }
 
-// snapshot copies the table of pools. The caller holds the lock.
-func (a *admission) snapshot() map[string]*admissionPool {
+// clonePools copies the table of pools. The caller holds the lock.
+func (a *admission) clonePools() map[string]*admissionPool {
 	pools := make(map[string]*admissionPool, len(a.pools))
 	for name, p := range a.pools {
 		pools[name] = p
@@ -89,10 +89,10 @@
 	return pools
 }
 
-func (a *admission) all() map[string]*admissionPool {
+func (a *admission) listPools() map[string]*admissionPool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.snapshot()
+	return a.clonePools()
 }
 
 // setDaemons tells how many daemons are live by the platform's list. Without it
@@ -100,8 +100,8 @@
 // own.
 func (a *admission) setDaemons(live int) {
 	a.mu.Lock()
-	a.live = live
-	pools := a.snapshot()
+	a.liveDaemons = live
+	pools := a.clonePools()
 	a.mu.Unlock()
 	for _, p := range pools {
 		p.mu.Lock()
@@ -113,7 +113,7 @@
 // setLoad tells how full the endpoints of a model say they are, from which
 // admission sees whether a silent neighbour still spends its part.
 func (a *admission) setLoad(model string, requests, slots int) {
-	p := a.all()[model]
+	p := a.listPools()[model]
 	if p == nil {
 		return
 	}
@@ -126,7 +126,7 @@
 func (a *admission) Admit(ctx context.Context, r gateway.AdmitRequest) (gateway.Admission, error) {
 	p := a.pool(r.Model)
 	if p == nil {
-		return gateway.Admission{}, refusal(contract.Decision{Reason: contract.NoCapacity, RetryAfter: gateway.DefaultRetryAfter})
+		return gateway.Admission{}, admissionRefusal(contract.Decision{Reason: contract.NoCapacity, RetryAfter: gateway.DefaultRetryAfter})
 	}
 	c := a.daemon.fleet.capacityOf(r.Model)
 	id := contract.RequestID(a.ids.next())
@@ -134,7 +134,7 @@
 	d, err := p.admit(ctx, rate, c.slots, contract.Request{
 		ID:           id,
 		Organisation: r.Organisation,
-		Priority:     priorityOf(r.Priority),
+		Priority:     clampPriority(r.Priority),
 		Tokens:       float64(r.Tokens),
 		Deadline:     r.Deadline,
 		Unseen:       !r.Streamed,
@@ -143,7 +143,7 @@
 		return gateway.Admission{}, err
 	}
 	if d.Verdict != contract.Admitted {
-		return gateway.Admission{}, refusal(d)
+		return gateway.Admission{}, admissionRefusal(d)
 	}
 	return gateway.Admission{
 		Started: func() { p.started(id) },
@@ -161,7 +161,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetContract(p.now(), shares)
-	p.pump()
+	p.deliverDecisions()
 }
 
 // admit returns the decision on a request, waiting for it if it is queued.
@@ -170,13 +170,13 @@
 	p.core.SetCapacity(p.now(), rate, slots)
 	d := p.core.Offer(p.now(), r)
 	if d.Verdict != contract.Queued {
-		p.pump()
+		p.deliverDecisions()
 		p.mu.Unlock()
 		return d, nil
 	}
 	decided := make(chan contract.Decision, 1)
 	p.waiting[r.ID] = decided
-	p.pump()
+	p.deliverDecisions()
 	p.mu.Unlock()
 	select {
 	case d := <-decided:
@@ -192,50 +192,50 @@
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
 	p.core.Cancel(p.now(), id)
-	p.pump()
+	p.deliverDecisions()
 }
 
 func (p *admissionPool) started(id contract.RequestID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.Started(p.now(), id)
-	p.pump()
+	p.deliverDecisions()
 }
 
 func (p *admissionPool) finish(id contract.RequestID, used float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.Finish(p.now(), id, used)
-	p.pump()
+	p.deliverDecisions()
 }
 
-func (p *admissionPool) wake() {
+func (p *admissionPool) onTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pump()
+	p.deliverDecisions()
 }
 
-// pump hands decisions to those that wait and sets the timer for the next one.
+// deliverDecisions hands decisions to those that wait and sets the timer for the next one.
 // The caller holds the lock.
-func (p *admissionPool) pump() {
+func (p *admissionPool) deliverDecisions() {
 	now := p.now()
-	p.out = p.core.Next(now, p.out[:0])
-	for _, o := range p.out {
+	p.outcomes = p.core.Next(now, p.outcomes[:0])
+	for _, o := range p.outcomes {
 		if decided, ok := p.waiting[o.ID]; ok {
 			decided <- o.Decision
 			delete(p.waiting, o.ID)
 		}
 	}
 	if at, ok := p.core.NextAt(); ok {
-		p.timer.Reset(max(at.Sub(now), minWake))
+		p.timer.Reset(max(at.Sub(now), minTimerDelay))
 	}
 }
 
-// minWake keeps a decision that is due at once from spinning.
-const minWake = time.Millisecond
+// minTimerDelay keeps a decision that is due at once from spinning.
+const minTimerDelay = time.Millisecond
 
-// refusal tells the caller at once that nothing ran and when to come back.
-func refusal(d contract.Decision) *gateway.Refusal {
+// admissionRefusal tells the caller at once that nothing ran and when to come back.
+func admissionRefusal(d contract.Decision) *gateway.Refusal {
 	r := &gateway.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       gateway.CodeOverloaded,
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -14,12 +14,12 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// oldClaimsGrace is how long a service runs on after the window has changed.
-const oldClaimsGrace = 2 * time.Minute
+// replacedServiceGrace is how long a service runs on after the window has changed.
+const replacedServiceGrace = 2 * time.Minute
 
-// claimPolls is how many polls of the log pass between reads of an idle claim
+// claimPollFactor is how many polls of the log pass between reads of an idle claim
 // stream. A claim reads its stream at once, so that nobody waits for it.
-const claimPolls = 2
+const claimPollFactor = 2
 
 // claimer runs the claims service with the window of the manifest in force.
 type claimer struct {
@@ -48,11 +48,11 @@
 	s := c.daemon.o.Settings
 	service, err := claims.New(claims.Options{
 		Log:    c.daemon.o.Log,
-		Owner:  fmt.Sprintf("%s/%d", s.Daemon.ID, c.daemon.life.UnixNano()),
+		Owner:  fmt.Sprintf("%s/%d", s.Daemon.ID, c.daemon.startedAt.UnixNano()),
 		Layout: ledger.Layout{Partitions: s.Claims.Partitions, Window: m.Retention.ClaimWindow},
 		Linger: s.Claims.BatchDelay,
-		Poll:   claimPolls * s.Platform.PollInterval,
-		Seed:   seedOf(s.Daemon.ID, c.daemon.life),
+		Poll:   claimPollFactor * s.Platform.PollInterval,
+		Seed:   seedOf(s.Daemon.ID, c.daemon.startedAt),
 	})
 	if err != nil {
 		c.log.Error("Claims cannot be made.", "error", err.Error())
@@ -71,7 +71,7 @@
 	}
 	if c.stop != nil {
 		// Calls that it has granted still have their results to write.
-		time.AfterFunc(oldClaimsGrace, c.stop)
+		time.AfterFunc(replacedServiceGrace, c.stop)
 	}
 	c.stop = c.start(c.service)
 }
@@ -115,7 +115,7 @@
 	c.daemon.metrics.Scope.Tagged(map[string]string{"outcome": string(a.Outcome)}).Counter("claims").Inc(1)
 	switch a.Outcome {
 	case claims.Granted:
-		return granted(a.Grant), nil
+		return grantedClaim(a.Grant), nil
 	case claims.Stored:
 		stored := gateway.StoredAnswer{Status: a.Result.Status, ContentType: a.Result.ContentType, Body: a.Result.Body}
 		return gateway.Claim{Decision: gateway.ClaimStored, Stored: stored}, nil
@@ -125,7 +125,7 @@
 	return gateway.Claim{}, claimRefusal(a)
 }
 
-func granted(g *claims.Grant) gateway.Claim {
+func grantedClaim(g *claims.Grant) gateway.Claim {
 	return gateway.Claim{
 		Decision: gateway.ClaimRun,
 		Complete: func(ctx context.Context, a gateway.StoredAnswer) error {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -59,24 +59,24 @@
 
 // Daemon is one daemon.
 type Daemon struct {
-	o         Options
-	life      time.Time
-	log       *logging.Logger
-	metrics   *telemetry.Metrics
-	catalogue *catalogue
-	manifests *logio.Manifests
-	fleet     *fleetView
-	daemons   daemonList
-	admission *admission
-	retries   *retries
-	drainer   *gateway.Drainer
-	shutdown  *shutdown
-	peers     *peer.Service
-	guard     *guard.Guard
-	room      *room.Limiter
-	gateway   *gateway.Gateway
-	claimer   *claimer
-	orders    *orderGiver
+	o           Options
+	startedAt   time.Time
+	log         *logging.Logger
+	metrics     *telemetry.Metrics
+	catalogue   *catalogue
+	manifests   *logio.Manifests
+	fleet       *fleetView
+	daemons     daemonList
+	admission   *admission
+	retries     *retries
+	drainer     *gateway.Drainer
+	shutdown    *shutdown
+	peers       *peer.Service
+	guard       *guard.Guard
+	limiter     *room.Limiter
+	gateway     *gateway.Gateway
+	claimer     *claimer
+	orderLeader *orderLeader
 }
 
 // New returns a daemon that is not yet running.
@@ -89,27 +89,27 @@
 	}
 	s := o.Settings
 	d := &Daemon{
-		o:       o,
-		life:    o.Now(),
-		log:     o.Logs.For(logging.ComponentDaemon),
-		metrics: telemetry.New(s.Daemon.ID, string(s.Daemon.Zone)),
-		drainer: gateway.NewDrainer(),
+		o:         o,
+		startedAt: o.Now(),
+		log:       o.Logs.For(logging.ComponentDaemon),
+		metrics:   telemetry.New(s.Daemon.ID, string(s.Daemon.Zone)),
+		drainer:   gateway.NewDrainer(),
 	}
 	d.shutdown = newShutdown(s.Drain, d.drainer, o.Now)
 	d.catalogue = newCatalogue(o.Logs.For(logging.ComponentManifest))
 	d.manifests = logio.NewManifests(logio.ManifestsOptions{
 		Log:     o.Log,
 		Poll:    s.Platform.PollInterval,
-		Seed:    seedOf(s.Daemon.ID, d.life),
-		Changed: d.changed,
+		Seed:    seedOf(s.Daemon.ID, d.startedAt),
+		Changed: d.onManifestChange,
 	})
 	client := engine.New(engine.Options{DialContext: o.Dial})
 	d.fleet = newFleetView(d, client)
 	d.admission = newAdmission(d)
-	d.retries = newRetries(o.Now, newRand(s.Daemon.ID, d.life))
+	d.retries = newRetries(o.Now, newRand(s.Daemon.ID, d.startedAt))
 	d.claimer = newClaimer(d)
-	d.orders = newOrderGiver(d)
-	d.guard, d.room = d.newGuard(), d.newRoom()
+	d.orderLeader = newOrderLeader(d)
+	d.guard, d.limiter = d.newGuard(), d.newLimiter()
 	peers, err := peer.New(d.peerOptions())
 	if err != nil {
 		return nil, eris.Wrap(err, "daemon: peers")
@@ -123,7 +123,7 @@
 	s := d.o.Settings.Callers
 	return gateway.Options{
 		Catalogue:  d.catalogue.index,
-		Bind:       d.fleet.bind,
+		Bind:       d.fleet.chooseVersion,
 		Engine:     client,
 		Placer:     d.fleet,
 		Admitter:   d.admission,
@@ -186,7 +186,7 @@
 	err = g.Wait()
 	d.peers.Close()
 	closeErr := d.metrics.Close()
-	d.log.Info("Daemon ends.", "cut", d.shutdown.cut())
+	d.log.Info("Daemon ends.", "cut", d.shutdown.cutStreams())
 	if d.shutdown.done() || errors.Is(err, context.Canceled) {
 		return closeErr
 	}
@@ -200,14 +200,14 @@
 	g.Go(func() error { return d.peers.Run(ctx) })
 	g.Go(func() error { return d.claimer.run(ctx) })
 	g.Go(func() error { return d.watch(ctx) })
-	g.Go(func() error { return d.orders.run(ctx) })
-	g.Go(func() error { return d.closeGaps(ctx) })
+	g.Go(func() error { return d.orderLeader.run(ctx) })
+	g.Go(func() error { return d.fetchMissingRecords(ctx) })
 	g.Go(func() error {
 		d.guard.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		d.room.Run(ctx)
+		d.limiter.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -6,9 +6,9 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// newFollower returns what follows the runners' cache events. It has a client
+// newEventFollower returns what follows the runners' cache events. It has a client
 // of its own, with the bounds of those streams.
-func newFollower(d *Daemon, sink cacheevents.Sink) *cacheevents.Follower {
+func newEventFollower(d *Daemon, sink cacheevents.Sink) *cacheevents.Follower {
 	client := engine.New(engine.Options{
 		DialContext:   d.o.Dial,
 		MaxEventBytes: cacheevents.MaxMessageBytes,
@@ -19,17 +19,17 @@
 		Client: client,
 		Sink:   sink,
 		Limit:  d.o.Settings.Routing.EventEndpoints,
-		Seed:   seedOf(d.o.Settings.Daemon.ID, d.life),
+		Seed:   seedOf(d.o.Settings.Daemon.ID, d.startedAt),
 		Now:    d.o.Now,
 	})
 }
 
-// runners returns the endpoints of the models' pools, each once; leaving ones
+// poolEndpoints returns the endpoints of the models' pools, each once; leaving ones
 // are in none. The caller holds the lock.
-func (v *fleetView) runners() []fleet.Endpoint {
+func (v *fleetView) poolEndpoints() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	seen := make(map[fleet.EndpointID]bool)
-	for _, shares := range v.shares {
+	for _, shares := range v.versionGroups {
 		for _, s := range shares {
 			for _, e := range s.Endpoints {
 				if !seen[e.ID] {
@@ -42,10 +42,10 @@
 	return list
 }
 
-// countEvents brings the metrics up to date.
-func (v *fleetView) countEvents() {
-	s, before := v.events.Stats(), v.counted
-	v.counted = s
+// updateEventMetrics brings the metrics up to date.
+func (v *fleetView) updateEventMetrics() {
+	s, before := v.events.Stats(), v.countedEvents
+	v.countedEvents = s
 	scope := v.daemon.metrics.Scope
 	scope.Counter("cache_event_bytes").Inc(s.Bytes - before.Bytes)
 	scope.Counter("cache_events").Inc(s.Events - before.Events)
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -22,18 +22,18 @@
 
 // Times and bounds of the fleet's upkeep.
 const (
-	fleetTick    = 200 * time.Millisecond
-	tickPerEach  = 250 * time.Microsecond // added for each endpoint
-	probesAtOnce = 8
-	// probesEach bounds the endpoints asked for their load in a second. A probe
+	baseTickInterval = 200 * time.Millisecond
+	tickPerEndpoint  = 250 * time.Microsecond // added for each endpoint
+	probeBurst       = 8
+	// probesPerSecond bounds the endpoints asked for their load in a second. A probe
 	// is 404 bytes on the wire (docs/CAPACITY.md): asking 22 endpoints every
 	// second would alone cost three times what a daemon may spend on control.
 	// Daemons ask different endpoints and tell each other at once of one that
 	// leaves, so that together nine of them still hear each in about a second.
-	probesEach  = 2
-	noticeEvery = 100 * time.Millisecond
-	newsWithin  = 10 * time.Second
-	newsLimit   = 32
+	probesPerSecond  = 2
+	announceInterval = 100 * time.Millisecond
+	evidenceWindow   = 10 * time.Second
+	maxEvidence      = 32
 )
 
 // fleetView is what this daemon believes of the endpoints: the platform's list
@@ -46,55 +46,55 @@
 
 	placement *placement.SharedView
 
-	probes *rate.Limiter
+	probeBudget *rate.Limiter
 
-	mu       sync.Mutex // guards the fields below
-	members  *fleet.Membership
-	manifest *manifest.Manifest
-	listed   bool // the platform's list has been read once
-	dirty    bool // pools must be worked out anew
-	pools    map[string][]fleet.Endpoint
-	capacity map[string]capacity // by model
-	shares   map[string][]rollout.VersionGroup
-	said     map[fleet.EndpointID]saying
-	gates    map[fleet.EndpointID]placement.Availability
-	all      []fleet.Member // as of the last refresh, by id
-	usable   []fleet.Member // of those, the ones that may get new work
-	failing  []fleet.EndpointID
-	places   map[fleet.EndpointID]fleet.Endpoint
+	mu            sync.Mutex // guards the fields below
+	members       *fleet.Membership
+	manifest      *manifest.Manifest
+	listed        bool // the platform's list has been read once
+	poolsStale    bool // pools must be worked out anew
+	pools         map[string][]fleet.Endpoint
+	capacity      map[string]capacity // by model
+	versionGroups map[string][]rollout.VersionGroup
+	reports       map[fleet.EndpointID]endpointReport
+	availability  map[fleet.EndpointID]placement.Availability
+	all           []fleet.Member // as of the last refresh, by id
+	usable        []fleet.Member // of those, the ones that may get new work
+	failing       []fleet.EndpointID
+	endpoints     map[fleet.EndpointID]fleet.Endpoint
 
 	healthMu sync.Mutex
 	health   *health.Tracker
 
-	events  *cacheevents.Follower
-	counted cacheevents.Stats // in the metrics already; of the upkeep alone
+	events        *cacheevents.Follower
+	countedEvents cacheevents.Stats // in the metrics already; of the upkeep alone
 
-	cutters *sync.Pool // of *prefix.Splitter, guarded by mu
-	ids     requestIDs
+	splitters *sync.Pool // of *prefix.Splitter, guarded by mu
+	ids       requestIDs
 }
 
 func newFleetView(d *Daemon, client *engine.Client) *fleetView {
 	s := d.o.Settings
 	v := &fleetView{
-		daemon:  d,
-		client:  client,
-		log:     d.o.Logs.For(logging.ComponentFleet),
-		now:     d.o.Now,
-		members: fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
-		pools:   map[string][]fleet.Endpoint{},
-		gates:   map[fleet.EndpointID]placement.Availability{},
-		probes:  rate.NewLimiter(probesEach, probesAtOnce),
-		said:    map[fleet.EndpointID]saying{},
-		places:  map[fleet.EndpointID]fleet.Endpoint{},
-		health:  health.New(health.Options{Rand: newRand(s.Daemon.ID, d.life)}),
+		daemon:       d,
+		client:       client,
+		log:          d.o.Logs.For(logging.ComponentFleet),
+		now:          d.o.Now,
+		members:      fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
+		pools:        map[string][]fleet.Endpoint{},
+		availability: map[fleet.EndpointID]placement.Availability{},
+		probeBudget:  rate.NewLimiter(probesPerSecond, probeBurst),
+		reports:      map[fleet.EndpointID]endpointReport{},
+		endpoints:    map[fleet.EndpointID]fleet.Endpoint{},
+		health:       health.New(health.Options{Rand: newRand(s.Daemon.ID, d.startedAt)}),
 	}
 	v.placement = placement.NewSharedView(placement.Options{
 		Zone:        s.Daemon.Zone,
 		PrefillRate: s.Routing.RunnerTokens,
 		MaxPrefixes: s.Routing.Prefixes,
 	})
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(prefix.Options{}) }}
-	v.events = newFollower(d, v.placement)
+	v.splitters = &sync.Pool{New: func() any { return prefix.NewSplitter(prefix.Options{}) }}
+	v.events = newEventFollower(d, v.placement)
 	return v
 }
 
@@ -103,26 +103,26 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.manifest = m
-	v.dirty = true
+	v.poolsStale = true
 	options := prefix.Options{PieceTokens: m.Fleet.PieceTokens, BytesPerToken: m.Fleet.BytesPerToken}
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(options) }}
+	v.splitters = &sync.Pool{New: func() any { return prefix.NewSplitter(options) }}
 	v.refresh()
 }
 
 // run keeps the view up to date until ctx ends.
 func (v *fleetView) run(ctx context.Context) error {
-	go v.follow(ctx)
+	go v.pollList(ctx)
 	defer v.events.Close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	notices := time.NewTicker(noticeEvery)
+	notices := time.NewTicker(announceInterval)
 	defer notices.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-notices.C:
-			v.notify()
+			v.announcePlacements()
 			continue
 		case <-timer.C:
 		}
@@ -137,12 +137,12 @@
 func (v *fleetView) tickInterval() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fleetTick + time.Duration(v.members.Len())*tickPerEach
+	return baseTickInterval + time.Duration(v.members.Len())*tickPerEndpoint
 }
 
-// follow reads the platform's list. A failed read changes nothing: endpoints
+// pollList reads the platform's list. A failed read changes nothing: endpoints
 // tell for themselves whether they serve.
-func (v *fleetView) follow(ctx context.Context) {
+func (v *fleetView) pollList(ctx context.Context) {
 	ticker := time.NewTicker(v.daemon.o.Settings.Platform.ListInterval)
 	defer ticker.Stop()
 	for {
@@ -169,14 +169,14 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.listed = v.listed || len(list) > 0
-	v.told(v.members.SetList(now, list))
+	v.applyChanges(v.members.SetList(now, list))
 	v.refresh()
 }
 
-// told logs changes of the membership and has the pools worked out anew. The
+// applyChanges logs changes of the membership and has the pools worked out anew. The
 // caller holds the lock.
-func (v *fleetView) told(changes []fleet.Change) {
-	v.dirty = v.dirty || len(changes) > 0
+func (v *fleetView) applyChanges(changes []fleet.Change) {
+	v.poolsStale = v.poolsStale || len(changes) > 0
 	for _, c := range changes {
 		if c.Kind == fleet.ChangeLeaving || c.Kind == fleet.ChangeRestarted {
 			v.daemon.peers.AnnounceEvidence()
@@ -189,17 +189,17 @@
 	now := v.now()
 	v.placement.Expire(now)
 	v.mu.Lock()
-	v.told(v.members.Expire(now))
-	probes := v.members.Probes(now, v.probesAllowed(now))
+	v.applyChanges(v.members.Expire(now))
+	probes := v.members.Probes(now, v.takeProbes(now))
 	for i := range probes {
 		v.members.RecordProbe(now, probes[i].ID)
 	}
 	v.refresh()
 	loads := v.loads()
-	runners := v.runners()
+	runners := v.poolEndpoints()
 	v.mu.Unlock()
 	v.events.Set(runners)
-	v.countEvents()
+	v.updateEventMetrics()
 	for model, l := range loads {
 		v.daemon.admission.setLoad(model, l.requests, l.slots)
 	}
@@ -208,10 +208,10 @@
 	}
 }
 
-// probesAllowed takes as many probes from the budget as it holds.
-func (v *fleetView) probesAllowed(now time.Time) int {
+// takeProbes takes as many probes from the budget as it holds.
+func (v *fleetView) takeProbes(now time.Time) int {
 	n := 0
-	for n < probesAtOnce && v.probes.AllowN(now, 1) {
+	for n < probeBurst && v.probeBudget.AllowN(now, 1) {
 		n++
 	}
 	return n
@@ -223,24 +223,24 @@
 	defer cancel()
 	load, err := readLoad(ctx, v.client, e)
 	if err != nil {
-		v.refused(e.ID)
+		v.recordRefusal(e.ID)
 		return
 	}
-	v.reported(e.ID, load)
+	v.applyReport(e.ID, load)
 	v.healthMu.Lock()
 	v.health.RecordProbe(v.now(), e.ID, load.Incarnation)
 	v.healthMu.Unlock()
 }
 
-// reported takes what an endpoint said of itself just now.
-func (v *fleetView) reported(id fleet.EndpointID, l fleet.Load) {
+// applyReport takes what an endpoint said of itself just now.
+func (v *fleetView) applyReport(id fleet.EndpointID, l fleet.Load) {
 	now := v.now()
 	l.At = now
 	v.mu.Lock()
-	v.told(v.members.ApplyReport(now, id, l))
-	if said := v.said[id]; said.slots != l.Slots || !slices.Equal(said.weights, l.Weights) {
-		v.said[id] = saying{weights: l.Weights, slots: l.Slots}
-		v.dirty = true
+	v.applyChanges(v.members.ApplyReport(now, id, l))
+	if said := v.reports[id]; said.slots != l.Slots || !slices.Equal(said.weights, l.Weights) {
+		v.reports[id] = endpointReport{weights: l.Weights, slots: l.Slots}
+		v.poolsStale = true
 	}
 	v.mu.Unlock()
 	v.placement.LoadReported(id, l)
@@ -249,7 +249,7 @@
 	v.healthMu.Unlock()
 }
 
-func (v *fleetView) refused(id fleet.EndpointID) {
+func (v *fleetView) recordRefusal(id fleet.EndpointID) {
 	now := v.now()
 	v.mu.Lock()
 	v.members.RecordRefusal(now, id)
@@ -259,14 +259,14 @@
 	v.healthMu.Unlock()
 }
 
-// known tells whether there is any endpoint to serve from.
-func (v *fleetView) known() bool {
+// hasEndpoints tells whether there is any endpoint to serve from.
+func (v *fleetView) hasEndpoints() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return len(v.places) > 0
+	return len(v.endpoints) > 0
 }
 
-// priorityOf keeps a value from outside within the table of priorities.
-func priorityOf(p contract.Priority) contract.Priority {
+// clampPriority keeps a value from outside within the table of priorities.
+func clampPriority(p contract.Priority) contract.Priority {
 	return min(max(p, 0), contract.PriorityCount-1)
 }
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -54,16 +54,16 @@
 	interval          time.Duration
 	now               func() time.Time
 
-	mu      sync.Mutex
-	current *tls.Certificate
-	looked  time.Time
-	changed time.Time // the file's own time of change
+	mu         sync.Mutex
+	current    *tls.Certificate
+	checkedAt  time.Time
+	modifiedAt time.Time // the file's own time of change
 }
 
 func newCertificate(certFile, keyFile string, interval time.Duration, now func() time.Time) (*certificate, error) {
 	c := &certificate{certFile: certFile, keyFile: keyFile, interval: interval, now: now}
-	c.changed = modified(certFile)
-	c.looked = now()
+	c.modifiedAt = modTime(certFile)
+	c.checkedAt = now()
 	loaded, err := tls.LoadX509KeyPair(certFile, keyFile)
 	if err != nil {
 		return nil, eris.Wrapf(err, "daemon: certificate %s", certFile)
@@ -76,20 +76,20 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.now()
-	if now.Sub(c.looked) < c.interval {
+	if now.Sub(c.checkedAt) < c.interval {
 		return c.current, nil
 	}
-	c.looked = now
-	if changed := modified(c.certFile); !changed.Equal(c.changed) {
+	c.checkedAt = now
+	if changed := modTime(c.certFile); !changed.Equal(c.modifiedAt) {
 		if loaded, err := tls.LoadX509KeyPair(c.certFile, c.keyFile); err == nil {
 			c.current = &loaded
-			c.changed = changed
+			c.modifiedAt = changed
 		}
 	}
 	return c.current, nil
 }
 
-func modified(path string) time.Time {
+func modTime(path string) time.Time {
 	info, err := os.Stat(path)
 	if err != nil {
 		return time.Time{}
--- a/daemon/listen_test.go
+++ b/daemon/listen_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// shown is the name in the certificate that a caller would be shown.
-func shown(t *testing.T, c *certificate) string {
+// servedName is the name in the certificate that a caller would be servedName.
+func servedName(t *testing.T, c *certificate) string {
 	t.Helper()
 	got, err := c.get(nil)
 	if err != nil {
@@ -72,7 +72,7 @@
 // The callers' certificate is renewed while the daemon runs, at first by a file
 // that is cut short. Callers would be shown the old one until it expires, or no
 // certificate at all.
-func TestRenewedCertificateIsShownWithoutARestart(t *testing.T) {
+func TestCertificateIsReloadedWithoutRestart(t *testing.T) {
 	now := testTime
 	dir := t.TempDir()
 	certFile, keyFile := writeCertificate(t, dir, "first", now)
@@ -81,7 +81,7 @@
 		t.Fatal(err)
 	}
 	writeCertificate(t, dir, "second", now.Add(time.Second))
-	if name := shown(t, c); name != "first" {
+	if name := servedName(t, c); name != "first" {
 		t.Errorf("%q is shown before the files are looked at again", name)
 	}
 	whole, err := os.ReadFile(certFile)
@@ -92,26 +92,26 @@
 		t.Fatal(err)
 	}
 	now = now.Add(time.Minute)
-	if name := shown(t, c); name != "first" {
+	if name := servedName(t, c); name != "first" {
 		t.Errorf("%q is shown while the file is half written", name)
 	}
 	writeCertificate(t, dir, "third", now)
 	now = now.Add(time.Minute)
-	if name := shown(t, c); name != "third" {
+	if name := servedName(t, c); name != "third" {
 		t.Errorf("%q is shown after the renewal", name)
 	}
 	if err := os.Remove(certFile); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(time.Minute)
-	if name := shown(t, c); name != "third" {
+	if name := servedName(t, c); name != "third" {
 		t.Errorf("%q is shown after the file was removed", name)
 	}
 }
 
 // Each reason for which a call was not claimed must be told as what it is:
 // nothing ran, and whether asking again under the same key can help.
-func TestRefusedClaimsAreToldTruthfully(t *testing.T) {
+func TestClaimRefusalStatusAndOutcome(t *testing.T) {
 	const wait = 5 * time.Second
 	for reason, want := range map[claims.Reason]struct {
 		status  int
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -7,16 +7,16 @@
 	"github.com/merlindock/merlindock/placement"
 )
 
-// news is what the neighbours are told of endpoints.
-func (v *fleetView) news(now time.Time) []fleet.Evidence {
+// recentEvidence is what the neighbours are told of endpoints.
+func (v *fleetView) recentEvidence(now time.Time) []fleet.Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.members.RecentEvidence(now, newsWithin, newsLimit)
+	return v.members.RecentEvidence(now, evidenceWindow, maxEvidence)
 }
 
-// notify tells the other daemons where cold prefixes went, so that the next
+// announcePlacements tells the other daemons where cold prefixes went, so that the next
 // question on the same document follows to the same endpoint.
-func (v *fleetView) notify() {
+func (v *fleetView) announcePlacements() {
 	notices := v.placement.TakeAnnouncements(nil)
 	if v.daemon.o.DisableAnnouncements {
 		return
@@ -26,15 +26,15 @@
 	}
 }
 
-// notified takes another daemon's notices.
-func (v *fleetView) notified(_ string, notices []placement.Announcement) {
+// receiveAnnouncements takes another daemon's notices.
+func (v *fleetView) receiveAnnouncements(_ string, notices []placement.Announcement) {
 	v.placement.ReceiveAnnouncements(notices)
 	v.daemon.metrics.Scope.Counter("notices_heard").Inc(int64(len(notices)))
 }
 
-// hearsay takes what a neighbour heard of endpoints.
-func (v *fleetView) hearsay(now time.Time, es []fleet.Evidence) {
+// applyNeighbourEvidence takes what a neighbour heard of endpoints.
+func (v *fleetView) applyNeighbourEvidence(now time.Time, es []fleet.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.told(v.members.ApplyNeighbourEvidence(now, es))
+	v.applyChanges(v.members.ApplyNeighbourEvidence(now, es))
 }
--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -42,7 +42,7 @@
 		callerLeft: scope.Counter("callers_left"),
 		callerSlow: scope.Counter("callers_slow"),
 	}
-	for outcome, name := range attemptNames {
+	for outcome, name := range attemptLabels {
 		o.attempts[outcome] = scope.Tagged(map[string]string{"outcome": name}).Counter("attempts")
 	}
 	for p := range contract.PriorityCount {
@@ -73,7 +73,7 @@
 	if r.Code != "" {
 		tags := map[string]string{"code": r.Code, "outcome": string(r.Outcome)}
 		o.scope.Tagged(tags).Counter("requests_failed").Inc(1)
-		o.failed(r)
+		o.logUnknownOutcome(r)
 		return
 	}
 	m := &o.priorities[r.Priority]
@@ -87,10 +87,10 @@
 	}
 }
 
-// failed logs a request that may have run without an answer: its caller needs
+// logUnknownOutcome logs a request that may have run without an answer: its caller needs
 // help to learn what became of it. Refusals are counted only, since in an
 // overload their lines would cost more than the refusals.
-func (o *observer) failed(r *gateway.Report) {
+func (o *observer) logUnknownOutcome(r *gateway.Report) {
 	if r.Outcome != gateway.OutcomeUnknown {
 		return
 	}
@@ -105,7 +105,7 @@
 	}
 }
 
-var attemptNames = map[gateway.AttemptOutcome]string{
+var attemptLabels = map[gateway.AttemptOutcome]string{
 	gateway.AttemptAnswered:  "answered",
 	gateway.AttemptNotSent:   "not_sent",
 	gateway.AttemptNotRun:    "not_run",
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -11,36 +11,36 @@
 	"github.com/merlindock/merlindock/orders"
 )
 
-// ordersLease names the lease of the one giver of orders.
-const ordersLease = "orders"
+// ordersLeaseName names the lease of the one giver of orders.
+const ordersLeaseName = "orders"
 
-// leasePolls is how many polls of the log pass between reads of the lease
+// leasePollFactor is how many polls of the log pass between reads of the lease
 // stream: a lease that lapsed is taken over a little later, and orders wait.
-const leasePolls = 3
+const leasePollFactor = 3
 
-// orderGiver gives orders to endpoints while this daemon holds the lease.
-type orderGiver struct {
+// orderLeader gives orders to endpoints while this daemon holds the lease.
+type orderLeader struct {
 	daemon *Daemon
 	log    *logging.Logger
 	keeper *logio.LeaseKeeper
-	giver  *orders.Leader
+	leader *orders.Leader
 }
 
-func newOrderGiver(d *Daemon) *orderGiver {
+func newOrderLeader(d *Daemon) *orderLeader {
 	s := d.o.Settings
-	g := &orderGiver{daemon: d, log: d.o.Logs.For(logging.ComponentOrders)}
+	g := &orderLeader{daemon: d, log: d.o.Logs.For(logging.ComponentOrders)}
 	g.keeper = logio.NewLeaseKeeper(logio.LeaseOptions{
 		Log:    d.o.Log,
-		Name:   ordersLease,
-		Holder: fmt.Sprintf("%s/%d", s.Daemon.ID, d.life.UnixNano()),
+		Name:   ordersLeaseName,
+		Holder: fmt.Sprintf("%s/%d", s.Daemon.ID, d.startedAt.UnixNano()),
 		TTL:    s.Orders.Lease,
-		Poll:   leasePolls * s.Platform.PollInterval,
-		Seed:   seedOf(s.Daemon.ID, d.life),
+		Poll:   leasePollFactor * s.Platform.PollInterval,
+		Seed:   seedOf(s.Daemon.ID, d.startedAt),
 		Want:   d.shutdown.ready,
 	})
-	g.giver = orders.New(orders.Options{
+	g.leader = orders.New(orders.Options{
 		Lease:      g.keeper,
-		FleetState: d.situation,
+		FleetState: d.fleetState,
 		Dial:       d.o.Dial,
 		Observe:    g.observe,
 	})
@@ -48,19 +48,19 @@
 }
 
 // run competes for the lease and gives orders until ctx ends.
-func (g *orderGiver) run(ctx context.Context) error {
+func (g *orderLeader) run(ctx context.Context) error {
 	if !g.daemon.o.Settings.Orders.Enabled {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	var running sync.WaitGroup
 	running.Go(func() { _ = g.keeper.Run(ctx) })
-	err := g.giver.Run(ctx)
+	err := g.leader.Run(ctx)
 	running.Wait()
 	return err
 }
 
-func (g *orderGiver) observe(e orders.Event) {
+func (g *orderLeader) observe(e orders.Event) {
 	g.daemon.metrics.Scope.Tagged(map[string]string{"kind": string(e.Kind)}).Counter("order_events").Inc(1)
 	fields := []any{"kind", string(e.Kind), "fence", int64(e.Fence), "endpoint", string(e.Endpoint)}
 	if e.Order != nil {
@@ -77,8 +77,8 @@
 	}
 }
 
-// situation is what this daemon plans orders from.
-func (d *Daemon) situation(now time.Time) orders.FleetState {
+// fleetState is what this daemon plans orders from.
+func (d *Daemon) fleetState(now time.Time) orders.FleetState {
 	v := d.manifests.InForce()
 	if v == nil {
 		return orders.FleetState{}
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -26,9 +26,9 @@
 
 // How often a daemon without a manifest asks its neighbours, at first and later.
 const (
-	bootstrapFirst = 5 * time.Millisecond
-	bootstrapEvery = 250 * time.Millisecond
-	gapLook        = 10 * time.Second // between looks whether records were missed
+	minBootstrapDelay = 5 * time.Millisecond
+	maxBootstrapDelay = 250 * time.Millisecond
+	gapCheckInterval  = 10 * time.Second // between looks whether records were missed
 )
 
 // daemonList is the newest list of daemons. An empty one never replaces it.
@@ -63,7 +63,7 @@
 		peers = append(peers, gossip.Peer{Name: list[i].ID, Address: list[i].PeerAddress})
 	}
 	d.guard.SetDaemons(peers)
-	d.room.SetDaemons(peers)
+	d.limiter.SetDaemons(peers)
 }
 
 func (d *Daemon) peerOptions() peer.Options {
@@ -74,22 +74,22 @@
 			Zone:        s.Daemon.Zone,
 			PeerAddress: s.Listen.Peers,
 		},
-		Incarnation:              uint64(d.life.UnixNano()),
+		Incarnation:              uint64(d.startedAt.UnixNano()),
 		Daemons:                  d.daemons.get,
 		LocalDigest:              d.localDigest,
-		OnDigest:                 d.heard,
-		OnPlacementAnnouncements: d.fleet.notified,
-		OnMessage:                d.relayed,
+		OnDigest:                 d.onDigest,
+		OnPlacementAnnouncements: d.fleet.receiveAnnouncements,
+		OnMessage:                d.receiveMessage,
 		FetchManifest:            d.fetchManifest,
 		AwaitRevision: func(ctx context.Context, r neighbour.Revision) bool {
 			return d.manifests.Await(ctx, r.Offset)
 		},
-		Merge:       d.merge,
+		Merge:       d.adoptManifest,
 		Observe:     d.observePeers,
 		Neighbours:  neighbour.Options{ZonePairs: s.Peers.ZonePairs},
 		Interval:    s.Peers.Interval,
 		CallTimeout: s.Peers.Timeout,
-		Seed:        seedOf(s.Daemon.ID, d.life),
+		Seed:        seedOf(s.Daemon.ID, d.startedAt),
 	}
 	if dial := d.o.Dial; dial != nil {
 		o.Dial = func(ctx context.Context, address string) (net.Conn, error) { return dial(ctx, "tcp", address) }
@@ -131,17 +131,17 @@
 
 // localDigest is what the neighbours are told.
 func (d *Daemon) localDigest(now time.Time) peer.LocalState {
-	l := peer.LocalState{Endpoints: d.fleet.news(now), Usage: d.admission.usage(now, !d.shutdown.ready())}
+	l := peer.LocalState{Endpoints: d.fleet.recentEvidence(now), Usage: d.admission.encodeUsage(now, !d.shutdown.ready())}
 	if v := d.manifests.InForce(); v != nil {
 		l.Accepted = revisionOf(v.Revision)
 	}
 	return l
 }
 
-// heard takes what a neighbour told of endpoints and organisations.
-func (d *Daemon) heard(now time.Time, n neighbour.Digest) {
-	d.fleet.hearsay(now, n.Endpoints)
-	d.admission.heard(now, contract.DaemonID(n.Daemon), n.Usage)
+// onDigest takes what a neighbour told of endpoints and organisations.
+func (d *Daemon) onDigest(now time.Time, n neighbour.Digest) {
+	d.fleet.applyNeighbourEvidence(now, n.Endpoints)
+	d.admission.mergeUsage(now, contract.DaemonID(n.Daemon), n.Usage)
 }
 
 // fetchManifest gives a neighbour the manifest in force and its proof.
@@ -159,8 +159,8 @@
 	return peer.Accepted{Revision: revisionOf(c.Revision), Manifest: text, Proof: proof}, nil
 }
 
-// merge brings a neighbour's manifest into force if the fold takes its proof.
-func (d *Daemon) merge(_ context.Context, from string, a peer.Accepted) error {
+// adoptManifest brings a neighbour's manifest into force if the fold takes its proof.
+func (d *Daemon) adoptManifest(_ context.Context, from string, a peer.Accepted) error {
 	var c ledger.Checkpoint
 	if err := json.Unmarshal(a.Proof, &c); err != nil {
 		return eris.Wrapf(err, "daemon: proof from %s", from)
@@ -173,7 +173,7 @@
 // so that a daemon that starts while the log is down serves at once. The first
 // times it asks often: the list of daemons is being read meanwhile.
 func (d *Daemon) bootstrap(ctx context.Context) {
-	for pause := bootstrapFirst; d.manifests.InForce() == nil; pause = min(2*pause, bootstrapEvery) {
+	for pause := minBootstrapDelay; d.manifests.InForce() == nil; pause = min(2*pause, maxBootstrapDelay) {
 		if _, err := d.peers.Bootstrap(ctx); err == nil {
 			return
 		}
@@ -187,12 +187,12 @@
 	}
 }
 
-// closeGaps asks the neighbours for a proof while records of the log are
+// fetchMissingRecords asks the neighbours for a proof while records of the log are
 // missing here. Neighbours announce only what is newer; without asking, a daemon
 // that was cut off past the retention could not publish until the next
 // checkpoint, hours later.
-func (d *Daemon) closeGaps(ctx context.Context) error {
-	ticker := time.NewTicker(gapLook)
+func (d *Daemon) fetchMissingRecords(ctx context.Context) error {
+	ticker := time.NewTicker(gapCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -207,30 +207,30 @@
 	}
 }
 
-// usage writes the organisations' use for the neighbours, as many pools as fit
+// encodeUsage writes the organisations' use for the neighbours, as many pools as fit
 // into one digest. With many models they take turns: a digest that held all
 // would fill the budget for control and be sent seldom.
-func (a *admission) usage(now time.Time, leaving bool) []byte {
-	pools := a.all()
+func (a *admission) encodeUsage(now time.Time, leaving bool) []byte {
+	pools := a.listPools()
 	names := slices.Sorted(maps.Keys(pools))
-	a.turnMu.Lock()
-	defer a.turnMu.Unlock()
+	a.digestMu.Lock()
+	defer a.digestMu.Unlock()
 	var u peerpb.Usage
 	size := 0
 	for i := range names {
-		name := names[(a.turn+i)%len(names)]
+		name := names[(a.nextPool+i)%len(names)]
 		text, err := pools[name].digest(now, leaving)
 		if err != nil {
 			continue
 		}
-		size += len(name) + len(text) + usageOverhead
-		if len(u.Pools) > 0 && size > maxUsage {
+		size += len(name) + len(text) + poolUsageOverhead
+		if len(u.Pools) > 0 && size > maxUsageBytes {
 			break
 		}
 		u.Pools = append(u.Pools, &peerpb.PoolUse{Pool: name, Digest: text})
 	}
 	if len(names) > 0 {
-		a.turn = (a.turn + len(u.Pools)) % len(names)
+		a.nextPool = (a.nextPool + len(u.Pools)) % len(names)
 	}
 	text, err := proto.Marshal(&u)
 	if err != nil || len(text) > neighbour.MaxUsage {
@@ -246,20 +246,20 @@
 	return digest.AppendBinary(nil)
 }
 
-// maxUsage bounds the use in one digest, but for the first pool.
-const maxUsage = 1 << 10
+// maxUsageBytes bounds the use in one digest, but for the first pool.
+const maxUsageBytes = 1 << 10
 
-// usageOverhead bounds what the encoding adds to one pool's use.
-const usageOverhead = 16
+// poolUsageOverhead bounds what the encoding adds to one pool's use.
+const poolUsageOverhead = 16
 
-// heard takes a neighbour's use. What cannot be read is left out: the next
+// mergeUsage takes a neighbour's use. What cannot be read is left out: the next
 // digest is whole in itself.
-func (a *admission) heard(now time.Time, from contract.DaemonID, usage []byte) {
+func (a *admission) mergeUsage(now time.Time, from contract.DaemonID, usage []byte) {
 	var u peerpb.Usage
 	if proto.Unmarshal(usage, &u) != nil {
 		return
 	}
-	pools := a.all()
+	pools := a.listPools()
 	for _, use := range u.Pools {
 		p := pools[use.Pool]
 		digest, err := contract.ParseDigest(use.Digest)
@@ -268,7 +268,7 @@
 		}
 		p.mu.Lock()
 		p.core.MergeDigest(now, from, digest)
-		p.pump()
+		p.deliverDecisions()
 		p.mu.Unlock()
 	}
 }
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -28,9 +28,9 @@
 	return rand.New(rand.NewPCG(seedOf(id, life), uint64(life.UnixNano())))
 }
 
-// trialsAtOnce bounds how often a request is placed anew because the endpoint
+// maxTrialRetries bounds how often a request is placed anew because the endpoint
 // that was chosen is on trial with another one.
-const trialsAtOnce = 3
+const maxTrialRetries = 3
 
 // errAtLimits is what callers are told while all endpoints are at the limits that they
 // name.
@@ -43,11 +43,11 @@
 // other daemons' words for a moment.
 func (v *fleetView) Place(ctx context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
 	if r.Attempt <= 1 {
-		v.daemon.retries.earn()
+		v.daemon.retries.recordRequest()
 	}
 	for waited := 0; ; waited++ {
 		p, err := v.place(r)
-		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.room.AwaitingReply() {
+		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.limiter.AwaitingReply() {
 			return p, err
 		}
 		if err := pause.For(ctx, room.ReplyWait); err != nil {
@@ -57,26 +57,26 @@
 }
 
 func (v *fleetView) place(r *gateway.PlaceRequest) (gateway.Placement, error) {
-	levels := v.levels(r)
+	levels := v.promptLevels(r)
 	request := placement.Request{
 		Pool:     classPool(r.Class),
 		Levels:   levels,
 		Tokens:   r.PromptTokens,
-		Priority: priorityOf(r.Priority),
+		Priority: clampPriority(r.Priority),
 		Avoid:    r.Exclude,
 	}
 	if r.Kind == fleet.KindModel {
 		request.Pool = modelPool(r.Target.Model, r.Target.Version)
 	}
 	repeatable := r.Kind == fleet.KindModel
-	full := v.daemon.room.AtLimit()
+	full := v.daemon.limiter.AtLimit()
 	request.Avoid = append(slices.Clone(r.Exclude), full...)
 	for tries := 0; ; tries++ {
 		request.ID = v.ids.next()
 		decision, err := v.placement.Place(v.now(), request)
-		if err != nil && repeatable && tries > 0 && tries < trialsAtOnce {
+		if err != nil && repeatable && tries > 0 && tries < maxTrialRetries {
 			// Only endpoints on trial are left: better one of them than none.
-			tries, request.Avoid = trialsAtOnce-1, append(slices.Clone(r.Exclude), full...)
+			tries, request.Avoid = maxTrialRetries-1, append(slices.Clone(r.Exclude), full...)
 			continue
 		}
 		if err != nil && len(full) > 0 {
@@ -85,10 +85,10 @@
 		if err != nil {
 			return gateway.Placement{}, err
 		}
-		last := tries == trialsAtOnce
-		if v.mayTry(decision.Endpoint, repeatable) || (last && repeatable) {
-			if v.daemon.room.Acquire(decision.Endpoint) {
-				return v.placed(request.ID, levels, &decision), nil
+		last := tries == maxTrialRetries
+		if v.allowRequest(decision.Endpoint, repeatable) || (last && repeatable) {
+			if v.daemon.limiter.Acquire(decision.Endpoint) {
+				return v.newPlacement(request.ID, levels, &decision), nil
 			}
 			v.placement.Finished(v.now(), request.ID)
 			full = append(full, decision.Endpoint)
@@ -105,24 +105,24 @@
 	}
 }
 
-// mayTry reports whether an endpoint that is due back after failing may have
+// allowRequest reports whether an endpoint that is due back after failing may have
 // this request. One at a time finds out whether it is back; else all requests
 // of its prefixes would be lost on it together. A call that may not be repeated
 // is never the one.
-func (v *fleetView) mayTry(id fleet.EndpointID, repeatable bool) bool {
+func (v *fleetView) allowRequest(id fleet.EndpointID, repeatable bool) bool {
 	v.healthMu.Lock()
 	defer v.healthMu.Unlock()
 	now := v.now()
 	return v.health.Status(now, id) != health.Trial || v.health.Allow(now, id, repeatable)
 }
 
-// levels cuts the prompt into the levels that placement counts in.
-func (v *fleetView) levels(r *gateway.PlaceRequest) []prefix.Level {
+// promptLevels cuts the prompt into the promptLevels that placement counts in.
+func (v *fleetView) promptLevels(r *gateway.PlaceRequest) []prefix.Level {
 	if r.Kind != fleet.KindModel {
 		return nil
 	}
 	v.mu.Lock()
-	pool := v.cutters
+	pool := v.splitters
 	v.mu.Unlock()
 	c := pool.Get().(*prefix.Splitter)
 	defer pool.Put(c)
@@ -142,11 +142,11 @@
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// placed turns a decision into a placement whose callbacks correct the view.
-func (v *fleetView) placed(id uint64, levels []prefix.Level, d *placement.Decision) gateway.Placement {
+// newPlacement turns a decision into a placement whose callbacks correct the view.
+func (v *fleetView) newPlacement(id uint64, levels []prefix.Level, d *placement.Decision) gateway.Placement {
 	v.mu.Lock()
-	address := v.places[d.Endpoint].Address
-	store := v.places[d.ImportFrom].Address
+	address := v.endpoints[d.Endpoint].Address
+	store := v.endpoints[d.ImportFrom].Address
 	v.mu.Unlock()
 	p := gateway.Placement{
 		Endpoint:       d.Endpoint,
@@ -157,13 +157,13 @@
 		Prefix:         prefix.Format(prefix.ReusableLevels(levels)),
 	}
 	expected := d.ExpectedFirstToken
-	p.Began = func(m engine.Metadata) { v.began(id, p.Endpoint, levels, m) }
-	p.Done = func(r gateway.Result) { v.ended(id, p.Endpoint, expected, r) }
+	p.Began = func(m engine.Metadata) { v.onBegan(id, p.Endpoint, levels, m) }
+	p.Done = func(r gateway.Result) { v.onDone(id, p.Endpoint, expected, r) }
 	return p
 }
 
-func (v *fleetView) began(id uint64, e fleet.EndpointID, levels []prefix.Level, m engine.Metadata) {
-	v.daemon.room.Answered(e, m.Limit)
+func (v *fleetView) onBegan(id uint64, e fleet.EndpointID, levels []prefix.Level, m engine.Metadata) {
+	v.daemon.limiter.Answered(e, m.Limit)
 	if m.NotRun {
 		return
 	}
@@ -177,13 +177,13 @@
 	if m.HasLoad {
 		a.Load = &m.Load
 		a.Load.At = v.now()
-		v.reported(e, m.Load)
+		v.applyReport(e, m.Load)
 	}
 	v.placement.Answered(v.now(), a)
 }
 
-// ended tells placement, membership and health how the attempt went.
-func (v *fleetView) ended(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.Result) {
+// onDone tells placement, membership and health how the attempt went.
+func (v *fleetView) onDone(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.Result) {
 	now := v.now()
 	if r.Outcome == gateway.AttemptAnswered || r.Outcome == gateway.AttemptCancelled {
 		v.placement.Finished(now, id)
@@ -192,7 +192,7 @@
 		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, ConnectionLost: dead})
 	}
 	if r.Status != 0 {
-		v.daemon.room.Answered(e, r.Meta.Limit)
+		v.daemon.limiter.Answered(e, r.Meta.Limit)
 	}
 	switch r.Outcome {
 	case gateway.AttemptAnswered:
@@ -200,10 +200,10 @@
 		v.health.RecordSuccess(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
 	case gateway.AttemptNotSent:
-		v.daemon.room.Release(e)
-		v.refused(e)
+		v.daemon.limiter.Release(e)
+		v.recordRefusal(e)
 	case gateway.AttemptNotRun:
-		v.notRun(e, r.Meta)
+		v.onNotRun(e, r.Meta)
 	case gateway.AttemptFailed:
 		v.healthMu.Lock()
 		v.health.RecordFailure(now, e, r.Meta.Incarnation)
@@ -212,17 +212,17 @@
 	}
 }
 
-// notRun takes an endpoint's refusal. What it says of itself counts at once: one
+// onNotRun takes an endpoint's refusal. What it says of itself counts at once: one
 // that is leaving gets no new work, whatever the platform's list says, and one
 // that serves another weight version gets requests for that.
-func (v *fleetView) notRun(e fleet.EndpointID, m engine.Metadata) {
+func (v *fleetView) onNotRun(e fleet.EndpointID, m engine.Metadata) {
 	if !m.HasLoad {
 		return
 	}
-	v.reported(e, m.Load)
+	v.applyReport(e, m.Load)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.dirty {
+	if v.poolsStale {
 		v.refresh()
 	}
 }
--- a/daemon/pools.go
+++ b/daemon/pools.go
@@ -14,9 +14,9 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// saying is what an endpoint last said of itself that pools and their capacity
+// endpointReport is what an endpoint last said of itself that pools and their capacity
 // are worked out from.
-type saying struct {
+type endpointReport struct {
 	weights []fleet.Weights
 	slots   int
 }
@@ -36,13 +36,13 @@
 	now := v.now()
 	v.all = v.members.AppendAll(v.all[:0], now)
 	v.usable = v.members.AppendUsable(v.usable[:0], now)
-	v.refreshGates(now)
-	if !v.dirty {
+	v.refreshAvailability(now)
+	if !v.poolsStale {
 		return
 	}
-	v.dirty = false
+	v.poolsStale = false
 	v.refreshPools(v.all)
-	v.setStore(v.all)
+	v.selectStore(v.all)
 }
 
 // refreshPools works out which endpoints serve what. Leaving ones are in no
@@ -56,11 +56,11 @@
 		}
 	}
 	v.capacity = map[string]capacity{}
-	v.shares = map[string][]rollout.VersionGroup{}
+	v.versionGroups = map[string][]rollout.VersionGroup{}
 	for i := range v.manifest.Models {
 		model := v.manifest.Models[i].ID
 		shares := rollout.GroupByVersion(v.manifest, model, staying)
-		v.shares[model] = shares
+		v.versionGroups[model] = shares
 		for _, s := range shares {
 			v.setPool(modelPool(model, s.Version), s.Endpoints)
 			c := v.capacity[model]
@@ -82,7 +82,7 @@
 			slots[m.ID] = v.daemon.o.Settings.Routing.RunnerSlots
 		}
 	}
-	for model, shares := range v.shares {
+	for model, shares := range v.versionGroups {
 		c := v.capacity[model]
 		for _, s := range shares {
 			for i := range s.Endpoints {
@@ -114,12 +114,12 @@
 
 // loads adds up the load reports behind each model. The caller holds the lock.
 func (v *fleetView) loads() map[string]poolLoad {
-	sums := make(map[string]poolLoad, len(v.shares))
-	for model, shares := range v.shares {
+	sums := make(map[string]poolLoad, len(v.versionGroups))
+	for model, shares := range v.versionGroups {
 		sum := poolLoad{}
 		for _, s := range shares {
 			for i := range s.Endpoints {
-				sum.add(v.memberOf(s.Endpoints[i].ID))
+				sum.add(v.memberByID(s.Endpoints[i].ID))
 			}
 		}
 		sums[model] = sum
@@ -135,9 +135,9 @@
 	l.slots += m.Load.Slots
 }
 
-// memberOf finds an endpoint in the newest copy of the membership, which is
+// memberByID finds an endpoint in the newest copy of the membership, which is
 // ordered by id. The caller holds the lock.
-func (v *fleetView) memberOf(id fleet.EndpointID) *fleet.Member {
+func (v *fleetView) memberByID(id fleet.EndpointID) *fleet.Member {
 	i, found := slices.BinarySearchFunc(v.all, id, func(m fleet.Member, id fleet.EndpointID) int {
 		return cmp.Compare(m.ID, id)
 	})
@@ -160,14 +160,14 @@
 	v.placement.SetPool(name, members)
 }
 
-// bind implements the gateway's choice of a weight version: while a rollout is
+// chooseVersion implements the gateway's choice of a weight version: while a rollout is
 // under way some runners serve the old version and some the new one.
-func (v *fleetView) bind(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target {
+func (v *fleetView) chooseVersion(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(org) + "|" + t.Model + "|")
 	_, _ = d.Write(firstLevel)
 	v.mu.Lock()
-	shares := v.shares[t.Model]
+	shares := v.versionGroups[t.Model]
 	v.mu.Unlock()
 	if s, ok := rollout.ChooseVersion(shares, t.Version, d.Sum64()); ok {
 		t.Version = s.Version
@@ -175,9 +175,9 @@
 	return t
 }
 
-// refreshGates closes the gates of endpoints that leave or fail.
-func (v *fleetView) refreshGates(now time.Time) {
-	clear(v.places)
+// refreshAvailability closes the gates of endpoints that leave or fail.
+func (v *fleetView) refreshAvailability(now time.Time) {
+	clear(v.endpoints)
 	v.healthMu.Lock()
 	v.failing = v.health.AppendUnusable(now, v.failing[:0])
 	v.healthMu.Unlock()
@@ -185,24 +185,24 @@
 	usable := v.usable // by id, as v.all is
 	for i := range v.all {
 		m := &v.all[i]
-		v.places[m.ID] = m.Endpoint
+		v.endpoints[m.ID] = m.Endpoint
 		mayServe := len(usable) > 0 && usable[0].ID == m.ID
 		if mayServe {
 			usable = usable[1:]
 		}
 		_, fails := slices.BinarySearch(v.failing, m.ID)
-		v.setGate(m, mayServe && !fails)
+		v.setAvailability(m, mayServe && !fails)
 	}
-	for id := range v.gates {
-		if _, ok := v.places[id]; !ok {
-			delete(v.gates, id)
-			delete(v.said, id)
+	for id := range v.availability {
+		if _, ok := v.endpoints[id]; !ok {
+			delete(v.availability, id)
+			delete(v.reports, id)
 		}
 	}
 }
 
-// setGate tells placement when the gate of an endpoint has changed.
-func (v *fleetView) setGate(m *fleet.Member, open bool) {
+// setAvailability tells placement when the gate of an endpoint has changed.
+func (v *fleetView) setAvailability(m *fleet.Member, open bool) {
 	gate := placement.Available
 	switch {
 	case m.Leaving:
@@ -210,16 +210,16 @@
 	case !open:
 		gate = placement.Ejected
 	}
-	if before, ok := v.gates[m.ID]; ok && before == gate {
+	if before, ok := v.availability[m.ID]; ok && before == gate {
 		return
 	}
-	v.gates[m.ID] = gate
+	v.availability[m.ID] = gate
 	v.placement.SetAvailability(m.ID, gate)
 }
 
-// setStore names the KV store to import from: the first usable one of the own
+// selectStore names the KV store to import from: the first usable one of the own
 // zone, or else of any.
-func (v *fleetView) setStore(all []fleet.Member) {
+func (v *fleetView) selectStore(all []fleet.Member) {
 	var chosen fleet.EndpointID
 	for i := range all {
 		m := &all[i]
--- a/daemon/publish.go
+++ b/daemon/publish.go
@@ -17,7 +17,7 @@
 	ctx, cancel := context.WithTimeout(ctx, logio.PublishTimeout)
 	defer cancel()
 	r, err := s.manifests.Publish(ctx, base, *m, s.o.Settings.Daemon.ID)
-	return published(base, r), err
+	return newPublication(base, r), err
 }
 
 // PublishSection implements admin.System. A change that is in force already is
@@ -32,7 +32,7 @@
 		return admin.Publication{Outcome: admin.OutcomeNotPublished}, err
 	}
 	if change.Was == change.Digest {
-		return admin.Publication{Outcome: admin.OutcomeAccepted, Revision: shownRevision(v.Revision), Base: v.Base}, nil
+		return admin.Publication{Outcome: admin.OutcomeAccepted, Revision: adminRevision(v.Revision), Base: v.Base}, nil
 	}
 	if change.Was != c.Was {
 		return admin.Publication{Outcome: admin.OutcomeRefused}, admin.ErrSectionChanged
@@ -40,18 +40,18 @@
 	ctx, cancel := context.WithTimeout(ctx, logio.PublishTimeout)
 	defer cancel()
 	r, err := s.manifests.PublishSection(ctx, change)
-	return published(v.Revision.Offset, r), err
+	return newPublication(v.Revision.Offset, r), err
 }
 
-// outcomes says how each outcome of the log is told to an operator.
-var outcomes = map[logio.PublishOutcome]admin.Outcome{
+// publishOutcomes says how each outcome of the log is told to an operator.
+var publishOutcomes = map[logio.PublishOutcome]admin.Outcome{
 	logio.PublishAccepted:    admin.OutcomeAccepted,
 	logio.PublishRefused:     admin.OutcomeRefused,
 	logio.PublishNotAppended: admin.OutcomeNotPublished,
 	logio.PublishUnknown:     admin.OutcomeUnknown,
 }
 
-func published(base ports.Offset, r logio.PublishResult) admin.Publication {
+func newPublication(base ports.Offset, r logio.PublishResult) admin.Publication {
 	p := admin.Publication{
 		Outcome:   admin.OutcomeUnknown,
 		Revision:  admin.Revision{Offset: r.Offset, Digest: string(r.Digest)},
@@ -59,7 +59,7 @@
 		RefusedBy: r.By,
 		Reason:    string(r.Reason),
 	}
-	if o, known := outcomes[r.Outcome]; known {
+	if o, known := publishOutcomes[r.Outcome]; known {
 		p.Outcome = o
 	}
 	if r.Detail != "" {
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -23,8 +23,8 @@
 	return &retries{now: now, budget: retry.NewBudget(retry.BudgetOptions{}), rng: rng}
 }
 
-// earn counts the first attempt of a request.
-func (r *retries) earn() {
+// recordRequest counts the first attempt of a request.
+func (r *retries) recordRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.budget.RecordRequest(r.now())
--- a/daemon/retries_test.go
+++ b/daemon/retries_test.go
@@ -17,7 +17,7 @@
 	return newRetries(func() time.Time { return testTime }, rand.New(rand.NewPCG(1, 2)))
 }
 
-func TestRetriesFollowWhatIsKnown(t *testing.T) {
+func TestRetryDecisionByFailureClass(t *testing.T) {
 	for name, c := range map[string]struct {
 		failure gateway.Failure
 		want    bool
@@ -38,7 +38,7 @@
 // Endpoints fail every request for a while. A daemon that repeated each of them
 // would double their load; it stops when its budget is spent, but goes on
 // resuming streams that callers have a part of.
-func TestRetriesAreBounded(t *testing.T) {
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	r := testRetries()
 	prompts, streams := 0, 0
 	for range 200 {
@@ -59,18 +59,18 @@
 // A resumed stream is refused by the next endpoint, which did no part of it.
 // The caller still has a part of the answer, so it is a broken stream and may
 // be resumed on debt, not a fresh request.
-func TestRefusedResumeIsStillAStream(t *testing.T) {
+func TestRefusedResumeCountsAsBrokenStream(t *testing.T) {
 	f := gateway.Failure{Class: engine.NotRun, Attempt: 2, Idempotent: true, Streaming: true}
 	if got := failureOf(f); got != retry.Broken {
 		t.Errorf("a refused resume counts as %v", got)
 	}
 }
 
-func TestRefusalTellsTheReason(t *testing.T) {
+func TestAdmissionRefusalStatus(t *testing.T) {
 	for reason, status := range map[contract.Reason]int{
 		contract.OverShare: 429, contract.NoCapacity: 503, contract.TooLate: 503, contract.UnknownOrganisation: 403,
 	} {
-		r := refusal(contract.Decision{Reason: reason, RetryAfter: 3 * time.Second})
+		r := admissionRefusal(contract.Decision{Reason: reason, RetryAfter: 3 * time.Second})
 		if r.Status != status || r.RetryAfter != 3*time.Second {
 			t.Errorf("%v: %+v", reason, r)
 		}
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -10,8 +10,8 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// drainTick is how often a shutdown looks at the open streams.
-const drainTick = 20 * time.Millisecond
+// drainCheckInterval is how often a shutdown looks at the open streams.
+const drainCheckInterval = 20 * time.Millisecond
 
 // shutdown drives the decisions of package drain with the time and the number
 // of open requests.
@@ -19,18 +19,18 @@
 	drainer *gateway.Drainer
 	now     func() time.Time
 
-	mu    sync.Mutex
-	state *drain.Shutdown
-	begun chan struct{} // closed at the first signal
-	once  sync.Once
+	mu        sync.Mutex
+	state     *drain.Shutdown
+	signalled chan struct{} // closed at the first signal
+	once      sync.Once
 }
 
 func newShutdown(s settings.Drain, drainer *gateway.Drainer, now func() time.Time) *shutdown {
 	return &shutdown{
-		drainer: drainer,
-		now:     now,
-		state:   drain.New(drain.Options{Lag: s.BalancerLag, Bound: s.MaxWait}),
-		begun:   make(chan struct{}),
+		drainer:   drainer,
+		now:       now,
+		state:     drain.New(drain.Options{Lag: s.BalancerLag, Bound: s.MaxWait}),
+		signalled: make(chan struct{}),
 	}
 }
 
@@ -39,7 +39,7 @@
 	s.state.Signal(s.now())
 	s.mu.Unlock()
 	s.drainer.Stop()
-	s.once.Do(func() { close(s.begun) })
+	s.once.Do(func() { close(s.signalled) })
 }
 
 func (s *shutdown) ready() bool {
@@ -48,15 +48,15 @@
 	return s.state.Ready()
 }
 
-func (s *shutdown) done() bool { return s.step() == drain.Done }
+func (s *shutdown) done() bool { return s.advance() == drain.Done }
 
-func (s *shutdown) cut() int {
+func (s *shutdown) cutStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.Cut()
 }
 
-func (s *shutdown) step() drain.State {
+func (s *shutdown) advance() drain.State {
 	open := s.drainer.Open()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -71,12 +71,12 @@
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-s.begun:
+	case <-s.signalled:
 	}
-	ticker := time.NewTicker(drainTick)
+	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for {
-		switch s.step() {
+		switch s.advance() {
 		case drain.Done:
 			return nil
 		case drain.Stopping:
--- a/daemon/system.go
+++ b/daemon/system.go
@@ -25,8 +25,8 @@
 
 // Bounds of what the administration API lists.
 const (
-	maxOrganisationsShown = 1000
-	maxEndpointsShown     = 10_000
+	maxListedOrganisations = 1000
+	maxListedEndpoints     = 10_000
 )
 
 // system is the daemon as its administration API sees it.
@@ -42,7 +42,7 @@
 		return eris.New("the daemon shuts down")
 	case s.catalogue.index() == nil:
 		return eris.New("no manifest is known yet")
-	case !s.fleet.known():
+	case !s.fleet.hasEndpoints():
 		return eris.New("no endpoint is known yet")
 	}
 	return nil
@@ -54,10 +54,10 @@
 	if v == nil {
 		return admin.Revision{}, nil, eris.New("no manifest is in force yet")
 	}
-	return shownRevision(v.Revision), &v.Manifest, nil
+	return adminRevision(v.Revision), &v.Manifest, nil
 }
 
-func shownRevision(r ledger.Revision) admin.Revision {
+func adminRevision(r ledger.Revision) admin.Revision {
 	return admin.Revision{Offset: r.Offset, Digest: string(r.Digest)}
 }
 
@@ -77,7 +77,7 @@
 	}
 	for _, d := range s.manifests.Status().History {
 		if d.Kind == ledger.KindManifest || d.Kind == ledger.KindSection {
-			byOffset[d.Offset] = shownDecision(d)
+			byOffset[d.Offset] = adminPublication(d)
 		}
 	}
 	list := slices.Collect(maps.Values(byOffset))
@@ -85,7 +85,7 @@
 	return list
 }
 
-func shownDecision(d ledger.Decision) admin.Publication {
+func adminPublication(d ledger.Decision) admin.Publication {
 	return admin.Publication{
 		Outcome:   admin.Outcome(d.Outcome),
 		Revision:  admin.Revision{Offset: d.Offset, Digest: string(d.Digest)},
@@ -102,8 +102,8 @@
 	return 0
 }
 
-// endpointShown is one endpoint for operators.
-type endpointShown struct {
+// endpointView is one endpoint for operators.
+type endpointView struct {
 	fleet.Member
 	Gate string `json:"gate"`
 }
@@ -113,12 +113,12 @@
 	v := s.fleet
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := []endpointShown{}
+	list := []endpointView{}
 	for _, m := range v.members.All(v.now()) {
-		if len(list) == maxEndpointsShown {
+		if len(list) == maxListedEndpoints {
 			break
 		}
-		list = append(list, endpointShown{Member: m, Gate: v.gates[m.ID].String()})
+		list = append(list, endpointView{Member: m, Gate: v.availability[m.ID].String()})
 	}
 	return list
 }
@@ -126,9 +126,9 @@
 // Organisations implements admin.System.
 func (s *system) Organisations() any {
 	shown := map[string]contract.UseReport{}
-	for name, p := range s.admission.all() {
+	for name, p := range s.admission.listPools() {
 		p.mu.Lock()
-		shown[name] = p.core.Use(p.now(), maxOrganisationsShown)
+		shown[name] = p.core.Use(p.now(), maxListedOrganisations)
 		p.mu.Unlock()
 	}
 	return shown
@@ -160,11 +160,11 @@
 func (s *system) Dump() any {
 	now := s.o.Now()
 	s.fleet.healthMu.Lock()
-	state := s.fleet.health.Snapshot(now, maxEndpointsShown)
+	state := s.fleet.health.Snapshot(now, maxListedEndpoints)
 	s.fleet.healthMu.Unlock()
 	return dump{
 		At:            now,
-		Started:       s.life,
+		Started:       s.startedAt,
 		Settings:      s.o.Settings,
 		Open:          s.drainer.Open(),
 		Ready:         s.Ready() == nil,
@@ -177,7 +177,7 @@
 		Daemons:       s.daemons.get(),
 		Neighbours:    s.peers.Neighbours(),
 		Senders:       s.peers.Senders(),
-		Orders:        s.orders.giver.Report(),
+		Orders:        s.orderLeader.leader.Report(),
 	}
 }
 
--- a/daemon/usage_test.go
+++ b/daemon/usage_test.go
@@ -14,7 +14,7 @@
 // A deployment serves thirty models, and their use does not fit into one
 // digest. A pool that never got its turn would be shared out as if no other
 // daemon used it.
-func TestUseOfManyPoolsTakesTurns(t *testing.T) {
+func TestUsageDigestsCoverAllPools(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := &admission{pools: map[string]*admissionPool{}}
 	const models, organisations = 30, 32
@@ -34,8 +34,8 @@
 	seen := map[string]bool{}
 	digests := 0
 	for ; len(seen) < models && digests < models; digests++ {
-		text := a.usage(now.Add(time.Duration(digests)*time.Second), false)
-		if len(text) > 2*maxUsage {
+		text := a.encodeUsage(now.Add(time.Duration(digests)*time.Second), false)
+		if len(text) > 2*maxUsageBytes {
 			t.Fatalf("use of %d bytes", len(text))
 		}
 		var u peerpb.Usage
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -9,8 +9,8 @@
 
 // Times and bounds of watching the daemon's own state.
 const (
-	watchEvery = 2 * time.Second
-	logDownAt  = 3 // failed reads after which the log counts as down
+	watchInterval   = 2 * time.Second
+	logDownFailures = 3 // failed reads after which the log counts as down
 )
 
 // watch keeps the gauges up to date and logs when the platform's log goes down
@@ -18,13 +18,13 @@
 func (d *Daemon) watch(ctx context.Context) error {
 	log := d.o.Logs.For(logging.ComponentLog)
 	down := false
-	ticker := time.NewTicker(watchEvery)
+	ticker := time.NewTicker(watchInterval)
 	defer ticker.Stop()
 	for {
-		failures := d.gauge()
-		if now := failures >= logDownAt; now != down {
+		failures := d.updateGauges()
+		if now := failures >= logDownFailures; now != down {
 			down = now
-			d.tellLog(log, down, failures)
+			d.reportLogState(log, down, failures)
 		}
 		select {
 		case <-ctx.Done():
@@ -34,7 +34,7 @@
 	}
 }
 
-func (d *Daemon) tellLog(log *logging.Logger, down bool, failures int) {
+func (d *Daemon) reportLogState(log *logging.Logger, down bool, failures int) {
 	if down {
 		log.Warn("Log cannot be read; the manifest in force stays, keyed calls are refused.", "failures", failures)
 		return
@@ -42,10 +42,10 @@
 	log.Info("Log is read again.")
 }
 
-// gauge reports the present state and returns the log's failed reads.
-func (d *Daemon) gauge() int {
+// updateGauges reports the present state and returns the log's failed reads.
+func (d *Daemon) updateGauges() int {
 	status := d.manifests.Status()
-	usable, known := d.fleet.count()
+	usable, known := d.fleet.countEndpoints()
 	scope := d.metrics.Scope
 	scope.Gauge("open_requests").Update(float64(d.drainer.Open()))
 	scope.Gauge("manifest_offset").Update(float64(status.Revision.Offset))
@@ -57,8 +57,8 @@
 	return status.Failures
 }
 
-// count is the number of endpoints that may get new work, and of all.
-func (v *fleetView) count() (usable, known int) {
+// countEndpoints is the number of endpoints that may get new work, and of all.
+func (v *fleetView) countEndpoints() (usable, known int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.usable), len(v.all)
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -23,10 +23,10 @@
 	}
 }
 
-var began = time.Now()
+var processStart = time.Now()
 
 // Tick waits until the next multiple of the period since the process began. Loops with
 // periods that divide each other wake the process up together, and not each by itself.
 func Tick(ctx context.Context, period time.Duration) error {
-	return For(ctx, period-(time.Since(began)%period+period)%period)
+	return For(ctx, period-(time.Since(processStart)%period+period)%period)
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestForWaitsForDurationOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		if err := For(t.Context(), time.Minute); err != nil || time.Since(began) != time.Minute {
@@ -26,7 +26,7 @@
 }
 
 // Guards against loops that each wake the process up at a time of its own.
-func TestTicksOfOnePeriodFallTogether(t *testing.T) {
+func TestTickAlignsToPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		at := func(after time.Duration) time.Time {
 			time.Sleep(after)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -7,7 +7,7 @@
 
 // Guards against a message that ends early, or names a length beyond its end, and is
 // taken for a whole one.
-func TestFieldsThatAreMissingAreNoticed(t *testing.T) {
+func TestReaderRejectsMissingOrOversizedFields(t *testing.T) {
 	for name, read := range map[string]func(r *Reader){
 		"byte":     func(r *Reader) { r.Byte() },
 		"uint64":   func(r *Reader) { r.Uint64() },
--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -11,9 +11,9 @@
 const (
 	// DefaultBufferBytes are held while the output is slow: some thousand lines.
 	DefaultBufferBytes = 512 << 10
-	// flushEvery gathers the lines of a while in one write. A process that is
+	// flushInterval gathers the lines of a while in one write. A process that is
 	// killed loses no more than that.
-	flushEvery = 50 * time.Millisecond
+	flushInterval = 50 * time.Millisecond
 )
 
 // BoundedWriter is an io.Writer that never blocks: it holds a bounded amount of lines
@@ -23,32 +23,32 @@
 // for its log line, the whole process would stand still with nothing to show
 // why. What was dropped is reported in a line of its own once there is room.
 type BoundedWriter struct {
-	to   io.Writer
+	out  io.Writer
 	size int
 
-	mu      sync.Mutex
-	held    []byte
-	spare   []byte
-	dropped uint64 // lines since the last report
-	total   uint64
+	mu           sync.Mutex
+	buffered     []byte
+	spare        []byte
+	dropped      uint64 // lines since the last report
+	totalDropped uint64
 }
 
 // NewBoundedWriter returns a writer that holds at most size bytes. Run must be called
 // for anything to come out.
 func NewBoundedWriter(to io.Writer, size int) *BoundedWriter {
-	return &BoundedWriter{to: to, size: size}
+	return &BoundedWriter{out: to, size: size}
 }
 
 // Write takes one line. It never fails and never waits.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if len(b.held)+len(line) > b.size {
+	if len(b.buffered)+len(line) > b.size {
 		b.dropped++
-		b.total++
+		b.totalDropped++
 		return len(line), nil
 	}
-	b.held = append(b.held, line...)
+	b.buffered = append(b.buffered, line...)
 	return len(line), nil
 }
 
@@ -56,12 +56,12 @@
 func (b *BoundedWriter) Dropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.total
+	return b.totalDropped
 }
 
 // Run writes what is held until stop is closed, and then what is left.
 func (b *BoundedWriter) Run(stop <-chan struct{}) {
-	tick := time.NewTicker(flushEvery)
+	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -77,8 +77,8 @@
 // Flush writes what is held. Only one goroutine may call it at a time.
 func (b *BoundedWriter) Flush() {
 	b.mu.Lock()
-	out := b.held
-	b.held = b.spare[:0]
+	out := b.buffered
+	b.buffered = b.spare[:0]
 	if b.dropped > 0 {
 		out = fmt.Appendf(out, `{"level":"warn","message":"log: lines were dropped","dropped":%d}`+"\n", b.dropped)
 		b.dropped = 0
@@ -86,7 +86,7 @@
 	b.mu.Unlock()
 	if len(out) > 0 {
 		// A standard output that is gone leaves nowhere to report it.
-		_, _ = b.to.Write(out)
+		_, _ = b.out.Write(out)
 	}
 	b.mu.Lock()
 	b.spare = out[:0]
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -8,10 +8,10 @@
 	"time"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that nobody reads.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
@@ -19,9 +19,9 @@
 // Nobody reads the standard output, so that its pipe is full. Requests go on
 // being logged; if a line waited for the pipe, every request would stand still
 // and callers would see a dead daemon with nothing to tell why.
-func TestUnreadOutputBlocksNobody(t *testing.T) {
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{make(chan struct{})}
+		out := blockedWriter{make(chan struct{})}
 		b := NewBoundedWriter(out, 1000)
 		stop, ended := make(chan struct{}), make(chan struct{})
 		go func() {
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -31,8 +31,8 @@
 
 // Logger writes the lines of one part.
 type Logger struct {
-	out  *log.Logger
-	part Component
+	out       *log.Logger
+	component Component
 }
 
 // Factory makes the loggers of one process.
@@ -58,14 +58,14 @@
 
 // For returns the logger of one part.
 func (f *Factory) For(part Component) *Logger {
-	return &Logger{out: f.out, part: part}
+	return &Logger{out: f.out, component: part}
 }
 
 func (l *Logger) line(e *log.Entry, sentence string, fields []any) {
 	if e == nil {
 		return
 	}
-	e.KeysAndValues(fields...).Msg(string(l.part) + ": " + sentence)
+	e.KeysAndValues(fields...).Msg(string(l.component) + ": " + sentence)
 }
 
 // Debug logs what helps to follow one request.
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func TestLineStartsWithThePartsPrefix(t *testing.T) {
+func TestMessageStartsWithComponentPrefix(t *testing.T) {
 	var buf bytes.Buffer
 	f, err := NewFactory(&buf, "info")
 	if err != nil {
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestUnknownLevelIsRefused(t *testing.T) {
+func TestRejectsUnknownLevel(t *testing.T) {
 	if _, err := NewFactory(&bytes.Buffer{}, "loud"); err == nil {
 		t.Error("accepted")
 	}
--- a/ports/httplog/httplog.go
+++ b/ports/httplog/httplog.go
@@ -60,7 +60,7 @@
 
 // Client is a ports.Log and a ports.VMList.
 type Client struct {
-	base    string
+	baseURL string
 	token   string
 	timeout time.Duration
 	http    *http.Client
@@ -75,7 +75,7 @@
 	if err != nil || u.Host == "" {
 		return nil, eris.Errorf("httplog: platform address %q is not a URL with a host", o.BaseURL)
 	}
-	c := &Client{base: strings.TrimSuffix(o.BaseURL, "/"), token: o.Token, timeout: o.Timeout, http: o.Client}
+	c := &Client{baseURL: strings.TrimSuffix(o.BaseURL, "/"), token: o.Token, timeout: o.Timeout, http: o.Client}
 	if c.timeout == 0 {
 		c.timeout = DefaultTimeout
 	}
@@ -88,7 +88,7 @@
 // Append implements ports.Log.
 func (c *Client) Append(ctx context.Context, s ports.Stream, data []byte) (ports.Offset, error) {
 	var a AppendResult
-	err := c.call(ctx, http.MethodPost, c.records(s), data, &a)
+	err := c.call(ctx, http.MethodPost, c.recordsURL(s), data, &a)
 	if err == nil {
 		return a.Offset, nil
 	}
@@ -116,7 +116,7 @@
 	q.Set("from", strconv.FormatInt(int64(from), 10))
 	q.Set("limit", strconv.Itoa(limit))
 	var p ports.Page
-	err := c.call(ctx, http.MethodGet, c.records(s)+"?"+q.Encode(), nil, &p)
+	err := c.call(ctx, http.MethodGet, c.recordsURL(s)+"?"+q.Encode(), nil, &p)
 	if err == nil {
 		return p, nil
 	}
@@ -145,8 +145,8 @@
 	return c.daemons.fetch(ctx, c, PathDaemons)
 }
 
-func (c *Client) records(s ports.Stream) string {
-	return c.base + PathStreams + url.PathEscape(string(s)) + recordsSuffix
+func (c *Client) recordsURL(s ports.Stream) string {
+	return c.baseURL + PathStreams + url.PathEscape(string(s)) + recordsSuffix
 }
 
 type statusError struct {
@@ -160,13 +160,13 @@
 }
 
 func (c *Client) call(ctx context.Context, method, address string, body []byte, into any) error {
-	_, err := c.exchange(ctx, method, address, body, "", into)
+	_, err := c.callWithETag(ctx, method, address, body, "", into)
 	return err
 }
 
-// exchange is call with the tag of the answer that is known already; it
+// callWithETag is call with the tag of the answer that is known already; it
 // returns the tag of the new one.
-func (c *Client) exchange(ctx context.Context, method, address string, body []byte, tag string, into any) (string, error) {
+func (c *Client) callWithETag(ctx context.Context, method, address string, body []byte, tag string, into any) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
--- a/ports/httplog/list.go
+++ b/ports/httplog/list.go
@@ -15,7 +15,7 @@
 // spend on control. A platform that gives no tag is read whole.
 type cachedList[T any] struct {
 	mu   sync.Mutex // held over a read, so that an older one cannot replace a newer
-	tag  string
+	etag string
 	list []T
 }
 
@@ -23,14 +23,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []T
-	tag, err := c.exchange(ctx, http.MethodGet, c.base+path, nil, l.tag, &list)
+	tag, err := c.callWithETag(ctx, http.MethodGet, c.baseURL+path, nil, l.etag, &list)
 	var status *statusError
-	if errors.As(err, &status) && status.code == http.StatusNotModified && l.tag != "" {
+	if errors.As(err, &status) && status.code == http.StatusNotModified && l.etag != "" {
 		return l.list, nil
 	}
 	if err != nil {
 		return nil, errors.Join(ports.ErrUnavailable, err)
 	}
-	l.tag, l.list = tag, list
+	l.etag, l.list = tag, list
 	return list, nil
 }
--- a/ports/httplog/list_test.go
+++ b/ports/httplog/list_test.go
@@ -10,7 +10,7 @@
 
 // A list that has changed must never be hidden by one that was kept: an
 // endpoint that leaves would go on getting work.
-func TestKeptListIsReplacedWhenItsTagChanges(t *testing.T) {
+func TestCachedListIsReplacedWhenETagChanges(t *testing.T) {
 	tag, body := `"1"`, `[{"id":"a"}]`
 	whole := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/settings/check.go
+++ b/settings/check.go
@@ -19,36 +19,36 @@
 
 // checker gathers every fault, so that an operator mends them in one go.
 type checker struct {
-	given lines
-	errs  []error
+	sources sourceMap
+	errs    []error
 }
 
-func (c *checker) refuse(setting, problem, expected string) {
-	where := c.given[setting]
+func (c *checker) reject(setting, problem, expected string) {
+	where := c.sources[setting]
 	c.errs = append(c.errs, &Error{Where: where, Setting: setting, Problem: problem, Expected: expected})
 }
 
-func (c *checker) text(setting, value string) {
+func (c *checker) required(setting, value string) {
 	if value == "" {
-		c.refuse(setting, "is missing", "a value")
+		c.reject(setting, "is missing", "a value")
 	}
 }
 
 func (c *checker) address(setting, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.refuse(setting, fmt.Sprintf("cannot listen on %q", value), "IP:port, such as 10.0.0.4:8080")
+		c.reject(setting, fmt.Sprintf("cannot listen on %q", value), "IP:port, such as 10.0.0.4:8080")
 	}
 }
 
 func (c *checker) atLeast(setting string, value, least time.Duration) {
 	if value < least {
-		c.refuse(setting, value.String()+" is too short", "at least "+least.String())
+		c.reject(setting, value.String()+" is too short", "at least "+least.String())
 	}
 }
 
 func (c *checker) within(setting string, value, least, most int64) {
 	if value < least || value > most {
-		c.refuse(setting, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("%d to %d", least, most))
+		c.reject(setting, fmt.Sprintf("%d is out of range", value), fmt.Sprintf("%d to %d", least, most))
 	}
 }
 
@@ -58,21 +58,21 @@
 			return
 		}
 	}
-	c.refuse(setting, fmt.Sprintf("does not know %q", value), fmt.Sprintf("one of %v", allowed))
+	c.reject(setting, fmt.Sprintf("does not know %q", value), fmt.Sprintf("one of %v", allowed))
 }
 
-// both refuses a certificate without its key, which would silently mean plain
+// bothOrNeither refuses a certificate without its key, which would silently mean plain
 // TCP.
-func (c *checker) both(first, a, second, b string) {
+func (c *checker) bothOrNeither(first, a, second, b string) {
 	if (a == "") != (b == "") {
-		c.refuse(second, "goes with "+first, "both or neither")
+		c.reject(second, "goes with "+first, "both or neither")
 	}
 }
 
-func check(s Settings, given lines) error {
-	c := &checker{given: given}
-	c.text("daemon.id", s.Daemon.ID)
-	c.text("daemon.zone", string(s.Daemon.Zone))
+func check(s Settings, given sourceMap) error {
+	c := &checker{sources: given}
+	c.required("daemon.id", s.Daemon.ID)
+	c.required("daemon.zone", string(s.Daemon.Zone))
 	c.within("daemon.memory-bytes", s.Daemon.MemoryBytes, minMemoryBytes, 1<<40)
 	c.address("listen.callers", s.Listen.Callers)
 	c.address("listen.admin", s.Listen.Admin)
@@ -80,9 +80,9 @@
 	c.platform(s.Platform)
 	c.callers(s.Callers)
 	c.system(s)
-	c.both("tls.callers-cert", s.TLS.CallersCert, "tls.callers-key", s.TLS.CallersKey)
-	c.both("tls.peers-cert", s.TLS.PeersCert, "tls.peers-key", s.TLS.PeersKey)
-	c.both("tls.peers-cert", s.TLS.PeersCert, "tls.peers-ca", s.TLS.PeersCA)
+	c.bothOrNeither("tls.callers-cert", s.TLS.CallersCert, "tls.callers-key", s.TLS.CallersKey)
+	c.bothOrNeither("tls.peers-cert", s.TLS.PeersCert, "tls.peers-key", s.TLS.PeersKey)
+	c.bothOrNeither("tls.peers-cert", s.TLS.PeersCert, "tls.peers-ca", s.TLS.PeersCA)
 	c.oneOf("log.level", s.Log.Level, "debug", "info", "warn", "error")
 	return errors.Join(c.errs...)
 }
@@ -90,7 +90,7 @@
 func (c *checker) platform(p Platform) {
 	u, err := url.Parse(p.URL)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.refuse("platform.url", fmt.Sprintf("cannot use %q", p.URL), "a URL such as http://10.0.0.2:7000")
+		c.reject("platform.url", fmt.Sprintf("cannot use %q", p.URL), "a URL such as http://10.0.0.2:7000")
 	}
 	c.atLeast("platform.timeout", p.Timeout, minInterval)
 	c.atLeast("platform.poll-interval", p.PollInterval, minInterval)
@@ -113,7 +113,7 @@
 	c.within("routing.prefixes", int64(s.Routing.Prefixes), 1, 1<<24)
 	c.atLeast("routing.load-interval", s.Routing.LoadInterval, minInterval)
 	if s.Routing.RunnerTokens <= 0 {
-		c.refuse("routing.runner-tokens", "is not positive", "tokens a second, above 0")
+		c.reject("routing.runner-tokens", "is not positive", "tokens a second, above 0")
 	}
 	c.within("routing.event-endpoints", int64(s.Routing.EventEndpoints), 0, maxEventEndpoints)
 	c.within("routing.runner-slots", int64(s.Routing.RunnerSlots), 1, 1<<16)
--- a/settings/flags.go
+++ b/settings/flags.go
@@ -25,13 +25,13 @@
 func register(fs *flag.FlagSet, s *Settings) {
 	fs.StringVar(&s.File, "config", "", "INI file with the settings")
 	fs.BoolVar(&s.CheckOnly, "check", false, "check the settings and exit")
-	registerPlace(fs, s)
+	registerDaemon(fs, s)
 	registerCallers(fs, s)
 	registerSystem(fs, s)
 	registerTLS(fs, s)
 }
 
-func registerPlace(fs *flag.FlagSet, s *Settings) {
+func registerDaemon(fs *flag.FlagSet, s *Settings) {
 	fs.StringVar(&s.Daemon.ID, "daemon.id", "", "name of this daemon, unique among the daemons")
 	fs.StringVar((*string)(&s.Daemon.Zone), "daemon.zone", "", "availability zone of this VM")
 	fs.Int64Var(&s.Daemon.MemoryBytes, "daemon.memory-bytes", defaultMemoryBytes, "memory that the process should stay under; no hard limit")
--- a/settings/load.go
+++ b/settings/load.go
@@ -58,7 +58,7 @@
 	fs.SetOutput(io.Discard)
 	register(fs, &s)
 	s.File = in.File
-	if err := unknownEnv(fs, in.Env); err != nil {
+	if err := rejectUnknownEnv(fs, in.Env); err != nil {
 		return s, err
 	}
 	if err := fs.Parse(in.Args); errors.Is(err, flag.ErrHelp) {
@@ -69,7 +69,7 @@
 	if fs.NArg() > 0 {
 		return s, &Error{Where: "flag", Problem: fmt.Sprintf("unexpected argument %q", fs.Arg(0)), Expected: "flags only"}
 	}
-	given := lines{}
+	given := sourceMap{}
 	if err := applyEnv(fs, in.Env, given); err != nil {
 		return s, err
 	}
@@ -88,8 +88,8 @@
 	fs.PrintDefaults()
 }
 
-// lines tells where each given setting stands, by its name.
-type lines map[string]string
+// sourceMap tells where each given setting stands, by its name.
+type sourceMap map[string]string
 
 // envName is the environment variable of the named setting, spelt as ff does.
 func envName(setting string) string {
@@ -97,14 +97,14 @@
 	return EnvPrefix + "_" + strings.ToUpper(name)
 }
 
-func flagSet(fs *flag.FlagSet) map[string]bool {
+func flagsGiven(fs *flag.FlagSet) map[string]bool {
 	given := map[string]bool{}
 	fs.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	return given
 }
 
-func applyEnv(fs *flag.FlagSet, environ []string, given lines) error {
-	byFlag := flagSet(fs)
+func applyEnv(fs *flag.FlagSet, environ []string, given sourceMap) error {
+	byFlag := flagsGiven(fs)
 	for _, pair := range environ {
 		name, value, _ := strings.Cut(pair, "=")
 		setting := settingOfEnv(fs, name)
@@ -112,7 +112,7 @@
 			continue
 		}
 		if err := fs.Set(setting, value); err != nil {
-			return wrongValue("environment variable "+name, setting, value, fs)
+			return invalidValue("environment variable "+name, setting, value, fs)
 		}
 		given[setting] = "environment variable " + name
 	}
@@ -129,9 +129,9 @@
 	return found
 }
 
-// unknownEnv refuses a variable with the prefix that is no setting. A misspelt
+// rejectUnknownEnv refuses a variable with the prefix that is no setting. A misspelt
 // variable would otherwise leave the default in force without a word.
-func unknownEnv(fs *flag.FlagSet, environ []string) error {
+func rejectUnknownEnv(fs *flag.FlagSet, environ []string) error {
 	var errs []error
 	for _, pair := range environ {
 		name, _, _ := strings.Cut(pair, "=")
@@ -144,7 +144,7 @@
 
 // applyFile parses the file with ff, which leaves alone what a flag or the
 // environment has set.
-func applyFile(fs *flag.FlagSet, path string, given lines) error {
+func applyFile(fs *flag.FlagSet, path string, given sourceMap) error {
 	if path == "" {
 		return nil
 	}
@@ -152,12 +152,12 @@
 	if err != nil {
 		return err
 	}
-	places := findLines(path, text)
+	places := keyPositions(path, text)
 	parser := func(r io.Reader, set func(name, value string) error) error {
 		return parseINI(r, path, places, fs, set)
 	}
 	var args []string
-	for name := range flagSet(fs) {
+	for name := range flagsGiven(fs) {
 		args = append(args, "-"+name+"="+fs.Lookup(name).Value.String())
 	}
 	sort.Strings(args)
@@ -193,7 +193,7 @@
 	return text, nil
 }
 
-func parseINI(r io.Reader, path string, places lines, fs *flag.FlagSet, set func(name, value string) error) error {
+func parseINI(r io.Reader, path string, places sourceMap, fs *flag.FlagSet, set func(name, value string) error) error {
 	file, err := ini.LoadSources(ini.LoadOptions{}, io.NopCloser(r))
 	if err != nil {
 		return &Error{Where: path, Problem: err.Error(), Expected: "INI text: [section] lines and key = value lines"}
@@ -206,24 +206,24 @@
 				return &Error{Where: where, Setting: name, Problem: "unknown setting", Expected: "a name from merlindockd -help"}
 			}
 			if err := set(name, key.Value()); err != nil {
-				return wrongValue(where, name, key.Value(), fs)
+				return invalidValue(where, name, key.Value(), fs)
 			}
 		}
 	}
 	return nil
 }
 
-func wrongValue(where, name, value string, fs *flag.FlagSet) error {
+func invalidValue(where, name, value string, fs *flag.FlagSet) error {
 	return &Error{
 		Where:    where,
 		Setting:  name,
 		Problem:  fmt.Sprintf("cannot take %q", value),
-		Expected: kindOf(fs.Lookup(name)),
+		Expected: expectedValue(fs.Lookup(name)),
 	}
 }
 
-// kindOf tells what values a setting takes, from its type and its default.
-func kindOf(f *flag.Flag) string {
+// expectedValue tells what values a setting takes, from its type and its default.
+func expectedValue(f *flag.Flag) string {
 	getter, ok := f.Value.(flag.Getter)
 	if !ok {
 		return "another value"
@@ -242,10 +242,10 @@
 	return f.Usage
 }
 
-// findLines gives file and line of each key. The INI library does not say
+// keyPositions gives file and line of each key. The INI library does not say
 // where a key stood, and without it an operator has to search a long file.
-func findLines(path string, text []byte) lines {
-	places := lines{}
+func keyPositions(path string, text []byte) sourceMap {
+	places := sourceMap{}
 	section := ini.DefaultSection
 	scanner := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; scanner.Scan(); n++ {
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-const good = `
+const validINI = `
 [daemon]
 id = d1
 zone = quebec-est-a
@@ -19,7 +19,7 @@
 timeout = 3s
 `
 
-func write(t *testing.T, text string) string {
+func writeINI(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "merlindock.ini")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -28,8 +28,8 @@
 	return path
 }
 
-func TestFlagGoesBeforeEnvironmentBeforeFile(t *testing.T) {
-	path := write(t, good)
+func TestFlagOverridesEnvironmentOverridesFile(t *testing.T) {
+	path := writeINI(t, validINI)
 	env := []string{"MERLINDOCK_DAEMON_ZONE=from-env", "MERLINDOCK_DAEMON_ID=from-env", "HOME=/x"}
 	s, err := Load(Input{File: path, Env: env, Args: []string{"-daemon.id=from-flag"}})
 	if err != nil {
@@ -43,7 +43,7 @@
 // An operator misspells a key or writes a value of the wrong kind. A daemon
 // that started on the default instead would be noticed only when the setting
 // was needed, so it must not start, and say which line to mend.
-func TestWrongSettingIsRefusedWithItsPlace(t *testing.T) {
+func TestInvalidSettingIsRejectedWithSource(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -51,22 +51,22 @@
 		env  []string
 		want []string
 	}{
-		{"unknown key", good + "\n[drain]\nbalancer_lag = 5s\n", nil, nil, []string{":11:", "drain.balancer_lag", "unknown"}},
-		{"wrong kind", good + "\n[drain]\nbalancer-lag = soon\n", nil, nil, []string{":11:", `"soon"`, "duration"}},
-		{"out of range", good + "\n[peers]\nzone-pairs = 0\n", nil, nil, []string{":11:", "1 to 8"}},
-		{"key outside a section", "id = d1\n" + good, nil, nil, []string{":1:", "unknown"}},
-		{"no zone", strings.Replace(good, "zone", "# zone", 1), nil, nil, []string{"daemon.zone", "is missing"}},
-		{"unknown variable", good, nil, []string{"MERLINDOCK_DAEMON_IDD=x"}, []string{"MERLINDOCK_DAEMON_IDD", "unknown"}},
-		{"wrong variable", good, nil, []string{"MERLINDOCK_PEERS_INTERVAL=1"}, []string{"MERLINDOCK_PEERS_INTERVAL", "duration"}},
-		{"unknown flag", good, []string{"-zone=x"}, nil, []string{"flag", "-zone"}},
-		{"too many event streams", good + "\n[routing]\nevent-endpoints = 1025\n", nil, nil, []string{":11:", "routing.event-endpoints", "0 to 1024"}},
-		{"negative event streams", good, []string{"-routing.event-endpoints=-1"}, nil, []string{"routing.event-endpoints", "0 to 1024"}},
-		{"certificate without key", good + "\n[tls]\ncallers-cert = a.pem\n", nil, nil, []string{"tls.callers-key", "both or neither"}},
-		{"host name to listen on", good + "\n[listen]\nadmin = localhost:80\n", nil, nil, []string{":11:", "IP:port"}},
+		{"unknown key", validINI + "\n[drain]\nbalancer_lag = 5s\n", nil, nil, []string{":11:", "drain.balancer_lag", "unknown"}},
+		{"wrong kind", validINI + "\n[drain]\nbalancer-lag = soon\n", nil, nil, []string{":11:", `"soon"`, "duration"}},
+		{"out of range", validINI + "\n[peers]\nzone-pairs = 0\n", nil, nil, []string{":11:", "1 to 8"}},
+		{"key outside a section", "id = d1\n" + validINI, nil, nil, []string{":1:", "unknown"}},
+		{"no zone", strings.Replace(validINI, "zone", "# zone", 1), nil, nil, []string{"daemon.zone", "is missing"}},
+		{"unknown variable", validINI, nil, []string{"MERLINDOCK_DAEMON_IDD=x"}, []string{"MERLINDOCK_DAEMON_IDD", "unknown"}},
+		{"wrong variable", validINI, nil, []string{"MERLINDOCK_PEERS_INTERVAL=1"}, []string{"MERLINDOCK_PEERS_INTERVAL", "duration"}},
+		{"unknown flag", validINI, []string{"-zone=x"}, nil, []string{"flag", "-zone"}},
+		{"too many event streams", validINI + "\n[routing]\nevent-endpoints = 1025\n", nil, nil, []string{":11:", "routing.event-endpoints", "0 to 1024"}},
+		{"negative event streams", validINI, []string{"-routing.event-endpoints=-1"}, nil, []string{"routing.event-endpoints", "0 to 1024"}},
+		{"certificate without key", validINI + "\n[tls]\ncallers-cert = a.pem\n", nil, nil, []string{"tls.callers-key", "both or neither"}},
+		{"host name to listen on", validINI + "\n[listen]\nadmin = localhost:80\n", nil, nil, []string{":11:", "IP:port"}},
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			_, err := Load(Input{File: write(t, test.text), Args: test.args, Env: test.env})
+			_, err := Load(Input{File: writeINI(t, test.text), Args: test.args, Env: test.env})
 			if err == nil {
 				t.Fatal("accepted")
 			}
@@ -81,7 +81,7 @@
 
 // The page for operators names every setting: one that it lacks would be found
 // only by reading the code.
-func TestOperatorsPageNamesEverySetting(t *testing.T) {
+func TestOperatingGuideListsEverySetting(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATING.md")
 	if err != nil {
 		t.Fatal(err)
@@ -97,7 +97,7 @@
 }
 
 func FuzzLoad(f *testing.F) {
-	f.Add(good)
+	f.Add(validINI)
 	f.Add("[daemon\nid = 1")
 	f.Add("[daemon]\nid = \"\"\"x\n")
 	f.Fuzz(func(t *testing.T, text string) {
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func TestScraperReadsCountersAndHistograms(t *testing.T) {
+func TestHandlerExposesCountersAndHistograms(t *testing.T) {
 	m := New("d1", "zone-a")
 	m.Scope.Counter("requests").Inc(3)
 	m.Scope.Histogram("first_token", DurationBuckets()).RecordDuration(40 * time.Millisecond)
