--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -12,31 +12,32 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// admission lets requests enter by their organisation's share, one pool of
-// runners apart from the other.
+// admission decides which requests may start, by the share of their
+// organisation. Each model has a pool of its own with separate accounting.
 type admission struct {
 	daemon *Daemon
 	now    func() time.Time
 	ids    requestIDs
 
-	mu          sync.Mutex // guards the fields below, not the pools' own state
+	mu          sync.Mutex // guards shares, pools and liveDaemons; each pool has its own lock
 	shares      []contract.Share
 	pools       map[string]*admissionPool
-	liveDaemons int // daemons on the platform's list; 0: not known
+	liveDaemons int // daemons on the platform's list that are not leaving; 0: unknown
 
 	digestMu sync.Mutex
-	nextPool int // the pool that the next digest to the neighbours begins with
+	nextPool int // index of the first pool in the next digest to the neighbours
 }
 
-// admissionPool guards the decisions for one pool and wakes those that wait.
+// admissionPool serialises the admission decisions of one model and passes them
+// to the waiting requests.
 type admissionPool struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	core    *contract.Admission
-	waiting map[contract.RequestID]chan contract.Decision
+	mu       sync.Mutex
+	core     *contract.Admission
+	waiting  map[contract.RequestID]chan contract.Decision
 	outcomes []contract.Outcome
-	timer   *time.Timer
+	timer    *time.Timer
 }
 
 func newAdmission(d *Daemon) *admission {
@@ -80,7 +81,7 @@
 	return p
 }
 
-// clonePools copies the table of pools. The caller holds the lock.
+// clonePools returns a copy of the pools by model. The caller holds a.mu.
 func (a *admission) clonePools() map[string]*admissionPool {
 	pools := make(map[string]*admissionPool, len(a.pools))
 	for name, p := range a.pools {
@@ -95,9 +96,9 @@
 	return a.clonePools()
 }
 
-// setDaemons tells how many daemons are live by the platform's list. Without it
-// a daemon that has heard no neighbour yet would take the whole fleet for its
-// own.
+// setDaemons sets the number of live daemons on the platform's list. Without
+// it, a daemon that has not yet received a neighbour's digest would use the
+// capacity of the whole fleet for itself.
 func (a *admission) setDaemons(live int) {
 	a.mu.Lock()
 	a.liveDaemons = live
@@ -110,8 +111,9 @@
 	}
 }
 
-// setLoad tells how full the endpoints of a model say they are, from which
-// admission sees whether a silent neighbour still spends its part.
+// setLoad sets the load that the endpoints of a model report. Admission uses it
+// to detect whether a neighbour that sends no digests still uses its fraction
+// of the capacity.
 func (a *admission) setLoad(model string, requests, slots int) {
 	p := a.listPools()[model]
 	if p == nil {
@@ -164,7 +166,8 @@
 	p.deliverDecisions()
 }
 
-// admit returns the decision on a request, waiting for it if it is queued.
+// admit offers a request to the pool. If the request is queued, admit waits for
+// the decision or until ctx ends, which cancels the request.
 func (p *admissionPool) admit(ctx context.Context, rate float64, slots int, r contract.Request) (contract.Decision, error) {
 	p.mu.Lock()
 	p.core.SetCapacity(p.now(), rate, slots)
@@ -215,8 +218,8 @@
 	p.deliverDecisions()
 }
 
-// deliverDecisions hands decisions to those that wait and sets the timer for the next one.
-// The caller holds the lock.
+// deliverDecisions sends the decisions that are due to the waiting requests and
+// sets the timer for the next one. The caller holds p.mu.
 func (p *admissionPool) deliverDecisions() {
 	now := p.now()
 	p.outcomes = p.core.Next(now, p.outcomes[:0])
@@ -231,10 +234,12 @@
 	}
 }
 
-// minTimerDelay keeps a decision that is due at once from spinning.
+// minTimerDelay keeps the timer from firing in a busy loop while a decision is
+// due at once.
 const minTimerDelay = time.Millisecond
 
-// admissionRefusal tells the caller at once that nothing ran and when to come back.
+// admissionRefusal returns the error answer for a request that was not
+// admitted. Nothing has run; RetryAfter is when the caller may try again.
 func admissionRefusal(d contract.Decision) *gateway.Refusal {
 	r := &gateway.Refusal{
 		Status:     http.StatusServiceUnavailable,
--- a/daemon/catalogue.go
+++ b/daemon/catalogue.go
@@ -9,7 +9,7 @@
 )
 
 // catalogue holds the index of the manifest in force. Requests read it without
-// a lock and keep the one they began with.
+// a lock and use the same index until they end.
 type catalogue struct {
 	log     *logging.Logger
 	current atomic.Pointer[catalog.Index]
@@ -19,8 +19,9 @@
 
 func (c *catalogue) index() *catalog.Index { return c.current.Load() }
 
-// buildIndex indexes a manifest. One that cannot be indexed leaves the one before
-// in force: the fold has checked it, so this is a fault of the release.
+// buildIndex indexes a manifest. If it fails, the previous manifest stays in
+// force. The log's state only accepts manifests that pass validation, so a
+// failure is a bug of the release.
 func (c *catalogue) buildIndex(v *ledger.Version) (*catalog.Index, bool) {
 	index, err := catalog.New(&v.Manifest)
 	if err != nil {
@@ -30,16 +31,16 @@
 	return index, true
 }
 
-// activate brings an index into force for requests that begin now.
+// activate makes the index the one that new requests use.
 func (c *catalogue) activate(index *catalog.Index, v *ledger.Version) {
 	c.current.Store(index)
 	c.log.Info("Manifest is in force.", "offset", int64(v.Revision.Offset), "digest", string(v.Revision.Digest))
 }
 
-// onManifestChange brings a newer manifest into force in every part. The index comes
-// last: with it the daemon says ready and knows the keys, and a caller that came
-// before admission knew its organisation would be refused as one that may not
-// use the fleet.
+// onManifestChange applies a newer manifest to all components. The index is
+// activated last: from then on the daemon is ready and knows the API keys, and
+// a request that arrived before admission has its organisation would be refused
+// as not permitted.
 func (d *Daemon) onManifestChange(v *ledger.Version) {
 	index, ok := d.catalogue.buildIndex(v)
 	if !ok {
--- a/daemon/claims.go
+++ b/daemon/claims.go
@@ -14,14 +14,18 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// replacedServiceGrace is how long a service runs on after the window has changed.
+// replacedServiceGrace is how long a claims service keeps running after a
+// change of the claim window has replaced it, so that its calls can store their
+// results.
 const replacedServiceGrace = 2 * time.Minute
 
-// claimPollFactor is how many polls of the log pass between reads of an idle claim
-// stream. A claim reads its stream at once, so that nobody waits for it.
+// claimPollFactor is the poll interval of an idle claim stream in poll
+// intervals of the manifest log. It can be longer because a claim reads its
+// stream at once and does not wait for the poll.
 const claimPollFactor = 2
 
-// claimer runs the claims service with the window of the manifest in force.
+// claimer runs the claims service with the claim window of the manifest in
+// force.
 type claimer struct {
 	daemon *Daemon
 	log    *logging.Logger
@@ -29,7 +33,7 @@
 	mu      sync.Mutex
 	service *claims.Service
 	window  manifest.Duration
-	start   func(*claims.Service) context.CancelFunc // set by run
+	start   func(*claims.Service) context.CancelFunc // nil unless run is active
 	stop    context.CancelFunc
 }
 
@@ -37,8 +41,9 @@
 	return &claimer{daemon: d, log: d.o.Logs.For(logging.ComponentClaims)}
 }
 
-// setManifest begins anew when the window has changed. The log's marks keep
-// daemons with the old window and the new one from deciding apart.
+// setManifest replaces the service if the claim window has changed. Daemons
+// with different windows cannot decide differently about a claim: the markers
+// in the log show each daemon's layout.
 func (c *claimer) setManifest(m *manifest.Manifest) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,7 +60,7 @@
 		Seed:   seedOf(s.Daemon.ID, c.daemon.startedAt),
 	})
 	if err != nil {
-		c.log.Error("Claims cannot be made.", "error", err.Error())
+		c.log.Error("Claims service could not be created.", "error", err.Error())
 		return
 	}
 	c.service = service
@@ -63,20 +68,21 @@
 	c.restart()
 }
 
-// restart runs the present service in place of the one before. The caller
-// holds the lock.
+// restart starts the current service and schedules the end of the previous one.
+// The caller holds c.mu.
 func (c *claimer) restart() {
 	if c.start == nil || c.service == nil {
 		return
 	}
 	if c.stop != nil {
-		// Calls that it has granted still have their results to write.
+		// Calls that were granted by the previous service still store their results through it.
 		time.AfterFunc(replacedServiceGrace, c.stop)
 	}
 	c.stop = c.start(c.service)
 }
 
-// run lets services run until ctx ends.
+// run keeps the current service running until ctx ends, and returns after all
+// services have stopped.
 func (c *claimer) run(ctx context.Context) error {
 	var running sync.WaitGroup
 	c.mu.Lock()
@@ -135,8 +141,8 @@
 	}
 }
 
-// claimRefusals says how each reason is told to the caller. Nothing has run in
-// any of them.
+// claimRefusals maps the reason of a refused claim to the answer to the caller.
+// In all of these cases nothing has run.
 var claimRefusals = map[claims.Reason]gateway.Refusal{
 	claims.ReasonInvalidKey: {
 		Status: http.StatusBadRequest, Code: gateway.CodeKeyInvalid, Outcome: gateway.OutcomeRefused,
@@ -160,7 +166,8 @@
 	},
 }
 
-// claimRefusal turns a refused claim into what the caller is told.
+// claimRefusal returns the error answer for a refused claim. Reasons that are
+// missing from claimRefusals are temporary and get status 503.
 func claimRefusal(a claims.Answer) *gateway.Refusal {
 	r, ok := claimRefusals[a.Reason]
 	if !ok {
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,12 +1,12 @@
 // Package daemon assembles one merlindock daemon: the gateway for callers, the
-// view of the fleet, admission, the fold of the log, the exchange with
-// neighbours and the administration API.
+// view of the fleet, admission, the manifest log, the exchange with neighbours
+// and the administration API.
 //
-// Decisions are taken in the pure packages; the types here guard them with
-// locks, give them the time and carry their results. Lock order: admission
-// (one lock for each pool), then membership, then placement, then health, then
-// retries. No lock is held while a message is sent or a callback of another
-// package is called.
+// Decisions are made by packages without goroutines or clocks; the types here
+// protect them with locks, pass the time to them and carry out their results.
+// Lock order: admission (one lock for each pool), membership, placement,
+// health, retries. No lock is held while a message is sent or a callback of
+// another package is called.
 package daemon
 
 import (
@@ -32,32 +32,34 @@
 	"github.com/merlindock/merlindock/telemetry"
 )
 
-// Options are what a daemon needs.
+// Options configure a Daemon.
 type Options struct {
 	Settings settings.Settings
-	Token    string // of the administration API; empty refuses its guarded calls
+	Token    string // bearer token of the administration API; if empty, calls that need it are refused
 	Log      ports.Log
 	VMs      ports.VMList
 	Logs     *logging.Factory
-	// Listeners replace listening on the settings' addresses, for tests.
+	// Listeners replaces the listeners on the addresses of the settings, for
+	// tests.
 	Listeners Listeners
-	// Dial opens connections to endpoints and neighbours; nil: TCP.
+	// Dial opens connections to endpoints and neighbours; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// DisableAnnouncements keeps placement's notices from other daemons, to measure what
-	// they are worth.
+	// DisableAnnouncements keeps the daemon from sending placement
+	// announcements to other daemons, so that trials can measure their effect.
 	DisableAnnouncements bool
-	// Now is the clock; nil: time.Now.
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Listeners are where a daemon is reached. Nil ones are opened by Run.
+// Listeners are the open listeners of a daemon. Run opens those that are nil.
 type Listeners struct {
 	Callers net.Listener
 	Admin   net.Listener
 	Peers   net.Listener
 }
 
-// Daemon is one daemon.
+// Daemon is one entry point to the fleet: it serves callers, operators and the
+// other daemons. Use New to create one.
 type Daemon struct {
 	o           Options
 	startedAt   time.Time
@@ -79,7 +81,7 @@
 	orderLeader *orderLeader
 }
 
-// New returns a daemon that is not yet running.
+// New returns a daemon. It does not serve until Run is called.
 func New(o Options) (*Daemon, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -142,10 +144,10 @@
 	}
 }
 
-// Handler serves callers.
+// Handler returns the handler of callers' requests.
 func (d *Daemon) Handler() http.Handler { return d.gateway }
 
-// AdminHandler serves operators.
+// AdminHandler returns the handler of the administration API.
 func (d *Daemon) AdminHandler() http.Handler {
 	return admin.New(admin.Options{
 		System:  (*system)(d),
@@ -155,15 +157,16 @@
 	})
 }
 
-// Drain starts a graceful shutdown; Run returns when it is over. A second call
-// ends open streams with an explicit error.
+// Drain starts a graceful shutdown. Run returns when it is complete. A second
+// call ends open streams with an explicit error.
 func (d *Daemon) Drain() {
-	d.log.Info("Shutdown asked for.", "open", d.drainer.Open())
+	d.log.Info("Shutdown requested.", "open", d.drainer.Open())
 	d.shutdown.signal()
 }
 
-// Run serves until a shutdown asked for by Drain is over, or ctx ends, which
-// cuts open requests. It returns the first error that keeps it from serving.
+// Run serves until a shutdown that was started by Drain is complete or ctx
+// ends. The end of ctx aborts open requests. Run returns the first error that
+// prevents the daemon from serving.
 func (d *Daemon) Run(ctx context.Context) error {
 	listeners, err := d.listen()
 	if err != nil {
@@ -182,18 +185,18 @@
 		defer cancel()
 		return d.shutdown.run(ctx, func() { cut(gateway.ErrShutdown) })
 	})
-	d.log.Info("Daemon serves.", "callers", listeners.Callers.Addr().String())
+	d.log.Info("Daemon is serving.", "callers", listeners.Callers.Addr().String())
 	err = g.Wait()
 	d.peers.Close()
 	closeErr := d.metrics.Close()
-	d.log.Info("Daemon ends.", "cut", d.shutdown.cutStreams())
+	d.log.Info("Daemon stopped.", "cut", d.shutdown.cutStreams())
 	if d.shutdown.done() || errors.Is(err, context.Canceled) {
 		return closeErr
 	}
 	return err
 }
 
-// background starts what goes on beside requests.
+// background starts the goroutines that do not serve requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group) {
 	g.Go(func() error { return d.manifests.Run(ctx) })
 	g.Go(func() error { return d.fleet.run(ctx) })
@@ -216,9 +219,9 @@
 	})
 }
 
-// serve serves until ctx ends. Requests take their context from the second
-// one, so that a shutdown can end them with an explicit error before their
-// connections are closed.
+// serve runs an HTTP server on l until ctx ends. Requests derive their contexts
+// from the context requests instead, so that a shutdown can end them with an
+// explicit error before their connections are closed.
 func (d *Daemon) serve(ctx, requests context.Context, l net.Listener, h http.Handler) error {
 	srv := &http.Server{
 		Handler:           h,
@@ -236,7 +239,7 @@
 	return eris.Wrapf(err, "daemon: listener %s", l.Addr())
 }
 
-// Bounds of the listeners' connections.
+// Timeouts of client connections.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -6,8 +6,9 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// newEventFollower returns what follows the runners' cache events. It has a client
-// of its own, with the bounds of those streams.
+// newEventFollower returns the follower of the model runners' cache events. It
+// has its own client because event streams need other size limits and timeouts
+// than answers.
 func newEventFollower(d *Daemon, sink cacheevents.Sink) *cacheevents.Follower {
 	client := engine.New(engine.Options{
 		DialContext:   d.o.Dial,
@@ -24,13 +25,13 @@
 	})
 }
 
-// poolEndpoints returns the endpoints of the models' pools, each once; leaving ones
-// are in none. The caller holds the lock.
+// poolEndpoints returns the endpoints in the models' pools, each once. Leaving
+// endpoints are in no pool. The caller holds v.mu.
 func (v *fleetView) poolEndpoints() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	seen := make(map[fleet.EndpointID]bool)
-	for _, shares := range v.versionGroups {
-		for _, s := range shares {
+	for _, groups := range v.versionGroups {
+		for _, s := range groups {
 			for _, e := range s.Endpoints {
 				if !seen[e.ID] {
 					seen[e.ID] = true
@@ -42,7 +43,8 @@
 	return list
 }
 
-// updateEventMetrics brings the metrics up to date.
+// updateEventMetrics adds the changes of the follower's statistics since the
+// last call to the metrics.
 func (v *fleetView) updateEventMetrics() {
 	s, before := v.events.Stats(), v.countedEvents
 	v.countedEvents = s
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -20,24 +20,26 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// Times and bounds of the fleet's upkeep.
+// Intervals and limits of the maintenance of the fleet view.
 const (
 	baseTickInterval = 200 * time.Millisecond
-	tickPerEndpoint  = 250 * time.Microsecond // added for each endpoint
+	tickPerEndpoint  = 250 * time.Microsecond // added to the interval for each endpoint
 	probeBurst       = 8
-	// probesPerSecond bounds the endpoints asked for their load in a second. A probe
-	// is 404 bytes on the wire (docs/CAPACITY.md): asking 22 endpoints every
-	// second would alone cost three times what a daemon may spend on control.
-	// Daemons ask different endpoints and tell each other at once of one that
-	// leaves, so that together nine of them still hear each in about a second.
+	// probesPerSecond limits how many endpoints are asked for their load. A
+	// probe takes 404 bytes on the wire (docs/CAPACITY.md): probing 22
+	// endpoints every second would take three times the control traffic that a
+	// daemon may cause. Daemons probe different endpoints and report a leaving
+	// endpoint to each other at once, so nine daemons together still probe each
+	// endpoint about once a second.
 	probesPerSecond  = 2
 	announceInterval = 100 * time.Millisecond
 	evidenceWindow   = 10 * time.Second
 	maxEvidence      = 32
 )
 
-// fleetView is what this daemon believes of the endpoints: the platform's list
-// joined with what endpoints say, their health, and what placement has learnt.
+// fleetView is this daemon's local state of the endpoints: the platform's list
+// merged with what the endpoints report, their health, and the prefix locations
+// that placement has observed.
 type fleetView struct {
 	daemon *Daemon
 	client *engine.Client
@@ -51,15 +53,15 @@
 	mu            sync.Mutex // guards the fields below
 	members       *fleet.Membership
 	manifest      *manifest.Manifest
-	listed        bool // the platform's list has been read once
-	poolsStale    bool // pools must be worked out anew
+	listed        bool // a platform list with endpoints has been read
+	poolsStale    bool // pools must be computed again
 	pools         map[string][]fleet.Endpoint
 	capacity      map[string]capacity // by model
 	versionGroups map[string][]rollout.VersionGroup
 	reports       map[fleet.EndpointID]endpointReport
 	availability  map[fleet.EndpointID]placement.Availability
-	all           []fleet.Member // as of the last refresh, by id
-	usable        []fleet.Member // of those, the ones that may get new work
+	all           []fleet.Member // as of the last refresh, ordered by ID
+	usable        []fleet.Member // subset of all that may receive requests
 	failing       []fleet.EndpointID
 	endpoints     map[fleet.EndpointID]fleet.Endpoint
 
@@ -67,9 +69,9 @@
 	health   *health.Tracker
 
 	events        *cacheevents.Follower
-	countedEvents cacheevents.Stats // in the metrics already; of the upkeep alone
+	countedEvents cacheevents.Stats // statistics already added to the metrics; used by tick only
 
-	splitters *sync.Pool // of *prefix.Splitter, guarded by mu
+	splitters *sync.Pool // of *prefix.Splitter; the pointer is guarded by mu
 	ids       requestIDs
 }
 
@@ -98,7 +100,8 @@
 	return v
 }
 
-// setManifest takes the manifest in force.
+// setManifest applies a new manifest: the pools and the parameters of prefix
+// splitting.
 func (v *fleetView) setManifest(m *manifest.Manifest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -109,7 +112,7 @@
 	v.refresh()
 }
 
-// run keeps the view up to date until ctx ends.
+// run maintains the view and sends placement announcements until ctx ends.
 func (v *fleetView) run(ctx context.Context) error {
 	go v.pollList(ctx)
 	defer v.events.Close()
@@ -131,24 +134,25 @@
 	}
 }
 
-// tickInterval grows with the fleet, so that the upkeep of thousands of
-// endpoints stays a small part of a core. Endpoints that leave do not wait for
-// it: their own word and the list's close the gate at once.
+// tickInterval returns the time between ticks. It grows with the fleet, so that
+// the maintenance of thousands of endpoints takes a small fraction of a core.
+// Endpoints that leave do not wait for a tick: their own reports and the
+// platform's list stop new requests to them at once.
 func (v *fleetView) tickInterval() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return baseTickInterval + time.Duration(v.members.Len())*tickPerEndpoint
 }
 
-// pollList reads the platform's list. A failed read changes nothing: endpoints
-// tell for themselves whether they serve.
+// pollList reads the platform's lists periodically until ctx ends. A failed
+// read changes nothing: the endpoints' own reports show whether they serve.
 func (v *fleetView) pollList(ctx context.Context) {
 	ticker := time.NewTicker(v.daemon.o.Settings.Platform.ListInterval)
 	defer ticker.Stop()
 	for {
 		list, err := v.daemon.o.VMs.Endpoints(ctx)
 		if err != nil {
-			v.log.Debug("List of VMs cannot be read.", "error", err.Error())
+			v.log.Debug("VM list could not be read.", "error", err.Error())
 		} else {
 			v.setList(list)
 		}
@@ -173,15 +177,16 @@
 	v.refresh()
 }
 
-// applyChanges logs changes of the membership and has the pools worked out anew. The
-// caller holds the lock.
+// applyChanges logs membership changes and marks the pools as stale. Endpoints
+// that leave or have restarted are reported to the neighbours at once. The
+// caller holds v.mu.
 func (v *fleetView) applyChanges(changes []fleet.Change) {
 	v.poolsStale = v.poolsStale || len(changes) > 0
 	for _, c := range changes {
 		if c.Kind == fleet.ChangeLeaving || c.Kind == fleet.ChangeRestarted {
 			v.daemon.peers.AnnounceEvidence()
 		}
-		v.log.Info("Endpoint has changed.", "endpoint", string(c.Endpoint), "change", string(c.Kind))
+		v.log.Info("Endpoint changed.", "endpoint", string(c.Endpoint), "change", string(c.Kind))
 	}
 }
 
@@ -208,7 +213,8 @@
 	}
 }
 
-// takeProbes takes as many probes from the budget as it holds.
+// takeProbes takes up to probeBurst probes from the budget and returns their
+// number.
 func (v *fleetView) takeProbes(now time.Time) int {
 	n := 0
 	for n < probeBurst && v.probeBudget.AllowN(now, 1) {
@@ -217,7 +223,7 @@
 	return n
 }
 
-// probe asks an endpoint for its load, when no answer has told it lately.
+// probe asks an endpoint for its load if no recent answer contained it.
 func (v *fleetView) probe(ctx context.Context, e fleet.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, fleet.DefaultProbeAfter)
 	defer cancel()
@@ -232,13 +238,13 @@
 	v.healthMu.Unlock()
 }
 
-// applyReport takes what an endpoint said of itself just now.
+// applyReport applies a load report that an endpoint has just sent.
 func (v *fleetView) applyReport(id fleet.EndpointID, l fleet.Load) {
 	now := v.now()
 	l.At = now
 	v.mu.Lock()
 	v.applyChanges(v.members.ApplyReport(now, id, l))
-	if said := v.reports[id]; said.slots != l.Slots || !slices.Equal(said.weights, l.Weights) {
+	if last := v.reports[id]; last.slots != l.Slots || !slices.Equal(last.weights, l.Weights) {
 		v.reports[id] = endpointReport{weights: l.Weights, slots: l.Slots}
 		v.poolsStale = true
 	}
@@ -259,14 +265,15 @@
 	v.healthMu.Unlock()
 }
 
-// hasEndpoints tells whether there is any endpoint to serve from.
+// hasEndpoints reports whether at least one endpoint is known.
 func (v *fleetView) hasEndpoints() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return len(v.endpoints) > 0
 }
 
-// clampPriority keeps a value from outside within the table of priorities.
+// clampPriority limits a priority from outside to the range of valid
+// priorities, which are used as indices.
 func clampPriority(p contract.Priority) contract.Priority {
 	return min(max(p, 0), contract.PriorityCount-1)
 }
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -10,7 +10,8 @@
 	"github.com/merlindock/merlindock/room"
 )
 
-// newGuard returns what keeps requests from endpoints that end whenever they run them.
+// newGuard returns the guard that quarantines requests that crash the endpoints
+// that run them.
 func (d *Daemon) newGuard() *guard.Guard {
 	dial := d.o.Dial
 	if dial == nil {
@@ -22,7 +23,8 @@
 	})
 }
 
-// newLimiter returns what keeps endpoints within the limits that they name.
+// newLimiter returns the limiter that keeps endpoints within the limits that
+// they report.
 func (d *Daemon) newLimiter() *room.Limiter {
 	return room.New(room.Options{
 		Me: d.self(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
@@ -30,17 +32,20 @@
 	})
 }
 
-// self names this daemon among the others.
+// self returns this daemon's name and address for messages to the other
+// daemons.
 func (d *Daemon) self() gossip.Peer {
 	return gossip.Peer{Name: d.o.Settings.Daemon.ID, Address: d.o.Settings.Listen.Peers}
 }
 
-// clock does not begin at zero, which is the time of nothing.
+// clock returns the time since the start of the daemon plus one hour, because
+// zero means "no time" to the packages that use it.
 func (d *Daemon) clock() time.Duration { return time.Hour + d.o.Now().Sub(d.startedAt) }
 
 func (d *Daemon) sendMessage(to string, data []byte) { d.peers.SendMessage(to, data) }
 
-// receiveMessage takes another daemon's message. Daemons that are not listed are not answered.
+// receiveMessage dispatches a message from another daemon. Messages from
+// daemons that are not listed are ignored.
 func (d *Daemon) receiveMessage(from string, data []byte) {
 	for _, other := range d.daemons.get() {
 		if other.ID != from {
--- a/daemon/listen.go
+++ b/daemon/listen.go
@@ -11,11 +11,11 @@
 	"github.com/rotisserie/eris"
 )
 
-// listen opens the listeners that were not given.
+// listen opens the listeners that Options does not provide.
 func (d *Daemon) listen() (Listeners, error) {
 	l := d.o.Listeners
 	s := d.o.Settings
-	for _, each := range []struct {
+	for _, entry := range []struct {
 		l       *net.Listener
 		address string
 	}{
@@ -23,14 +23,14 @@
 		{&l.Admin, s.Listen.Admin},
 		{&l.Peers, s.Listen.Peers},
 	} {
-		if *each.l != nil {
+		if *entry.l != nil {
 			continue
 		}
-		opened, err := net.Listen("tcp", each.address)
+		opened, err := net.Listen("tcp", entry.address)
 		if err != nil {
-			return l, eris.Wrapf(err, "daemon: cannot listen on %s", each.address)
+			return l, eris.Wrapf(err, "daemon: cannot listen on %s", entry.address)
 		}
-		*each.l = opened
+		*entry.l = opened
 	}
 	if s.TLS.CallersCert == "" {
 		return l, nil
@@ -46,9 +46,10 @@
 	return l, nil
 }
 
-// certificate is read again when its file changes, so that it can be renewed
-// without a restart. A file that cannot be read leaves the old one in use: an
-// expired certificate is noticed by callers, a daemon that stops serving by all.
+// certificate is a TLS certificate that is reloaded when its file changes, so
+// that it can be renewed without a restart. If the new file cannot be read, the
+// old certificate stays in use: at worst callers see an expired certificate,
+// whereas an error would end the service for all of them.
 type certificate struct {
 	certFile, keyFile string
 	interval          time.Duration
@@ -57,7 +58,7 @@
 	mu         sync.Mutex
 	current    *tls.Certificate
 	checkedAt  time.Time
-	modifiedAt time.Time // the file's own time of change
+	modifiedAt time.Time // modification time of the loaded file
 }
 
 func newCertificate(certFile, keyFile string, interval time.Duration, now func() time.Time) (*certificate, error) {
@@ -97,10 +98,10 @@
 	return info.ModTime()
 }
 
-// seedOf gives each life of each daemon another seed, so that daemons that
-// start together do not act together.
-func seedOf(id string, life time.Time) uint64 {
+// seedOf returns a random seed that differs by daemon and by start, so that
+// daemons that start together do not act in lockstep.
+func seedOf(id string, startedAt time.Time) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(id))
-	return h.Sum64() ^ uint64(life.UnixNano())
+	return h.Sum64() ^ uint64(startedAt.UnixNano())
 }
--- a/daemon/listen_test.go
+++ b/daemon/listen_test.go
@@ -17,8 +17,8 @@
 	"github.com/merlindock/merlindock/gateway"
 )
 
-// writeCertificate writes a certificate of the given name, whose file says that
-// it was changed at the given time.
+// writeCertificate writes a certificate with the given common name and sets the
+// modification time of its file.
 func writeCertificate(t *testing.T, dir, name string, changed time.Time) (certFile, keyFile string) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -55,7 +55,8 @@
 	}
 }
 
-// servedName is the name in the certificate that a caller would be servedName.
+// servedName returns the common name of the certificate that a client would
+// receive.
 func servedName(t *testing.T, c *certificate) string {
 	t.Helper()
 	got, err := c.get(nil)
@@ -69,9 +70,9 @@
 	return leaf.Subject.CommonName
 }
 
-// The callers' certificate is renewed while the daemon runs, at first by a file
-// that is cut short. Callers would be shown the old one until it expires, or no
-// certificate at all.
+// Guards against a certificate that is renewed while the daemon runs, first by
+// a truncated file: callers would get the old one until it expires, or none at
+// all.
 func TestCertificateIsReloadedWithoutRestart(t *testing.T) {
 	now := testTime
 	dir := t.TempDir()
@@ -82,35 +83,35 @@
 	}
 	writeCertificate(t, dir, "second", now.Add(time.Second))
 	if name := servedName(t, c); name != "first" {
-		t.Errorf("%q is shown before the files are looked at again", name)
+		t.Errorf("%q is served before the reload interval has passed", name)
 	}
-	whole, err := os.ReadFile(certFile)
+	content, err := os.ReadFile(certFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(certFile, whole[:len(whole)/2], 0o600); err != nil {
+	if err := os.WriteFile(certFile, content[:len(content)/2], 0o600); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(time.Minute)
 	if name := servedName(t, c); name != "first" {
-		t.Errorf("%q is shown while the file is half written", name)
+		t.Errorf("%q is served while the file is truncated", name)
 	}
 	writeCertificate(t, dir, "third", now)
 	now = now.Add(time.Minute)
 	if name := servedName(t, c); name != "third" {
-		t.Errorf("%q is shown after the renewal", name)
+		t.Errorf("%q is served after the renewal", name)
 	}
 	if err := os.Remove(certFile); err != nil {
 		t.Fatal(err)
 	}
 	now = now.Add(time.Minute)
 	if name := servedName(t, c); name != "third" {
-		t.Errorf("%q is shown after the file was removed", name)
+		t.Errorf("%q is served after the file was removed", name)
 	}
 }
 
-// Each reason for which a call was not claimed must be told as what it is:
-// nothing ran, and whether asking again under the same key can help.
+// Guards against answers to refused claims that leave open whether the call
+// ran, or whether a retry with the same key can succeed.
 func TestClaimRefusalStatusAndOutcome(t *testing.T) {
 	const wait = 5 * time.Second
 	for reason, want := range map[claims.Reason]struct {
--- a/daemon/load.go
+++ b/daemon/load.go
@@ -10,11 +10,11 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// maxLoadBytes bounds a load report.
+// maxLoadBytes is the maximum size of a load report.
 const maxLoadBytes = 4 << 10
 
-// parseLoad reads a load report. An endpoint that knows no such report answers
-// 404; it is alive, which is all that can be known of it.
+// parseLoad parses the answer to a load request. An endpoint without load
+// reports answers 404; it is alive, but its load is unknown.
 func parseLoad(ans *engine.Answer) (fleet.Load, error) {
 	if ans.Status == http.StatusNotFound {
 		return fleet.Load{Incarnation: ans.Meta.Incarnation}, nil
--- a/daemon/news.go
+++ b/daemon/news.go
@@ -7,15 +7,17 @@
 	"github.com/merlindock/merlindock/placement"
 )
 
-// recentEvidence is what the neighbours are told of endpoints.
+// recentEvidence returns the recent endpoint evidence for the digest to the
+// neighbours.
 func (v *fleetView) recentEvidence(now time.Time) []fleet.Evidence {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.members.RecentEvidence(now, evidenceWindow, maxEvidence)
 }
 
-// announcePlacements tells the other daemons where cold prefixes went, so that the next
-// question on the same document follows to the same endpoint.
+// announcePlacements announces to the other daemons where prefixes without a
+// cached location were placed, so that the next prompt about the same document
+// goes to the same endpoint.
 func (v *fleetView) announcePlacements() {
 	notices := v.placement.TakeAnnouncements(nil)
 	if v.daemon.o.DisableAnnouncements {
@@ -26,13 +28,13 @@
 	}
 }
 
-// receiveAnnouncements takes another daemon's notices.
+// receiveAnnouncements applies another daemon's placement announcements.
 func (v *fleetView) receiveAnnouncements(_ string, notices []placement.Announcement) {
 	v.placement.ReceiveAnnouncements(notices)
 	v.daemon.metrics.Scope.Counter("notices_heard").Inc(int64(len(notices)))
 }
 
-// applyNeighbourEvidence takes what a neighbour heard of endpoints.
+// applyNeighbourEvidence applies a neighbour's endpoint evidence.
 func (v *fleetView) applyNeighbourEvidence(now time.Time, es []fleet.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -9,7 +9,7 @@
 	"github.com/merlindock/merlindock/telemetry"
 )
 
-// observer turns reports of requests into metrics.
+// observer updates the request metrics from the gateway's reports.
 type observer struct {
 	scope      tally.Scope
 	log        *logging.Logger
@@ -59,7 +59,7 @@
 	return o
 }
 
-// Request counts one request that ended.
+// Request counts a completed request.
 func (o *observer) Request(r *gateway.Report) {
 	o.crossed.Inc(int64(r.Crossed))
 	o.duplicates.Inc(int64(r.Duplicates))
@@ -87,9 +87,10 @@
 	}
 }
 
-// logUnknownOutcome logs a request that may have run without an answer: its caller needs
-// help to learn what became of it. Refusals are counted only, since in an
-// overload their lines would cost more than the refusals.
+// logUnknownOutcome logs a request that may have run without an answer, because
+// its caller may need help to find out what happened. Refusals are only
+// counted: in an overload, log lines would cost more than the refusals
+// themselves.
 func (o *observer) logUnknownOutcome(r *gateway.Report) {
 	if r.Outcome != gateway.OutcomeUnknown {
 		return
@@ -98,7 +99,7 @@
 		"service", r.Service, "model", r.Model, "code", r.Code, "attempts", r.Attempts, "caller_left", r.CallerLeft)
 }
 
-// Attempt counts one attempt that ended.
+// Attempt counts a completed attempt.
 func (o *observer) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.Result) {
 	if attempts, known := o.attempts[res.Outcome]; known {
 		attempts.Inc(1)
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -11,14 +11,16 @@
 	"github.com/merlindock/merlindock/orders"
 )
 
-// ordersLeaseName names the lease of the one giver of orders.
+// ordersLeaseName is the name of the lease that the rollout leader holds.
 const ordersLeaseName = "orders"
 
-// leasePollFactor is how many polls of the log pass between reads of the lease
-// stream: a lease that lapsed is taken over a little later, and orders wait.
+// leasePollFactor is the poll interval of the lease stream in poll intervals of
+// the manifest log. An expired lease is taken over a little later, which only
+// delays orders.
 const leasePollFactor = 3
 
-// orderLeader gives orders to endpoints while this daemon holds the lease.
+// orderLeader sends orders to endpoints while this daemon holds the rollout
+// lease.
 type orderLeader struct {
 	daemon *Daemon
 	log    *logging.Logger
@@ -47,7 +49,8 @@
 	return g
 }
 
-// run competes for the lease and gives orders until ctx ends.
+// run competes for the lease and sends orders while it holds it, until ctx
+// ends.
 func (g *orderLeader) run(ctx context.Context) error {
 	if !g.daemon.o.Settings.Orders.Enabled {
 		<-ctx.Done()
@@ -71,13 +74,14 @@
 	}
 	switch e.Kind {
 	case orders.EventLeaseAcquired, orders.EventLeaseLost, orders.EventOrder:
-		g.log.Info("Orders to endpoints.", fields...)
+		g.log.Info("Rollout leader event.", fields...)
 	default:
-		g.log.Debug("Orders to endpoints.", fields...)
+		g.log.Debug("Rollout leader event.", fields...)
 	}
 }
 
-// fleetState is what this daemon plans orders from.
+// fleetState returns the input of rollout planning: the manifest in force and
+// the endpoints. It is empty before the first manifest.
 func (d *Daemon) fleetState(now time.Time) orders.FleetState {
 	v := d.manifests.InForce()
 	if v == nil {
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -24,14 +24,15 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// How often a daemon without a manifest asks its neighbours, at first and later.
+// Delays between manifest requests to neighbours, and interval of the check for
+// missing records.
 const (
 	minBootstrapDelay = 5 * time.Millisecond
 	maxBootstrapDelay = 250 * time.Millisecond
-	gapCheckInterval  = 10 * time.Second // between looks whether records were missed
+	gapCheckInterval  = 10 * time.Second
 )
 
-// daemonList is the newest list of daemons. An empty one never replaces it.
+// daemonList holds the last non-empty list of daemons from the platform.
 type daemonList struct {
 	list atomic.Pointer[[]ports.Daemon]
 }
@@ -43,7 +44,8 @@
 	return nil
 }
 
-// readDaemons reads the platform's list of daemons.
+// readDaemons reads the platform's list of daemons and passes it to the
+// components that use it. A failed read or an empty list changes nothing.
 func (d *Daemon) readDaemons(ctx context.Context) {
 	list, err := d.o.VMs.Daemons(ctx)
 	if err != nil || len(list) == 0 {
@@ -113,13 +115,14 @@
 	}
 	log := d.o.Logs.For(logging.ComponentPeers)
 	if e.Kind == peer.EventConflict || e.Kind == peer.EventRejected {
-		log.Warn("Neighbour's manifest is not taken.", fields...)
+		log.Warn("Neighbour's manifest was rejected.", fields...)
 		return
 	}
 	log.Debug("Exchange.", fields...)
 }
 
-// revisionOf converts between the fold's and the neighbours' revision.
+// revisionOf converts a revision of the log to that of the neighbours'
+// messages. The digest is zero if it is not a SHA-256 sum in hexadecimal.
 func revisionOf(r ledger.Revision) neighbour.Revision {
 	out := neighbour.Revision{Offset: r.Offset}
 	sum, err := hex.DecodeString(string(r.Digest))
@@ -129,7 +132,8 @@
 	return out
 }
 
-// localDigest is what the neighbours are told.
+// localDigest returns the state that the next digest to the neighbours
+// contains.
 func (d *Daemon) localDigest(now time.Time) peer.LocalState {
 	l := peer.LocalState{Endpoints: d.fleet.recentEvidence(now), Usage: d.admission.encodeUsage(now, !d.shutdown.ready())}
 	if v := d.manifests.InForce(); v != nil {
@@ -138,13 +142,14 @@
 	return l
 }
 
-// onDigest takes what a neighbour told of endpoints and organisations.
+// onDigest applies the endpoint evidence and the usage of a neighbour's digest.
 func (d *Daemon) onDigest(now time.Time, n neighbour.Digest) {
 	d.fleet.applyNeighbourEvidence(now, n.Endpoints)
 	d.admission.mergeUsage(now, contract.DaemonID(n.Daemon), n.Usage)
 }
 
-// fetchManifest gives a neighbour the manifest in force and its proof.
+// fetchManifest returns the manifest in force and its checkpoint for a
+// neighbour. It fails if no manifest has been accepted.
 func (d *Daemon) fetchManifest(context.Context, neighbour.Revision) (peer.Accepted, error) {
 	c, ok := d.manifests.Proof()
 	if !ok || c.Revision.Offset == 0 {
@@ -152,26 +157,28 @@
 	}
 	text := c.Manifest
 	c.Manifest = nil
-	proof, err := json.Marshal(c)
+	encoded, err := json.Marshal(c)
 	if err != nil {
-		return peer.Accepted{}, eris.Wrap(err, "daemon: proof")
+		return peer.Accepted{}, eris.Wrap(err, "daemon: encode checkpoint")
 	}
-	return peer.Accepted{Revision: revisionOf(c.Revision), Manifest: text, Proof: proof}, nil
+	return peer.Accepted{Revision: revisionOf(c.Revision), Manifest: text, Proof: encoded}, nil
 }
 
-// adoptManifest brings a neighbour's manifest into force if the fold takes its proof.
+// adoptManifest brings a neighbour's manifest into force if the log's state
+// accepts its checkpoint.
 func (d *Daemon) adoptManifest(_ context.Context, from string, a peer.Accepted) error {
 	var c ledger.Checkpoint
 	if err := json.Unmarshal(a.Proof, &c); err != nil {
-		return eris.Wrapf(err, "daemon: proof from %s", from)
+		return eris.Wrapf(err, "daemon: decode checkpoint from %s", from)
 	}
 	c.Manifest = a.Manifest
 	return eris.Wrapf(d.manifests.Adopt(c), "daemon: manifest from %s", from)
 }
 
-// bootstrap asks the neighbours for the manifest in force until there is one,
-// so that a daemon that starts while the log is down serves at once. The first
-// times it asks often: the list of daemons is being read meanwhile.
+// bootstrap requests the manifest in force from neighbours until there is one,
+// so that a daemon that starts while the log is down can serve at once. The
+// first requests follow each other quickly, because the list of daemons is read
+// at the same time.
 func (d *Daemon) bootstrap(ctx context.Context) {
 	for pause := minBootstrapDelay; d.manifests.InForce() == nil; pause = min(2*pause, maxBootstrapDelay) {
 		if _, err := d.peers.Bootstrap(ctx); err == nil {
@@ -187,10 +194,10 @@
 	}
 }
 
-// fetchMissingRecords asks the neighbours for a proof while records of the log are
-// missing here. Neighbours announce only what is newer; without asking, a daemon
-// that was cut off past the retention could not publish until the next
-// checkpoint, hours later.
+// fetchMissingRecords requests a checkpoint from neighbours while records of
+// the log are missing here. Neighbours announce only newer manifests; without
+// the request, a daemon that was isolated for longer than the retention could
+// not publish until the next checkpoint, hours later.
 func (d *Daemon) fetchMissingRecords(ctx context.Context) error {
 	ticker := time.NewTicker(gapCheckInterval)
 	defer ticker.Stop()
@@ -201,15 +208,16 @@
 		case <-ticker.C:
 		}
 		if d.manifests.NeedsProof() {
-			// Without an answer the next look asks again.
+			// A failed request is repeated at the next tick.
 			_, _ = d.peers.Bootstrap(ctx)
 		}
 	}
 }
 
-// encodeUsage writes the organisations' use for the neighbours, as many pools as fit
-// into one digest. With many models they take turns: a digest that held all
-// would fill the budget for control and be sent seldom.
+// encodeUsage encodes the organisations' usage for the neighbours, with as many
+// pools as fit into one digest. With many models the pools take turns: a digest
+// with all of them would use up the budget for control traffic and be sent
+// rarely.
 func (a *admission) encodeUsage(now time.Time, leaving bool) []byte {
 	pools := a.listPools()
 	names := slices.Sorted(maps.Keys(pools))
@@ -246,14 +254,15 @@
 	return digest.AppendBinary(nil)
 }
 
-// maxUsageBytes bounds the use in one digest, but for the first pool.
+// maxUsageBytes limits the usage in one digest. The first pool is always
+// included.
 const maxUsageBytes = 1 << 10
 
-// poolUsageOverhead bounds what the encoding adds to one pool's use.
+// poolUsageOverhead is an upper bound of the encoding overhead of one pool.
 const poolUsageOverhead = 16
 
-// mergeUsage takes a neighbour's use. What cannot be read is left out: the next
-// digest is whole in itself.
+// mergeUsage applies a neighbour's usage. Pools that cannot be decoded are
+// skipped: each digest is complete, so the next one replaces it.
 func (a *admission) mergeUsage(now time.Time, from contract.DaemonID, usage []byte) {
 	var u peerpb.Usage
 	if proto.Unmarshal(usage, &u) != nil {
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -19,28 +19,28 @@
 	"github.com/merlindock/merlindock/room"
 )
 
-// requestIDs numbers what one daemon places and admits.
+// requestIDs generates IDs of requests that are unique within one daemon.
 type requestIDs struct{ last atomic.Uint64 }
 
 func (r *requestIDs) next() uint64 { return r.last.Add(1) }
 
-func newRand(id string, life time.Time) *rand.Rand {
-	return rand.New(rand.NewPCG(seedOf(id, life), uint64(life.UnixNano())))
+func newRand(id string, startedAt time.Time) *rand.Rand {
+	return rand.New(rand.NewPCG(seedOf(id, startedAt), uint64(startedAt.UnixNano())))
 }
 
-// maxTrialRetries bounds how often a request is placed anew because the endpoint
-// that was chosen is on trial with another one.
+// maxTrialRetries limits how often a request is placed again because another
+// request is already on trial at the chosen endpoint.
 const maxTrialRetries = 3
 
-// errAtLimits is what callers are told while all endpoints are at the limits that they
-// name.
+// errAtLimits is the answer to callers while all endpoints are at the limits
+// that they report.
 var errAtLimits = &gateway.Refusal{
 	Status: http.StatusServiceUnavailable, Code: gateway.CodeOverloaded, Outcome: gateway.OutcomeNotRun,
 	Message: "all endpoints are at the limits that they name", RetryAfter: gateway.DefaultRetryAfter,
 }
 
-// Place implements gateway.Placer. While all endpoints are at their limits it waits for
-// other daemons' words for a moment.
+// Place implements gateway.Placer. While all endpoints are at their limits it
+// waits briefly for the other daemons' replies.
 func (v *fleetView) Place(ctx context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
 	if r.Attempt <= 1 {
 		v.daemon.retries.recordRequest()
@@ -75,7 +75,7 @@
 		request.ID = v.ids.next()
 		decision, err := v.placement.Place(v.now(), request)
 		if err != nil && repeatable && tries > 0 && tries < maxTrialRetries {
-			// Only endpoints on trial are left: better one of them than none.
+			// Only endpoints on trial are left; use one of them rather than none.
 			tries, request.Avoid = maxTrialRetries-1, append(slices.Clone(r.Exclude), full...)
 			continue
 		}
@@ -98,17 +98,18 @@
 		}
 		v.placement.Finished(v.now(), request.ID)
 		if last {
-			// "Not run" is better than a call lost on an endpoint that fails.
+			// A call that must not be repeated is refused rather than risked
+			// on a failing endpoint.
 			return gateway.Placement{}, gateway.ErrNoEndpoint
 		}
 		request.Avoid = append(slices.Clone(request.Avoid), decision.Endpoint)
 	}
 }
 
-// allowRequest reports whether an endpoint that is due back after failing may have
-// this request. One at a time finds out whether it is back; else all requests
-// of its prefixes would be lost on it together. A call that may not be repeated
-// is never the one.
+// allowRequest reports whether an endpoint may receive this request. An ejected
+// endpoint that is due for readmission gets one request at a time on trial;
+// otherwise all requests with its prefixes would fail there together. A request
+// that must not be repeated is never used for a trial.
 func (v *fleetView) allowRequest(id fleet.EndpointID, repeatable bool) bool {
 	v.healthMu.Lock()
 	defer v.healthMu.Unlock()
@@ -116,7 +117,8 @@
 	return v.health.Status(now, id) != health.Trial || v.health.Allow(now, id, repeatable)
 }
 
-// promptLevels cuts the prompt into the promptLevels that placement counts in.
+// promptLevels splits the prompt into the prefix levels that placement uses. It
+// returns nil for services.
 func (v *fleetView) promptLevels(r *gateway.PlaceRequest) []prefix.Level {
 	if r.Kind != fleet.KindModel {
 		return nil
@@ -142,7 +144,8 @@
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// newPlacement turns a decision into a placement whose callbacks correct the view.
+// newPlacement converts a decision into a gateway.Placement. Its callbacks
+// update the view with the result of the attempt.
 func (v *fleetView) newPlacement(id uint64, levels []prefix.Level, d *placement.Decision) gateway.Placement {
 	v.mu.Lock()
 	address := v.endpoints[d.Endpoint].Address
@@ -182,7 +185,7 @@
 	v.placement.Answered(v.now(), a)
 }
 
-// onDone tells placement, membership and health how the attempt went.
+// onDone passes the result of an attempt to placement, membership and health.
 func (v *fleetView) onDone(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.Result) {
 	now := v.now()
 	if r.Outcome == gateway.AttemptAnswered || r.Outcome == gateway.AttemptCancelled {
@@ -212,9 +215,10 @@
 	}
 }
 
-// onNotRun takes an endpoint's refusal. What it says of itself counts at once: one
-// that is leaving gets no new work, whatever the platform's list says, and one
-// that serves another weight version gets requests for that.
+// onNotRun handles a refusal by an endpoint. Its own report takes effect at
+// once: a leaving endpoint gets no further requests, whatever the platform's
+// list contains, and one that serves another weight version gets only requests
+// for that version.
 func (v *fleetView) onNotRun(e fleet.EndpointID, m engine.Metadata) {
 	if !m.HasLoad {
 		return
@@ -227,8 +231,8 @@
 	}
 }
 
-// slowness is the time to the first token over the one expected; 0 means that
-// it is not known.
+// slowness returns the ratio of the observed to the expected time to the first
+// token, or 0 if either is unknown.
 func slowness(got, expected time.Duration) float64 {
 	if got <= 0 || expected <= 0 {
 		return 0
@@ -236,7 +240,7 @@
 	return float64(got) / float64(expected)
 }
 
-// readLoad asks an endpoint for its load.
+// readLoad requests the load report of an endpoint.
 func readLoad(ctx context.Context, client *engine.Client, e fleet.Endpoint) (fleet.Load, error) {
 	ans, err := client.Send(ctx, &engine.Attempt{
 		ID:       "probe-" + string(e.ID),
--- a/daemon/pools.go
+++ b/daemon/pools.go
@@ -14,21 +14,21 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// endpointReport is what an endpoint last said of itself that pools and their capacity
-// are worked out from.
+// endpointReport is the part of an endpoint's last load report that pools and
+// their capacity depend on.
 type endpointReport struct {
 	weights []fleet.Weights
 	slots   int
 }
 
-// capacity is what the runners of a model can take.
+// capacity is the total capacity of the runners of a model.
 type capacity struct {
 	endpoints int
 	slots     int
 }
 
-// refresh brings pools and gates in line with the membership. The caller holds
-// the lock.
+// refresh updates availability and, if they are stale, the pools from the
+// membership. The caller holds v.mu.
 func (v *fleetView) refresh() {
 	if v.manifest == nil {
 		return
@@ -45,9 +45,9 @@
 	v.selectStore(v.all)
 }
 
-// refreshPools works out which endpoints serve what. Leaving ones are in no
-// pool; those that fail stay in theirs, so that they find their own prefixes
-// again when they return.
+// refreshPools computes which endpoints serve which model and service. Leaving
+// endpoints are in no pool. Failing ones stay in theirs, so that they keep
+// their cached prefixes when they are readmitted.
 func (v *fleetView) refreshPools(all []fleet.Member) {
 	staying := make([]fleet.Member, 0, len(all))
 	for i := range all {
@@ -59,9 +59,9 @@
 	v.versionGroups = map[string][]rollout.VersionGroup{}
 	for i := range v.manifest.Models {
 		model := v.manifest.Models[i].ID
-		shares := rollout.GroupByVersion(v.manifest, model, staying)
-		v.versionGroups[model] = shares
-		for _, s := range shares {
+		groups := rollout.GroupByVersion(v.manifest, model, staying)
+		v.versionGroups[model] = groups
+		for _, s := range groups {
 			v.setPool(modelPool(model, s.Version), s.Endpoints)
 			c := v.capacity[model]
 			c.endpoints += len(s.Endpoints)
@@ -72,7 +72,8 @@
 	v.refreshServices(staying)
 }
 
-// countSlots adds up the batch slots behind each model.
+// countSlots adds up the batch slots of each model. Endpoints that do not
+// report theirs count with the configured default.
 func (v *fleetView) countSlots(staying []fleet.Member) {
 	slots := make(map[fleet.EndpointID]int, len(staying))
 	for i := range staying {
@@ -82,9 +83,9 @@
 			slots[m.ID] = v.daemon.o.Settings.Routing.RunnerSlots
 		}
 	}
-	for model, shares := range v.versionGroups {
+	for model, groups := range v.versionGroups {
 		c := v.capacity[model]
-		for _, s := range shares {
+		for _, s := range groups {
 			for i := range s.Endpoints {
 				c.slots += slots[s.Endpoints[i].ID]
 			}
@@ -106,18 +107,19 @@
 	}
 }
 
-// poolLoad is how full the endpoints of one model say they are.
+// poolLoad is the reported load of the endpoints of one model.
 type poolLoad struct {
-	requests int
+	requests int // running and waiting
 	slots    int
 }
 
-// loads adds up the load reports behind each model. The caller holds the lock.
+// loads returns the total reported load by model. Endpoints that report no
+// slots are left out. The caller holds v.mu.
 func (v *fleetView) loads() map[string]poolLoad {
 	sums := make(map[string]poolLoad, len(v.versionGroups))
-	for model, shares := range v.versionGroups {
+	for model, groups := range v.versionGroups {
 		sum := poolLoad{}
-		for _, s := range shares {
+		for _, s := range groups {
 			for i := range s.Endpoints {
 				sum.add(v.memberByID(s.Endpoints[i].ID))
 			}
@@ -135,9 +137,10 @@
 	l.slots += m.Load.Slots
 }
 
-// memberByID finds an endpoint in the newest copy of the membership, which is
-// ordered by id. The caller holds the lock.
+// memberByID returns an endpoint of the last refresh, or nil. The caller holds
+// v.mu.
 func (v *fleetView) memberByID(id fleet.EndpointID) *fleet.Member {
+	// v.all is ordered by ID.
 	i, found := slices.BinarySearchFunc(v.all, id, func(m fleet.Member, id fleet.EndpointID) int {
 		return cmp.Compare(m.ID, id)
 	})
@@ -150,7 +153,7 @@
 func modelPool(model, version string) string { return "model/" + model + "@" + version }
 func classPool(class string) string          { return "class/" + class }
 
-// setPool hands placement the members of a pool when they have changed.
+// setPool updates the members of a pool in placement if they have changed.
 func (v *fleetView) setPool(name string, members []fleet.Endpoint) {
 	before, known := v.pools[name]
 	if known && slices.Equal(before, members) {
@@ -160,29 +163,30 @@
 	v.placement.SetPool(name, members)
 }
 
-// chooseVersion implements the gateway's choice of a weight version: while a rollout is
-// under way some runners serve the old version and some the new one.
+// chooseVersion selects the weight version for a request. During a rollout some
+// runners serve the old version and some the new one.
 func (v *fleetView) chooseVersion(org contract.OrganisationID, t catalog.Target, firstLevel []byte) catalog.Target {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(org) + "|" + t.Model + "|")
 	_, _ = d.Write(firstLevel)
 	v.mu.Lock()
-	shares := v.versionGroups[t.Model]
+	groups := v.versionGroups[t.Model]
 	v.mu.Unlock()
-	if s, ok := rollout.ChooseVersion(shares, t.Version, d.Sum64()); ok {
+	if s, ok := rollout.ChooseVersion(groups, t.Version, d.Sum64()); ok {
 		t.Version = s.Version
 	}
 	return t
 }
 
-// refreshAvailability closes the gates of endpoints that leave or fail.
+// refreshAvailability marks endpoints that leave or fail as unavailable for
+// placement and removes the state of unlisted endpoints.
 func (v *fleetView) refreshAvailability(now time.Time) {
 	clear(v.endpoints)
 	v.healthMu.Lock()
 	v.failing = v.health.AppendUnusable(now, v.failing[:0])
 	v.healthMu.Unlock()
 	slices.Sort(v.failing)
-	usable := v.usable // by id, as v.all is
+	usable := v.usable // ordered by ID, like v.all
 	for i := range v.all {
 		m := &v.all[i]
 		v.endpoints[m.ID] = m.Endpoint
@@ -201,24 +205,25 @@
 	}
 }
 
-// setAvailability tells placement when the gate of an endpoint has changed.
+// setAvailability updates the availability of an endpoint in placement if it
+// has changed.
 func (v *fleetView) setAvailability(m *fleet.Member, open bool) {
-	gate := placement.Available
+	availability := placement.Available
 	switch {
 	case m.Leaving:
-		gate = placement.Draining
+		availability = placement.Draining
 	case !open:
-		gate = placement.Ejected
+		availability = placement.Ejected
 	}
-	if before, ok := v.availability[m.ID]; ok && before == gate {
+	if before, ok := v.availability[m.ID]; ok && before == availability {
 		return
 	}
-	v.availability[m.ID] = gate
-	v.placement.SetAvailability(m.ID, gate)
+	v.availability[m.ID] = availability
+	v.placement.SetAvailability(m.ID, availability)
 }
 
-// selectStore names the KV store to import from: the first usable one of the own
-// zone, or else of any.
+// selectStore selects the KV store to import from: a usable one, preferably in
+// this daemon's zone.
 func (v *fleetView) selectStore(all []fleet.Member) {
 	var chosen fleet.EndpointID
 	for i := range all {
@@ -242,7 +247,7 @@
 	return false
 }
 
-// capacityOf returns what the runners of a model can take.
+// capacityOf returns the total capacity of the runners of a model.
 func (v *fleetView) capacityOf(model string) capacity {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/daemon/publish.go
+++ b/daemon/publish.go
@@ -20,8 +20,8 @@
 	return newPublication(base, r), err
 }
 
-// PublishSection implements admin.System. A change that is in force already is
-// accepted, so that an operator whose answer was lost can ask again.
+// PublishSection implements admin.System. A change that is already in force is
+// accepted, so that an operator whose answer was lost can repeat the call.
 func (s *system) PublishSection(ctx context.Context, c admin.Change) (admin.Publication, error) {
 	v := s.manifests.InForce()
 	if v == nil {
@@ -43,7 +43,8 @@
 	return newPublication(v.Revision.Offset, r), err
 }
 
-// publishOutcomes says how each outcome of the log is told to an operator.
+// publishOutcomes maps the outcomes of the log to those of the administration
+// API.
 var publishOutcomes = map[logio.PublishOutcome]admin.Outcome{
 	logio.PublishAccepted:    admin.OutcomeAccepted,
 	logio.PublishRefused:     admin.OutcomeRefused,
--- a/daemon/retries.go
+++ b/daemon/retries.go
@@ -10,11 +10,11 @@
 	"github.com/merlindock/merlindock/retry"
 )
 
-// retries is the one budget for retries of this daemon.
+// retries is the retry budget that all requests of this daemon share.
 type retries struct {
 	now func() time.Time
 
-	mu     sync.Mutex // taken last, held for no call out of package retry
+	mu     sync.Mutex // last in the lock order; held only for calls of package retry
 	budget *retry.Budget
 	rng    *rand.Rand
 }
@@ -23,7 +23,7 @@
 	return &retries{now: now, budget: retry.NewBudget(retry.BudgetOptions{}), rng: rng}
 }
 
-// recordRequest counts the first attempt of a request.
+// recordRequest adds the credit for a new request to the budget.
 func (r *retries) recordRequest() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -34,7 +34,7 @@
 func (r *retries) Next(f gateway.Failure) (time.Duration, bool) {
 	request := retry.Request{Idempotent: f.Idempotent, Resumable: true, Deadline: f.Deadline}
 	if f.Streaming {
-		request.Delivered = 1 // how much doesn't matter here
+		request.Delivered = 1 // any positive number marks the stream as partly delivered
 	}
 	request = retry.RestoreRequest(request, f.Attempt-1, false)
 	r.mu.Lock()
--- a/daemon/retries_test.go
+++ b/daemon/retries_test.go
@@ -22,12 +22,12 @@
 		failure gateway.Failure
 		want    bool
 	}{
-		"booking not sent":   {gateway.Failure{Class: engine.NotSent, Attempt: 1}, true},
-		"booking not run":    {gateway.Failure{Class: engine.NotRun, Attempt: 1}, true},
-		"booking lost":       {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1}, false},
-		"prompt lost":        {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
-		"fourth attempt":     {gateway.Failure{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
-		"deadline too close": {gateway.Failure{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
+		"non-idempotent call not sent":             {gateway.Failure{Class: engine.NotSent, Attempt: 1}, true},
+		"non-idempotent call not run":              {gateway.Failure{Class: engine.NotRun, Attempt: 1}, true},
+		"non-idempotent call with unknown outcome": {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1}, false},
+		"idempotent call with unknown outcome":     {gateway.Failure{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
+		"fourth attempt":                           {gateway.Failure{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
+		"deadline too close":                       {gateway.Failure{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
 	} {
 		if _, got := testRetries().Next(c.failure); got != c.want {
 			t.Errorf("%s: retry %v, want %v", name, got, c.want)
@@ -35,9 +35,9 @@
 	}
 }
 
-// Endpoints fail every request for a while. A daemon that repeated each of them
-// would double their load; it stops when its budget is spent, but goes on
-// resuming streams that callers have a part of.
+// Guards against a daemon that doubles the load of endpoints while they fail
+// every request. Retries stop when the budget is spent, but streams that were
+// partly delivered are still resumed on debt.
 func TestRetryBudgetBoundsRetries(t *testing.T) {
 	r := testRetries()
 	prompts, streams := 0, 0
@@ -52,13 +52,13 @@
 		}
 	}
 	if prompts != retry.DefaultBurst/2 || streams != retry.DefaultDebt {
-		t.Errorf("%d prompts and %d streams were sent again", prompts, streams)
+		t.Errorf("%d prompts and %d streams were retried", prompts, streams)
 	}
 }
 
-// A resumed stream is refused by the next endpoint, which did no part of it.
-// The caller still has a part of the answer, so it is a broken stream and may
-// be resumed on debt, not a fresh request.
+// Guards against treating a resume that the next endpoint refused as a new
+// request: the caller already has a part of the answer, so it must count as a
+// broken stream that may be resumed on debt.
 func TestRefusedResumeCountsAsBrokenStream(t *testing.T) {
 	f := gateway.Failure{Class: engine.NotRun, Attempt: 2, Idempotent: true, Streaming: true}
 	if got := failureOf(f); got != retry.Broken {
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -10,11 +10,12 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// drainCheckInterval is how often a shutdown looks at the open streams.
+// drainCheckInterval is the interval between checks of the open streams during
+// a shutdown.
 const drainCheckInterval = 20 * time.Millisecond
 
-// shutdown drives the decisions of package drain with the time and the number
-// of open requests.
+// shutdown drives the state machine of package drain with the clock and the
+// number of open requests.
 type shutdown struct {
 	drainer *gateway.Drainer
 	now     func() time.Time
@@ -65,8 +66,9 @@
 	return s.state.Advance(now)
 }
 
-// run returns when the shutdown is over or ctx ends. It calls stop when open
-// requests are to end with an explicit error.
+// run returns when the shutdown is complete or ctx ends. It calls stop once
+// open requests must end with an explicit error; stop may be called more than
+// once.
 func (s *shutdown) run(ctx context.Context, stop func()) error {
 	select {
 	case <-ctx.Done():
--- a/daemon/system.go
+++ b/daemon/system.go
@@ -23,13 +23,13 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// Bounds of what the administration API lists.
+// Maximum lengths of lists in the administration API.
 const (
 	maxListedOrganisations = 1000
 	maxListedEndpoints     = 10_000
 )
 
-// system is the daemon as its administration API sees it.
+// system implements admin.System for a Daemon.
 type system Daemon
 
 // Live implements admin.System.
@@ -61,13 +61,13 @@
 	return admin.Revision{Offset: r.Offset, Digest: string(r.Digest)}
 }
 
-// History implements admin.System. A manifest that came with a proof, from a
-// neighbour or from publishing it here, was never folded as a record; it is
-// listed by its acceptance.
+// History implements admin.System. A manifest that was adopted with a
+// checkpoint, from a neighbour or by publishing it here, has no decision in the
+// history, so it is listed from the accepted revisions of the checkpoint.
 func (s *system) History() []admin.Publication {
 	byOffset := map[ports.Offset]admin.Publication{}
-	if proof, ok := s.manifests.Proof(); ok {
-		for _, a := range proof.Recent {
+	if checkpoint, ok := s.manifests.Proof(); ok {
+		for _, a := range checkpoint.Recent {
 			byOffset[a.Offset] = admin.Publication{
 				Outcome:  admin.OutcomeAccepted,
 				Revision: admin.Revision{Offset: a.Offset, Digest: string(a.Digest)},
@@ -102,7 +102,7 @@
 	return 0
 }
 
-// endpointView is one endpoint for operators.
+// endpointView is an endpoint in the administration API.
 type endpointView struct {
 	fleet.Member
 	Gate string `json:"gate"`
@@ -125,19 +125,20 @@
 
 // Organisations implements admin.System.
 func (s *system) Organisations() any {
-	shown := map[string]contract.UseReport{}
+	usage := map[string]contract.UseReport{}
 	for name, p := range s.admission.listPools() {
 		p.mu.Lock()
-		shown[name] = p.core.Use(p.now(), maxListedOrganisations)
+		usage[name] = p.core.Use(p.now(), maxListedOrganisations)
 		p.mu.Unlock()
 	}
-	return shown
+	return usage
 }
 
 // Drain implements admin.System.
 func (s *system) Drain() { (*Daemon)(s).Drain() }
 
-// dump is the state of the whole process. It holds no prompts and no keys.
+// dump is the state of the daemon for diagnosis. It contains no prompts and no
+// API keys.
 type dump struct {
 	At            time.Time               `json:"at"`
 	Started       time.Time               `json:"started"`
@@ -153,7 +154,7 @@
 	Daemons       []ports.Daemon          `json:"daemons"`
 	Neighbours    []ports.Daemon          `json:"neighbours"`
 	Senders       []neighbour.Sender      `json:"senders"`
-	Orders        orders.Report           `json:"orders"` // its plan is empty without the lease
+	Orders        orders.Report           `json:"orders"` // the plan is empty on daemons without the lease
 }
 
 // Dump implements admin.System.
@@ -181,7 +182,8 @@
 	}
 }
 
-// Revision returns the manifest in force; its offset is 0 before the first.
+// Revision returns the revision of the manifest in force, with offset 0 before
+// the first manifest.
 func (d *Daemon) Revision() ledger.Revision {
 	if v := d.manifests.InForce(); v != nil {
 		return v.Revision
--- a/daemon/usage_test.go
+++ b/daemon/usage_test.go
@@ -11,9 +11,9 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// A deployment serves thirty models, and their use does not fit into one
-// digest. A pool that never got its turn would be shared out as if no other
-// daemon used it.
+// Guards against pools that never appear in a digest because the usage of all
+// models does not fit into one: the neighbours would divide the capacity of
+// such a pool as if no other daemon used it.
 func TestUsageDigestsCoverAllPools(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := &admission{pools: map[string]*admissionPool{}}
@@ -36,7 +36,7 @@
 	for ; len(seen) < models && digests < models; digests++ {
 		text := a.encodeUsage(now.Add(time.Duration(digests)*time.Second), false)
 		if len(text) > 2*maxUsageBytes {
-			t.Fatalf("use of %d bytes", len(text))
+			t.Fatalf("usage of %d bytes", len(text))
 		}
 		var u peerpb.Usage
 		if err := proto.Unmarshal(text, &u); err != nil {
@@ -47,6 +47,6 @@
 		}
 	}
 	if len(seen) != models {
-		t.Errorf("%d of %d pools told in %d digests", len(seen), models, digests)
+		t.Errorf("%d of %d pools sent in %d digests", len(seen), models, digests)
 	}
 }
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -7,14 +7,14 @@
 	"github.com/merlindock/merlindock/logging"
 )
 
-// Times and bounds of watching the daemon's own state.
+// Parameters of watch.
 const (
 	watchInterval   = 2 * time.Second
-	logDownFailures = 3 // failed reads after which the log counts as down
+	logDownFailures = 3 // consecutive failed reads after which the log is considered down
 )
 
-// watch keeps the gauges up to date and logs when the platform's log goes down
-// or comes back, until ctx ends.
+// watch updates the gauges and logs when the platform's log becomes unavailable
+// or available again, until ctx ends.
 func (d *Daemon) watch(ctx context.Context) error {
 	log := d.o.Logs.For(logging.ComponentLog)
 	down := false
@@ -36,13 +36,14 @@
 
 func (d *Daemon) reportLogState(log *logging.Logger, down bool, failures int) {
 	if down {
-		log.Warn("Log cannot be read; the manifest in force stays, keyed calls are refused.", "failures", failures)
+		log.Warn("Log is unavailable; the manifest stays in force and keyed calls are refused.", "failures", failures)
 		return
 	}
-	log.Info("Log is read again.")
+	log.Info("Log is available again.")
 }
 
-// updateGauges reports the present state and returns the log's failed reads.
+// updateGauges updates the gauges and returns the number of failed reads of the
+// log.
 func (d *Daemon) updateGauges() int {
 	status := d.manifests.Status()
 	usable, known := d.fleet.countEndpoints()
@@ -57,7 +58,8 @@
 	return status.Failures
 }
 
-// countEndpoints is the number of endpoints that may get new work, and of all.
+// countEndpoints returns the numbers of endpoints that may receive requests and
+// of all known endpoints.
 func (v *fleetView) countEndpoints() (usable, known int) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
