--- a/settings/check.go
+++ b/settings/check.go
@@ -8,16 +8,17 @@
 	"time"
 )
 
-// Bounds of settings.
+// Limits of the values of settings.
 const (
 	minMemoryBytes    = 64 << 20
 	maxZonePairs      = 8
-	maxEventEndpoints = 1024 // one connection and goroutine each
+	maxEventEndpoints = 1024 // each takes a connection and a goroutine
 	maxPartitions     = 4096
 	minInterval       = 10 * time.Millisecond
 )
 
-// checker gathers every fault, so that an operator mends them in one go.
+// checker collects all invalid settings, so that an operator can fix them in
+// one pass.
 type checker struct {
 	sources sourceMap
 	errs    []error
@@ -36,7 +37,7 @@
 
 func (c *checker) address(setting, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		c.reject(setting, fmt.Sprintf("cannot listen on %q", value), "IP:port, such as 10.0.0.4:8080")
+		c.reject(setting, fmt.Sprintf("invalid address %q", value), "IP:port, such as 10.0.0.4:8080")
 	}
 }
 
@@ -58,14 +59,15 @@
 			return
 		}
 	}
-	c.reject(setting, fmt.Sprintf("does not know %q", value), fmt.Sprintf("one of %v", allowed))
+	c.reject(setting, fmt.Sprintf("unknown value %q", value), fmt.Sprintf("one of %v", allowed))
 }
 
-// bothOrNeither refuses a certificate without its key, which would silently mean plain
+// bothOrNeither rejects a file name without its counterpart, such as a
+// certificate without its key. Otherwise the listener would silently use plain
 // TCP.
 func (c *checker) bothOrNeither(first, a, second, b string) {
 	if (a == "") != (b == "") {
-		c.reject(second, "goes with "+first, "both or neither")
+		c.reject(second, "must be set together with "+first, "both or neither")
 	}
 }
 
@@ -90,7 +92,7 @@
 func (c *checker) platform(p Platform) {
 	u, err := url.Parse(p.URL)
 	if err != nil || u.Host == "" || (u.Scheme != "http" && u.Scheme != "https") {
-		c.reject("platform.url", fmt.Sprintf("cannot use %q", p.URL), "a URL such as http://10.0.0.2:7000")
+		c.reject("platform.url", fmt.Sprintf("invalid URL %q", p.URL), "a URL such as http://10.0.0.2:7000")
 	}
 	c.atLeast("platform.timeout", p.Timeout, minInterval)
 	c.atLeast("platform.poll-interval", p.PollInterval, minInterval)
--- a/settings/load.go
+++ b/settings/load.go
@@ -15,15 +15,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// EnvPrefix starts the name of every environment variable that is a setting.
+// EnvPrefix is the first part of the name of every environment variable that is
+// a setting.
 const EnvPrefix = "MERLINDOCK"
 
-// maxFileBytes bounds the settings file; a longer one is no settings file.
+// maxFileBytes is the maximum size of the settings file. It keeps Load from
+// reading an arbitrary file into memory.
 const maxFileBytes = 1 << 20
 
-// Error is a setting that was refused.
+// Error describes a setting that was rejected.
 type Error struct {
-	Where    string // file and line, environment variable or flag
+	Where    string // file and line, environment variable, or "flag"; empty if the setting is not given
 	Setting  string // "section.key"
 	Problem  string
 	Expected string
@@ -44,14 +46,15 @@
 	return text
 }
 
-// Input is where settings come from.
+// Input is the sources of the settings.
 type Input struct {
 	Args []string // without the program's name
-	Env  []string // as os.Environ gives them
-	File string   // path of the INI file unless -config names one; empty for none
+	Env  []string // in the format of os.Environ
+	File string   // default of the flag -config: path of the INI file; empty: no file
 }
 
-// Load reads and checks the settings. Its error joins every *Error found.
+// Load reads and checks the settings. Its error joins an *Error for each
+// invalid setting, or is flag.ErrHelp if the arguments ask for help.
 func Load(in Input) (Settings, error) {
 	var s Settings
 	fs := flag.NewFlagSet("merlindockd", flag.ContinueOnError)
@@ -79,7 +82,7 @@
 	return s, check(s, given)
 }
 
-// Usage writes every setting with its default and meaning.
+// Usage writes each setting with its default and description to w.
 func Usage(w io.Writer) {
 	var s Settings
 	fs := flag.NewFlagSet("merlindockd", flag.ContinueOnError)
@@ -88,10 +91,12 @@
 	fs.PrintDefaults()
 }
 
-// sourceMap tells where each given setting stands, by its name.
+// sourceMap holds the source of each given setting by name: file and line, or
+// environment variable.
 type sourceMap map[string]string
 
-// envName is the environment variable of the named setting, spelt as ff does.
+// envName returns the environment variable of a setting. It follows the
+// convention of package ff.
 func envName(setting string) string {
 	name := strings.NewReplacer("-", "_", ".", "_").Replace(setting)
 	return EnvPrefix + "_" + strings.ToUpper(name)
@@ -129,8 +134,9 @@
 	return found
 }
 
-// rejectUnknownEnv refuses a variable with the prefix that is no setting. A misspelt
-// variable would otherwise leave the default in force without a word.
+// rejectUnknownEnv returns an error for each variable with the prefix that is
+// not a setting. Otherwise a misspelt variable would silently leave the default
+// in force.
 func rejectUnknownEnv(fs *flag.FlagSet, environ []string) error {
 	var errs []error
 	for _, pair := range environ {
@@ -142,8 +148,8 @@
 	return errors.Join(errs...)
 }
 
-// applyFile parses the file with ff, which leaves alone what a flag or the
-// environment has set.
+// applyFile parses the file with ff, which does not override settings from
+// flags or the environment.
 func applyFile(fs *flag.FlagSet, path string, given sourceMap) error {
 	if path == "" {
 		return nil
@@ -152,9 +158,9 @@
 	if err != nil {
 		return err
 	}
-	places := keyPositions(path, text)
+	positions := keyPositions(path, text)
 	parser := func(r io.Reader, set func(name, value string) error) error {
-		return parseINI(r, path, places, fs, set)
+		return parseINI(r, path, positions, fs, set)
 	}
 	var args []string
 	for name := range flagsGiven(fs) {
@@ -169,9 +175,9 @@
 		}
 		return &Error{Where: path, Problem: err.Error()}
 	}
-	for name, place := range places {
+	for name, position := range positions {
 		if _, ok := given[name]; !ok {
-			given[name] = place
+			given[name] = position
 		}
 	}
 	return nil
@@ -188,12 +194,12 @@
 		return nil, &Error{Where: path, Problem: "cannot be read", Expected: "a readable INI file"}
 	}
 	if len(text) > maxFileBytes {
-		return nil, &Error{Where: path, Problem: "too long", Expected: fmt.Sprintf("at most %d bytes", maxFileBytes)}
+		return nil, &Error{Where: path, Problem: "file is too large", Expected: fmt.Sprintf("at most %d bytes", maxFileBytes)}
 	}
 	return text, nil
 }
 
-func parseINI(r io.Reader, path string, places sourceMap, fs *flag.FlagSet, set func(name, value string) error) error {
+func parseINI(r io.Reader, path string, positions sourceMap, fs *flag.FlagSet, set func(name, value string) error) error {
 	file, err := ini.LoadSources(ini.LoadOptions{}, io.NopCloser(r))
 	if err != nil {
 		return &Error{Where: path, Problem: err.Error(), Expected: "INI text: [section] lines and key = value lines"}
@@ -201,7 +207,7 @@
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
 			name := section.Name() + "." + key.Name()
-			where := places[name]
+			where := positions[name]
 			if fs.Lookup(name) == nil {
 				return &Error{Where: where, Setting: name, Problem: "unknown setting", Expected: "a name from merlindockd -help"}
 			}
@@ -217,16 +223,17 @@
 	return &Error{
 		Where:    where,
 		Setting:  name,
-		Problem:  fmt.Sprintf("cannot take %q", value),
+		Problem:  fmt.Sprintf("invalid value %q", value),
 		Expected: expectedValue(fs.Lookup(name)),
 	}
 }
 
-// expectedValue tells what values a setting takes, from its type and its default.
+// expectedValue describes the valid values of a setting by its type and usage
+// text.
 func expectedValue(f *flag.Flag) string {
 	getter, ok := f.Value.(flag.Getter)
 	if !ok {
-		return "another value"
+		return "a valid value"
 	}
 	kind := fmt.Sprintf("%T", getter.Get())
 	names := map[string]string{
@@ -242,10 +249,10 @@
 	return f.Usage
 }
 
-// keyPositions gives file and line of each key. The INI library does not say
-// where a key stood, and without it an operator has to search a long file.
+// keyPositions returns the file and line of each key. The INI library does not
+// provide them, and error messages need them.
 func keyPositions(path string, text []byte) sourceMap {
-	places := sourceMap{}
+	positions := sourceMap{}
 	section := ini.DefaultSection
 	scanner := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; scanner.Scan(); n++ {
@@ -258,7 +265,7 @@
 		if !ok || strings.HasPrefix(line, "#") || strings.HasPrefix(line, ";") {
 			continue
 		}
-		places[section+"."+strings.TrimSpace(key)] = fmt.Sprintf("%s:%d", path, n)
+		positions[section+"."+strings.TrimSpace(key)] = fmt.Sprintf("%s:%d", path, n)
 	}
-	return places
+	return positions
 }
--- a/settings/settings.go
+++ b/settings/settings.go
@@ -1,11 +1,11 @@
 // Package settings reads a daemon's settings from an INI file, environment
 // variables and flags, and checks them before anything is started.
 //
-// A flag goes before the environment, the environment before the file. The key
-// "callers" in section [listen] of the file is the flag -listen.callers and the
-// environment variable MERLINDOCK_LISTEN_CALLERS. What is unknown or wrong is
-// refused with the place it stands at and what was expected; a daemon never
-// starts on a setting it did not understand.
+// Flags override the environment, which overrides the file. The key "callers"
+// in section [listen] of the file is the flag -listen.callers and the
+// environment variable MERLINDOCK_LISTEN_CALLERS. Unknown settings and invalid
+// values are rejected with their source and the expected value; a daemon never
+// starts with a setting that it does not support.
 package settings
 
 import (
@@ -14,10 +14,10 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Settings is all that one daemon is told about its place in the system.
+// Settings is the configuration of one daemon.
 type Settings struct {
-	File      string // the INI file they were read from; empty: none
-	CheckOnly bool   // check the settings and start nothing
+	File      string // path of the INI file; empty: no file
+	CheckOnly bool   // check the settings and exit
 	Daemon    Daemon
 	Listen    Listen
 	Platform  Platform
@@ -32,12 +32,12 @@
 	Log       Log
 }
 
-// Daemon says which daemon this is.
+// Daemon identifies the daemon and limits its memory.
 type Daemon struct {
 	ID   string       // unique among the daemons
 	Zone fleet.ZoneID // availability zone of this VM
-	// MemoryBytes is what the process should stay under: the collector works
-	// harder near it. It is no hard limit.
+	// MemoryBytes is the soft limit of the process's memory: the garbage
+	// collector runs more often near it.
 	MemoryBytes int64
 }
 
@@ -48,75 +48,75 @@
 	Peers   string // gRPC from other daemons
 }
 
-// Platform tells how to reach the platform's log and VM list.
+// Platform configures the client of the platform's log and VM list.
 type Platform struct {
 	URL          string
-	Timeout      time.Duration // for one call
-	PollInterval time.Duration // between reads of the log when it has nothing new
+	Timeout      time.Duration // of one call
+	PollInterval time.Duration // between reads of the log while it has no new records
 	ListInterval time.Duration // between reads of the VM list
 }
 
-// Callers bounds what one caller may ask of this daemon.
+// Callers limits the resources that callers may use.
 type Callers struct {
-	BodyBytes    int64         // longest request body
-	HeaderBytes  int           // longest request header
-	StreamBytes  int64         // longest answer
-	OpenStreams  int           // answers being written at once
-	WriteTimeout time.Duration // that one slow caller may keep a stream waiting in all
-	Deadline     time.Duration // for a request that names none
+	BodyBytes    int64         // maximum size of a request body
+	HeaderBytes  int           // maximum size of the request header
+	StreamBytes  int64         // maximum size of an answer
+	OpenStreams  int           // maximum number of open requests
+	WriteTimeout time.Duration // maximum total time for which a slow caller may block its stream
+	Deadline     time.Duration // of a request that sets none
 }
 
-// Peers tells how daemons exchange digests.
+// Peers configures the exchange of digests between daemons.
 type Peers struct {
-	ZonePairs int           // other zones on each side that a zone is linked with
-	Interval  time.Duration // between two exchanges with one neighbour
-	Timeout   time.Duration // for one exchange
+	ZonePairs int           // number of other zones on each side that a zone is linked with
+	Interval  time.Duration // between exchanges with a neighbour
+	Timeout   time.Duration // of one exchange
 }
 
-// Routing bounds what placement remembers.
+// Routing configures placement.
 type Routing struct {
-	Prefixes       int           // remembered prefixes
-	LoadInterval   time.Duration // silence of an endpoint after which it is asked for its load
-	EventEndpoints int           // model runners up to which their cache events are followed; 0: never
-	RunnerTokens   float64       // prompt tokens a second that one runner prefills
-	RunnerSlots    int           // requests that one runner serves at once
+	Prefixes       int           // maximum number of tracked prefixes
+	LoadInterval   time.Duration // time without a report after which an endpoint is asked for its load
+	EventEndpoints int           // number of model runners above which no cache events are followed; 0: never
+	RunnerTokens   float64       // prefill rate of one runner in prompt tokens per second
+	RunnerSlots    int           // concurrent requests of a runner that does not report its slots
 }
 
-// Orders tells whether this daemon may give orders to endpoints.
+// Orders configures whether this daemon may become the rollout leader.
 type Orders struct {
 	Enabled bool
-	Lease   time.Duration // how long one lease on giving orders lasts
+	Lease   time.Duration // duration of the rollout lease
 }
 
-// Claims bounds what is kept of idempotent calls.
+// Claims configures how claims of idempotent calls are written to the log.
 type Claims struct {
-	Partitions int           // streams of the log that claims are spread over
-	BatchDelay time.Duration // longest wait for other claims to share an append
+	Partitions int           // number of log streams that claims are distributed over
+	BatchDelay time.Duration // maximum delay of a claim to share an append with others
 }
 
-// Drain tells how a daemon leaves.
+// Drain configures the graceful shutdown.
 type Drain struct {
-	BalancerLag time.Duration // how long the balancer may still send requests
-	MaxWait     time.Duration // longest wait for open streams
+	BalancerLag time.Duration // time for which the balancer may still send requests after the daemon is unready
+	MaxWait     time.Duration // maximum wait for open streams
 }
 
-// Admin guards the administration API.
+// Admin configures access to the administration API.
 type Admin struct {
-	TokenFile string // file that holds the bearer token
+	TokenFile string // file with the bearer token
 }
 
-// TLS names the files of certificates; empty means plain TCP.
+// TLS holds the paths of certificate files; empty means plain TCP.
 type TLS struct {
 	CallersCert    string
 	CallersKey     string
 	PeersCert      string
 	PeersKey       string
 	PeersCA        string
-	PeersName      string // DNS name that every daemon's certificate has
-	ReloadInterval time.Duration
+	PeersName      string        // DNS name in every daemon's certificate
+	ReloadInterval time.Duration // between checks of the files for changes
 }
 
-// Log tells what is logged.
+// Log configures logging.
 type Log struct {
-	Level string // debug, info, warn or error
+	Level string // lowest level that is logged: debug, info, warn or error
 }
--- a/settings/settings_test.go
+++ b/settings/settings_test.go
@@ -40,9 +40,9 @@
 	}
 }
 
-// An operator misspells a key or writes a value of the wrong kind. A daemon
-// that started on the default instead would be noticed only when the setting
-// was needed, so it must not start, and say which line to mend.
+// Guards against a daemon that starts with the default in place of a misspelt
+// or invalid setting, which would be noticed only when the setting takes
+// effect. The error must contain the source of the setting.
 func TestInvalidSettingIsRejectedWithSource(t *testing.T) {
 	tests := []struct {
 		name string
@@ -72,15 +72,14 @@
 			}
 			for _, part := range test.want {
 				if !strings.Contains(err.Error(), part) {
-					t.Errorf("error %q lacks %q", err, part)
+					t.Errorf("error %q does not contain %q", err, part)
 				}
 			}
 		})
 	}
 }
 
-// The page for operators names every setting: one that it lacks would be found
-// only by reading the code.
+// Guards against settings that are missing from the operating guide.
 func TestOperatingGuideListsEverySetting(t *testing.T) {
 	page, err := os.ReadFile("../docs/OPERATING.md")
 	if err != nil {
@@ -91,7 +90,7 @@
 	register(fs, &s)
 	fs.VisitAll(func(f *flag.Flag) {
 		if !strings.Contains(string(page), "`"+f.Name+"`") {
-			t.Errorf("docs/OPERATING.md lacks %s", f.Name)
+			t.Errorf("docs/OPERATING.md does not list %s", f.Name)
 		}
 	})
 }
