--- a/logging/bounded.go
+++ b/logging/bounded.go
@@ -7,21 +7,22 @@
 	"time"
 )
 
-// Bounds of a Bounded writer.
+// Parameters of a BoundedWriter.
 const (
-	// DefaultBufferBytes are held while the output is slow: some thousand lines.
+	// DefaultBufferBytes is a buffer size for several thousand lines.
 	DefaultBufferBytes = 512 << 10
-	// flushInterval gathers the lines of a while in one write. A process that is
-	// killed loses no more than that.
+	// flushInterval is the time over which lines are collected into one write.
+	// It is also the maximum that a killed process loses.
 	flushInterval = 50 * time.Millisecond
 )
 
-// BoundedWriter is an io.Writer that never blocks: it holds a bounded amount of lines
-// and drops those that do not fit, counting them.
+// BoundedWriter is an io.Writer that never blocks. It buffers a limited number
+// of bytes, and drops and counts the lines that do not fit.
 //
-// A standard output that nobody reads fills its pipe. If a request had to wait
-// for its log line, the whole process would stand still with nothing to show
-// why. What was dropped is reported in a line of its own once there is room.
+// If nobody reads the standard output, its pipe fills up. If requests waited
+// for their log lines, the whole process would stop without any sign of the
+// cause. The number of dropped lines is reported in a line of its own once the
+// buffer has been written.
 type BoundedWriter struct {
 	out  io.Writer
 	size int
@@ -29,17 +30,17 @@
 	mu           sync.Mutex
 	buffered     []byte
 	spare        []byte
-	dropped      uint64 // lines since the last report
+	dropped      uint64 // lines dropped since the last report
 	totalDropped uint64
 }
 
-// NewBoundedWriter returns a writer that holds at most size bytes. Run must be called
-// for anything to come out.
+// NewBoundedWriter returns a writer that buffers at most size bytes. The lines
+// are written to the output only by Run or Flush.
 func NewBoundedWriter(to io.Writer, size int) *BoundedWriter {
 	return &BoundedWriter{out: to, size: size}
 }
 
-// Write takes one line. It never fails and never waits.
+// Write buffers one line or drops it. It never blocks and never fails.
 func (b *BoundedWriter) Write(line []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -52,14 +53,14 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines lost so far.
+// Dropped returns the number of lines dropped so far.
 func (b *BoundedWriter) Dropped() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.totalDropped
 }
 
-// Run writes what is held until stop is closed, and then what is left.
+// Run flushes the buffer periodically until stop is closed, and then once more.
 func (b *BoundedWriter) Run(stop <-chan struct{}) {
 	tick := time.NewTicker(flushInterval)
 	defer tick.Stop()
@@ -74,7 +75,8 @@
 	}
 }
 
-// Flush writes what is held. Only one goroutine may call it at a time.
+// Flush writes the buffered lines to the output. Only one goroutine may call it
+// at a time.
 func (b *BoundedWriter) Flush() {
 	b.mu.Lock()
 	out := b.buffered
@@ -85,7 +87,7 @@
 	}
 	b.mu.Unlock()
 	if len(out) > 0 {
-		// A standard output that is gone leaves nowhere to report it.
+		// If the output fails, there is nowhere to report it.
 		_, _ = b.out.Write(out)
 	}
 	b.mu.Lock()
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// blockedWriter is an output that nobody reads.
+// blockedWriter is an output that blocks until it is released.
 type blockedWriter struct{ release chan struct{} }
 
 func (s blockedWriter) Write(p []byte) (int, error) {
@@ -16,9 +16,8 @@
 	return len(p), nil
 }
 
-// Nobody reads the standard output, so that its pipe is full. Requests go on
-// being logged; if a line waited for the pipe, every request would stand still
-// and callers would see a dead daemon with nothing to tell why.
+// Guards against requests that block on their log lines while nobody reads the
+// standard output and its pipe is full.
 func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		out := blockedWriter{make(chan struct{})}
@@ -32,13 +31,13 @@
 		began := time.Now()
 		for range 500 {
 			_, _ = b.Write(line)
-			time.Sleep(time.Millisecond) // virtual
+			time.Sleep(time.Millisecond) // virtual time
 		}
 		if took := time.Since(began); took > 500*time.Millisecond {
 			t.Errorf("writing took %v", took)
 		}
 		if b.Dropped() == 0 {
-			t.Error("nothing was dropped, though nothing can be held")
+			t.Error("no lines were dropped although the buffer is full")
 		}
 		close(out.release)
 		close(stop)
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -1,8 +1,8 @@
-// Package logging gives each part of a process a logger whose lines start with
-// that part's fixed prefix.
+// Package logging provides the components of a process with loggers whose
+// messages start with a fixed prefix.
 //
-// Lines are short sentences with their figures as fields. Prompts, answers and
-// API keys are never logged.
+// Messages are short sentences; values are logged as fields. Prompts, answers
+// and API keys must not be logged.
 package logging
 
 import (
@@ -12,10 +12,11 @@
 	"github.com/phuslu/log"
 )
 
-// Component names one part of the process. Its name is the prefix of each line.
+// Component is a component of the process. Its value is the prefix of its
+// messages.
 type Component string
 
-// The parts that log.
+// Components that log.
 const (
 	ComponentDaemon   Component = "daemon"
 	ComponentGateway  Component = "gateway"
@@ -29,13 +30,14 @@
 	ComponentRouter   Component = "router"
 )
 
-// Logger writes the lines of one part.
+// Logger writes the log lines of one component.
 type Logger struct {
 	out       *log.Logger
 	component Component
 }
 
-// Factory makes the loggers of one process.
+// Factory creates the loggers of one process, which share the output and the
+// level.
 type Factory struct {
 	out *log.Logger
 }
@@ -51,12 +53,12 @@
 	return &Factory{out: out}, nil
 }
 
-// Discard returns a factory that writes nothing.
+// Discard returns a factory whose loggers write nothing.
 func Discard() *Factory {
 	return &Factory{out: &log.Logger{Level: log.PanicLevel, Writer: &log.IOWriter{Writer: io.Discard}}}
 }
 
-// For returns the logger of one part.
+// For returns the logger of a component.
 func (f *Factory) For(part Component) *Logger {
 	return &Logger{out: f.out, component: part}
 }
@@ -68,14 +70,15 @@
 	e.KeysAndValues(fields...).Msg(string(l.component) + ": " + sentence)
 }
 
-// Debug logs what helps to follow one request.
+// Debug logs details that help to trace single requests.
 func (l *Logger) Debug(sentence string, fields ...any) { l.line(l.out.Debug(), sentence, fields) }
 
 // Info logs a change of state.
 func (l *Logger) Info(sentence string, fields ...any) { l.line(l.out.Info(), sentence, fields) }
 
-// Warn logs what the process could handle but an operator may want to see.
+// Warn logs a problem that the process could handle but an operator may need to
+// know about.
 func (l *Logger) Warn(sentence string, fields ...any) { l.line(l.out.Warn(), sentence, fields) }
 
-// Error logs what the process could not handle.
+// Error logs a failure that the process could not handle.
 func (l *Logger) Error(sentence string, fields ...any) { l.line(l.out.Error(), sentence, fields) }
--- a/telemetry/telemetry.go
+++ b/telemetry/telemetry.go
@@ -1,5 +1,5 @@
-// Package telemetry holds the process's metrics: a tally scope that the parts
-// report to and a handler that a scraper reads.
+// Package telemetry provides the metrics of a process: a tally scope for the
+// components and a handler for Prometheus.
 package telemetry
 
 import (
@@ -12,18 +12,20 @@
 	tallyprom "github.com/uber-go/tally/v4/prometheus"
 )
 
-// reportInterval is how often tally hands its figures to the scraper's page.
+// reportInterval is how often tally transfers its values to the Prometheus
+// registry.
 const reportInterval = time.Second
 
-// Metrics is the root of a process's metrics.
+// Metrics holds the root scope of a process's metrics and the handler that
+// exposes them.
 type Metrics struct {
 	Scope   tally.Scope
-	Handler http.Handler // the scraper's page, in Prometheus' text format
+	Handler http.Handler // exposes the metrics in the Prometheus text format
 	closer  io.Closer
 }
 
-// DurationBuckets are the buckets for times, in seconds, around the target of 0.98 s
-// to the first token and 52 ms between tokens.
+// DurationBuckets returns the histogram buckets for durations. They include the
+// latency targets: 0.98 s to the first token and 52 ms between tokens.
 func DurationBuckets() tally.Buckets {
 	return tally.DurationBuckets{
 		time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond,
@@ -34,10 +36,11 @@
 	}
 }
 
-// New returns the metrics of one process. Close stops their reporting.
+// New returns the metrics of one process, tagged with the daemon and its zone.
+// Close stops their reporting.
 func New(daemon, zone string) *Metrics {
-	// A registry of its own: in the library's shared one, two daemons in one
-	// process would refuse each other's metrics.
+	// The default registry is shared within a process, and registering the
+	// metrics of a second daemon in it would fail.
 	registry := prometheus.NewRegistry()
 	reporter := tallyprom.NewReporter(tallyprom.Options{Registerer: registry, Gatherer: registry})
 	scope, closer := tally.NewRootScope(tally.ScopeOptions{
@@ -52,5 +55,5 @@
 	return &Metrics{Scope: scope, Handler: reporter.HTTPHandler(), closer: closer}
 }
 
-// Close stops reporting.
+// Close reports the pending values and stops reporting.
 func (m *Metrics) Close() error { return m.closer.Close() }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -19,7 +19,7 @@
 	page := rec.Body.String()
 	for _, want := range []string{`merlindock_requests`, `daemon="d1"`, `le="0.052"`} {
 		if !strings.Contains(page, want) {
-			t.Errorf("page lacks %s", want)
+			t.Errorf("page does not contain %s", want)
 		}
 	}
 }
