--- a/internal/hash/hash.go
+++ b/internal/hash/hash.go
@@ -1,7 +1,8 @@
-// Package hash spreads texts evenly over 64 bits, the same in every process.
+// Package hash provides a 64-bit hash that is the same in every process, so
+// that daemons can agree on a choice without a message.
 package hash
 
 import "github.com/cespare/xxhash/v2"
 
-// Text hashes a text.
+// Text returns the 64-bit xxHash of a string.
 func Text(text string) uint64 { return xxhash.Sum64String(text) }
--- a/internal/pause/pause.go
+++ b/internal/pause/pause.go
@@ -1,5 +1,4 @@
-// Package pause waits for a while or until a context ends, whichever comes
-// first.
+// Package pause provides waits that end early with a context.
 package pause
 
 import (
@@ -7,8 +6,8 @@
 	"time"
 )
 
-// For waits for d and returns nil, or the context's error if that ends first.
-// A d of zero or less does not wait.
+// For waits for d and returns nil, or returns the error of ctx if that ends
+// first. If d is zero or negative, it returns at once.
 func For(ctx context.Context, d time.Duration) error {
 	if err := ctx.Err(); err != nil || d <= 0 {
 		return err
@@ -25,8 +24,9 @@
 
 var processStart = time.Now()
 
-// Tick waits until the next multiple of the period since the process began. Loops with
-// periods that divide each other wake the process up together, and not each by itself.
+// Tick waits until the next multiple of period since the start of the process.
+// Loops whose periods are multiples of each other then wake the process
+// together and not one by one.
 func Tick(ctx context.Context, period time.Duration) error {
 	return For(ctx, period-(time.Since(processStart)%period+period)%period)
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -20,12 +20,12 @@
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if err := For(ctx, 0); err == nil {
-			t.Error("an ended context was not seen without a wait")
+			t.Error("For returned no error for an ended context without a wait")
 		}
 	})
 }
 
-// Guards against loops that each wake the process up at a time of its own.
+// Guards against loops that each wake the process at a different time.
 func TestTickAlignsToPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		at := func(after time.Duration) time.Time {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,4 +1,4 @@
-// Package wire reads the fields of messages between daemons.
+// Package wire decodes the fields of messages between daemons.
 package wire
 
 import (
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Reader reads the fields of a message one after another. A field that is missing or out
-// of its bounds ends the message and sets Bad; the reads return zero values from then on.
+// Reader decodes the fields of a message in order. A field that is missing or
+// out of range sets Malformed and discards the rest of the message; further
+// reads return zero values.
 type Reader struct {
 	Remaining []byte
 	Malformed bool
@@ -15,10 +16,10 @@
 
 func (r *Reader) fail() { r.Malformed, r.Remaining = true, nil }
 
-// More tells whether there is a further field.
+// More reports whether the message has further fields.
 func (r *Reader) More() bool { return !r.Malformed && len(r.Remaining) > 0 }
 
-// Bytes reads n bytes. They stay those of the message.
+// Bytes reads n bytes. The result shares the memory of the message.
 func (r *Reader) Bytes(n int) []byte {
 	if n > len(r.Remaining) {
 		r.fail()
@@ -32,10 +33,10 @@
 // Byte reads one byte.
 func (r *Reader) Byte() byte { return r.Bytes(1)[0] }
 
-// Uint64 reads eight bytes, little-endian.
+// Uint64 reads eight bytes in little-endian order.
 func (r *Reader) Uint64() uint64 { return binary.LittleEndian.Uint64(r.Bytes(8)) }
 
-// Uvarint reads a number of variable length, at most the given one.
+// Uvarint reads an unsigned varint that must not exceed most.
 func (r *Reader) Uvarint(most uint64) uint64 {
 	v, n := binary.Uvarint(r.Remaining)
 	if n <= 0 || v > most {
@@ -46,7 +47,7 @@
 	return v
 }
 
-// Varint reads a signed number of variable length.
+// Varint reads a signed varint.
 func (r *Reader) Varint() int64 {
 	v, n := binary.Varint(r.Remaining)
 	if n <= 0 {
@@ -57,7 +58,8 @@
 	return v
 }
 
-// Text reads a text behind its length in one byte, at most the given one.
+// Text reads a string with a length prefix of one byte. Its length must not
+// exceed most.
 func (r *Reader) Text(most int) string {
 	n := int(r.Byte())
 	if n > most {
@@ -67,7 +69,8 @@
 	return string(r.Bytes(n))
 }
 
-// Millis reads a duration in milliseconds, at most the given one.
+// Millis reads a duration as an unsigned varint of milliseconds. It must not
+// exceed most.
 func (r *Reader) Millis(most time.Duration) time.Duration {
 	return time.Duration(r.Uvarint(uint64(most/time.Millisecond))) * time.Millisecond
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Guards against a message that ends early, or names a length beyond its end, and is
-// taken for a whole one.
+// Guards against accepting a message that is truncated or contains a length
+// beyond its end.
 func TestReaderRejectsMissingOrOversizedFields(t *testing.T) {
 	for name, read := range map[string]func(r *Reader){
 		"byte":     func(r *Reader) { r.Byte() },
@@ -17,7 +17,7 @@
 	} {
 		r := &Reader{}
 		if read(r); !r.Malformed || r.More() {
-			t.Errorf("%s of nothing is not noticed", name)
+			t.Errorf("%s: an empty message was accepted", name)
 		}
 	}
 	for name, b := range map[string][]byte{"length past the end": {3, 'a'}, "too long": {5, 'a', 'b', 'c', 'd', 'e'}} {
@@ -28,7 +28,7 @@
 	}
 	r := &Reader{Remaining: []byte{200, 1, 2}}
 	if r.Uvarint(100); !r.Malformed {
-		t.Error("a number beyond its bound is taken")
+		t.Error("a number above its maximum was accepted")
 	}
 	r = &Reader{Remaining: []byte{2, 'a', 'b', 7}}
 	if text, b := r.Text(4), r.Byte(); text != "ab" || b != 7 || r.Malformed || r.More() {
--- a/ports/httplog/httplog.go
+++ b/ports/httplog/httplog.go
@@ -1,5 +1,6 @@
-// Package httplog reaches the platform's log and its list of VMs over
-// HTTP/JSON. docs/PLATFORM.md states the endpoints it expects.
+// Package httplog implements the log and the VM list of package ports over HTTP
+// and JSON. docs/PLATFORM.md specifies the endpoints of the platform that it
+// uses.
 package httplog
 
 import (
@@ -29,18 +30,18 @@
 	recordsSuffix = "/records"
 )
 
-// HeaderNotAppended marks an error answer after which the record is certainly
-// not in the log.
+// HeaderNotAppended is a header of error answers. Its value "true" means that
+// the record was definitely not added.
 const HeaderNotAppended = "Platform-Not-Appended"
 
-// MaxAnswerBytes bounds one answer of the platform: a full page of records in
-// base64.
+// MaxAnswerBytes is the maximum size of an answer of the platform: a full page
+// of records in base64.
 const MaxAnswerBytes = 64 << 20
 
-// DefaultTimeout bounds one call.
+// DefaultTimeout is the timeout of a call if Options sets none.
 const DefaultTimeout = 10 * time.Second
 
-// AppendResult is the answer to an append.
+// AppendResult is the body of the answer to an append.
 type AppendResult struct {
 	Offset ports.Offset `json:"offset"`
 }
@@ -50,15 +51,15 @@
 	First ports.Offset `json:"first"`
 }
 
-// Options of a Client.
+// Options configure a Client.
 type Options struct {
-	BaseURL string        // such as http://10.0.0.5:7400
+	BaseURL string        // for example http://10.0.0.5:7400
 	Token   string        // sent as a bearer token, if any
-	Timeout time.Duration // of one call; 0 takes DefaultTimeout
-	Client  *http.Client  // nil takes one with the default transport
+	Timeout time.Duration // of one call; 0 means DefaultTimeout
+	Client  *http.Client  // nil means a client with the default transport
 }
 
-// Client is a ports.Log and a ports.VMList.
+// Client implements ports.Log and ports.VMList. It is safe for concurrent use.
 type Client struct {
 	baseURL string
 	token   string
@@ -69,7 +70,8 @@
 	daemons   cachedList[ports.Daemon]
 }
 
-// New returns a client of the platform at o.BaseURL.
+// New returns a client of the platform at o.BaseURL. It fails if that is not a
+// URL with a host.
 func New(o Options) (*Client, error) {
 	u, err := url.Parse(o.BaseURL)
 	if err != nil || u.Host == "" {
@@ -98,9 +100,9 @@
 	return 0, errors.Join(ports.ErrUnavailable, err)
 }
 
-// notSent tells whether the append certainly had no effect: the connection
-// was never made, or the log said so. Every other failure may hide an append
-// that took effect.
+// notSent reports whether the append definitely had no effect: no connection
+// was established, or the answer has HeaderNotAppended. After any other failure
+// the append may have taken effect.
 func notSent(err error) bool {
 	var status *statusError
 	if errors.As(err, &status) {
@@ -135,12 +137,12 @@
 	return &ports.TruncatedError{Stream: s, From: from, First: t.First}
 }
 
-// Endpoints implements ports.VMList. The list must not be changed.
+// Endpoints implements ports.VMList. Callers must not modify the list.
 func (c *Client) Endpoints(ctx context.Context) ([]fleet.Endpoint, error) {
 	return c.endpoints.fetch(ctx, c, PathEndpoints)
 }
 
-// Daemons implements ports.VMList. The list must not be changed.
+// Daemons implements ports.VMList. Callers must not modify the list.
 func (c *Client) Daemons(ctx context.Context) ([]ports.Daemon, error) {
 	return c.daemons.fetch(ctx, c, PathDaemons)
 }
@@ -149,6 +151,7 @@
 	return c.baseURL + PathStreams + url.PathEscape(string(s)) + recordsSuffix
 }
 
+// statusError is an answer with a status other than 200.
 type statusError struct {
 	code        int
 	notAppended bool
@@ -156,7 +159,7 @@
 }
 
 func (e *statusError) Error() string {
-	return "httplog: platform answered " + strconv.Itoa(e.code)
+	return "httplog: platform answered with status " + strconv.Itoa(e.code)
 }
 
 func (c *Client) call(ctx context.Context, method, address string, body []byte, into any) error {
@@ -164,14 +167,14 @@
 	return err
 }
 
-// callWithETag is call with the tag of the answer that is known already; it
-// returns the tag of the new one.
+// callWithETag is like call, but sends the ETag of the cached answer, if any.
+// It returns the ETag of the new answer.
 func (c *Client) callWithETag(ctx context.Context, method, address string, body []byte, tag string, into any) (string, error) {
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, address, bytes.NewReader(body))
 	if err != nil {
-		return "", eris.Wrap(err, "httplog: request")
+		return "", eris.Wrap(err, "httplog: create request")
 	}
 	if tag != "" {
 		req.Header.Set("If-None-Match", tag)
@@ -193,14 +196,14 @@
 func decodeAnswer(resp *http.Response, into any) error {
 	body, err := io.ReadAll(io.LimitReader(resp.Body, MaxAnswerBytes+1))
 	if err != nil {
-		return eris.Wrap(err, "httplog: answer")
+		return eris.Wrap(err, "httplog: read answer")
 	}
 	if len(body) > MaxAnswerBytes {
 		return eris.Wrapf(ports.ErrTooLong, "httplog: answer is longer than %d bytes", MaxAnswerBytes)
 	}
 	if resp.StatusCode != http.StatusOK {
-		marked := resp.Header.Get(HeaderNotAppended) == "true"
-		return &statusError{code: resp.StatusCode, notAppended: marked, body: body}
+		notAppended := resp.Header.Get(HeaderNotAppended) == "true"
+		return &statusError{code: resp.StatusCode, notAppended: notAppended, body: body}
 	}
 	return eris.Wrap(json.Unmarshal(body, into), "httplog: answer is not the expected JSON")
 }
--- a/ports/httplog/list.go
+++ b/ports/httplog/list.go
@@ -9,12 +9,12 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// cachedList is a list of the platform with the tag under which it was read.
-// Daemons read the lists every second and they seldom change: read whole each
-// time, the list of 22 endpoints alone would pass the bytes that a daemon may
-// spend on control. A platform that gives no tag is read whole.
+// cachedList is a list of the platform with its ETag. Daemons read the lists
+// every second although they rarely change: transferred in full each time, the
+// list of 22 endpoints alone would exceed the control traffic that a daemon may
+// cause. From a platform without ETags the list is read in full.
 type cachedList[T any] struct {
-	mu   sync.Mutex // held over a read, so that an older one cannot replace a newer
+	mu   sync.Mutex // held during a read, so that an older answer cannot replace a newer one
 	etag string
 	list []T
 }
--- a/ports/httplog/list_test.go
+++ b/ports/httplog/list_test.go
@@ -8,18 +8,18 @@
 	"testing"
 )
 
-// A list that has changed must never be hidden by one that was kept: an
-// endpoint that leaves would go on getting work.
+// Guards against a cached list that hides a change: a leaving endpoint would
+// continue to receive requests.
 func TestCachedListIsReplacedWhenETagChanges(t *testing.T) {
 	tag, body := `"1"`, `[{"id":"a"}]`
-	whole := 0
+	transfers := 0
 	srv := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("ETag", tag)
 		if tag != "" && r.Header.Get("If-None-Match") == tag {
 			w.WriteHeader(http.StatusNotModified)
 			return
 		}
-		whole++
+		transfers++
 		_, _ = io.WriteString(w, body)
 	}))
 	defer srv.Close()
@@ -39,8 +39,8 @@
 	tag, body = `"2"`, `[{"id":"b"}]`
 	read("b")
 	read("b")
-	if whole != 2 {
-		t.Errorf("read whole %d times", whole)
+	if transfers != 2 {
+		t.Errorf("list was transferred in full %d times", transfers)
 	}
 	tag = ""
 	body = `[{"id":"c"}]`
--- a/ports/ports.go
+++ b/ports/ports.go
@@ -1,8 +1,8 @@
-// Package ports names what merlindock takes from the platform it runs on:
-// an append-only log with offsets and a lagging list of VMs.
+// Package ports defines the interfaces of the platform services that merlindock
+// uses: an append-only log with offsets and a VM list that may be out of date.
 //
-// The interfaces are small so that a test can stand in for them. Package
-// ports/httplog speaks to the real service over HTTP.
+// The interfaces are small so that tests can provide their own implementations.
+// Package ports/httplog implements them over HTTP.
 package ports
 
 import (
@@ -14,45 +14,45 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// Offset is a record's place in its stream; the first record has offset 1, so
-// that the zero value means "before every record".
+// Offset is the position of a record in its stream. The first record has offset
+// 1, so that the zero value is before all records.
 type Offset int64
 
-// Stream names one sequence of records of the log.
+// Stream is the name of a sequence of records in the log.
 type Stream string
 
 // Record is one record of a stream.
 type Record struct {
 	Offset Offset    `json:"offset"`
-	Time   time.Time `json:"time"` // when the log took it, by the log's clock
+	Time   time.Time `json:"time"` // time of the append by the log's clock
 	Data   []byte    `json:"data"`
 }
 
-// Page is what one read of a stream gives.
+// Page is the result of one read of a stream.
 type Page struct {
 	Records []Record `json:"records"`
-	First   Offset   `json:"first"` // oldest record still kept, or Next if none is
-	Next    Offset   `json:"next"`  // the offset that the next append will get
+	First   Offset   `json:"first"` // oldest record that has not expired, or Next if there is none
+	Next    Offset   `json:"next"`  // offset of the next append
 }
 
 // Log is the platform's append-only log.
 type Log interface {
-	// Append adds one record and returns its offset. An error that is not
-	// ErrNotAppended leaves open whether the record was added.
+	// Append adds one record and returns its offset. With ErrNotAppended the
+	// record was not added; with any other error it may have been.
 	Append(ctx context.Context, s Stream, data []byte) (Offset, error)
-	// Read returns up to limit records from the given offset on, and none when
-	// there is none yet. It returns a *TruncatedError when records from the
-	// offset on have expired.
+	// Read returns up to limit records from the given offset, or none if there
+	// are none yet. It returns a *TruncatedError if records at or after that
+	// offset have expired.
 	Read(ctx context.Context, s Stream, from Offset, limit int) (Page, error)
 }
 
-// VMList is the platform's list of live and leaving VMs. It lags.
+// VMList is the platform's list of live and leaving VMs. It may be out of date.
 type VMList interface {
 	Endpoints(ctx context.Context) ([]fleet.Endpoint, error)
 	Daemons(ctx context.Context) ([]Daemon, error)
 }
 
-// Daemon is an entry VM of the system's own, as the platform lists it.
+// Daemon is a VM that runs a merlindock daemon, as the platform lists it.
 type Daemon struct {
 	ID          string        `json:"id"`
 	Zone        fleet.ZoneID  `json:"zone"`
@@ -62,22 +62,22 @@
 
 // Errors of the log.
 var (
-	// ErrNotAppended says that the record was certainly not added.
+	// ErrNotAppended means that the record was definitely not added.
 	ErrNotAppended = errors.New("ports: record not appended")
-	// ErrUnavailable says that the log gave no answer; an append may have
+	// ErrUnavailable means that the log did not answer. An append may have
 	// taken effect.
 	ErrUnavailable = errors.New("ports: log unavailable")
-	// ErrTooLong says that a page was longer than is taken; fewer records may
-	// fit.
+	// ErrTooLong means that the answer exceeded the size limit of the client. A
+	// read with a lower limit of records may succeed.
 	ErrTooLong = errors.New("ports: answer too long")
 )
 
-// TruncatedError says that the records asked for have expired. A reader must
-// not go on as if there had been none.
+// TruncatedError means that requested records have expired. A reader must not
+// treat them as if they had never existed.
 type TruncatedError struct {
 	Stream Stream
-	From   Offset // asked for
-	First  Offset // oldest still kept
+	From   Offset // requested
+	First  Offset // oldest record that has not expired
 }
 
 func (e *TruncatedError) Error() string {
