--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -204,7 +204,7 @@
 	g.Go(func() error { return d.claimer.run(ctx) })
 	g.Go(func() error { return d.watch(ctx) })
 	g.Go(func() error { return d.orderLeader.run(ctx) })
-	g.Go(func() error { return d.fetchMissingRecords(ctx) })
+	g.Go(func() error { return d.requestCheckpoints(ctx) })
 	g.Go(func() error {
 		d.guard.Run(ctx)
 		return nil
--- a/daemon/evidence.go
+++ b/daemon/evidence.go
@@ -19,24 +19,24 @@
 // cached location were placed, so that the next prompt about the same document
 // goes to the same endpoint.
 func (v *fleetView) announcePlacements() {
-	notices := v.placement.TakeAnnouncements(nil)
+	announcements := v.placement.TakeAnnouncements(nil)
 	if v.daemon.o.DisableAnnouncements {
 		return
 	}
-	if v.daemon.peers.AnnouncePlacements(v.now(), notices) > 0 {
-		v.daemon.metrics.Scope.Counter("notices_sent").Inc(int64(len(notices)))
+	if v.daemon.peers.AnnouncePlacements(v.now(), announcements) > 0 {
+		v.daemon.metrics.Scope.Counter("notices_sent").Inc(int64(len(announcements)))
 	}
 }
 
 // receiveAnnouncements applies another daemon's placement announcements.
-func (v *fleetView) receiveAnnouncements(_ string, notices []placement.Announcement) {
-	v.placement.ReceiveAnnouncements(notices)
-	v.daemon.metrics.Scope.Counter("notices_heard").Inc(int64(len(notices)))
+func (v *fleetView) receiveAnnouncements(_ string, announcements []placement.Announcement) {
+	v.placement.ReceiveAnnouncements(announcements)
+	v.daemon.metrics.Scope.Counter("notices_heard").Inc(int64(len(announcements)))
 }
 
 // applyNeighbourEvidence applies a neighbour's endpoint evidence.
-func (v *fleetView) applyNeighbourEvidence(now time.Time, es []fleet.Evidence) {
+func (v *fleetView) applyNeighbourEvidence(now time.Time, evidence []fleet.Evidence) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.applyChanges(v.members.ApplyNeighbourEvidence(now, es))
+	v.applyChanges(v.members.ApplyNeighbourEvidence(now, evidence))
 }
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -194,11 +194,11 @@
 	}
 }
 
-// fetchMissingRecords requests a checkpoint from neighbours while records of
+// requestCheckpoints requests a checkpoint from neighbours while records of
 // the log are missing here. Neighbours announce only newer manifests; without
 // the request, a daemon that was isolated for longer than the retention could
 // not publish until the next checkpoint, hours later.
-func (d *Daemon) fetchMissingRecords(ctx context.Context) error {
+func (d *Daemon) requestCheckpoints(ctx context.Context) error {
 	ticker := time.NewTicker(gapCheckInterval)
 	defer ticker.Stop()
 	for {
--- a/settings/load.go
+++ b/settings/load.go
@@ -25,7 +25,7 @@
 
 // Error describes a setting that was rejected.
 type Error struct {
-	Where    string // file and line, environment variable, or "flag"; empty if the setting is not given
+	Where    string // file, or file and line; environment variable; "flag"; may be empty
 	Setting  string // "section.key"
 	Problem  string
 	Expected string
@@ -53,8 +53,8 @@
 	File string   // default of the flag -config: path of the INI file; empty: no file
 }
 
-// Load reads and checks the settings. Its error joins an *Error for each
-// invalid setting, or is flag.ErrHelp if the arguments ask for help.
+// Load reads and checks the settings. Its error is one *Error or several that
+// are joined, or flag.ErrHelp if the arguments ask for help.
 func Load(in Input) (Settings, error) {
 	var s Settings
 	fs := flag.NewFlagSet("merlindockd", flag.ContinueOnError)
@@ -91,8 +91,8 @@
 	fs.PrintDefaults()
 }
 
-// sourceMap holds the source of each given setting by name: file and line, or
-// environment variable.
+// sourceMap holds the sources of the settings that the file or the environment
+// gives, by name: file and line, or environment variable.
 type sourceMap map[string]string
 
 // envName returns the environment variable of a setting. It follows the
