--- a/cmd/merlindockd/routed.go
+++ b/cmd/merlindockd/routed.go
@@ -39,7 +39,7 @@
 		port = args[0]
 	}
 	debug.SetMemoryLimit(int64(heapFraction * float64(set.MemoryBytes)))
-	output := logging.NewBounded(out, logging.BoundedBytes)
+	output := logging.NewBoundedWriter(out, logging.DefaultBufferBytes)
 	stop := make(chan struct{})
 	written := make(chan struct{})
 	go func() {
--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -12,31 +12,32 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// admission lets requests enter by their organisation's share, one pool of
-// runners apart from the other.
+// admission decides which requests may start, by the share of their
+// organisation. Each model has a pool of its own with separate accounting.
 type admission struct {
 	daemon *Daemon
 	now    func() time.Time
 	ids    requestIDs
 
-	mu     sync.Mutex // guards the fields below, not the pools' own state
-	shares []contract.Share
-	pools  map[string]*admissionPool
-	live   int // daemons on the platform's list; 0: not known
+	mu          sync.Mutex // guards shares, pools and liveDaemons; each pool has its own lock
+	shares      []contract.Share
+	pools       map[string]*admissionPool
+	liveDaemons int // daemons on the platform's list that are not leaving; 0: unknown
 
-	turnMu sync.Mutex
-	turn   int // the pool that the next digest to the neighbours begins with
+	digestMu sync.Mutex
+	nextPool int // index of the first pool in the next digest to the neighbours
 }
 
-// admissionPool guards the decisions for one pool and wakes those that wait.
+// admissionPool serialises the admission decisions of one model and passes them
+// to the waiting requests.
 type admissionPool struct {
 	now func() time.Time
 
-	mu      sync.Mutex
-	core    *contract.Admission
-	waiting map[contract.RequestID]chan contract.Decision
-	out     []contract.Outcome
-	timer   *time.Timer
+	mu       sync.Mutex
+	core     *contract.Admission
+	waiting  map[contract.RequestID]chan contract.Decision
+	outcomes []contract.Outcome
+	timer    *time.Timer
 }
 
 func newAdmission(d *Daemon) *admission {
@@ -54,11 +55,11 @@
 	for i := range m.Models {
 		if a.pools[m.Models[i].ID] == nil {
 			p := a.newPool()
-			p.core.SetDaemonCount(a.now(), a.live)
+			p.core.SetDaemonCount(a.now(), a.liveDaemons)
 			a.pools[m.Models[i].ID] = p
 		}
 	}
-	pools := a.snapshot()
+	pools := a.clonePools()
 	a.mu.Unlock()
 	for _, p := range pools {
 		p.setContract(shares)
@@ -72,16 +73,16 @@
 		waiting: map[contract.RequestID]chan contract.Decision{},
 		core: contract.NewAdmission(contract.Options{
 			Daemon:      contract.DaemonID(d.o.Settings.Daemon.ID),
-			Incarnation: uint64(d.life.UnixMilli()),
-			Rand:        rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.life), a.ids.next())),
+			Incarnation: uint64(d.startedAt.UnixMilli()),
+			Rand:        rand.New(rand.NewPCG(seedOf(d.o.Settings.Daemon.ID, d.startedAt), a.ids.next())),
 		}),
 	}
-	p.timer = time.AfterFunc(time.Hour, p.wake)
+	p.timer = time.AfterFunc(time.Hour, p.onTimer)
 	return p
 }
 
-// snapshot copies the table of pools. The caller holds the lock.
-func (a *admission) snapshot() map[string]*admissionPool {
+// clonePools returns a copy of the pools by model. The caller holds a.mu.
+func (a *admission) clonePools() map[string]*admissionPool {
 	pools := make(map[string]*admissionPool, len(a.pools))
 	for name, p := range a.pools {
 		pools[name] = p
@@ -89,19 +90,19 @@
 	return pools
 }
 
-func (a *admission) all() map[string]*admissionPool {
+func (a *admission) listPools() map[string]*admissionPool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.snapshot()
+	return a.clonePools()
 }
 
-// setDaemons tells how many daemons are live by the platform's list. Without it
-// a daemon that has heard no neighbour yet would take the whole fleet for its
-// own.
+// setDaemons sets the number of live daemons on the platform's list. Without
+// it, a daemon that has not yet received a neighbour's digest would use the
+// capacity of the whole fleet for itself.
 func (a *admission) setDaemons(live int) {
 	a.mu.Lock()
-	a.live = live
-	pools := a.snapshot()
+	a.liveDaemons = live
+	pools := a.clonePools()
 	a.mu.Unlock()
 	for _, p := range pools {
 		p.mu.Lock()
@@ -110,10 +111,11 @@
 	}
 }
 
-// setLoad tells how full the endpoints of a model say they are, from which
-// admission sees whether a silent neighbour still spends its part.
+// setLoad sets the load that the endpoints of a model report. Admission uses it
+// to detect whether a neighbour that sends no digests still uses its fraction
+// of the capacity.
 func (a *admission) setLoad(model string, requests, slots int) {
-	p := a.all()[model]
+	p := a.listPools()[model]
 	if p == nil {
 		return
 	}
@@ -126,7 +128,7 @@
 func (a *admission) Admit(ctx context.Context, r gateway.AdmitRequest) (gateway.Admission, error) {
 	p := a.pool(r.Model)
 	if p == nil {
-		return gateway.Admission{}, refusal(contract.Decision{Reason: contract.NoCapacity, RetryAfter: gateway.DefaultRetryAfter})
+		return gateway.Admission{}, admissionRefusal(contract.Decision{Reason: contract.NoCapacity, RetryAfter: gateway.DefaultRetryAfter})
 	}
 	c := a.daemon.fleet.capacityOf(r.Model)
 	id := contract.RequestID(a.ids.next())
@@ -134,7 +136,7 @@
 	d, err := p.admit(ctx, rate, c.slots, contract.Request{
 		ID:              id,
 		Organisation:    r.Organisation,
-		Priority:        priorityOf(r.Priority),
+		Priority:        clampPriority(r.Priority),
 		Tokens:          float64(r.Tokens),
 		Deadline:        r.Deadline,
 		StartUnobserved: !r.Streamed,
@@ -143,7 +145,7 @@
 		return gateway.Admission{}, err
 	}
 	if d.Verdict != contract.Admitted {
-		return gateway.Admission{}, refusal(d)
+		return gateway.Admission{}, admissionRefusal(d)
 	}
 	return gateway.Admission{
 		OnFirstToken: func() { p.started(id) },
@@ -161,22 +163,23 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.SetContract(p.now(), shares)
-	p.pump()
+	p.deliverDecisions()
 }
 
-// admit returns the decision on a request, waiting for it if it is queued.
+// admit offers a request to the pool. If the request is queued, admit waits for
+// the decision or until ctx ends, which cancels the request.
 func (p *admissionPool) admit(ctx context.Context, rate float64, slots int, r contract.Request) (contract.Decision, error) {
 	p.mu.Lock()
 	p.core.SetCapacity(p.now(), rate, slots)
 	d := p.core.Offer(p.now(), r)
 	if d.Verdict != contract.Queued {
-		p.pump()
+		p.deliverDecisions()
 		p.mu.Unlock()
 		return d, nil
 	}
 	decided := make(chan contract.Decision, 1)
 	p.waiting[r.ID] = decided
-	p.pump()
+	p.deliverDecisions()
 	p.mu.Unlock()
 	select {
 	case d := <-decided:
@@ -192,50 +195,52 @@
 	defer p.mu.Unlock()
 	delete(p.waiting, id)
 	p.core.Cancel(p.now(), id)
-	p.pump()
+	p.deliverDecisions()
 }
 
 func (p *admissionPool) started(id contract.RequestID) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.Started(p.now(), id)
-	p.pump()
+	p.deliverDecisions()
 }
 
 func (p *admissionPool) finish(id contract.RequestID, used float64) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.core.Finish(p.now(), id, used)
-	p.pump()
+	p.deliverDecisions()
 }
 
-func (p *admissionPool) wake() {
+func (p *admissionPool) onTimer() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.pump()
+	p.deliverDecisions()
 }
 
-// pump hands decisions to those that wait and sets the timer for the next one.
-// The caller holds the lock.
-func (p *admissionPool) pump() {
+// deliverDecisions sends the decisions that are due to the waiting requests and
+// sets the timer for the next one. The caller holds p.mu.
+func (p *admissionPool) deliverDecisions() {
 	now := p.now()
-	p.out = p.core.Next(now, p.out[:0])
-	for _, o := range p.out {
+	p.outcomes = p.core.Next(now, p.outcomes[:0])
+	for _, o := range p.outcomes {
 		if decided, ok := p.waiting[o.ID]; ok {
 			decided <- o.Decision
 			delete(p.waiting, o.ID)
 		}
 	}
 	if at, ok := p.core.NextAt(); ok {
-		p.timer.Reset(max(at.Sub(now), minWake))
+		p.timer.Reset(max(at.Sub(now), minTimerDelay))
 	}
 }
 
-// minWake keeps a decision that is due at once from spinning.
-const minWake = time.Millisecond
+// minTimerDelay keeps the timer from firing in a busy loop while a decision is
+// due at once.
+const minTimerDelay = time.Millisecond
 
-// refusal tells the caller at once that nothing ran and when to come back.
-func refusal(d contract.Decision) *gateway.Refusal {
+// admissionRefusal returns the error answer for a request that was not
+// admitted. Nothing has run; RetryAfter is when the caller may try again.
+func admissionRefusal(d contract.Decision) *gateway.Refusal {
 	r := &gateway.Refusal{
 		Status:     http.StatusServiceUnavailable,
 		Code:       gateway.CodeOverloaded,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -1,12 +1,12 @@
 // Package daemon assembles one merlindock daemon: the gateway for callers, the
-// view of the fleet, admission, the fold of the log, the exchange with
-// neighbours and the administration API.
+// view of the fleet, admission, the manifest log, the exchange with neighbours
+// and the administration API.
 //
-// Decisions are taken in the pure packages; the types here guard them with
-// locks, give them the time and carry their results. Lock order: admission
-// (one lock for each pool), then membership, then placement, then health, then
-// retries. No lock is held while a message is sent or a callback of another
-// package is called.
+// Decisions are made by packages without goroutines or clocks; the types here
+// protect them with locks, pass the time to them and carry out their results.
+// Lock order: admission (one lock for each pool), membership, placement,
+// health, retries. No lock is held while a message is sent or a callback of
+// another package is called.
 package daemon
 
 import (
@@ -32,54 +32,56 @@
 	"github.com/merlindock/merlindock/telemetry"
 )
 
-// Options are what a daemon needs.
+// Options configure a Daemon.
 type Options struct {
 	Settings settings.Settings
-	Token    string // of the administration API; empty refuses its guarded calls
+	Token    string // bearer token of the administration API; if empty, calls that need it are refused
 	Log      ports.Log
 	VMs      ports.VMList
 	Logs     *logging.Factory
-	// Listeners replace listening on the settings' addresses, for tests.
+	// Listeners replaces the listeners on the addresses of the settings, for
+	// tests.
 	Listeners Listeners
-	// Dial opens connections to endpoints and neighbours; nil: TCP.
+	// Dial opens connections to endpoints and neighbours; nil means TCP.
 	Dial func(ctx context.Context, network, address string) (net.Conn, error)
-	// NoNotices keeps placement's notices from other daemons, to measure what
-	// they are worth.
-	NoNotices bool
-	// Now is the clock; nil: time.Now.
+	// DisableAnnouncements keeps the daemon from sending placement
+	// announcements to other daemons, so that trials can measure their effect.
+	DisableAnnouncements bool
+	// Now returns the current time; nil means time.Now.
 	Now func() time.Time
 }
 
-// Listeners are where a daemon is reached. Nil ones are opened by Run.
+// Listeners are the open listeners of a daemon. Run opens those that are nil.
 type Listeners struct {
 	Callers net.Listener
 	Admin   net.Listener
 	Peers   net.Listener
 }
 
-// Daemon is one daemon.
+// Daemon is one entry point to the fleet: it serves callers, operators and the
+// other daemons. Use New to create one.
 type Daemon struct {
-	o         Options
-	life      time.Time
-	log       *logging.Logger
-	metrics   *telemetry.Metrics
-	catalogue *catalogue
-	manifests *logio.Manifests
-	fleet     *fleetView
-	daemons   daemonList
-	admission *admission
-	retries   *retries
-	drainer   *gateway.Drainer
-	shutdown  *shutdown
-	peers     *peer.Service
-	guard     *guard.Guard
-	room      *room.Limiter
-	gateway   *gateway.Gateway
-	claimer   *claimer
-	orders    *orderGiver
+	o           Options
+	startedAt   time.Time
+	log         *logging.Logger
+	metrics     *telemetry.Metrics
+	catalogue   *catalogue
+	manifests   *logio.Manifests
+	fleet       *fleetView
+	daemons     daemonList
+	admission   *admission
+	retries     *retries
+	drainer     *gateway.Drainer
+	shutdown    *shutdown
+	peers       *peer.Service
+	guard       *guard.Guard
+	limiter     *room.Limiter
+	gateway     *gateway.Gateway
+	claimer     *claimer
+	orderLeader *orderLeader
 }
 
-// New returns a daemon that is not yet running.
+// New returns a daemon. It does not serve until Run is called.
 func New(o Options) (*Daemon, error) {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -89,27 +91,27 @@
 	}
 	s := o.Settings
 	d := &Daemon{
-		o:       o,
-		life:    o.Now(),
-		log:     o.Logs.For(logging.PartDaemon),
-		metrics: telemetry.New(s.Daemon.ID, string(s.Daemon.Zone)),
-		drainer: gateway.NewDrainer(),
+		o:         o,
+		startedAt: o.Now(),
+		log:       o.Logs.For(logging.ComponentDaemon),
+		metrics:   telemetry.New(s.Daemon.ID, string(s.Daemon.Zone)),
+		drainer:   gateway.NewDrainer(),
 	}
 	d.shutdown = newShutdown(s.Drain, d.drainer, o.Now)
-	d.catalogue = newCatalogue(o.Logs.For(logging.PartManifest))
+	d.catalogue = newCatalogue(o.Logs.For(logging.ComponentManifest))
 	d.manifests = logio.NewManifests(logio.ManifestsOptions{
 		Log:      o.Log,
 		Poll:     s.Platform.PollInterval,
-		Seed:     seedOf(s.Daemon.ID, d.life),
-		OnChange: d.changed,
+		Seed:     seedOf(s.Daemon.ID, d.startedAt),
+		OnChange: d.onManifestChange,
 	})
 	client := engine.New(engine.Options{DialContext: o.Dial})
 	d.fleet = newFleetView(d, client)
 	d.admission = newAdmission(d)
-	d.retries = newRetries(o.Now, newRand(s.Daemon.ID, d.life))
+	d.retries = newRetries(o.Now, newRand(s.Daemon.ID, d.startedAt))
 	d.claimer = newClaimer(d)
-	d.orders = newOrderGiver(d)
-	d.guard, d.room = d.newGuard(), d.newRoom()
+	d.orderLeader = newOrderLeader(d)
+	d.guard, d.limiter = d.newGuard(), d.newLimiter()
 	peers, err := peer.New(d.peerOptions())
 	if err != nil {
 		return nil, eris.Wrap(err, "daemon: peers")
@@ -123,13 +125,13 @@
 	s := d.o.Settings.Callers
 	return gateway.Options{
 		Catalogue:     d.catalogue.index,
-		ChooseVersion: d.fleet.bind,
+		ChooseVersion: d.fleet.chooseVersion,
 		Engine:        client,
 		Placer:        d.fleet,
 		Admitter:      d.admission,
 		Claimer:       d.claimer,
 		Retry:         d.retries,
-		Observer:      newObserver(d.metrics.Scope, d.o.Logs.For(logging.PartGateway)),
+		Observer:      newObserver(d.metrics.Scope, d.o.Logs.For(logging.ComponentGateway)),
 		Drainer:       d.drainer,
 		Quarantine:    d.guard,
 		Limits: gateway.Limits{
@@ -142,28 +144,29 @@
 	}
 }
 
-// Handler serves callers.
+// Handler returns the handler of callers' requests.
 func (d *Daemon) Handler() http.Handler { return d.gateway }
 
-// AdminHandler serves operators.
+// AdminHandler returns the handler of the administration API.
 func (d *Daemon) AdminHandler() http.Handler {
 	return admin.New(admin.Options{
 		System:  (*system)(d),
 		Token:   d.o.Token,
 		Metrics: d.metrics.Handler,
-		Log:     d.o.Logs.For(logging.PartAdmin),
+		Log:     d.o.Logs.For(logging.ComponentAdmin),
 	})
 }
 
-// Drain starts a graceful shutdown; Run returns when it is over. A second call
-// ends open streams with an explicit error.
+// Drain starts a graceful shutdown. Run returns when it is complete. A second
+// call ends open streams with an explicit error.
 func (d *Daemon) Drain() {
-	d.log.Info("Shutdown asked for.", "open", d.drainer.InFlight())
+	d.log.Info("Shutdown requested.", "open", d.drainer.InFlight())
 	d.shutdown.signal()
 }
 
-// Run serves until a shutdown asked for by Drain is over, or ctx ends, which
-// cuts open requests. It returns the first error that keeps it from serving.
+// Run serves until a shutdown that was started by Drain is complete or ctx
+// ends. The end of ctx aborts open requests. Run returns the first error that
+// prevents the daemon from serving.
 func (d *Daemon) Run(ctx context.Context) error {
 	listeners, err := d.listen()
 	if err != nil {
@@ -182,32 +185,32 @@
 		defer cancel()
 		return d.shutdown.run(ctx, func() { cut(gateway.ErrShutdown) })
 	})
-	d.log.Info("Daemon serves.", "callers", listeners.Callers.Addr().String())
+	d.log.Info("Daemon is serving.", "callers", listeners.Callers.Addr().String())
 	err = g.Wait()
 	d.peers.Close()
 	closeErr := d.metrics.Close()
-	d.log.Info("Daemon ends.", "cut", d.shutdown.cut())
+	d.log.Info("Daemon stopped.", "cut", d.shutdown.cutStreams())
 	if d.shutdown.done() || errors.Is(err, context.Canceled) {
 		return closeErr
 	}
 	return err
 }
 
-// background starts what goes on beside requests.
+// background starts the goroutines that do not serve requests.
 func (d *Daemon) background(ctx context.Context, g *errgroup.Group) {
 	g.Go(func() error { return d.manifests.Run(ctx) })
 	g.Go(func() error { return d.fleet.run(ctx) })
 	g.Go(func() error { return d.peers.Run(ctx) })
 	g.Go(func() error { return d.claimer.run(ctx) })
 	g.Go(func() error { return d.watch(ctx) })
-	g.Go(func() error { return d.orders.run(ctx) })
-	g.Go(func() error { return d.closeGaps(ctx) })
+	g.Go(func() error { return d.orderLeader.run(ctx) })
+	g.Go(func() error { return d.requestCheckpoints(ctx) })
 	g.Go(func() error {
 		d.guard.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
-		d.room.Run(ctx)
+		d.limiter.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
@@ -216,9 +219,9 @@
 	})
 }
 
-// serve serves until ctx ends. Requests take their context from the second
-// one, so that a shutdown can end them with an explicit error before their
-// connections are closed.
+// serve runs an HTTP server on l until ctx ends. Requests derive their contexts
+// from the context requests instead, so that a shutdown can end them with an
+// explicit error before their connections are closed.
 func (d *Daemon) serve(ctx, requests context.Context, l net.Listener, h http.Handler) error {
 	srv := &http.Server{
 		Handler:           h,
@@ -236,7 +239,7 @@
 	return eris.Wrapf(err, "daemon: listener %s", l.Addr())
 }
 
-// Bounds of the listeners' connections.
+// Timeouts of client connections.
 const (
 	readHeaderTimeout = 10 * time.Second
 	idleTimeout       = 2 * time.Minute
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -6,9 +6,10 @@
 	"github.com/merlindock/merlindock/fleet"
 )
 
-// newFollower returns what follows the runners' cache events. It has a client
-// of its own, with the bounds of those streams.
-func newFollower(d *Daemon, sink cacheevents.Sink) *cacheevents.Follower {
+// newEventFollower returns the follower of the model runners' cache events. It
+// has its own client because event streams need other size limits and timeouts
+// than answers.
+func newEventFollower(d *Daemon, sink cacheevents.Sink) *cacheevents.Follower {
 	client := engine.New(engine.Options{
 		DialContext:   d.o.Dial,
 		MaxEventBytes: cacheevents.MaxMessageBytes,
@@ -19,18 +20,18 @@
 		Client:       client,
 		Sink:         sink,
 		MaxEndpoints: d.o.Settings.Routing.EventEndpoints,
-		Seed:         seedOf(d.o.Settings.Daemon.ID, d.life),
+		Seed:         seedOf(d.o.Settings.Daemon.ID, d.startedAt),
 		Now:          d.o.Now,
 	})
 }
 
-// runners returns the endpoints of the models' pools, each once; leaving ones
-// are in none. The caller holds the lock.
-func (v *fleetView) runners() []fleet.Endpoint {
+// poolEndpoints returns the endpoints in the models' pools, each once. Leaving
+// endpoints are in no pool. The caller holds v.mu.
+func (v *fleetView) poolEndpoints() []fleet.Endpoint {
 	var list []fleet.Endpoint
 	seen := make(map[fleet.EndpointID]bool)
-	for _, shares := range v.shares {
-		for _, s := range shares {
+	for _, groups := range v.versionGroups {
+		for _, s := range groups {
 			for _, e := range s.Endpoints {
 				if !seen[e.ID] {
 					seen[e.ID] = true
@@ -42,10 +43,11 @@
 	return list
 }
 
-// countEvents brings the metrics up to date.
-func (v *fleetView) countEvents() {
-	s, before := v.events.Stats(), v.counted
-	v.counted = s
+// updateEventMetrics adds the changes of the follower's statistics since the
+// last call to the metrics.
+func (v *fleetView) updateEventMetrics() {
+	s, before := v.events.Stats(), v.countedEvents
+	v.countedEvents = s
 	scope := v.daemon.metrics.Scope
 	scope.Counter("cache_event_bytes").Inc(s.Bytes - before.Bytes)
 	scope.Counter("cache_events").Inc(s.Events - before.Events)
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -20,24 +20,26 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// Times and bounds of the fleet's upkeep.
+// Intervals and limits of the maintenance of the fleet view.
 const (
-	fleetTick    = 200 * time.Millisecond
-	tickPerEach  = 250 * time.Microsecond // added for each endpoint
-	probesAtOnce = 8
-	// probesEach bounds the endpoints asked for their load in a second. A probe
-	// is 404 bytes on the wire (docs/CAPACITY.md): asking 22 endpoints every
-	// second would alone cost three times what a daemon may spend on control.
-	// Daemons ask different endpoints and tell each other at once of one that
-	// leaves, so that together nine of them still hear each in about a second.
-	probesEach  = 2
-	noticeEvery = 100 * time.Millisecond
-	newsWithin  = 10 * time.Second
-	newsLimit   = 32
+	baseTickInterval = 200 * time.Millisecond
+	tickPerEndpoint  = 250 * time.Microsecond // added to the interval for each endpoint
+	probeBurst       = 8
+	// probesPerSecond limits how many endpoints are asked for their load. A
+	// probe takes 404 bytes on the wire (docs/CAPACITY.md): probing 22
+	// endpoints every second would take three times the control traffic that a
+	// daemon may cause. Daemons probe different endpoints and report a leaving
+	// endpoint to each other at once, so nine daemons together still probe each
+	// endpoint about once a second.
+	probesPerSecond  = 2
+	announceInterval = 100 * time.Millisecond
+	evidenceWindow   = 10 * time.Second
+	maxEvidence      = 32
 )
 
-// fleetView is what this daemon believes of the endpoints: the platform's list
-// joined with what endpoints say, their health, and what placement has learnt.
+// fleetView is this daemon's local state of the endpoints: the platform's list
+// merged with what the endpoints report, their health, and the prefix locations
+// that placement has observed.
 type fleetView struct {
 	daemon *Daemon
 	client *engine.Client
@@ -46,83 +48,84 @@
 
 	placement *placement.SharedView
 
-	probes *rate.Limiter
+	probeBudget *rate.Limiter
 
-	mu       sync.Mutex // guards the fields below
-	members  *fleet.Membership
-	manifest *manifest.Manifest
-	listed   bool // the platform's list has been read once
-	dirty    bool // pools must be worked out anew
-	pools    map[string][]fleet.Endpoint
-	capacity map[string]capacity // by model
-	shares   map[string][]rollout.VersionGroup
-	said     map[fleet.EndpointID]saying
-	gates    map[fleet.EndpointID]placement.Availability
-	all      []fleet.Member // as of the last refresh, by id
-	usable   []fleet.Member // of those, the ones that may get new work
-	failing  []fleet.EndpointID
-	places   map[fleet.EndpointID]fleet.Endpoint
+	mu            sync.Mutex // guards the fields below
+	members       *fleet.Membership
+	manifest      *manifest.Manifest
+	listed        bool // a platform list with endpoints has been read
+	poolsStale    bool // pools must be computed again
+	pools         map[string][]fleet.Endpoint
+	capacity      map[string]capacity // by model
+	versionGroups map[string][]rollout.VersionGroup
+	reports       map[fleet.EndpointID]endpointReport
+	availability  map[fleet.EndpointID]placement.Availability
+	all           []fleet.Member // as of the last refresh, ordered by ID
+	usable        []fleet.Member // subset of all that may receive requests
+	failing       []fleet.EndpointID
+	endpoints     map[fleet.EndpointID]fleet.Endpoint
 
 	healthMu sync.Mutex
 	health   *health.Tracker
 
-	events  *cacheevents.Follower
-	counted cacheevents.Stats // in the metrics already; of the upkeep alone
+	events        *cacheevents.Follower
+	countedEvents cacheevents.Stats // statistics already added to the metrics; used by tick only
 
-	cutters *sync.Pool // of *prefix.Splitter, guarded by mu
-	ids     requestIDs
+	splitters *sync.Pool // of *prefix.Splitter; the pointer is guarded by mu
+	ids       requestIDs
 }
 
 func newFleetView(d *Daemon, client *engine.Client) *fleetView {
 	s := d.o.Settings
 	v := &fleetView{
-		daemon:  d,
-		client:  client,
-		log:     d.o.Logs.For(logging.PartFleet),
-		now:     d.o.Now,
-		members: fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
-		pools:   map[string][]fleet.Endpoint{},
-		gates:   map[fleet.EndpointID]placement.Availability{},
-		probes:  rate.NewLimiter(probesEach, probesAtOnce),
-		said:    map[fleet.EndpointID]saying{},
-		places:  map[fleet.EndpointID]fleet.Endpoint{},
-		health:  health.New(health.Options{Rand: newRand(s.Daemon.ID, d.life)}),
+		daemon:       d,
+		client:       client,
+		log:          d.o.Logs.For(logging.ComponentFleet),
+		now:          d.o.Now,
+		members:      fleet.NewMembership(fleet.MembershipOptions{ProbeAfter: s.Routing.LoadInterval}),
+		pools:        map[string][]fleet.Endpoint{},
+		availability: map[fleet.EndpointID]placement.Availability{},
+		probeBudget:  rate.NewLimiter(probesPerSecond, probeBurst),
+		reports:      map[fleet.EndpointID]endpointReport{},
+		endpoints:    map[fleet.EndpointID]fleet.Endpoint{},
+		health:       health.New(health.Options{Rand: newRand(s.Daemon.ID, d.startedAt)}),
 	}
 	v.placement = placement.NewSharedView(placement.Options{
 		Zone:        s.Daemon.Zone,
 		PrefillRate: s.Routing.RunnerTokens,
 		MaxPrefixes: s.Routing.Prefixes,
 	})
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(prefix.Options{}) }}
-	v.events = newFollower(d, v.placement)
+	v.splitters = &sync.Pool{New: func() any { return prefix.NewSplitter(prefix.Options{}) }}
+	v.events = newEventFollower(d, v.placement)
 	return v
 }
 
-// setManifest takes the manifest in force.
+// setManifest applies a new manifest: the pools and the parameters of prefix
+// splitting.
 func (v *fleetView) setManifest(m *manifest.Manifest) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.manifest = m
-	v.dirty = true
+	v.poolsStale = true
 	options := prefix.Options{PieceTokens: m.Fleet.PieceTokens, BytesPerToken: m.Fleet.BytesPerToken}
-	v.cutters = &sync.Pool{New: func() any { return prefix.NewSplitter(options) }}
+	v.splitters = &sync.Pool{New: func() any { return prefix.NewSplitter(options) }}
 	v.refresh()
 }
 
-// run keeps the view up to date until ctx ends.
+// run maintains the view and sends placement announcements until ctx ends.
 func (v *fleetView) run(ctx context.Context) error {
-	go v.follow(ctx)
+	go v.pollList(ctx)
 	defer v.events.Close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	notices := time.NewTicker(noticeEvery)
+	notices := time.NewTicker(announceInterval)
 	defer notices.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-notices.C:
-			v.notify()
+			v.announcePlacements()
 			continue
 		case <-timer.C:
 		}
@@ -131,24 +134,25 @@
 	}
 }
 
-// tickInterval grows with the fleet, so that the upkeep of thousands of
-// endpoints stays a small part of a core. Endpoints that leave do not wait for
-// it: their own word and the list's close the gate at once.
+// tickInterval returns the time between ticks. It grows with the fleet, so that
+// the maintenance of thousands of endpoints takes a small fraction of a core.
+// Endpoints that leave do not wait for a tick: their own reports and the
+// platform's list stop new requests to them at once.
 func (v *fleetView) tickInterval() time.Duration {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return fleetTick + time.Duration(v.members.Len())*tickPerEach
+	return baseTickInterval + time.Duration(v.members.Len())*tickPerEndpoint
 }
 
-// follow reads the platform's list. A failed read changes nothing: endpoints
-// tell for themselves whether they serve.
-func (v *fleetView) follow(ctx context.Context) {
+// pollList reads the platform's lists periodically until ctx ends. A failed
+// read changes nothing: the endpoints' own reports show whether they serve.
+func (v *fleetView) pollList(ctx context.Context) {
 	ticker := time.NewTicker(v.daemon.o.Settings.Platform.ListInterval)
 	defer ticker.Stop()
 	for {
 		list, err := v.daemon.o.VMs.Endpoints(ctx)
 		if err != nil {
-			v.log.Debug("List of VMs cannot be read.", "error", err.Error())
+			v.log.Debug("VM list could not be read.", "error", err.Error())
 		} else {
 			v.setList(list)
 		}
@@ -169,19 +173,20 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.listed = v.listed || len(list) > 0
-	v.told(v.members.SetList(now, list))
+	v.applyChanges(v.members.SetList(now, list))
 	v.refresh()
 }
 
-// told logs changes of the membership and has the pools worked out anew. The
-// caller holds the lock.
-func (v *fleetView) told(changes []fleet.Change) {
-	v.dirty = v.dirty || len(changes) > 0
+// applyChanges logs membership changes and marks the pools as stale. Endpoints
+// that leave or have restarted are reported to the neighbours at once. The
+// caller holds v.mu.
+func (v *fleetView) applyChanges(changes []fleet.Change) {
+	v.poolsStale = v.poolsStale || len(changes) > 0
 	for _, c := range changes {
 		if c.Kind == fleet.ChangeLeaving || c.Kind == fleet.ChangeRestarted {
 			v.daemon.peers.AnnounceEvidence()
 		}
-		v.log.Info("Endpoint has changed.", "endpoint", string(c.Endpoint), "change", string(c.Kind))
+		v.log.Info("Endpoint changed.", "endpoint", string(c.Endpoint), "change", string(c.Kind))
 	}
 }
 
@@ -189,17 +194,17 @@
 	now := v.now()
 	v.placement.Expire(now)
 	v.mu.Lock()
-	v.told(v.members.Expire(now))
-	probes := v.members.Probes(now, v.probesAllowed(now))
+	v.applyChanges(v.members.Expire(now))
+	probes := v.members.Probes(now, v.takeProbes(now))
 	for i := range probes {
 		v.members.RecordProbe(now, probes[i].ID)
 	}
 	v.refresh()
 	loads := v.loads()
-	runners := v.runners()
+	runners := v.poolEndpoints()
 	v.mu.Unlock()
 	v.events.SetEndpoints(runners)
-	v.countEvents()
+	v.updateEventMetrics()
 	for model, l := range loads {
 		v.daemon.admission.setLoad(model, l.requests, l.slots)
 	}
@@ -208,39 +213,40 @@
 	}
 }
 
-// probesAllowed takes as many probes from the budget as it holds.
-func (v *fleetView) probesAllowed(now time.Time) int {
+// takeProbes takes up to probeBurst probes from the budget and returns their
+// number.
+func (v *fleetView) takeProbes(now time.Time) int {
 	n := 0
-	for n < probesAtOnce && v.probes.AllowN(now, 1) {
+	for n < probeBurst && v.probeBudget.AllowN(now, 1) {
 		n++
 	}
 	return n
 }
 
-// probe asks an endpoint for its load, when no answer has told it lately.
+// probe asks an endpoint for its load if no recent answer contained it.
 func (v *fleetView) probe(ctx context.Context, e fleet.Endpoint) {
 	ctx, cancel := context.WithTimeout(ctx, fleet.DefaultProbeAfter)
 	defer cancel()
 	load, err := readLoad(ctx, v.client, e)
 	if err != nil {
-		v.refused(e.ID)
+		v.recordRefusal(e.ID)
 		return
 	}
-	v.reported(e.ID, load)
+	v.applyReport(e.ID, load)
 	v.healthMu.Lock()
 	v.health.RecordProbe(v.now(), e.ID, load.Incarnation)
 	v.healthMu.Unlock()
 }
 
-// reported takes what an endpoint said of itself just now.
-func (v *fleetView) reported(id fleet.EndpointID, l fleet.Load) {
+// applyReport applies a load report that an endpoint has just sent.
+func (v *fleetView) applyReport(id fleet.EndpointID, l fleet.Load) {
 	now := v.now()
 	l.At = now
 	v.mu.Lock()
-	v.told(v.members.ApplyReport(now, id, l))
-	if said := v.said[id]; said.slots != l.Slots || !slices.Equal(said.weights, l.Weights) {
-		v.said[id] = saying{weights: l.Weights, slots: l.Slots}
-		v.dirty = true
+	v.applyChanges(v.members.ApplyReport(now, id, l))
+	if last := v.reports[id]; last.slots != l.Slots || !slices.Equal(last.weights, l.Weights) {
+		v.reports[id] = endpointReport{weights: l.Weights, slots: l.Slots}
+		v.poolsStale = true
 	}
 	v.mu.Unlock()
 	v.placement.LoadReported(id, l)
@@ -249,7 +255,7 @@
 	v.healthMu.Unlock()
 }
 
-func (v *fleetView) refused(id fleet.EndpointID) {
+func (v *fleetView) recordRefusal(id fleet.EndpointID) {
 	now := v.now()
 	v.mu.Lock()
 	v.members.RecordRefusal(now, id)
@@ -259,14 +265,15 @@
 	v.healthMu.Unlock()
 }
 
-// known tells whether there is any endpoint to serve from.
-func (v *fleetView) known() bool {
+// hasEndpoints reports whether at least one endpoint is known.
+func (v *fleetView) hasEndpoints() bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return len(v.places) > 0
+	return len(v.endpoints) > 0
 }
 
-// priorityOf keeps a value from outside within the table of priorities.
-func priorityOf(p contract.Priority) contract.Priority {
+// clampPriority limits a priority from outside to the range of valid
+// priorities, which are used as indices.
+func clampPriority(p contract.Priority) contract.Priority {
 	return min(max(p, 0), contract.PriorityCount-1)
 }
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -10,43 +10,48 @@
 	"github.com/merlindock/merlindock/room"
 )
 
-// newGuard returns what keeps requests from endpoints that end whenever they run them.
+// newGuard returns the guard that quarantines requests that crash the endpoints
+// that run them.
 func (d *Daemon) newGuard() *guard.Guard {
 	dial := d.o.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
 	return guard.New(guard.Options{
-		Self: d.peer(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
-		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
+		Self: d.self(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
+		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.sendMessage,
 	})
 }
 
-// newRoom returns what keeps endpoints within the limits that they name.
-func (d *Daemon) newRoom() *room.Limiter {
+// newLimiter returns the limiter that keeps endpoints within the limits that
+// they report.
+func (d *Daemon) newLimiter() *room.Limiter {
 	return room.New(room.Options{
-		Me: d.peer(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
-		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
+		Me: d.self(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
+		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.sendMessage,
 	})
 }
 
-// peer names this daemon among the others.
-func (d *Daemon) peer() gossip.Peer {
+// self returns this daemon's name and address for messages to the other
+// daemons.
+func (d *Daemon) self() gossip.Peer {
 	return gossip.Peer{Name: d.o.Settings.Daemon.ID, Address: d.o.Settings.Listen.Peers}
 }
 
-// clock does not begin at zero, which is the time of nothing.
-func (d *Daemon) clock() time.Duration { return time.Hour + d.o.Now().Sub(d.life) }
+// clock returns the time since the start of the daemon plus one hour, because
+// zero means "no time" to the packages that use it.
+func (d *Daemon) clock() time.Duration { return time.Hour + d.o.Now().Sub(d.startedAt) }
 
-func (d *Daemon) relay(to string, data []byte) { d.peers.SendMessage(to, data) }
+func (d *Daemon) sendMessage(to string, data []byte) { d.peers.SendMessage(to, data) }
 
-// relayed takes another daemon's message. Daemons that are not listed are not answered.
-func (d *Daemon) relayed(from string, data []byte) {
+// receiveMessage dispatches a message from another daemon. Messages from
+// daemons that are not listed are ignored.
+func (d *Daemon) receiveMessage(from string, data []byte) {
 	for _, other := range d.daemons.get() {
 		if other.ID != from {
 			continue
 		}
-		if !d.room.Receive(other.PeerAddress, data) {
+		if !d.limiter.Receive(other.PeerAddress, data) {
 			d.guard.Receive(from, data)
 		}
 		return
--- a/daemon/observer.go
+++ b/daemon/observer.go
@@ -9,7 +9,7 @@
 	"github.com/merlindock/merlindock/telemetry"
 )
 
-// observer turns reports of requests into metrics.
+// observer updates the request metrics from the gateway's reports.
 type observer struct {
 	scope      tally.Scope
 	log        *logging.Logger
@@ -42,7 +42,7 @@
 		callerLeft: scope.Counter("callers_left"),
 		callerSlow: scope.Counter("callers_slow"),
 	}
-	for outcome, name := range attemptNames {
+	for outcome, name := range attemptLabels {
 		o.attempts[outcome] = scope.Tagged(map[string]string{"outcome": name}).Counter("attempts")
 	}
 	for p := range contract.PriorityCount {
@@ -52,14 +52,14 @@
 			prompt:     s.Counter("prompt_tokens"),
 			cached:     s.Counter("cached_tokens"),
 			tokens:     s.Counter("generated_tokens"),
-			firstToken: s.Histogram("first_token_seconds", telemetry.Durations()),
-			duration:   s.Histogram("request_seconds", telemetry.Durations()),
+			firstToken: s.Histogram("first_token_seconds", telemetry.DurationBuckets()),
+			duration:   s.Histogram("request_seconds", telemetry.DurationBuckets()),
 		}
 	}
 	return o
 }
 
-// Request counts one request that ended.
+// Request counts a completed request.
 func (o *observer) Request(r *gateway.Report) {
 	o.crossed.Inc(int64(r.MismatchedAnswers))
 	o.duplicates.Inc(int64(r.DuplicateTokens))
@@ -73,7 +73,7 @@
 	if r.Code != "" {
 		tags := map[string]string{"code": r.Code, "outcome": string(r.Outcome)}
 		o.scope.Tagged(tags).Counter("requests_failed").Inc(1)
-		o.failed(r)
+		o.logUnknownOutcome(r)
 		return
 	}
 	m := &o.priorities[r.Priority]
@@ -87,10 +87,11 @@
 	}
 }
 
-// failed logs a request that may have run without an answer: its caller needs
-// help to learn what became of it. Refusals are counted only, since in an
-// overload their lines would cost more than the refusals.
-func (o *observer) failed(r *gateway.Report) {
+// logUnknownOutcome logs a request that may have run without an answer, because
+// its caller may need help to find out what happened. Refusals are only
+// counted: in an overload, log lines would cost more than the refusals
+// themselves.
+func (o *observer) logUnknownOutcome(r *gateway.Report) {
 	if r.Outcome != gateway.OutcomeUnknown {
 		return
 	}
@@ -98,14 +99,14 @@
 		"service", r.Service, "model", r.Model, "code", r.Code, "attempts", r.Attempts, "caller_left", r.CallerLeft)
 }
 
-// Attempt counts one attempt that ended.
+// Attempt counts a completed attempt.
 func (o *observer) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.AttemptResult) {
 	if attempts, known := o.attempts[res.Outcome]; known {
 		attempts.Inc(1)
 	}
 }
 
-var attemptNames = map[gateway.AttemptOutcome]string{
+var attemptLabels = map[gateway.AttemptOutcome]string{
 	gateway.AttemptSucceeded: "answered",
 	gateway.AttemptNotSent:   "not_sent",
 	gateway.AttemptNotRun:    "not_run",
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -19,35 +19,35 @@
 	"github.com/merlindock/merlindock/room"
 )
 
-// requestIDs numbers what one daemon places and admits.
+// requestIDs generates IDs of requests that are unique within one daemon.
 type requestIDs struct{ last atomic.Uint64 }
 
 func (r *requestIDs) next() uint64 { return r.last.Add(1) }
 
-func newRand(id string, life time.Time) *rand.Rand {
-	return rand.New(rand.NewPCG(seedOf(id, life), uint64(life.UnixNano())))
+func newRand(id string, startedAt time.Time) *rand.Rand {
+	return rand.New(rand.NewPCG(seedOf(id, startedAt), uint64(startedAt.UnixNano())))
 }
 
-// trialsAtOnce bounds how often a request is placed anew because the endpoint
-// that was chosen is on trial with another one.
-const trialsAtOnce = 3
+// maxTrialRetries limits how often a request is placed again because another
+// request is already on trial at the chosen endpoint.
+const maxTrialRetries = 3
 
-// errAtLimits is what callers are told while all endpoints are at the limits that they
-// name.
+// errAtLimits is the answer to callers while all endpoints are at the limits
+// that they report.
 var errAtLimits = &gateway.Refusal{
 	Status: http.StatusServiceUnavailable, Code: gateway.CodeOverloaded, Outcome: gateway.OutcomeNotRun,
 	Message: "all endpoints are at the limits that they name", RetryAfter: gateway.DefaultRetryAfter,
 }
 
-// Place implements gateway.Placer. While all endpoints are at their limits it waits for
-// other daemons' words for a moment.
+// Place implements gateway.Placer. While all endpoints are at their limits it
+// waits briefly for the other daemons' replies.
 func (v *fleetView) Place(ctx context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
 	if r.Attempt <= 1 {
-		v.daemon.retries.earn()
+		v.daemon.retries.recordRequest()
 	}
 	for waited := 0; ; waited++ {
 		p, err := v.place(r)
-		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.room.AwaitingReply() {
+		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.limiter.AwaitingReply() {
 			return p, err
 		}
 		if err := pause.For(ctx, room.ReplyWait); err != nil {
@@ -57,26 +57,26 @@
 }
 
 func (v *fleetView) place(r *gateway.PlaceRequest) (gateway.Placement, error) {
-	levels := v.levels(r)
+	levels := v.promptLevels(r)
 	request := placement.Request{
 		Pool:     classPool(r.Class),
 		Levels:   levels,
 		Tokens:   r.PromptTokens,
-		Priority: priorityOf(r.Priority),
+		Priority: clampPriority(r.Priority),
 		Avoid:    r.Exclude,
 	}
 	if r.Kind == fleet.KindModel {
 		request.Pool = modelPool(r.Target.Model, r.Target.Version)
 	}
 	repeatable := r.Kind == fleet.KindModel
-	full := v.daemon.room.AtLimit()
+	full := v.daemon.limiter.AtLimit()
 	request.Avoid = append(slices.Clone(r.Exclude), full...)
 	for tries := 0; ; tries++ {
 		request.ID = v.ids.next()
 		decision, err := v.placement.Place(v.now(), request)
-		if err != nil && repeatable && tries > 0 && tries < trialsAtOnce {
-			// Only endpoints on trial are left: better one of them than none.
-			tries, request.Avoid = trialsAtOnce-1, append(slices.Clone(r.Exclude), full...)
+		if err != nil && repeatable && tries > 0 && tries < maxTrialRetries {
+			// Only endpoints on trial are left; use one of them rather than none.
+			tries, request.Avoid = maxTrialRetries-1, append(slices.Clone(r.Exclude), full...)
 			continue
 		}
 		if err != nil && len(full) > 0 {
@@ -85,10 +85,10 @@
 		if err != nil {
 			return gateway.Placement{}, err
 		}
-		last := tries == trialsAtOnce
-		if v.mayTry(decision.Endpoint, repeatable) || (last && repeatable) {
-			if v.daemon.room.Acquire(decision.Endpoint) {
-				return v.placed(request.ID, levels, &decision), nil
+		last := tries == maxTrialRetries
+		if v.allowRequest(decision.Endpoint, repeatable) || (last && repeatable) {
+			if v.daemon.limiter.Acquire(decision.Endpoint) {
+				return v.newPlacement(request.ID, levels, &decision), nil
 			}
 			v.placement.Finished(v.now(), request.ID)
 			full = append(full, decision.Endpoint)
@@ -98,31 +98,33 @@
 		}
 		v.placement.Finished(v.now(), request.ID)
 		if last {
-			// "Not run" is better than a call lost on an endpoint that fails.
+			// A call that must not be repeated is refused rather than risked
+			// on a failing endpoint.
 			return gateway.Placement{}, gateway.ErrNoEndpoint
 		}
 		request.Avoid = append(slices.Clone(request.Avoid), decision.Endpoint)
 	}
 }
 
-// mayTry reports whether an endpoint that is due back after failing may have
-// this request. One at a time finds out whether it is back; else all requests
-// of its prefixes would be lost on it together. A call that may not be repeated
-// is never the one.
-func (v *fleetView) mayTry(id fleet.EndpointID, repeatable bool) bool {
+// allowRequest reports whether an endpoint may receive this request. An ejected
+// endpoint that is due for readmission gets one request at a time on trial;
+// otherwise all requests with its prefixes would fail there together. A request
+// that must not be repeated is never used for a trial.
+func (v *fleetView) allowRequest(id fleet.EndpointID, repeatable bool) bool {
 	v.healthMu.Lock()
 	defer v.healthMu.Unlock()
 	now := v.now()
 	return v.health.Status(now, id) != health.Trial || v.health.Allow(now, id, repeatable)
 }
 
-// levels cuts the prompt into the levels that placement counts in.
-func (v *fleetView) levels(r *gateway.PlaceRequest) []prefix.Level {
+// promptLevels splits the prompt into the prefix levels that placement uses. It
+// returns nil for services.
+func (v *fleetView) promptLevels(r *gateway.PlaceRequest) []prefix.Level {
 	if r.Kind != fleet.KindModel {
 		return nil
 	}
 	v.mu.Lock()
-	pool := v.cutters
+	pool := v.splitters
 	v.mu.Unlock()
 	c := pool.Get().(*prefix.Splitter)
 	defer pool.Put(c)
@@ -142,11 +144,12 @@
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// placed turns a decision into a placement whose callbacks correct the view.
-func (v *fleetView) placed(id uint64, levels []prefix.Level, d *placement.Decision) gateway.Placement {
+// newPlacement converts a decision into a gateway.Placement. Its callbacks
+// update the view with the result of the attempt.
+func (v *fleetView) newPlacement(id uint64, levels []prefix.Level, d *placement.Decision) gateway.Placement {
 	v.mu.Lock()
-	address := v.places[d.Endpoint].Address
-	store := v.places[d.ImportFrom].Address
+	address := v.endpoints[d.Endpoint].Address
+	store := v.endpoints[d.ImportFrom].Address
 	v.mu.Unlock()
 	p := gateway.Placement{
 		Endpoint:       d.Endpoint,
@@ -157,13 +160,13 @@
 		Prefix:         prefix.Format(prefix.ReusableLevels(levels)),
 	}
 	expected := d.ExpectedFirstToken
-	p.OnHeader = func(m engine.Metadata) { v.began(id, p.Endpoint, levels, m) }
-	p.OnDone = func(r gateway.AttemptResult) { v.ended(id, p.Endpoint, expected, r) }
+	p.OnHeader = func(m engine.Metadata) { v.onBegan(id, p.Endpoint, levels, m) }
+	p.OnDone = func(r gateway.AttemptResult) { v.onDone(id, p.Endpoint, expected, r) }
 	return p
 }
 
-func (v *fleetView) began(id uint64, e fleet.EndpointID, levels []prefix.Level, m engine.Metadata) {
-	v.daemon.room.Answered(e, m.Limit)
+func (v *fleetView) onBegan(id uint64, e fleet.EndpointID, levels []prefix.Level, m engine.Metadata) {
+	v.daemon.limiter.Answered(e, m.Limit)
 	if m.NotRun {
 		return
 	}
@@ -177,13 +180,13 @@
 	if m.HasLoad {
 		a.Load = &m.Load
 		a.Load.At = v.now()
-		v.reported(e, m.Load)
+		v.applyReport(e, m.Load)
 	}
 	v.placement.Answered(v.now(), a)
 }
 
-// ended tells placement, membership and health how the attempt went.
-func (v *fleetView) ended(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.AttemptResult) {
+// onDone passes the result of an attempt to placement, membership and health.
+func (v *fleetView) onDone(id uint64, e fleet.EndpointID, expected time.Duration, r gateway.AttemptResult) {
 	now := v.now()
 	if r.Outcome == gateway.AttemptSucceeded || r.Outcome == gateway.AttemptCancelled {
 		v.placement.Finished(now, id)
@@ -192,7 +195,7 @@
 		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, ConnectionLost: dead})
 	}
 	if r.Status != 0 {
-		v.daemon.room.Answered(e, r.Meta.Limit)
+		v.daemon.limiter.Answered(e, r.Meta.Limit)
 	}
 	switch r.Outcome {
 	case gateway.AttemptSucceeded:
@@ -200,10 +203,10 @@
 		v.health.RecordSuccess(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
 	case gateway.AttemptNotSent:
-		v.daemon.room.Release(e)
-		v.refused(e)
+		v.daemon.limiter.Release(e)
+		v.recordRefusal(e)
 	case gateway.AttemptNotRun:
-		v.notRun(e, r.Meta)
+		v.onNotRun(e, r.Meta)
 	case gateway.AttemptFailed:
 		v.healthMu.Lock()
 		v.health.RecordFailure(now, e, r.Meta.Incarnation)
@@ -212,23 +215,24 @@
 	}
 }
 
-// notRun takes an endpoint's refusal. What it says of itself counts at once: one
-// that is leaving gets no new work, whatever the platform's list says, and one
-// that serves another weight version gets requests for that.
-func (v *fleetView) notRun(e fleet.EndpointID, m engine.Metadata) {
+// onNotRun handles a refusal by an endpoint. Its own report takes effect at
+// once: a leaving endpoint gets no further requests, whatever the platform's
+// list contains, and one that serves another weight version gets only requests
+// for that version.
+func (v *fleetView) onNotRun(e fleet.EndpointID, m engine.Metadata) {
 	if !m.HasLoad {
 		return
 	}
-	v.reported(e, m.Load)
+	v.applyReport(e, m.Load)
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.dirty {
+	if v.poolsStale {
 		v.refresh()
 	}
 }
 
-// slowness is the time to the first token over the one expected; 0 means that
-// it is not known.
+// slowness returns the ratio of the observed to the expected time to the first
+// token, or 0 if either is unknown.
 func slowness(got, expected time.Duration) float64 {
 	if got <= 0 || expected <= 0 {
 		return 0
@@ -236,7 +240,7 @@
 	return float64(got) / float64(expected)
 }
 
-// readLoad asks an endpoint for its load.
+// readLoad requests the load report of an endpoint.
 func readLoad(ctx context.Context, client *engine.Client, e fleet.Endpoint) (fleet.Load, error) {
 	ans, err := client.Send(ctx, &engine.Attempt{
 		ID:       "probe-" + string(e.ID),
--- a/daemon/retries_test.go
+++ b/daemon/retries_test.go
@@ -17,17 +17,17 @@
 	return newRetries(func() time.Time { return testTime }, rand.New(rand.NewPCG(1, 2)))
 }
 
-func TestRetriesFollowWhatIsKnown(t *testing.T) {
+func TestRetryDecisionByFailureClass(t *testing.T) {
 	for name, c := range map[string]struct {
 		failure gateway.FailedAttempt
 		want    bool
 	}{
-		"booking not sent":   {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1}, true},
-		"booking not run":    {gateway.FailedAttempt{Class: engine.NotRun, Attempt: 1}, true},
-		"booking lost":       {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1}, false},
-		"prompt lost":        {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
-		"fourth attempt":     {gateway.FailedAttempt{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
-		"deadline too close": {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
+		"non-idempotent call not sent":             {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1}, true},
+		"non-idempotent call not run":              {gateway.FailedAttempt{Class: engine.NotRun, Attempt: 1}, true},
+		"non-idempotent call with unknown outcome": {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1}, false},
+		"idempotent call with unknown outcome":     {gateway.FailedAttempt{Class: engine.OutcomeUnknown, Attempt: 1, Idempotent: true}, true},
+		"fourth attempt":                           {gateway.FailedAttempt{Class: engine.NotSent, Attempt: retry.MaxAttempts}, false},
+		"deadline too close":                       {gateway.FailedAttempt{Class: engine.NotSent, Attempt: 1, Deadline: testTime.Add(time.Millisecond)}, false},
 	} {
 		if _, got := testRetries().Next(c.failure); got != c.want {
 			t.Errorf("%s: retry %v, want %v", name, got, c.want)
@@ -35,10 +35,10 @@
 	}
 }
 
-// Endpoints fail every request for a while. A daemon that repeated each of them
-// would double their load; it stops when its budget is spent, but goes on
-// resuming streams that callers have a part of.
-func TestRetriesAreBounded(t *testing.T) {
+// Guards against a daemon that doubles the load of endpoints while they fail
+// every request. Retries stop when the budget is spent, but streams that were
+// partly delivered are still resumed on debt.
+func TestRetryBudgetBoundsRetries(t *testing.T) {
 	r := testRetries()
 	prompts, streams := 0, 0
 	for range 200 {
@@ -52,25 +52,25 @@
 		}
 	}
 	if prompts != retry.DefaultBurst/2 || streams != retry.DefaultDebt {
-		t.Errorf("%d prompts and %d streams were sent again", prompts, streams)
+		t.Errorf("%d prompts and %d streams were retried", prompts, streams)
 	}
 }
 
-// A resumed stream is refused by the next endpoint, which did no part of it.
-// The caller still has a part of the answer, so it is a broken stream and may
-// be resumed on debt, not a fresh request.
-func TestRefusedResumeIsStillAStream(t *testing.T) {
+// Guards against treating a resume that the next endpoint refused as a new
+// request: the caller already has a part of the answer, so it must count as a
+// broken stream that may be resumed on debt.
+func TestRefusedResumeCountsAsBrokenStream(t *testing.T) {
 	f := gateway.FailedAttempt{Class: engine.NotRun, Attempt: 2, Idempotent: true, Streaming: true}
 	if got := failureOf(f); got != retry.Broken {
 		t.Errorf("a refused resume counts as %v", got)
 	}
 }
 
-func TestRefusalTellsTheReason(t *testing.T) {
+func TestAdmissionRefusalStatus(t *testing.T) {
 	for reason, status := range map[contract.Reason]int{
 		contract.OverShare: 429, contract.NoCapacity: 503, contract.TooLate: 503, contract.UnknownOrganisation: 403,
 	} {
-		r := refusal(contract.Decision{Reason: reason, RetryAfter: 3 * time.Second})
+		r := admissionRefusal(contract.Decision{Reason: reason, RetryAfter: 3 * time.Second})
 		if r.Status != status || r.RetryAfter != 3*time.Second {
 			t.Errorf("%v: %+v", reason, r)
 		}
--- a/daemon/shutdown.go
+++ b/daemon/shutdown.go
@@ -10,27 +10,28 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// drainTick is how often a shutdown looks at the open streams.
-const drainTick = 20 * time.Millisecond
+// drainCheckInterval is the interval between checks of the open streams during
+// a shutdown.
+const drainCheckInterval = 20 * time.Millisecond
 
-// shutdown drives the decisions of package drain with the time and the number
-// of open requests.
+// shutdown drives the state machine of package drain with the clock and the
+// number of open requests.
 type shutdown struct {
 	drainer *gateway.Drainer
 	now     func() time.Time
 
-	mu    sync.Mutex
-	state *drain.Shutdown
-	begun chan struct{} // closed at the first signal
-	once  sync.Once
+	mu        sync.Mutex
+	state     *drain.Shutdown
+	signalled chan struct{} // closed at the first signal
+	once      sync.Once
 }
 
 func newShutdown(s settings.Drain, drainer *gateway.Drainer, now func() time.Time) *shutdown {
 	return &shutdown{
-		drainer: drainer,
-		now:     now,
-		state:   drain.New(drain.Options{BalancerLag: s.BalancerLag, MaxWait: s.MaxWait}),
-		begun:   make(chan struct{}),
+		drainer:   drainer,
+		now:       now,
+		state:     drain.New(drain.Options{BalancerLag: s.BalancerLag, MaxWait: s.MaxWait}),
+		signalled: make(chan struct{}),
 	}
 }
 
@@ -39,7 +40,7 @@
 	s.state.Signal(s.now())
 	s.mu.Unlock()
 	s.drainer.SetUnready()
-	s.once.Do(func() { close(s.begun) })
+	s.once.Do(func() { close(s.signalled) })
 }
 
 func (s *shutdown) ready() bool {
@@ -48,15 +49,15 @@
 	return s.state.Ready()
 }
 
-func (s *shutdown) done() bool { return s.step() == drain.Done }
+func (s *shutdown) done() bool { return s.advance() == drain.Done }
 
-func (s *shutdown) cut() int {
+func (s *shutdown) cutStreams() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.state.CutRequests()
 }
 
-func (s *shutdown) step() drain.State {
+func (s *shutdown) advance() drain.State {
 	open := s.drainer.InFlight()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -65,18 +66,19 @@
 	return s.state.Advance(now)
 }
 
-// run returns when the shutdown is over or ctx ends. It calls stop when open
-// requests are to end with an explicit error.
+// run returns when the shutdown is complete or ctx ends. It calls stop once
+// open requests must end with an explicit error; stop may be called more than
+// once.
 func (s *shutdown) run(ctx context.Context, stop func()) error {
 	select {
 	case <-ctx.Done():
 		return ctx.Err()
-	case <-s.begun:
+	case <-s.signalled:
 	}
-	ticker := time.NewTicker(drainTick)
+	ticker := time.NewTicker(drainCheckInterval)
 	defer ticker.Stop()
 	for {
-		switch s.step() {
+		switch s.advance() {
 		case drain.Done:
 			return nil
 		case drain.Stopping:
--- a/daemon/system.go
+++ b/daemon/system.go
@@ -23,13 +23,13 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// Bounds of what the administration API lists.
+// Maximum lengths of lists in the administration API.
 const (
-	maxOrganisationsShown = 1000
-	maxEndpointsShown     = 10_000
+	maxListedOrganisations = 1000
+	maxListedEndpoints     = 10_000
 )
 
-// system is the daemon as its administration API sees it.
+// system implements admin.System for a Daemon.
 type system Daemon
 
 // Live implements admin.System.
@@ -42,7 +42,7 @@
 		return eris.New("the daemon shuts down")
 	case s.catalogue.index() == nil:
 		return eris.New("no manifest is known yet")
-	case !s.fleet.known():
+	case !s.fleet.hasEndpoints():
 		return eris.New("no endpoint is known yet")
 	}
 	return nil
@@ -54,20 +54,20 @@
 	if v == nil {
 		return admin.Revision{}, nil, eris.New("no manifest is in force yet")
 	}
-	return shownRevision(v.Revision), &v.Manifest, nil
+	return adminRevision(v.Revision), &v.Manifest, nil
 }
 
-func shownRevision(r ledger.Revision) admin.Revision {
+func adminRevision(r ledger.Revision) admin.Revision {
 	return admin.Revision{Offset: r.Offset, Digest: string(r.Digest)}
 }
 
-// History implements admin.System. A manifest that came with a proof, from a
-// neighbour or from publishing it here, was never folded as a record; it is
-// listed by its acceptance.
+// History implements admin.System. A manifest that was adopted with a
+// checkpoint, from a neighbour or by publishing it here, has no decision in the
+// history, so it is listed from the accepted revisions of the checkpoint.
 func (s *system) History() []admin.Publication {
 	byOffset := map[ports.Offset]admin.Publication{}
-	if proof, ok := s.manifests.Proof(); ok {
-		for _, a := range proof.Recent {
+	if checkpoint, ok := s.manifests.Proof(); ok {
+		for _, a := range checkpoint.Recent {
 			byOffset[a.Offset] = admin.Publication{
 				Outcome:  admin.OutcomeAccepted,
 				Revision: admin.Revision{Offset: a.Offset, Digest: string(a.Digest)},
@@ -77,7 +77,7 @@
 	}
 	for _, d := range s.manifests.Status().History {
 		if d.Kind == ledger.KindManifest || d.Kind == ledger.KindSection {
-			byOffset[d.Offset] = shownDecision(d)
+			byOffset[d.Offset] = adminPublication(d)
 		}
 	}
 	list := slices.Collect(maps.Values(byOffset))
@@ -85,7 +85,7 @@
 	return list
 }
 
-func shownDecision(d ledger.Decision) admin.Publication {
+func adminPublication(d ledger.Decision) admin.Publication {
 	return admin.Publication{
 		Outcome:   admin.Outcome(d.Outcome),
 		Revision:  admin.Revision{Offset: d.Offset, Digest: string(d.Digest)},
@@ -102,8 +102,8 @@
 	return 0
 }
 
-// endpointShown is one endpoint for operators.
-type endpointShown struct {
+// endpointView is an endpoint in the administration API.
+type endpointView struct {
 	fleet.Member
 	Gate string `json:"gate"`
 }
@@ -113,31 +113,32 @@
 	v := s.fleet
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	list := []endpointShown{}
+	list := []endpointView{}
 	for _, m := range v.members.All(v.now()) {
-		if len(list) == maxEndpointsShown {
+		if len(list) == maxListedEndpoints {
 			break
 		}
-		list = append(list, endpointShown{Member: m, Gate: v.gates[m.ID].String()})
+		list = append(list, endpointView{Member: m, Gate: v.availability[m.ID].String()})
 	}
 	return list
 }
 
 // Organisations implements admin.System.
 func (s *system) Organisations() any {
-	shown := map[string]contract.UseReport{}
-	for name, p := range s.admission.all() {
+	usage := map[string]contract.UseReport{}
+	for name, p := range s.admission.listPools() {
 		p.mu.Lock()
-		shown[name] = p.core.Use(p.now(), maxOrganisationsShown)
+		usage[name] = p.core.Use(p.now(), maxListedOrganisations)
 		p.mu.Unlock()
 	}
-	return shown
+	return usage
 }
 
 // Drain implements admin.System.
 func (s *system) Drain() { (*Daemon)(s).Drain() }
 
-// dump is the state of the whole process. It holds no prompts and no keys.
+// dump is the state of the daemon for diagnosis. It contains no prompts and no
+// API keys.
 type dump struct {
 	At            time.Time               `json:"at"`
 	Started       time.Time               `json:"started"`
@@ -153,18 +154,18 @@
 	Daemons       []ports.Daemon          `json:"daemons"`
 	Neighbours    []ports.Daemon          `json:"neighbours"`
 	Senders       []neighbour.Sender      `json:"senders"`
-	Orders        orders.Report           `json:"orders"` // its plan is empty without the lease
+	Orders        orders.Report           `json:"orders"` // the plan is empty on daemons without the lease
 }
 
 // Dump implements admin.System.
 func (s *system) Dump() any {
 	now := s.o.Now()
 	s.fleet.healthMu.Lock()
-	state := s.fleet.health.Snapshot(now, maxEndpointsShown)
+	state := s.fleet.health.Snapshot(now, maxListedEndpoints)
 	s.fleet.healthMu.Unlock()
 	return dump{
 		At:            now,
-		Started:       s.life,
+		Started:       s.startedAt,
 		Settings:      s.o.Settings,
 		Open:          s.drainer.InFlight(),
 		Ready:         s.Ready() == nil,
@@ -177,11 +178,12 @@
 		Daemons:       s.daemons.get(),
 		Neighbours:    s.peers.Neighbours(),
 		Senders:       s.peers.Senders(),
-		Orders:        s.orders.giver.Report(),
+		Orders:        s.orderLeader.leader.Report(),
 	}
 }
 
-// Revision returns the manifest in force; its offset is 0 before the first.
+// Revision returns the revision of the manifest in force, with offset 0 before
+// the first manifest.
 func (d *Daemon) Revision() ledger.Revision {
 	if v := d.manifests.InForce(); v != nil {
 		return v.Revision
--- a/daemon/usage_test.go
+++ b/daemon/usage_test.go
@@ -11,10 +11,10 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// A deployment serves thirty models, and their use does not fit into one
-// digest. A pool that never got its turn would be shared out as if no other
-// daemon used it.
-func TestUseOfManyPoolsTakesTurns(t *testing.T) {
+// Guards against pools that never appear in a digest because the usage of all
+// models does not fit into one: the neighbours would divide the capacity of
+// such a pool as if no other daemon used it.
+func TestUsageDigestsCoverAllPools(t *testing.T) {
 	now := time.Unix(1000, 0)
 	a := &admission{pools: map[string]*admissionPool{}}
 	const models, organisations = 30, 32
@@ -34,9 +34,9 @@
 	seen := map[string]bool{}
 	digests := 0
 	for ; len(seen) < models && digests < models; digests++ {
-		text := a.usage(now.Add(time.Duration(digests)*time.Second), false)
-		if len(text) > 2*maxUsage {
-			t.Fatalf("use of %d bytes", len(text))
+		text := a.encodeUsage(now.Add(time.Duration(digests)*time.Second), false)
+		if len(text) > 2*maxUsageBytes {
+			t.Fatalf("usage of %d bytes", len(text))
 		}
 		var u peerpb.Usage
 		if err := proto.Unmarshal(text, &u); err != nil {
@@ -47,6 +47,6 @@
 		}
 	}
 	if len(seen) != models {
-		t.Errorf("%d of %d pools told in %d digests", len(seen), models, digests)
+		t.Errorf("%d of %d pools sent in %d digests", len(seen), models, digests)
 	}
 }
--- a/internal/pause/pause_test.go
+++ b/internal/pause/pause_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-func TestForEndsWithTheTimeOrTheContext(t *testing.T) {
+func TestForWaitsForDurationOrContext(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		began := time.Now()
 		if err := For(t.Context(), time.Minute); err != nil || time.Since(began) != time.Minute {
@@ -20,13 +20,13 @@
 			t.Errorf("%v after %v", err, time.Since(began))
 		}
 		if err := For(ctx, 0); err == nil {
-			t.Error("an ended context was not seen without a wait")
+			t.Error("For returned no error for an ended context without a wait")
 		}
 	})
 }
 
-// Guards against loops that each wake the process up at a time of its own.
-func TestTicksOfOnePeriodFallTogether(t *testing.T) {
+// Guards against loops that each wake the process at a different time.
+func TestTickAlignsToPeriod(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		at := func(after time.Duration) time.Time {
 			time.Sleep(after)
--- a/logging/bounded_test.go
+++ b/logging/bounded_test.go
@@ -8,21 +8,20 @@
 	"time"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ release chan struct{} }
+// blockedWriter is an output that blocks until it is released.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
-// Nobody reads the standard output, so that its pipe is full. Requests go on
-// being logged; if a line waited for the pipe, every request would stand still
-// and callers would see a dead daemon with nothing to tell why.
-func TestUnreadOutputBlocksNobody(t *testing.T) {
+// Guards against requests that block on their log lines while nobody reads the
+// standard output and its pipe is full.
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		out := stuck{make(chan struct{})}
-		b := NewBounded(out, 1000)
+		out := blockedWriter{make(chan struct{})}
+		b := NewBoundedWriter(out, 1000)
 		stop, ended := make(chan struct{}), make(chan struct{})
 		go func() {
 			b.Run(stop)
@@ -32,13 +31,13 @@
 		began := time.Now()
 		for range 500 {
 			_, _ = b.Write(line)
-			time.Sleep(time.Millisecond) // virtual
+			time.Sleep(time.Millisecond) // virtual time
 		}
 		if took := time.Since(began); took > 500*time.Millisecond {
 			t.Errorf("writing took %v", took)
 		}
 		if b.Dropped() == 0 {
-			t.Error("nothing was dropped, though nothing can be held")
+			t.Error("no lines were dropped although the buffer is full")
 		}
 		close(out.release)
 		close(stop)
@@ -48,7 +47,7 @@
 
 func TestDroppedLinesAreReported(t *testing.T) {
 	var out bytes.Buffer
-	b := NewBounded(&out, 10)
+	b := NewBoundedWriter(&out, 10)
 	_, _ = b.Write([]byte("12345678\n"))
 	_, _ = b.Write([]byte("abcdefgh\n"))
 	b.Flush()
--- a/logging/logging_test.go
+++ b/logging/logging_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-func TestLineStartsWithThePartsPrefix(t *testing.T) {
+func TestMessageStartsWithComponentPrefix(t *testing.T) {
 	var buf bytes.Buffer
 	f, err := NewFactory(&buf, "info")
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.For(PartPeers).Info("Neighbour is back.", "daemon", "d2", "after_ms", 12)
-	f.For(PartPeers).Debug("Not written.")
+	f.For(ComponentPeers).Info("Neighbour is back.", "daemon", "d2", "after_ms", 12)
+	f.For(ComponentPeers).Debug("Not written.")
 	var line map[string]any
 	if err := json.Unmarshal(buf.Bytes(), &line); err != nil {
 		t.Fatalf("%q: %v", buf.String(), err)
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestUnknownLevelIsRefused(t *testing.T) {
+func TestRejectsUnknownLevel(t *testing.T) {
 	if _, err := NewFactory(&bytes.Buffer{}, "loud"); err == nil {
 		t.Error("accepted")
 	}
--- a/ports/httplog/list.go
+++ b/ports/httplog/list.go
@@ -9,13 +9,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// cachedList is a list of the platform with the tag under which it was read.
-// Daemons read the lists every second and they seldom change: read whole each
-// time, the list of 22 endpoints alone would pass the bytes that a daemon may
-// spend on control. A platform that gives no tag is read whole.
+// cachedList is a list of the platform with its ETag. Daemons read the lists
+// every second although they rarely change: transferred in full each time, the
+// list of 22 endpoints alone would exceed the control traffic that a daemon may
+// cause. From a platform without ETags the list is read in full.
 type cachedList[T any] struct {
-	mu   sync.Mutex // held over a read, so that an older one cannot replace a newer
-	tag  string
+	mu   sync.Mutex // held during a read, so that an older answer cannot replace a newer one
+	etag string
 	list []T
 }
 
@@ -23,14 +23,14 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var list []T
-	tag, err := c.exchange(ctx, http.MethodGet, c.base+path, nil, l.tag, &list)
+	tag, err := c.callWithETag(ctx, http.MethodGet, c.baseURL+path, nil, l.etag, &list)
 	var status *statusError
-	if errors.As(err, &status) && status.code == http.StatusNotModified && l.tag != "" {
+	if errors.As(err, &status) && status.code == http.StatusNotModified && l.etag != "" {
 		return l.list, nil
 	}
 	if err != nil {
 		return nil, errors.Join(ports.ErrUnavailable, err)
 	}
-	l.tag, l.list = tag, list
+	l.etag, l.list = tag, list
 	return list, nil
 }
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -20,7 +20,7 @@
 // fixedClock returns a clock that always returns d.
 func fixedClock(d time.Duration) func() time.Duration { return func() time.Duration { return d } }
 
-func discardLog() *logging.Logger { return logging.Discard().For(logging.PartRouter) }
+func discardLog() *logging.Logger { return logging.Discard().For(logging.ComponentRouter) }
 
 // testSettings has the time bounds for changes of the topics.
 var testSettings = &Settings{ConfigWithin: 2 * time.Second, DrainWithin: 2 * time.Second}
--- a/settings/load.go
+++ b/settings/load.go
@@ -15,15 +15,17 @@
 	"gopkg.in/ini.v1"
 )
 
-// EnvPrefix starts the name of every environment variable that is a setting.
+// EnvPrefix is the first part of the name of every environment variable that is
+// a setting.
 const EnvPrefix = "MERLINDOCK"
 
-// maxFileBytes bounds the settings file; a longer one is no settings file.
+// maxFileBytes is the maximum size of the settings file. It keeps Load from
+// reading an arbitrary file into memory.
 const maxFileBytes = 1 << 20
 
-// Error is a setting that was refused.
+// Error describes a setting that was rejected.
 type Error struct {
-	Where    string // file and line, environment variable or flag
+	Where    string // file, or file and line; environment variable; "flag"; may be empty
 	Setting  string // "section.key"
 	Problem  string
 	Expected string
@@ -44,21 +46,22 @@
 	return text
 }
 
-// Input is where settings come from.
+// Input is the sources of the settings.
 type Input struct {
 	Args []string // without the program's name
-	Env  []string // as os.Environ gives them
-	File string   // path of the INI file unless -config names one; empty for none
+	Env  []string // in the format of os.Environ
+	File string   // default of the flag -config: path of the INI file; empty: no file
 }
 
-// Load reads and checks the settings. Its error joins every *Error found.
+// Load reads and checks the settings. Its error is one *Error or several that
+// are joined, or flag.ErrHelp if the arguments ask for help.
 func Load(in Input) (Settings, error) {
 	var s Settings
 	fs := flag.NewFlagSet("merlindockd", flag.ContinueOnError)
 	fs.SetOutput(io.Discard)
 	register(fs, &s)
 	s.File = in.File
-	if err := unknownEnv(fs, in.Env); err != nil {
+	if err := rejectUnknownEnv(fs, in.Env); err != nil {
 		return s, err
 	}
 	if err := fs.Parse(in.Args); errors.Is(err, flag.ErrHelp) {
@@ -69,7 +72,7 @@
 	if fs.NArg() > 0 {
 		return s, &Error{Where: "flag", Problem: fmt.Sprintf("unexpected argument %q", fs.Arg(0)), Expected: "flags only"}
 	}
-	given := lines{}
+	given := sourceMap{}
 	if err := applyEnv(fs, in.Env, given); err != nil {
 		return s, err
 	}
@@ -79,7 +82,7 @@
 	return s, check(s, given)
 }
 
-// Usage writes every setting with its default and meaning.
+// Usage writes each setting with its default and description to w.
 func Usage(w io.Writer) {
 	var s Settings
 	fs := flag.NewFlagSet("merlindockd", flag.ContinueOnError)
@@ -88,23 +91,25 @@
 	fs.PrintDefaults()
 }
 
-// lines tells where each given setting stands, by its name.
-type lines map[string]string
+// sourceMap holds the sources of the settings that the file or the environment
+// gives, by name: file and line, or environment variable.
+type sourceMap map[string]string
 
-// envName is the environment variable of the named setting, spelt as ff does.
+// envName returns the environment variable of a setting. It follows the
+// convention of package ff.
 func envName(setting string) string {
 	name := strings.NewReplacer("-", "_", ".", "_").Replace(setting)
 	return EnvPrefix + "_" + strings.ToUpper(name)
 }
 
-func flagSet(fs *flag.FlagSet) map[string]bool {
+func flagsGiven(fs *flag.FlagSet) map[string]bool {
 	given := map[string]bool{}
 	fs.Visit(func(f *flag.Flag) { given[f.Name] = true })
 	return given
 }
 
-func applyEnv(fs *flag.FlagSet, environ []string, given lines) error {
-	byFlag := flagSet(fs)
+func applyEnv(fs *flag.FlagSet, environ []string, given sourceMap) error {
+	byFlag := flagsGiven(fs)
 	for _, pair := range environ {
 		name, value, _ := strings.Cut(pair, "=")
 		setting := settingOfEnv(fs, name)
@@ -112,7 +117,7 @@
 			continue
 		}
 		if err := fs.Set(setting, value); err != nil {
-			return wrongValue("environment variable "+name, setting, value, fs)
+			return invalidValue("environment variable "+name, setting, value, fs)
 		}
 		given[setting] = "environment variable " + name
 	}
@@ -129,9 +134,10 @@
 	return found
 }
 
-// unknownEnv refuses a variable with the prefix that is no setting. A misspelt
-// variable would otherwise leave the default in force without a word.
-func unknownEnv(fs *flag.FlagSet, environ []string) error {
+// rejectUnknownEnv returns an error for each variable with the prefix that is
+// not a setting. Otherwise a misspelt variable would silently leave the default
+// in force.
+func rejectUnknownEnv(fs *flag.FlagSet, environ []string) error {
 	var errs []error
 	for _, pair := range environ {
 		name, _, _ := strings.Cut(pair, "=")
@@ -142,9 +148,9 @@
 	return errors.Join(errs...)
 }
 
-// applyFile parses the file with ff, which leaves alone what a flag or the
-// environment has set.
-func applyFile(fs *flag.FlagSet, path string, given lines) error {
+// applyFile parses the file with ff, which does not override settings from
+// flags or the environment.
+func applyFile(fs *flag.FlagSet, path string, given sourceMap) error {
 	if path == "" {
 		return nil
 	}
@@ -152,12 +158,12 @@
 	if err != nil {
 		return err
 	}
-	places := findLines(path, text)
+	positions := keyPositions(path, text)
 	parser := func(r io.Reader, set func(name, value string) error) error {
-		return parseINI(r, path, places, fs, set)
+		return parseINI(r, path, positions, fs, set)
 	}
 	var args []string
-	for name := range flagSet(fs) {
+	for name := range flagsGiven(fs) {
 		args = append(args, "-"+name+"="+fs.Lookup(name).Value.String())
 	}
 	sort.Strings(args)
@@ -169,9 +175,9 @@
 		}
 		return &Error{Where: path, Problem: err.Error()}
 	}
-	for name, place := range places {
+	for name, position := range positions {
 		if _, ok := given[name]; !ok {
-			given[name] = place
+			given[name] = position
 		}
 	}
 	return nil
@@ -188,12 +194,12 @@
 		return nil, &Error{Where: path, Problem: "cannot be read", Expected: "a readable INI file"}
 	}
 	if len(text) > maxFileBytes {
-		return nil, &Error{Where: path, Problem: "too long", Expected: fmt.Sprintf("at most %d bytes", maxFileBytes)}
+		return nil, &Error{Where: path, Problem: "file is too large", Expected: fmt.Sprintf("at most %d bytes", maxFileBytes)}
 	}
 	return text, nil
 }
 
-func parseINI(r io.Reader, path string, places lines, fs *flag.FlagSet, set func(name, value string) error) error {
+func parseINI(r io.Reader, path string, positions sourceMap, fs *flag.FlagSet, set func(name, value string) error) error {
 	file, err := ini.LoadSources(ini.LoadOptions{}, io.NopCloser(r))
 	if err != nil {
 		return &Error{Where: path, Problem: err.Error(), Expected: "INI text: [section] lines and key = value lines"}
@@ -201,32 +207,33 @@
 	for _, section := range file.Sections() {
 		for _, key := range section.Keys() {
 			name := section.Name() + "." + key.Name()
-			where := places[name]
+			where := positions[name]
 			if fs.Lookup(name) == nil {
 				return &Error{Where: where, Setting: name, Problem: "unknown setting", Expected: "a name from merlindockd -help"}
 			}
 			if err := set(name, key.Value()); err != nil {
-				return wrongValue(where, name, key.Value(), fs)
+				return invalidValue(where, name, key.Value(), fs)
 			}
 		}
 	}
 	return nil
 }
 
-func wrongValue(where, name, value string, fs *flag.FlagSet) error {
+func invalidValue(where, name, value string, fs *flag.FlagSet) error {
 	return &Error{
 		Where:    where,
 		Setting:  name,
-		Problem:  fmt.Sprintf("cannot take %q", value),
-		Expected: kindOf(fs.Lookup(name)),
+		Problem:  fmt.Sprintf("invalid value %q", value),
+		Expected: expectedValue(fs.Lookup(name)),
 	}
 }
 
-// kindOf tells what values a setting takes, from its type and its default.
-func kindOf(f *flag.Flag) string {
+// expectedValue describes the valid values of a setting by its type and usage
+// text.
+func expectedValue(f *flag.Flag) string {
 	getter, ok := f.Value.(flag.Getter)
 	if !ok {
-		return "another value"
+		return "a valid value"
 	}
 	kind := fmt.Sprintf("%T", getter.Get())
 	names := map[string]string{
@@ -242,10 +249,10 @@
 	return f.Usage
 }
 
-// findLines gives file and line of each key. The INI library does not say
-// where a key stood, and without it an operator has to search a long file.
-func findLines(path string, text []byte) lines {
-	places := lines{}
+// keyPositions returns the file and line of each key. The INI library does not
+// provide them, and error messages need them.
+func keyPositions(path string, text []byte) sourceMap {
+	positions := sourceMap{}
 	section := ini.DefaultSection
 	scanner := bufio.NewScanner(bytes.NewReader(text))
 	for n := 1; scanner.Scan(); n++ {
@@ -258,7 +265,7 @@
 		if !ok || strings.HasPrefix(line, "#") || strings.HasPrefix(line, ";") {
 			continue
 		}
-		places[section+"."+strings.TrimSpace(key)] = fmt.Sprintf("%s:%d", path, n)
+		positions[section+"."+strings.TrimSpace(key)] = fmt.Sprintf("%s:%d", path, n)
 	}
-	return places
+	return positions
 }
--- a/telemetry/telemetry_test.go
+++ b/telemetry/telemetry_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-func TestScraperReadsCountersAndHistograms(t *testing.T) {
+func TestHandlerExposesCountersAndHistograms(t *testing.T) {
 	m := New("d1", "zone-a")
 	m.Scope.Counter("requests").Inc(3)
-	m.Scope.Histogram("first_token", Durations()).RecordDuration(40 * time.Millisecond)
+	m.Scope.Histogram("first_token", DurationBuckets()).RecordDuration(40 * time.Millisecond)
 	if err := m.Close(); err != nil {
 		t.Fatal(err)
 	}
@@ -19,7 +19,7 @@
 	page := rec.Body.String()
 	for _, want := range []string{`merlindock_requests`, `daemon="d1"`, `le="0.052"`} {
 		if !strings.Contains(page, want) {
-			t.Errorf("page lacks %s", want)
+			t.Errorf("page does not contain %s", want)
 		}
 	}
 }
