--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -285,13 +285,13 @@
 		s.Routing.EventEndpoints = 0
 	}
 	n.Daemon, err = daemon.New(daemon.Options{
-		Settings:  s,
+		Settings:             s,
 		DisableAnnouncements: c.o.NoNotices,
-		Token:     c.o.Token,
-		Log:       n.Way,
-		VMs:       c.VMs,
-		Logs:      c.o.Logs,
-		Dial:      c.dial(i),
+		Token:                c.o.Token,
+		Log:                  n.Way,
+		VMs:                  c.VMs,
+		Logs:                 c.o.Logs,
+		Dial:                 c.dial(i),
 		Listeners: daemon.Listeners{
 			Callers: c.network.Listen(n.address()),
 			Admin:   c.network.Listen(n.adminAddress()),
