--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -162,7 +162,7 @@
 			c.endpoint(id, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), i, r)
 			continue
 		}
-		ordered := r.TakeOrders(standin.OrderOptions{
+		ordered := r.AcceptOrders(standin.OrderOptions{
 			Store:  o.Store,
 			Fences: o.Fences,
 			Models: []rollout.Model{{ID: Model, Version: "v1"}},
@@ -209,11 +209,11 @@
 			return
 		}
 		c.ended.Add(1)
-		c.network.Refuse(address, true)
+		c.network.SetRefused(address, true)
 		c.Runners[i].Runner.Crash()
 		time.AfterFunc(backAfter, func() {
 			c.Runners[i].Restart()
-			c.network.Refuse(address, false)
+			c.network.SetRefused(address, false)
 		})
 		panic(http.ErrAbortHandler)
 	})
--- a/lab/cluster/events_test.go
+++ b/lab/cluster/events_test.go
@@ -183,7 +183,7 @@
 // The KV store goes down while a runner takes a document from it. The caller
 // must get the whole answer, and nobody may count what did not come.
 func TestStoreThatFailsInMidImport(t *testing.T) {
-	for _, fault := range []standin.StoreFault{standin.StoreWorks, standin.StoreDown, standin.StoreLies, standin.StoreHangs} {
+	for _, fault := range []standin.StoreFault{standin.StoreNoFault, standin.StoreDown, standin.StoreOverstates, standin.StoreHangs} {
 		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
 			o := caches
 			o.KV = &standin.StoreOptions{Latency: 30 * time.Millisecond, Rate: 40_000, Delay: 500 * time.Millisecond}
@@ -221,7 +221,7 @@
 		t.Errorf("%d imports, %d tokens imported, %d said to be cached", asked, imported, cached)
 	}
 	delivered := c.KV.Stats().Tokens
-	if whole := fault == standin.StoreWorks; imported > delivered || whole != (imported >= documentTokens-caches.PieceTokens) {
+	if whole := fault == standin.StoreNoFault; imported > delivered || whole != (imported >= documentTokens-caches.PieceTokens) {
 		t.Errorf("%d tokens counted as imported, %d delivered", imported, delivered)
 	}
 }
--- a/lab/cluster/health_test.go
+++ b/lab/cluster/health_test.go
@@ -14,7 +14,7 @@
 // fails has a runner fail its next requests.
 func fails(r *standin.OrderedRunner, n int, f standin.Fault) {
 	for range n {
-		r.Fail(f)
+		r.InjectFaults(f)
 	}
 }
 
@@ -36,7 +36,7 @@
 				if got > asked/10 {
 					t.Errorf("%d of %d requests were tried at the failing runner", got, asked)
 				}
-				c.Runners[0].Mend()
+				c.Runners[0].ClearFaults()
 				c.askFor(t, 20*time.Second, asked)
 				before := tried(c.Runners[0])
 				again := c.askFor(t, 5*time.Second, 20*asked)
--- a/lab/cluster/keyed_test.go
+++ b/lab/cluster/keyed_test.go
@@ -207,7 +207,7 @@
 	two.Services = 2
 	inCluster(t, two, func(t *testing.T, c *Cluster) {
 		for _, s := range c.Services {
-			s.Fail(standin.Fault{Kind: standin.FaultAfterRun})
+			s.InjectFaults(standin.Fault{Kind: standin.FaultAfterRun})
 		}
 		wantOutcome(t, c.book(t, 0, "", "slot 7"), http.StatusBadGateway, gateway.OutcomeUnknown)
 		c.wantEffects(t, 1)
--- a/lab/cluster/recovery_test.go
+++ b/lab/cluster/recovery_test.go
@@ -115,7 +115,7 @@
 			t.Fatalf("request %d, %s after the publication: %s", i, time.Since(began), a)
 		}
 	}
-	if most := c.Store.Most(); most > 2 {
+	if most := c.Store.MaxConcurrentLoads(); most > 2 {
 		t.Errorf("%d loads at once, 2 are allowed", most)
 	}
 	time.Sleep(5 * time.Second) // virtual
--- a/lab/cluster/trial_test.go
+++ b/lab/cluster/trial_test.go
@@ -22,7 +22,7 @@
 			time.Sleep(50 * time.Millisecond) // virtual
 		}
 		for _, r := range c.Runners {
-			r.Mend()
+			r.ClearFaults()
 		}
 		time.Sleep(50 * time.Millisecond) // virtual
 		const asked = 12
--- a/lab/e2e/refusal_test.go
+++ b/lab/e2e/refusal_test.go
@@ -85,7 +85,7 @@
 // first may have run it, so the caller must not read "not run".
 func TestNotRunIsNotSaidAfterAnAttemptThatMayHaveRun(t *testing.T) {
 	inWorld(t, worldOptions{runners: 2}, func(w *world) {
-		w.runners[0].Fail(standin.Fault{Kind: standin.FaultBeforeFirstByte})
+		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
 		w.runners[1].SetDraining(true)
 		a, _ := w.stream(chatBody)
 		a.expect(t, http.StatusBadGateway, gateway.CodeEndpointFailed, gateway.OutcomeUnknown)
--- a/lab/e2e/service_test.go
+++ b/lab/e2e/service_test.go
@@ -83,7 +83,7 @@
 			inWorld(t, worldOptions{services: 2, claimer: newKeyRing()}, func(w *world) {
 				// Leaves an idle connection to the first runner.
 				w.do(w.request(http.MethodGet, "/receipts/1", registreKey, ""))
-				w.services[0].Fail(standin.Fault{Kind: standin.FaultAfterRun})
+				w.services[0].InjectFaults(standin.Fault{Kind: standin.FaultAfterRun})
 				a := w.do(w.request(tt.method, "/receipts/2", registreKey, tt.body, tt.headers...))
 				a.expect(t, http.StatusBadGateway, gateway.CodeEndpointFailed, gateway.OutcomeUnknown)
 				if n := w.effects(); n != 1 {
@@ -97,9 +97,9 @@
 // A call that the manifest lets be repeated meets a counter runner that dies.
 // The caller gets its answer from the next one and notices nothing.
 func TestIdempotentCallIsSentAgain(t *testing.T) {
-	for _, kind := range []standin.FaultKind{standin.FaultAfterRun, standin.FaultContentLength, standin.FaultCrossed, standin.FaultEndlessHeader} {
+	for _, kind := range []standin.FaultKind{standin.FaultAfterRun, standin.FaultContentLength, standin.FaultWrongAttempt, standin.FaultEndlessHeader} {
 		inWorld(t, worldOptions{services: 2}, func(w *world) {
-			w.services[0].Fail(standin.Fault{Kind: kind})
+			w.services[0].InjectFaults(standin.Fault{Kind: kind})
 			a := w.do(w.request(http.MethodGet, "/receipts/1", registreKey, ""))
 			if a.status != http.StatusOK || a.err != nil || w.services[1].Calls() != 1 {
 				t.Errorf("fault %d: got %d %s", kind, a.status, a.body)
--- a/lab/e2e/stream_test.go
+++ b/lab/e2e/stream_test.go
@@ -26,12 +26,12 @@
 		{"before the first byte", standin.Fault{Kind: standin.FaultBeforeFirstByte}, 8, 0},
 		{"in mid-stream", standin.Fault{Kind: standin.FaultMidStream, After: 3}, 5, 1},
 		{"before the end marker", standin.Fault{Kind: standin.FaultBeforeEnd}, 0, 1},
-		{"clean end without the marker", standin.Fault{Kind: standin.FaultSilentEnd}, 0, 1},
-		{"missing token", standin.Fault{Kind: standin.FaultSkip, After: 3}, 5, 1},
+		{"clean end without the marker", standin.Fault{Kind: standin.FaultMissingEndMarker}, 0, 1},
+		{"missing token", standin.Fault{Kind: standin.FaultSkippedToken, After: 3}, 5, 1},
 		{"malformed event", standin.Fault{Kind: standin.FaultMalformed, After: 3}, 5, 1},
 		{"endless line", standin.Fault{Kind: standin.FaultEndlessLine, After: 3}, 5, 1},
 		{"reported error", standin.Fault{Kind: standin.FaultError, After: 3}, 5, 1},
-		{"missing last token", standin.Fault{Kind: standin.FaultSkip, After: 7}, 1, 1},
+		{"missing last token", standin.Fault{Kind: standin.FaultSkippedToken, After: 7}, 1, 1},
 		{"hang", standin.Fault{Kind: standin.FaultHang, After: 3}, 5, 1},
 		{"hang before the first token", standin.Fault{Kind: standin.FaultHang}, 8, 0},
 		{"endless header", standin.Fault{Kind: standin.FaultEndlessHeader}, 8, 0},
@@ -39,7 +39,7 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			inWorld(t, worldOptions{runners: 2}, func(w *world) {
-				w.runners[0].Fail(tt.fault)
+				w.runners[0].InjectFaults(tt.fault)
 				_, s := w.stream(chatBody)
 				s.whole(t)
 				if got := w.runners[1].Stats().GeneratedTokens; got != tt.rest {
@@ -58,7 +58,7 @@
 func TestTokensSentAgainAreDropped(t *testing.T) {
 	o := worldOptions{runners: 2, runner: standin.RunnerOptions{IgnoresResume: true}}
 	inWorld(t, o, func(w *world) {
-		w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 		_, s := w.stream(chatBody)
 		s.whole(t)
 		if got := w.observer.last().DuplicateTokens; got != 3 {
@@ -72,7 +72,7 @@
 func TestStreamThatCannotBeCompletedEndsWithAnError(t *testing.T) {
 	inWorld(t, worldOptions{runners: 2}, func(w *world) {
 		for _, r := range w.runners {
-			r.Fail(standin.Fault{Kind: standin.FaultMidStream, After: 2})
+			r.InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 2})
 		}
 		a, s := w.stream(chatBody)
 		if a.err != nil || s.done || s.err != gateway.CodeStreamCut || s.outcome != string(gateway.OutcomeUnknown) {
@@ -98,14 +98,14 @@
 	})
 	t.Run("dies before the first byte", func(t *testing.T) {
 		inWorld(t, o, func(w *world) {
-			w.runners[0].Fail(standin.Fault{Kind: standin.FaultBeforeFirstByte})
+			w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
 			_, s := w.stream(chatBody)
 			s.whole(t)
 		})
 	})
 	t.Run("dies in mid-stream", func(t *testing.T) {
 		inWorld(t, o, func(w *world) {
-			w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+			w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 			_, s := w.stream(chatBody)
 			if s.done || s.err != gateway.CodeStreamCut || len(s.indices) != 3 {
 				t.Errorf("stream ended with done %v, error %q after %v", s.done, s.err, s.indices)
@@ -121,7 +121,7 @@
 // on this one's connection. The caller must not see a token of it.
 func TestCrossedAnswerIsDropped(t *testing.T) {
 	inWorld(t, worldOptions{runners: 2}, func(w *world) {
-		w.runners[0].Fail(standin.Fault{Kind: standin.FaultCrossed})
+		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultWrongAttempt})
 		_, s := w.stream(chatBody)
 		s.whole(t)
 		if rep := w.observer.last(); rep.MismatchedAnswers != 1 || rep.Attempts != 2 {
@@ -143,14 +143,14 @@
 		{"another runner has the old weights", func(*world) {}, true},
 		{"the only other has the new weights and refuses", func(w *world) { w.runners[1].SetWeightVersion("v2") }, false},
 		{"the only other says it used others", func(w *world) {
-			w.runners[1].Fail(standin.Fault{Kind: standin.FaultOtherWeights})
+			w.runners[1].InjectFaults(standin.Fault{Kind: standin.FaultWrongWeightVersion})
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			o := worldOptions{runners: 2, runner: standin.RunnerOptions{WeightVersion: "v1", Decode: time.Second}}
 			inWorld(t, o, func(w *world) {
-				w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+				w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 				time.AfterFunc(2*time.Second, func() {
 					m := testManifest()
 					m.Models[0].Version = "v2"
@@ -176,7 +176,7 @@
 	body := strings.Replace(chatBody, `"stream":true,`, "", 1)
 	for _, kind := range []standin.FaultKind{standin.FaultContentLength, standin.FaultAfterRun} {
 		inWorld(t, worldOptions{runners: 2}, func(w *world) {
-			w.runners[0].Fail(standin.Fault{Kind: kind})
+			w.runners[0].InjectFaults(standin.Fault{Kind: kind})
 			a := w.do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, body))
 			if a.status != http.StatusOK || a.err != nil || !strings.Contains(a.body, `"completion_tokens":8`) {
 				t.Errorf("got %d %s %v", a.status, a.body, a.err)
--- a/lab/standin/faults.go
+++ b/lab/standin/faults.go
@@ -11,21 +11,21 @@
 
 // The faults.
 const (
-	FaultNone            FaultKind = iota
-	FaultBeforeFirstByte           // dies before the first byte of the answer
-	FaultMidStream                 // dies after Fault.After tokens
-	FaultBeforeEnd                 // dies after the last token, before the end marker
-	FaultSilentEnd                 // ends the stream cleanly without the end marker
-	FaultAfterRun                  // runs the request and drops the connection
-	FaultCrossed                   // answers with another attempt's id
-	FaultOtherWeights              // answers with another weight version
-	FaultMalformed                 // sends half an event after Fault.After tokens
-	FaultEndlessLine               // sends a line without an end after Fault.After tokens
-	FaultSkip                      // leaves out a token after Fault.After tokens
-	FaultError                     // reports an error in the stream after Fault.After tokens
-	FaultHang                      // sends nothing more after Fault.After tokens
-	FaultEndlessHeader             // sends a header without an end
-	FaultContentLength             // announces more than it sends
+	FaultNone               FaultKind = iota
+	FaultBeforeFirstByte              // dies before the first byte of the answer
+	FaultMidStream                    // dies after Fault.After tokens
+	FaultBeforeEnd                    // dies after the last token, before the end marker
+	FaultMissingEndMarker             // ends the stream cleanly without the end marker
+	FaultAfterRun                     // runs the request and drops the connection
+	FaultWrongAttempt                 // answers with another attempt's id
+	FaultWrongWeightVersion           // answers with another weight version
+	FaultMalformed                    // sends half an event after Fault.After tokens
+	FaultEndlessLine                  // sends a line without an end after Fault.After tokens
+	FaultSkippedToken                 // leaves out a token after Fault.After tokens
+	FaultError                        // reports an error in the stream after Fault.After tokens
+	FaultHang                         // sends nothing more after Fault.After tokens
+	FaultEndlessHeader                // sends a header without an end
+	FaultContentLength                // announces more than it sends
 )
 
 // Fault is a fault for one request.
@@ -39,15 +39,15 @@
 	endlessBytes     = 8 << 20
 )
 
-// Fail queues faults, one for each of the next requests.
-func (r *Runner) Fail(faults ...Fault) {
+// InjectFaults queues faults, one for each of the next requests.
+func (r *Runner) InjectFaults(faults ...Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, faults...)
 }
 
-// Mend takes the queued faults back.
-func (r *Runner) Mend() {
+// ClearFaults takes the queued faults back.
+func (r *Runner) ClearFaults() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = nil
--- a/lab/standin/generate.go
+++ b/lab/standin/generate.go
@@ -44,7 +44,7 @@
 		if j.fault.at(i - j.first) {
 			j.midStream(i)
 		}
-		if j.fault.Kind == FaultSkip && i-j.first == j.fault.After {
+		if j.fault.Kind == FaultSkippedToken && i-j.first == j.fault.After {
 			continue
 		}
 		frame = j.appendToken(frame[:0], i)
@@ -59,7 +59,7 @@
 	if j.fault.Kind == FaultBeforeEnd {
 		panic(http.ErrAbortHandler)
 	}
-	if j.fault.Kind == FaultSilentEnd {
+	if j.fault.Kind == FaultMissingEndMarker {
 		return
 	}
 	end := "data: [DONE]\n\n"
--- a/lab/standin/network.go
+++ b/lab/standin/network.go
@@ -26,9 +26,9 @@
 	refused   map[string]bool // addresses where nobody listens for now
 }
 
-// Refuse has connections to an address refused, as after the end of its process, or
+// SetRefused has connections to an address refused, as after the end of its process, or
 // taken again.
-func (n *Network) Refuse(address string, refused bool) {
+func (n *Network) SetRefused(address string, refused bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if n.refused == nil {
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -48,7 +48,7 @@
 	f.publish("v1")
 	for i := range count {
 		id := fleet.EndpointID(fmt.Sprintf("runner-%d", i))
-		r := standin.NewRunner(standin.RunnerOptions{ID: id}).TakeOrders(standin.OrderOptions{
+		r := standin.NewRunner(standin.RunnerOptions{ID: id}).AcceptOrders(standin.OrderOptions{
 			Store:  f.store,
 			Fences: fences,
 			Models: []rollout.Model{{ID: "code", Version: "v1"}},
@@ -78,7 +78,7 @@
 
 // tookOnly tells whether a runner took orders for one version only.
 func (f *fleetOf) tookOnly(address, version string) bool {
-	return !slices.ContainsFunc(f.runners[address].Taken(), func(o rollout.Order) bool { return o.Version != version })
+	return !slices.ContainsFunc(f.runners[address].ExecutedOrders(), func(o rollout.Order) bool { return o.Version != version })
 }
 
 // leaving sets what the daemons believe of a runner.
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -47,8 +47,8 @@
 	s.open--
 }
 
-// Most is the most loads that were ever open at once.
-func (s *WeightStore) Most() int {
+// MaxConcurrentLoads is the most loads that were ever open at once.
+func (s *WeightStore) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.most
@@ -81,17 +81,17 @@
 	served string // version that the Runner was told to serve
 }
 
-// TakeOrders makes a runner take orders.
-func (r *Runner) TakeOrders(o OrderOptions) *OrderedRunner {
+// AcceptOrders makes a runner take orders.
+func (r *Runner) AcceptOrders(o OrderOptions) *OrderedRunner {
 	e := &OrderedRunner{Runner: r, o: o}
 	e.status.Models = slices.Clone(o.Models)
 	e.serveLoaded()
 	return e
 }
 
-// LoseAnswers drops the connection after each of the next n orders, which take
+// DropAnswers drops the connection after each of the next n orders, which take
 // effect all the same.
-func (e *OrderedRunner) LoseAnswers(n int) {
+func (e *OrderedRunner) DropAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.lose = n
@@ -104,8 +104,8 @@
 	e.fail = fail
 }
 
-// Taken returns the orders that took effect.
-func (e *OrderedRunner) Taken() []rollout.Order {
+// ExecutedOrders returns the orders that took effect.
+func (e *OrderedRunner) ExecutedOrders() []rollout.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.taken)
--- a/lab/standin/orders_test.go
+++ b/lab/standin/orders_test.go
@@ -26,8 +26,8 @@
 				time.Sleep(6 * time.Minute)
 				f.wait("v3")
 				f.noneTaken("v2")
-				if f.store.Most() > 2 {
-					t.Errorf("%d loads at once", f.store.Most())
+				if f.store.MaxConcurrentLoads() > 2 {
+					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 				}
 			})
 		})
@@ -37,7 +37,7 @@
 func (f *fleetOf) noneTaken(version string) {
 	f.t.Helper()
 	for id, r := range f.runners {
-		for _, o := range r.Taken() {
+		for _, o := range r.ExecutedOrders() {
 			if o.Version == version {
 				f.t.Errorf("%s took an order for %s", id, version)
 			}
@@ -65,11 +65,11 @@
 				f.holder()
 				time.Sleep(6 * time.Minute)
 				f.wait("v3")
-				if f.store.Most() > 3 {
-					t.Errorf("%d loads at once", f.store.Most())
+				if f.store.MaxConcurrentLoads() > 3 {
+					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 				}
 				if late := first.late.Load().(string); fences != f.tookOnly(late, "v3") {
-					t.Errorf("runner that fences %v: took %v", fences, f.runners[late].Taken())
+					t.Errorf("runner that fences %v: took %v", fences, f.runners[late].ExecutedOrders())
 				}
 			})
 		})
@@ -94,8 +94,8 @@
 		time.Sleep(30 * time.Second)
 		f.leaving(first.late.Load().(string), false)
 		f.wait("v2")
-		if f.store.Most() > 2 {
-			t.Errorf("%d loads at once", f.store.Most())
+		if f.store.MaxConcurrentLoads() > 2 {
+			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -110,8 +110,8 @@
 		}
 		f.publish("v2")
 		t.Logf("12 runners, 2 loads of %v at once: %v", loadTime, f.wait("v2"))
-		if f.store.Most() != 2 {
-			t.Errorf("%d loads at once, want 2", f.store.Most())
+		if f.store.MaxConcurrentLoads() != 2 {
+			t.Errorf("%d loads at once, want 2", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -122,7 +122,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for _, r := range f.runners {
-			r.LoseAnswers(1)
+			r.DropAnswers(1)
 		}
 		f.holder()
 		f.publish("v2")
@@ -138,8 +138,8 @@
 			}
 		}
 		f.wait("v2")
-		if f.store.Most() > 2 {
-			t.Errorf("%d loads at once", f.store.Most())
+		if f.store.MaxConcurrentLoads() > 2 {
+			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -153,8 +153,8 @@
 		f.holder()
 		f.publish("v2")
 		f.wait("v2")
-		if f.store.Most() != 1 {
-			t.Errorf("%d loads at once, want 1", f.store.Most())
+		if f.store.MaxConcurrentLoads() != 1 {
+			t.Errorf("%d loads at once, want 1", f.store.MaxConcurrentLoads())
 		}
 	})
 }
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -321,10 +321,10 @@
 	h.Set(engine.HeaderCachedTokens, strconv.Itoa(j.cached))
 	h.Set(engine.HeaderLoad, string(load))
 	h.Set(engine.HeaderWeightVersion, j.version)
-	if j.fault.Kind == FaultCrossed {
+	if j.fault.Kind == FaultWrongAttempt {
 		h.Set(engine.HeaderAttempt, "another-request-1")
 	}
-	if j.fault.Kind == FaultOtherWeights {
+	if j.fault.Kind == FaultWrongWeightVersion {
 		h.Set(engine.HeaderWeightVersion, j.version+"-old")
 	}
 }
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -33,8 +33,8 @@
 	return &Service{ID: id, effects: make(map[string]int)}
 }
 
-// Fail queues faults, one for each of the next calls.
-func (s *Service) Fail(faults ...Fault) {
+// InjectFaults queues faults, one for each of the next calls.
+func (s *Service) InjectFaults(faults ...Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = append(s.faults, faults...)
@@ -87,7 +87,7 @@
 	if fault.raw(w) {
 		return
 	}
-	if fault.Kind == FaultCrossed {
+	if fault.Kind == FaultWrongAttempt {
 		w.Header().Set(engine.HeaderAttempt, "another-request-1")
 	}
 	answer := fmt.Sprintf(`{"endpoint":%q,"number":%d,"method":%q,"path":%q,"bytes":%d}`,
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -34,10 +34,10 @@
 
 // The faults of a store.
 const (
-	StoreWorks StoreFault = iota
-	StoreDown             // drops connections, also open ones
-	StoreHangs            // answers nothing
-	StoreLies             // says that it has all and delivers half
+	StoreNoFault    StoreFault = iota
+	StoreDown                  // drops connections, also open ones
+	StoreHangs                 // answers nothing
+	StoreOverstates            // says that it has all and delivers half
 )
 
 // StoreOptions describe a KV store. Zero delays mean that it answers at once.
@@ -180,7 +180,7 @@
 	fault, alive := s.state()
 	held := s.held(levels)
 	announced, deliver := held, held
-	if fault == StoreLies {
+	if fault == StoreOverstates {
 		announced, deliver = levels, levels[:len(levels)/2]
 	}
 	w.Header().Set(engine.HeaderCachedTokens, strconv.Itoa(tokensOf(announced)))
