--- a/cmd/merlindock/load.go
+++ b/cmd/merlindock/load.go
@@ -20,7 +20,7 @@
 	var asJSON bool
 	flags := func(fs *flag.FlagSet) {
 		fs.StringVar(&o.URL, "url", "http://127.0.0.1:8080", "base URL of a daemon or runner on the loopback address")
-		fs.StringVar(&o.Key, "key", world.Key(0), "API key")
+		fs.StringVar(&o.Key, "key", world.APIKey(0), "API key")
 		fs.StringVar(&o.Model, "model", world.Model, "model")
 		fs.IntVar(&o.Callers, "callers", load.DefaultCallers, "requests in flight at most")
 		fs.IntVar(&o.Requests, "requests", load.DefaultRequests, "requests in all")
--- a/cmd/merlindock/standin.go
+++ b/cmd/merlindock/standin.go
@@ -111,7 +111,7 @@
 		fmt.Fprintf(s.out, "  go run ./cmd/merlindockd -config %s/daemon-%d.ini\n", dir, i+1)
 	}
 	fmt.Fprintf(s.out, "  go run ./cmd/merlindock publish -admin http://127.0.0.1:%d -token-file %s/token -base 0 %s/manifest.json\n", firstPort+1, dir, dir)
-	fmt.Fprintf(s.out, "  curl -N http://127.0.0.1:%d/v1/chat/completions -H 'Authorization: Bearer %s' \\\n", firstPort, world.Key(0))
+	fmt.Fprintf(s.out, "  curl -N http://127.0.0.1:%d/v1/chat/completions -H 'Authorization: Bearer %s' \\\n", firstPort, world.APIKey(0))
 	fmt.Fprintf(s.out, "    -d '{\"model\":\"%s\",\"stream\":true,\"messages\":[{\"role\":\"user\",\"content\":\"Does sheet 12 conform?\"}]}'\n\n", world.Model)
 	fmt.Fprintln(s.out, "Interrupt to end.")
 }
--- a/lab/cluster/caller_test.go
+++ b/lab/cluster/caller_test.go
@@ -13,9 +13,9 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// inCluster runs a test in virtual time, with the manifest of version v1 in
+// withCluster runs a test in virtual time, with the manifest of version v1 in
 // force on every node.
-func inCluster(t *testing.T, o Options, test func(t *testing.T, c *Cluster)) {
+func withCluster(t *testing.T, o Options, test func(t *testing.T, c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
 		c, err := New(o)
@@ -54,12 +54,12 @@
 
 // answer is what a caller got.
 type answer struct {
-	status  int
-	outcome gateway.Outcome
-	header  http.Header
-	body    string
-	tokens  []string
-	ended   bool
+	status    int
+	outcome   gateway.Outcome
+	header    http.Header
+	body      string
+	tokens    []string
+	endMarker bool
 }
 
 // post sends a request to a node and reads all of the answer.
@@ -110,7 +110,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			a.ended = true
+			a.endMarker = true
 			continue
 		}
 		_, rest, ok := strings.Cut(data, `"delta":{"content":"`)
@@ -123,10 +123,10 @@
 	return a
 }
 
-// whole tells whether the answer is one whole stream: all of one word, with
+// isComplete tells whether the answer is one isComplete stream: all of one word, with
 // each index once and in order, and its end marker.
-func (a *answer) whole(tokens int) bool {
-	if a.status != http.StatusOK || !a.ended || len(a.tokens) != tokens {
+func (a *answer) isComplete(tokens int) bool {
+	if a.status != http.StatusOK || !a.endMarker || len(a.tokens) != tokens {
 		return false
 	}
 	word, _, _ := strings.Cut(a.tokens[0], ".")
@@ -139,5 +139,5 @@
 }
 
 func (a *answer) String() string {
-	return fmt.Sprintf("status %d, outcome %q, %d tokens, ended %v: %.200s", a.status, a.outcome, len(a.tokens), a.ended, a.body)
+	return fmt.Sprintf("status %d, outcome %q, %d tokens, ended %v: %.200s", a.status, a.outcome, len(a.tokens), a.endMarker, a.body)
 }
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -55,14 +55,14 @@
 	// Flags are more settings of a node; nil: none.
 	Flags func(node int) []string
 	// KV describes the KV store; nil: there is none.
-	KV          *standin.StoreOptions
-	PieceTokens int  // of the manifest and of runners
-	CachePieces int  // of one runner
-	NoEvents    bool // daemons do not follow cache events
-	NoNotices   bool // daemons send each other no notices
-	// Ends tells whether a request with the body ends the runner that runs it; nil:
+	KV              *standin.StoreOptions
+	PieceTokens     int  // of the manifest and of runners
+	CachePieces     int  // of one runner
+	NoEvents        bool // daemons do not follow cache events
+	NoAnnouncements bool // daemons send each other no notices
+	// Crashes tells whether a request with the body ends the runner that runs it; nil:
 	// none does.
-	Ends func(body string) bool
+	Crashes func(body string) bool
 	// Limits are what runners name, in requests a second of all daemons; 0: nothing.
 	Limits map[int]float64
 }
@@ -78,24 +78,24 @@
 	Nodes    []*Node
 	Client   *http.Client
 
-	o         Options
-	network   standin.Network
-	ways      ways
-	endpoints []fleet.Endpoint
-	servers   []*http.Server
-	transport *http.Transport
-	ended     atomic.Int64 // runners, by a request that ends them
-	reachedMu sync.Mutex
-	reached   []time.Time // when requests reached a runner with a limit
+	o               Options
+	network         standin.Network
+	peerConns       peerConnections
+	endpoints       []fleet.Endpoint
+	servers         []*http.Server
+	transport       *http.Transport
+	crashes         atomic.Int64 // runners, by a request that ends them
+	arrivalsMu      sync.Mutex
+	limitedArrivals []time.Time // when requests reached a runner with a limit
 }
 
 // Node is one daemon.
 type Node struct {
-	ID     string
-	URL    string    // for callers
-	Way    *plog.Cut // to the log
-	Daemon *daemon.Daemon
-	Ended  chan error
+	ID      string
+	URL     string     // for callers
+	LogView *plog.View // to the log
+	Daemon  *daemon.Daemon
+	Ended   chan error
 
 	index  int
 	cancel context.CancelFunc
@@ -127,7 +127,7 @@
 	for i := range o.Daemons {
 		c.Nodes = append(c.Nodes, &Node{ID: fmt.Sprintf("daemon-%d", i+1), index: i})
 	}
-	c.list()
+	c.publishList()
 	for i := range c.Nodes {
 		if err := c.Start(i); err != nil {
 			c.Close()
@@ -142,7 +142,7 @@
 	if o.KV != nil {
 		store = "10.0.3.1:8000"
 		c.KV = standin.NewStore(*o.KV)
-		c.endpoint("store-1", "store", store, 0, c.KV)
+		c.addEndpoint("store-1", "store", store, 0, c.KV)
 	}
 	for i := range o.Runners {
 		id := fmt.Sprintf("runner-%d", i+1)
@@ -159,7 +159,7 @@
 		})
 		if o.NoOrders {
 			c.Runners = append(c.Runners, &standin.OrderedRunner{Runner: r})
-			c.endpoint(id, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), i, r)
+			c.addEndpoint(id, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), i, r)
 			continue
 		}
 		ordered := r.AcceptOrders(standin.OrderOptions{
@@ -168,22 +168,22 @@
 			Models: []rollout.Model{{ID: Model, Version: "v1"}},
 		})
 		c.Runners = append(c.Runners, ordered)
-		c.endpoint(id, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), i, ordered)
+		c.addEndpoint(id, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), i, ordered)
 	}
 	for i := range o.Services {
 		id := fmt.Sprintf("counter-%d", i+1)
 		s := standin.NewService(fleet.EndpointID(id))
 		c.Services = append(c.Services, s)
-		c.endpoint(id, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), i, s)
+		c.addEndpoint(id, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), i, s)
 	}
 }
 
-func (c *Cluster) endpoint(id, class, address string, i int, h http.Handler) {
-	if class == "runner" && c.o.Ends != nil {
-		h = c.ending(i, address, h)
+func (c *Cluster) addEndpoint(id, class, address string, i int, h http.Handler) {
+	if class == "runner" && c.o.Crashes != nil {
+		h = c.withCrashes(i, address, h)
 	}
 	if limit := c.o.Limits[i]; class == "runner" && limit > 0 {
-		h = c.limited(limit, h)
+		h = c.withLimit(limit, h)
 	}
 	c.servers = append(c.servers, c.network.Serve(address, h))
 	c.endpoints = append(c.endpoints, fleet.Endpoint{
@@ -196,22 +196,22 @@
 	})
 }
 
-// backAfter is the time until a runner that ended is back.
-const backAfter = 2 * time.Second
+// restartDelay is the time until a runner that ended is back.
+const restartDelay = 2 * time.Second
 
-// ending ends a runner that gets a request which ends it, and everything that it runs.
-func (c *Cluster) ending(i int, address string, h http.Handler) http.Handler {
+// withCrashes ends a runner that gets a request which ends it, and everything that it runs.
+func (c *Cluster) withCrashes(i int, address string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
-		if err != nil || !c.o.Ends(string(body)) {
+		if err != nil || !c.o.Crashes(string(body)) {
 			r.Body = io.NopCloser(bytes.NewReader(body))
 			h.ServeHTTP(w, r)
 			return
 		}
-		c.ended.Add(1)
+		c.crashes.Add(1)
 		c.network.SetRefused(address, true)
 		c.Runners[i].Runner.Crash()
-		time.AfterFunc(backAfter, func() {
+		time.AfterFunc(restartDelay, func() {
 			c.Runners[i].Restart()
 			c.network.SetRefused(address, false)
 		})
@@ -219,21 +219,21 @@
 	})
 }
 
-// limited has a runner name a limit, and notes when requests reach it.
-func (c *Cluster) limited(limit float64, h http.Handler) http.Handler {
+// withLimit has a runner name a limit, and notes when requests reach it.
+func (c *Cluster) withLimit(limit float64, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathLoad && r.URL.Path != engine.PathEvents {
-			c.reachedMu.Lock()
-			c.reached = append(c.reached, time.Now())
-			c.reachedMu.Unlock()
+			c.arrivalsMu.Lock()
+			c.limitedArrivals = append(c.limitedArrivals, time.Now())
+			c.arrivalsMu.Unlock()
 		}
 		w.Header().Set(engine.HeaderLimit, strconv.FormatFloat(limit, 'g', -1, 64))
 		h.ServeHTTP(w, r)
 	})
 }
 
-// list puts endpoints and daemons on the platform's list.
-func (c *Cluster) list() {
+// publishList puts endpoints and daemons on the platform's publishList.
+func (c *Cluster) publishList() {
 	var daemons []ports.Daemon
 	for _, n := range c.Nodes {
 		daemons = append(daemons, ports.Daemon{
@@ -246,14 +246,14 @@
 	c.VMs.Set(c.endpoints, daemons)
 }
 
-// Leaving has the platform's list call an endpoint leaving.
-func (c *Cluster) Leaving(id fleet.EndpointID) {
+// MarkLeaving has the platform's list call an endpoint leaving.
+func (c *Cluster) MarkLeaving(id fleet.EndpointID) {
 	for i := range c.endpoints {
 		if c.endpoints[i].ID == id {
 			c.endpoints[i].State = fleet.VMLeaving
 		}
 	}
-	c.list()
+	c.publishList()
 }
 
 func (n *Node) address() string      { return fmt.Sprintf("10.9.0.%d:8080", n.index+1) }
@@ -264,7 +264,7 @@
 func (c *Cluster) Start(i int) error {
 	n := c.Nodes[i]
 	n.URL = "http://" + n.address()
-	n.Way = c.Log.View()
+	n.LogView = c.Log.View()
 	n.Ended = make(chan error, 1)
 	args := []string{
 		"-daemon.id=" + n.ID,
@@ -286,9 +286,9 @@
 	}
 	n.Daemon, err = daemon.New(daemon.Options{
 		Settings:  s,
-		NoNotices: c.o.NoNotices,
+		NoNotices: c.o.NoAnnouncements,
 		Token:     c.o.Token,
-		Log:       n.Way,
+		Log:       n.LogView,
 		VMs:       c.VMs,
 		Logs:      c.o.Logs,
 		Dial:      c.dial(i),
@@ -344,7 +344,7 @@
 
 // Publish proposes a manifest by a node's way to the log.
 func (c *Cluster) Publish(ctx context.Context, i int, base ports.Offset, m manifest.Manifest) (logio.PublishResult, error) {
-	return logio.Publish(ctx, c.Nodes[i].Way, logio.PublishRequest{Base: base, Manifest: m, Author: "test"})
+	return logio.Publish(ctx, c.Nodes[i].LogView, logio.PublishRequest{Base: base, Manifest: m, Author: "test"})
 }
 
 // Manifest is a manifest that declares the given weight version.
--- a/lab/cluster/crash_test.go
+++ b/lab/cluster/crash_test.go
@@ -11,10 +11,10 @@
 
 // Guards against a request that ends runner after runner because its caller repeats it
 // at other daemons.
-func TestRepeatedRequestThatCrashesRunnersIsKeptFromThem(t *testing.T) {
+func TestQuarantinesRepeatedCrashingRequest(t *testing.T) {
 	const deadly = "deadly question"
 	ends := func(body string) bool { return strings.Contains(body, deadly) }
-	inCluster(t, Options{Daemons: 3, Runners: 8, NoOrders: true, Ends: ends}, func(t *testing.T, c *Cluster) {
+	withCluster(t, Options{Daemons: 3, Runners: 8, NoOrders: true, Crashes: ends}, func(t *testing.T, c *Cluster) {
 		var unserved atomic.Int64
 		const settled = 3 * time.Second
 		third, before := time.Time{}, int64(0)
@@ -22,21 +22,21 @@
 		for i := 0; time.Since(began) < 30*time.Second; i++ {
 			c.ask(t, i%len(c.Nodes), deadly, 5)
 			go func() {
-				if a := c.ask(t, (i+1)%len(c.Nodes), fmt.Sprint("question ", i), 5); !a.whole(5) && time.Since(began) > 10*time.Second {
+				if a := c.ask(t, (i+1)%len(c.Nodes), fmt.Sprint("question ", i), 5); !a.isComplete(5) && time.Since(began) > 10*time.Second {
 					unserved.Add(1)
 				}
 			}()
 			time.Sleep(200 * time.Millisecond) // virtual
-			if n := c.ended.Load(); third.IsZero() && n >= 3 {
+			if n := c.crashes.Load(); third.IsZero() && n >= 3 {
 				third = time.Now()
 			}
 			if !third.IsZero() && time.Since(third) < settled {
-				before = c.ended.Load()
+				before = c.crashes.Load()
 			}
 		}
 		time.Sleep(time.Second) // virtual
-		t.Logf("%d runners ended, %d of them after the settling time; %d others not served", c.ended.Load(), c.ended.Load()-before, unserved.Load())
-		if n := c.ended.Load() - before; n > 3 {
+		t.Logf("%d runners ended, %d of them after the settling time; %d others not served", c.crashes.Load(), c.crashes.Load()-before, unserved.Load())
+		if n := c.crashes.Load() - before; n > 3 {
 			t.Errorf("%d runners ended after the settling time", n)
 		}
 		if n := unserved.Load(); n > 0 {
--- a/lab/cluster/ejection_test.go
+++ b/lab/cluster/ejection_test.go
@@ -12,10 +12,10 @@
 // is tried at, and all work again. The daemon takes them for failing and would
 // let one request at a time find out; the callers that come at once must be
 // served meanwhile, not refused by a fleet that works.
-func TestAllRunnersDueBackServe(t *testing.T) {
-	inCluster(t, Options{Daemons: 1, Runners: 4}, func(t *testing.T, c *Cluster) {
+func TestConcurrentRequestsAfterAllRunnersRecover(t *testing.T) {
+	withCluster(t, Options{Daemons: 1, Runners: 4}, func(t *testing.T, c *Cluster) {
 		for _, r := range c.Runners {
-			fails(r, 1000, standin.Fault{Kind: standin.FaultBeforeFirstByte})
+			injectRepeatedly(r, 1000, standin.Fault{Kind: standin.FaultBeforeFirstByte})
 		}
 		for i := range 60 {
 			c.ask(t, 0, fmt.Sprintf("failing question %d", i), 5)
@@ -31,7 +31,7 @@
 			go func() { answers <- c.ask(t, 0, fmt.Sprintf("question %d", i), 5) }()
 		}
 		for range asked {
-			if a := <-answers; !a.whole(5) {
+			if a := <-answers; !a.isComplete(5) {
 				t.Errorf("%s", a)
 			}
 		}
--- a/lab/cluster/events_test.go
+++ b/lab/cluster/events_test.go
@@ -12,21 +12,21 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// caches is a cluster whose runners prefill as fast as the daemons assume and
+// cacheOptions is a cluster whose runners prefill as fast as the daemons assume and
 // hold two and a half documents.
-var caches = Options{
+var cacheOptions = Options{
 	Daemons: 3, Runners: 6, Prefill: 125 * time.Microsecond, Decode: time.Millisecond,
 	PieceTokens: 1000, CachePieces: 150,
 }
 
 const documentTokens = 60_000 // 7.5 s to prefill
 
-// text is text of about n tokens that no other name has.
-func text(name string, n int) string { return strings.Repeat(name+" ", n*4/(len(name)+1)) }
+// fillerText is fillerText of about n tokens that no other name has.
+func fillerText(name string, n int) string { return strings.Repeat(name+" ", n*4/(len(name)+1)) }
 
-// direct sends a prompt to a runner past the daemons and returns when its
+// sendToRunner sends a prompt to a runner past the daemons and returns when its
 // answer has begun.
-func (c *Cluster) direct(t *testing.T, runner int, prompt string) {
+func (c *Cluster) sendToRunner(t *testing.T, runner int, prompt string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":1,"prompt":%q}`, Model, prompt)
 	address := fmt.Sprintf("http://10.0.1.%d:8000/v1/completions", runner+1)
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, address, strings.NewReader(body))
@@ -42,14 +42,14 @@
 	_ = resp.Body.Close()
 }
 
-// holder asks about the document and returns the runner that then has it.
-func (c *Cluster) holder(t *testing.T, document string) int {
+// cacheDocument asks about the document and returns the runner that then has it.
+func (c *Cluster) cacheDocument(t *testing.T, document string) int {
 	time.Sleep(time.Second) // virtual; until the daemons follow the events
-	before := c.requests()
-	if a := c.askOn(t, 0, document, "first question", 3); !a.whole(3) {
+	before := c.requestCounts()
+	if a := c.askOn(t, 0, document, "first question", 3); !a.isComplete(3) {
 		t.Fatalf("%s", a)
 	}
-	for i, n := range c.requests() {
+	for i, n := range c.requestCounts() {
 		if n > before[i] {
 			return i
 		}
@@ -58,7 +58,7 @@
 	return 0
 }
 
-func (c *Cluster) requests() []int {
+func (c *Cluster) requestCounts() []int {
 	var n []int
 	for _, r := range c.Runners {
 		n = append(n, r.Stats().Requests)
@@ -66,19 +66,19 @@
 	return n
 }
 
-// goesBack gives the runner other work, of which three seconds are left when the
+// routesToBusyRunner gives the runner other work, of which three seconds are left when the
 // question comes; that is less than a document takes. It tells whether a question on the document goes there all
 // the same, as it should only if the document is in its cache.
-func (c *Cluster) goesBack(t *testing.T, runner int, document, question string) bool {
+func (c *Cluster) routesToBusyRunner(t *testing.T, runner int, document, question string) bool {
 	t.Helper()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		c.direct(t, runner, text("other-work-"+question, 60_000))
+		c.sendToRunner(t, runner, fillerText("other-work-"+question, 60_000))
 	}()
 	time.Sleep(4500 * time.Millisecond) // virtual; a silent runner's load is read every 3 s
 	before := c.Runners[runner].Stats().Requests
-	if a := c.askOn(t, 1, document, question, 3); !a.whole(3) {
+	if a := c.askOn(t, 1, document, question, 3); !a.isComplete(3) {
 		t.Fatalf("%s", a)
 	}
 	back := c.Runners[runner].Stats().Requests > before
@@ -86,26 +86,26 @@
 	return back
 }
 
-// evict fills the runner's cache with something else.
-func (c *Cluster) evict(t *testing.T, runner int) {
-	c.direct(t, runner, text("eviction", 160_000))
+// evictAll fills the runner's cache with something else.
+func (c *Cluster) evictAll(t *testing.T, runner int) {
+	c.sendToRunner(t, runner, fillerText("eviction", 160_000))
 }
 
 // A document was asked about a minute ago and is still cached, which only
 // events can tell so late; then it is evicted. Requests that still went there
 // would wait behind other work for a cache that is gone.
-func TestRemovedPrefixIsNotCountedOn(t *testing.T) {
-	inCluster(t, caches, func(t *testing.T, c *Cluster) {
-		document := text("document", documentTokens)
-		r := c.holder(t, document)
+func TestEvictedPrefixIsNotUsed(t *testing.T) {
+	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
+		document := fillerText("document", documentTokens)
+		r := c.cacheDocument(t, document)
 		time.Sleep(time.Minute) // virtual
-		if !c.goesBack(t, r, document, "cached") {
+		if !c.routesToBusyRunner(t, r, document, "cached") {
 			t.Error("the cached document was not found")
 		}
 		time.Sleep(10 * time.Second) // virtual
-		c.evict(t, r)
+		c.evictAll(t, r)
 		time.Sleep(time.Second) // virtual
-		if c.goesBack(t, r, document, "evicted") {
+		if c.routesToBusyRunner(t, r, document, "evicted") {
 			t.Error("the request went to a cache that is gone")
 		}
 	})
@@ -114,22 +114,22 @@
 // The message that tells of the eviction is lost on the way, and the next one
 // shows the hole. What events said before must then count by its age alone, or
 // the daemon believes in the old cache for as long as the engine lives.
-func TestLostEventsMakeTheCacheUncertain(t *testing.T) {
-	inCluster(t, caches, func(t *testing.T, c *Cluster) {
-		document := text("document", documentTokens)
-		r := c.holder(t, document)
+func TestLostEvictionEvent(t *testing.T) {
+	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
+		document := fillerText("document", documentTokens)
+		r := c.cacheDocument(t, document)
 		time.Sleep(time.Second) // virtual
 		c.Runners[r].SetEventFaults(standin.EventFaults{Loss: 1})
 		done := make(chan struct{})
 		go func() {
 			defer close(done)
-			c.evict(t, r)
+			c.evictAll(t, r)
 		}()
 		time.Sleep(5 * time.Second) // virtual; the stream stands all the time
 		c.Runners[r].SetEventFaults(standin.EventFaults{})
 		<-done
 		time.Sleep(time.Minute) // virtual
-		if c.goesBack(t, r, document, "evicted") {
+		if c.routesToBusyRunner(t, r, document, "evicted") {
 			t.Error("the request went to a cache that is gone")
 		}
 	})
@@ -137,17 +137,17 @@
 
 // A third of all messages is lost and the others are late. Daemons must go on
 // giving whole answers, mostly from caches.
-func TestLossyEventsKeepPlacementRight(t *testing.T) {
-	inCluster(t, caches, func(t *testing.T, c *Cluster) {
+func TestPlacementWithLossyEvents(t *testing.T) {
+	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
 		for i, r := range c.Runners {
 			r.SetEventFaults(standin.EventFaults{Loss: 0.3, Delay: 500 * time.Millisecond, Seed: uint64(i)})
 		}
 		const documents, rounds = 4, 8
 		cached, prompt := 0, 0
 		for i := range documents * rounds {
-			d := text(fmt.Sprintf("document-%d", i%documents), documentTokens/2)
+			d := fillerText(fmt.Sprintf("document-%d", i%documents), documentTokens/2)
 			a := c.askOn(t, i%3, d, fmt.Sprintf("question %d", i), 3)
-			if !a.whole(3) {
+			if !a.isComplete(3) {
 				t.Fatalf("%s", a)
 			}
 			n, _ := strconv.Atoi(a.header.Get(engine.HeaderCachedTokens))
@@ -163,10 +163,10 @@
 
 // A runner crashes and is back empty under its address within a second. Its
 // requests before a minute ago say that it has the document.
-func TestRunnerBackEmptyIsNotCountedOn(t *testing.T) {
-	inCluster(t, caches, func(t *testing.T, c *Cluster) {
-		document := text("document", documentTokens)
-		r := c.holder(t, document)
+func TestCachedPrefixForgottenAfterRunnerRestart(t *testing.T) {
+	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
+		document := fillerText("document", documentTokens)
+		r := c.cacheDocument(t, document)
 		time.Sleep(time.Second) // virtual
 		c.Runners[r].Runner.Crash()
 		time.Sleep(time.Second) // virtual
@@ -174,7 +174,7 @@
 		// Until then it counts as the document's home, which holds prefixes that
 		// nobody has asked this daemon for.
 		time.Sleep(20 * time.Second) // virtual
-		if c.goesBack(t, r, document, "after the crash") {
+		if c.routesToBusyRunner(t, r, document, "after the crash") {
 			t.Error("the request relied on the cache of the former life")
 		}
 	})
@@ -182,19 +182,19 @@
 
 // The KV store goes down while a runner takes a document from it. The caller
 // must get the whole answer, and nobody may count what did not come.
-func TestStoreThatFailsInMidImport(t *testing.T) {
+func TestStoreFailureDuringImport(t *testing.T) {
 	for _, fault := range []standin.StoreFault{standin.StoreNoFault, standin.StoreDown, standin.StoreOverstates, standin.StoreHangs} {
 		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
-			o := caches
+			o := cacheOptions
 			o.KV = &standin.StoreOptions{Latency: 30 * time.Millisecond, Rate: 40_000, Delay: 500 * time.Millisecond}
-			inCluster(t, o, func(t *testing.T, c *Cluster) { failStore(t, c, fault) })
+			withCluster(t, o, func(t *testing.T, c *Cluster) { checkImportWithFault(t, c, fault) })
 		})
 	}
 }
 
-func failStore(t *testing.T, c *Cluster, fault standin.StoreFault) {
-	document := text("document", documentTokens)
-	r := c.holder(t, document)
+func checkImportWithFault(t *testing.T, c *Cluster, fault standin.StoreFault) {
+	document := fillerText("document", documentTokens)
+	r := c.cacheDocument(t, document)
 	time.Sleep(2 * time.Second) // virtual
 	c.Runners[r].Runner.Crash()
 	time.Sleep(2 * time.Second) // virtual
@@ -208,7 +208,7 @@
 		c.KV.SetFault(fault)
 	}
 	a := <-got
-	if !a.whole(3) {
+	if !a.isComplete(3) {
 		t.Fatalf("%s", a)
 	}
 	imported, asked := 0, 0
@@ -221,7 +221,7 @@
 		t.Errorf("%d imports, %d tokens imported, %d said to be cached", asked, imported, cached)
 	}
 	delivered := c.KV.Stats().Tokens
-	if whole := fault == standin.StoreNoFault; imported > delivered || whole != (imported >= documentTokens-caches.PieceTokens) {
+	if whole := fault == standin.StoreNoFault; imported > delivered || whole != (imported >= documentTokens-cacheOptions.PieceTokens) {
 		t.Errorf("%d tokens counted as imported, %d delivered", imported, delivered)
 	}
 }
--- a/lab/cluster/health_test.go
+++ b/lab/cluster/health_test.go
@@ -11,8 +11,8 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// fails has a runner fail its next requests.
-func fails(r *standin.OrderedRunner, n int, f standin.Fault) {
+// injectRepeatedly has a runner fail its next requests.
+func injectRepeatedly(r *standin.OrderedRunner, n int, f standin.Fault) {
 	for range n {
 		r.InjectFaults(f)
 	}
@@ -21,26 +21,26 @@
 // A runner's engine fails every request while its load report looks well. Each
 // request placed there costs its caller a second attempt, and prompts stick to
 // it; when it works again it should get its part back.
-func TestRunnerThatFailsEveryRequestIsEjectedAndComesBack(t *testing.T) {
+func TestEjectsAndReadmitsFailingRunner(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
 		"before the first byte": {Kind: standin.FaultBeforeFirstByte},
 		"in mid-stream":         {Kind: standin.FaultMidStream, After: 2},
 	} {
 		t.Run(name, func(t *testing.T) {
 			o := Options{Daemons: 1, Runners: 4}
-			inCluster(t, o, func(t *testing.T, c *Cluster) {
-				fails(c.Runners[0], 1000, f)
-				asked := c.askFor(t, 10*time.Second, 0)
-				got := tried(c.Runners[0])
+			withCluster(t, o, func(t *testing.T, c *Cluster) {
+				injectRepeatedly(c.Runners[0], 1000, f)
+				asked := c.askDuring(t, 10*time.Second, 0)
+				got := receivedRequests(c.Runners[0])
 				t.Logf("%d of %d attempts went to the failing runner", got, asked)
 				if got > asked/10 {
 					t.Errorf("%d of %d requests were tried at the failing runner", got, asked)
 				}
 				c.Runners[0].ClearFaults()
-				c.askFor(t, 20*time.Second, asked)
-				before := tried(c.Runners[0])
-				again := c.askFor(t, 5*time.Second, 20*asked)
-				if got := tried(c.Runners[0]) - before; got == 0 {
+				c.askDuring(t, 20*time.Second, asked)
+				before := receivedRequests(c.Runners[0])
+				again := c.askDuring(t, 5*time.Second, 20*asked)
+				if got := receivedRequests(c.Runners[0]) - before; got == 0 {
 					t.Errorf("none of %d requests went to the runner that works again", again)
 				}
 			})
@@ -48,12 +48,12 @@
 	}
 }
 
-// askFor sends requests, each of another prompt, for the given time, and tells
+// askDuring sends requests, each of another prompt, for the given time, and tells
 // how many. All must be answered whole.
-func (c *Cluster) askFor(t *testing.T, during time.Duration, first int) (asked int) {
+func (c *Cluster) askDuring(t *testing.T, during time.Duration, first int) (asked int) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < during; asked++ {
-		if a := c.ask(t, 0, fmt.Sprintf("question %d", first+asked), 5); !a.whole(5) {
+		if a := c.ask(t, 0, fmt.Sprintf("question %d", first+asked), 5); !a.isComplete(5) {
 			t.Fatalf("request %d: %s", asked, a)
 		}
 		time.Sleep(50 * time.Millisecond) // virtual
@@ -64,28 +64,28 @@
 // A runner's process is replaced under its address. The daemons that remember
 // its cache would take its answers for cached ones; what callers are told must
 // be what the runner says, and the answers stay whole.
-func TestRunnerBackEmptyUnderItsAddress(t *testing.T) {
-	inCluster(t, Options{Daemons: 2, Runners: 1, Decode: time.Millisecond}, func(t *testing.T, c *Cluster) {
+func TestReportedCachedTokensAfterRunnerRestart(t *testing.T) {
+	withCluster(t, Options{Daemons: 2, Runners: 1, Decode: time.Millisecond}, func(t *testing.T, c *Cluster) {
 		for node := range c.Nodes {
 			c.ask(t, node, "the same question", 5)
-			if n := cached(t, c.ask(t, node, "the same question", 5)); n == 0 {
+			if n := cachedTokens(t, c.ask(t, node, "the same question", 5)); n == 0 {
 				t.Fatal("nothing was cached before the restart")
 			}
 		}
 		c.Runners[0].Restart()
 		a := c.ask(t, 0, "the same question", 5)
-		if n := cached(t, a); n != 0 || !a.whole(5) {
+		if n := cachedTokens(t, a); n != 0 || !a.isComplete(5) {
 			t.Errorf("%d tokens said to be cached by a new process: %s", n, a)
 		}
 		a = c.ask(t, 1, "the same question", 5)
-		if n := cached(t, a); n == 0 || !a.whole(5) {
+		if n := cachedTokens(t, a); n == 0 || !a.isComplete(5) {
 			t.Errorf("%d tokens cached by the new process: %s", n, a)
 		}
 	})
 }
 
-// cached is how many tokens the answer says were cached.
-func cached(t *testing.T, a *answer) int {
+// cachedTokens is how many tokens the answer says were cachedTokens.
+func cachedTokens(t *testing.T, a *answer) int {
 	t.Helper()
 	n, err := strconv.Atoi(a.header.Get(gateway.HeaderCachedTokens))
 	if err != nil {
@@ -97,13 +97,13 @@
 // The platform's list of VMs is empty for five minutes and cannot be read for
 // five more. Taken at its word, every endpoint and every daemon would be gone
 // and nothing served.
-func TestListEmptyOrDownForTenMinutes(t *testing.T) {
-	inCluster(t, Options{Daemons: 1, Runners: 2, Services: 1}, func(t *testing.T, c *Cluster) {
+func TestEmptyOrUnavailableVMList(t *testing.T) {
+	withCluster(t, Options{Daemons: 1, Runners: 2, Services: 1}, func(t *testing.T, c *Cluster) {
 		c.VMs.Set(nil, nil)
 		for minute := range 10 {
 			c.VMs.SetOutage(minute >= 5)
 			time.Sleep(time.Minute) // virtual
-			if a := c.ask(t, 0, fmt.Sprintf("question %d", minute), 3); !a.whole(3) {
+			if a := c.ask(t, 0, fmt.Sprintf("question %d", minute), 3); !a.isComplete(3) {
 				t.Errorf("after %d minutes: %s", minute+1, a)
 			}
 			if a := c.book(t, 0, keyAt(time.Now(), byte(minute)), "slot"); !strings.Contains(a.body, "counter-1") {
--- a/lab/cluster/keyed_test.go
+++ b/lab/cluster/keyed_test.go
@@ -11,7 +11,7 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-var booking = Options{Daemons: 3, Runners: 1, Services: 1}
+var bookingOptions = Options{Daemons: 3, Runners: 1, Services: 1}
 
 // serviceAddress is where the first service listens.
 const serviceAddress = "10.0.2.1:8000"
@@ -35,8 +35,8 @@
 	return c.post(t, node, ServicePath+"slots", slot, gateway.HeaderIdempotencyKey, key)
 }
 
-// bookLater books slot 7 and gives the answer when it is there.
-func (c *Cluster) bookLater(t *testing.T, node int, key string) <-chan *answer {
+// bookAsync books slot 7 and gives the answer when it is there.
+func (c *Cluster) bookAsync(t *testing.T, node int, key string) <-chan *answer {
 	got := make(chan *answer, 1)
 	go func() { got <- c.book(t, node, key, "slot 7") }()
 	return got
@@ -66,11 +66,11 @@
 // A caller's client times out early and repeats its booking through the
 // balancer, which takes it to another daemon while the first is at work. The
 // slot would be booked twice, or the two answers would differ.
-func TestOneKeyAtTwoDaemonsAtOnce(t *testing.T) {
-	inCluster(t, booking, func(t *testing.T, c *Cluster) {
+func TestConcurrentCallsWithOneKey(t *testing.T) {
+	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		c.Services[0].Delay = 300 * time.Millisecond
 		key := keyAt(time.Now(), 1)
-		first, second := c.bookLater(t, 0, key), c.bookLater(t, 1, key)
+		first, second := c.bookAsync(t, 0, key), c.bookAsync(t, 1, key)
 		a, b := <-first, <-second
 		wantOutcome(t, a, http.StatusOK, "")
 		if a.status != b.status || a.body != b.body {
@@ -85,7 +85,7 @@
 // during the outage is told "unknown" by a daemon that has read the claim, and
 // by one that has not that this repeat was not run; afterwards it gets the first
 // answer. Sent again, the slot would be booked twice.
-func TestLogDownBetweenClaimAndResult(t *testing.T) {
+func TestLogOutageBetweenClaimAndResult(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		read    time.Duration // that the other daemons have for the claim
@@ -96,17 +96,17 @@
 		{"claim not read by the others", 100 * time.Millisecond, http.StatusServiceUnavailable, gateway.OutcomeNotRun},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			inCluster(t, booking, func(t *testing.T, cluster *Cluster) {
-				cluster.logDownInMidCall(t, c.read, c.status, c.outcome)
+			withCluster(t, bookingOptions, func(t *testing.T, cluster *Cluster) {
+				cluster.checkLogOutageDuringCall(t, c.read, c.status, c.outcome)
 			})
 		})
 	}
 }
 
-func (c *Cluster) logDownInMidCall(t *testing.T, read time.Duration, status int, outcome gateway.Outcome) {
+func (c *Cluster) checkLogOutageDuringCall(t *testing.T, read time.Duration, status int, outcome gateway.Outcome) {
 	c.Services[0].Delay = 4 * time.Second
 	key := keyAt(time.Now(), 1)
-	got := c.bookLater(t, 0, key)
+	got := c.bookAsync(t, 0, key)
 	for len(c.Services[0].Effects()) == 0 {
 		time.Sleep(10 * time.Millisecond) // virtual
 	}
@@ -135,12 +135,12 @@
 // service. Nobody can know that it did not; the repeat at another daemon must
 // say so instead of running the call.
 func TestDaemonLostBetweenClaimAndSend(t *testing.T) {
-	inCluster(t, booking, func(t *testing.T, c *Cluster) {
+	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		c.network.Listen(serviceAddress) // nobody accepts
 		key := keyAt(time.Now(), 1)
-		got := c.bookLater(t, 0, key)
+		got := c.bookAsync(t, 0, key)
 		time.Sleep(300 * time.Millisecond) // virtual; it tries to connect for longer
-		c.lose(0)
+		c.loseVM(0)
 		<-got
 		c.servers = append(c.servers, c.network.Serve(serviceAddress, c.Services[0]))
 		repeat := c.book(t, 1, key, "slot 7")
@@ -156,13 +156,13 @@
 // runs; were the repeat sent again by another daemon, or by the lost one after
 // its restart, it would run twice.
 func TestDaemonLostBetweenSendAndAnswer(t *testing.T) {
-	inCluster(t, booking, func(t *testing.T, c *Cluster) {
+	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		c.Services[0].Delay = 2 * time.Second
 		key := keyAt(time.Now(), 1)
-		got := c.bookLater(t, 0, key)
+		got := c.bookAsync(t, 0, key)
 		time.Sleep(time.Second) // virtual
 		c.wantEffects(t, 1)
-		c.lose(0)
+		c.loseVM(0)
 		<-got
 		if err := c.Start(0); err != nil {
 			t.Fatal(err)
@@ -176,10 +176,10 @@
 	})
 }
 
-// lose ends a node as the loss of its VM does: nothing more gets to the log.
+// loseVM ends a node as the loss of its VM does: nothing more gets to the log.
 // What its requests still wait for ends within the time that it sleeps.
-func (c *Cluster) lose(i int) {
-	c.Nodes[i].Way.Disconnect()
+func (c *Cluster) loseVM(i int) {
+	c.Nodes[i].LogView.Disconnect()
 	c.Kill(i)
 	time.Sleep(10 * time.Second) // virtual
 }
@@ -187,8 +187,8 @@
 // A caller takes one key for two calls, or repeats a call after its key has
 // been forgotten. Run, the one would get an answer that is another call's and
 // the other might have a second effect.
-func TestKeysThatCannotBeUsed(t *testing.T) {
-	inCluster(t, booking, func(t *testing.T, c *Cluster) {
+func TestRejectsUnusableKeys(t *testing.T) {
+	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		key := keyAt(time.Now(), 1)
 		wantOutcome(t, c.book(t, 0, key, "slot 7"), http.StatusOK, "")
 		wantOutcome(t, c.book(t, 1, key, "slot 8"), http.StatusUnprocessableEntity, gateway.OutcomeRefused)
@@ -202,10 +202,10 @@
 // A service books a slot and its connection breaks before the answer. The call
 // had no key, so it is not sent again, and the caller is told that it may have
 // run.
-func TestCallWithoutAKeyIsSentOnceByADaemon(t *testing.T) {
-	two := booking
+func TestCallWithoutKeyIsNotRetried(t *testing.T) {
+	two := bookingOptions
 	two.Services = 2
-	inCluster(t, two, func(t *testing.T, c *Cluster) {
+	withCluster(t, two, func(t *testing.T, c *Cluster) {
 		for _, s := range c.Services {
 			s.InjectFaults(standin.Fault{Kind: standin.FaultAfterRun})
 		}
--- a/lab/cluster/limit_test.go
+++ b/lab/cluster/limit_test.go
@@ -10,29 +10,29 @@
 
 // Guards against each daemon keeping to a runner's limit alone, or not at all, so that
 // the runner gets many times what it takes.
-func TestLimitOfARunnerHoldsOverAllDaemons(t *testing.T) {
+func TestRunnerLimitAcrossDaemons(t *testing.T) {
 	const (
 		limit   = 3.0
 		window  = 4 * time.Second
 		settled = 3 * time.Second
 		allowed = 1.5*limit*4 + 5
 	)
-	inCluster(t, Options{Daemons: 5, Runners: 3, NoOrders: true, Limits: map[int]float64{0: limit}}, func(t *testing.T, c *Cluster) {
+	withCluster(t, Options{Daemons: 5, Runners: 3, NoOrders: true, Limits: map[int]float64{0: limit}}, func(t *testing.T, c *Cluster) {
 		began := time.Now()
 		var all sync.WaitGroup
 		var unserved atomic.Int64
 		for i := range 800 {
 			all.Go(func() {
 				time.Sleep(time.Duration(i) * 25 * time.Millisecond) // virtual
-				if a := c.askOn(t, i%len(c.Nodes), fmt.Sprint("document ", i), "question", 5); !a.whole(5) {
+				if a := c.askOn(t, i%len(c.Nodes), fmt.Sprint("document ", i), "question", 5); !a.isComplete(5) {
 					unserved.Add(1)
 				}
 			})
 		}
 		all.Wait()
 		most, count, first := 0, 0, 0
-		for i, at := range c.reached {
-			for at.Sub(c.reached[first]) > window || c.reached[first].Sub(began) < settled && first < i {
+		for i, at := range c.limitedArrivals {
+			for at.Sub(c.limitedArrivals[first]) > window || c.limitedArrivals[first].Sub(began) < settled && first < i {
 				first++
 			}
 			if at.Sub(began) >= settled {
--- a/lab/cluster/operators_test.go
+++ b/lab/cluster/operators_test.go
@@ -16,19 +16,19 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// operate is a node's administration API.
-func (c *Cluster) operate(i int) *client.Client {
+// adminClient is a node's administration API.
+func (c *Cluster) adminClient(i int) *client.Client {
 	return &client.Client{BaseURL: "http://" + c.Nodes[i].adminAddress(), Token: c.o.Token, HTTP: c.Client}
 }
 
-// offer publishes a weight version by a node's administration API.
-func (c *Cluster) offer(t *testing.T, i int, base ports.Offset, version string) admin.Publication {
+// publishByAdmin publishes a weight version by a node's administration API.
+func (c *Cluster) publishByAdmin(t *testing.T, i int, base ports.Offset, version string) admin.Publication {
 	t.Helper()
 	text, err := manifest.Encode(c.Manifest(version))
 	if err != nil {
 		t.Error(err)
 	}
-	p, err := c.operate(i).Publish(t.Context(), base, text)
+	p, err := c.adminClient(i).Publish(t.Context(), base, text)
 	if err != nil {
 		t.Errorf("%+v, %v", p, err)
 	}
@@ -38,13 +38,13 @@
 // Two operators make a change against the same manifest and publish at once, at
 // two daemons. Were both told "accepted", one change would be lost without
 // anybody's knowing; the second must be told whose came first.
-func TestTwoOperatorsPublishAtTwoDaemonsAtOnce(t *testing.T) {
-	inCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
+func TestConcurrentPublications(t *testing.T) {
+	withCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
 		c.Log.SetDelay(20 * time.Millisecond)
 		var got [2]admin.Publication
 		var both sync.WaitGroup
 		for i := range got {
-			both.Go(func() { got[i] = c.offer(t, i, 1, []string{"v2", "v3"}[i]) })
+			both.Go(func() { got[i] = c.publishByAdmin(t, i, 1, []string{"v2", "v3"}[i]) })
 		}
 		both.Wait()
 		won, lost := got[0], got[1]
@@ -61,20 +61,20 @@
 // The log takes a publication and its answer is lost. An operator who was told
 // that it failed would publish something else over it; told too much, rely on
 // what is not there. The daemon looks at the log and tells which.
-func TestLostAnswerToAPublication(t *testing.T) {
-	inCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
+func TestPublicationWithLostAnswer(t *testing.T) {
+	withCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
 		c.Log.LoseAnswers(1)
-		p := c.offer(t, 0, 1, "v2")
+		p := c.publishByAdmin(t, 0, 1, "v2")
 		if p.Outcome != admin.OutcomeAccepted || p.Revision.Offset != 2 {
 			t.Errorf("with a lost answer: %+v", p)
 		}
 		c.Log.SetOutage(true)
-		if p := c.offer(t, 1, 2, "v3"); p.Outcome == admin.OutcomeAccepted || p.Outcome == admin.OutcomeRefused {
+		if p := c.publishByAdmin(t, 1, 2, "v3"); p.Outcome == admin.OutcomeAccepted || p.Outcome == admin.OutcomeRefused {
 			t.Errorf("with the log down: %+v", p)
 		}
 		c.Log.SetOutage(false)
 		time.Sleep(5 * time.Second) // virtual
-		if p := c.offer(t, 1, 2, "v3"); p.Outcome != admin.OutcomeAccepted {
+		if p := c.publishByAdmin(t, 1, 2, "v3"); p.Outcome != admin.OutcomeAccepted {
 			t.Errorf("published again: %+v", p)
 		}
 	})
@@ -98,8 +98,8 @@
 	return b.text.String()
 }
 
-// maxDumpShown is far above what a cluster of this size may say of itself.
-const maxDumpShown = 1 << 20
+// maxSecretScanBytes is far above what a cluster of this size may say of itself.
+const maxSecretScanBytes = 1 << 20
 
 // An operator sends a dump and the log lines to a colleague. An API key, the
 // administration token, a prompt or a call's body in them would be leaked.
@@ -110,10 +110,10 @@
 		t.Fatal(err)
 	}
 	o := Options{Daemons: 2, Runners: 2, Services: 1, Logs: logs, Token: "administration-secret"}
-	inCluster(t, o, func(t *testing.T, c *Cluster) {
+	withCluster(t, o, func(t *testing.T, c *Cluster) {
 		const prompt, body = "whose-diagnosis-is-this", "slot-of-a-patient"
 		key := keyAt(time.Now(), 1)
-		fails(c.Runners[0], 3, standin.Fault{Kind: standin.FaultMidStream, After: 1})
+		injectRepeatedly(c.Runners[0], 3, standin.Fault{Kind: standin.FaultMidStream, After: 1})
 		for i := range 20 {
 			c.ask(t, i%2, prompt, 3)
 		}
@@ -127,7 +127,7 @@
 			texts["metrics of "+n.ID] = c.metrics(t, i)
 		}
 		for name, text := range texts {
-			if len(text) == 0 || len(text) > maxDumpShown {
+			if len(text) == 0 || len(text) > maxSecretScanBytes {
 				t.Errorf("%s has %d bytes", name, len(text))
 			}
 			for _, secret := range []string{Key, prompt, body, key, "administration-secret", "wrong-key-of-a-caller", "preamble"} {
@@ -147,8 +147,8 @@
 
 // A scraper reads the metrics page after traffic. A line that it cannot read
 // would cost it the whole page.
-func TestMetricsPageIsReadableAfterTraffic(t *testing.T) {
-	inCluster(t, booking, func(t *testing.T, c *Cluster) {
+func TestMetricsPageFormat(t *testing.T) {
+	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		for i := range 5 {
 			c.ask(t, 0, "question", 3)
 			c.book(t, 0, keyAt(time.Now(), byte(i)), "slot")
--- a/lab/cluster/partition.go
+++ b/lab/cluster/partition.go
@@ -7,15 +7,15 @@
 	"sync"
 )
 
-// ways are the connections that nodes have opened to each other.
-type ways struct {
-	mu   sync.Mutex // guards what follows
-	cut  map[way]bool
-	open map[way][]net.Conn
+// peerConnections are the connections that nodes have opened to each other.
+type peerConnections struct {
+	mu      sync.Mutex // guards what follows
+	blocked map[link]bool
+	open    map[link][]net.Conn
 }
 
-// way is from a node to an address.
-type way struct {
+// link is from a node to an address.
+type link struct {
 	from    int
 	address string
 }
@@ -27,44 +27,44 @@
 		if err != nil {
 			return nil, err
 		}
-		return c.ways.opened(way{from, address}, conn)
+		return c.peerConns.register(link{from, address}, conn)
 	}
 }
 
-func (w *ways) opened(by way, conn net.Conn) (net.Conn, error) {
+func (w *peerConnections) register(by link, conn net.Conn) (net.Conn, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut[by] {
+	if w.blocked[by] {
 		_ = conn.Close()
 		return nil, fmt.Errorf("cluster: %s cannot be reached", by.address)
 	}
 	if w.open == nil {
-		w.open = map[way][]net.Conn{}
+		w.open = map[link][]net.Conn{}
 	}
 	w.open[by] = append(w.open[by], conn)
 	return conn, nil
 }
 
-// Part breaks the connections between two nodes' peer addresses, and lets none
+// Partition breaks the connections between two nodes' peer addresses, and lets none
 // be opened until Join.
-func (c *Cluster) Part(i, j int) {
-	c.ways.set(way{i, c.Nodes[j].peerAddress()}, true)
-	c.ways.set(way{j, c.Nodes[i].peerAddress()}, true)
+func (c *Cluster) Partition(i, j int) {
+	c.peerConns.setBlocked(link{i, c.Nodes[j].peerAddress()}, true)
+	c.peerConns.setBlocked(link{j, c.Nodes[i].peerAddress()}, true)
 }
 
-// Join ends Part.
-func (c *Cluster) Join(i, j int) {
-	c.ways.set(way{i, c.Nodes[j].peerAddress()}, false)
-	c.ways.set(way{j, c.Nodes[i].peerAddress()}, false)
+// Heal ends Part.
+func (c *Cluster) Heal(i, j int) {
+	c.peerConns.setBlocked(link{i, c.Nodes[j].peerAddress()}, false)
+	c.peerConns.setBlocked(link{j, c.Nodes[i].peerAddress()}, false)
 }
 
-func (w *ways) set(by way, cut bool) {
+func (w *peerConnections) setBlocked(by link, cut bool) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if w.cut == nil {
-		w.cut = map[way]bool{}
+	if w.blocked == nil {
+		w.blocked = map[link]bool{}
 	}
-	w.cut[by] = cut
+	w.blocked[by] = cut
 	for _, conn := range w.open[by] {
 		_ = conn.Close()
 	}
--- a/lab/cluster/partition_test.go
+++ b/lab/cluster/partition_test.go
@@ -12,21 +12,21 @@
 // manifests are published. Its daemon serves by the one that it has; once the
 // ways are open again it must have the newest within seconds, by its neighbours
 // if the log stays away, and never go back to an older one.
-func TestPartedZoneServesAndCatchesUp(t *testing.T) {
+func TestZonePartition(t *testing.T) {
 	for _, logBack := range []bool{true, false} {
 		t.Run(fmt.Sprintf("log back %v", logBack), func(t *testing.T) {
-			inCluster(t, Options{Daemons: 3, Runners: 3, Decode: time.Millisecond}, func(t *testing.T, c *Cluster) {
-				c.partedZone(t, logBack)
+			withCluster(t, Options{Daemons: 3, Runners: 3, Decode: time.Millisecond}, func(t *testing.T, c *Cluster) {
+				c.checkZonePartition(t, logBack)
 			})
 		})
 	}
 }
 
-func (c *Cluster) partedZone(t *testing.T, logBack bool) {
+func (c *Cluster) checkZonePartition(t *testing.T, logBack bool) {
 	time.Sleep(2 * time.Second) // virtual; until the daemons have met
-	c.Part(0, 2)
-	c.Part(1, 2)
-	c.Nodes[2].Way.Disconnect()
+	c.Partition(0, 2)
+	c.Partition(1, 2)
+	c.Nodes[2].LogView.Disconnect()
 	for n := range 3 {
 		m := c.Manifest("v1")
 		m.Name = fmt.Sprintf("change-%d", n)
@@ -39,15 +39,15 @@
 			t.Fatalf("the parted daemon has offset %d", offset)
 		}
 		for node := range c.Nodes {
-			if a := c.ask(t, node, fmt.Sprintf("question %d", n), 3); !a.whole(3) {
+			if a := c.ask(t, node, fmt.Sprintf("question %d", n), 3); !a.isComplete(3) {
 				t.Errorf("node %d, change %d: %s", node, n, a)
 			}
 		}
 	}
-	c.Join(0, 2)
-	c.Join(1, 2)
+	c.Heal(0, 2)
+	c.Heal(1, 2)
 	if logBack {
-		c.Nodes[2].Way.Reconnect()
+		c.Nodes[2].LogView.Reconnect()
 	}
 	t.Logf("in force on all after %v", c.waitInForce(t, 4))
 	for range 100 {
--- a/lab/cluster/recovery_test.go
+++ b/lab/cluster/recovery_test.go
@@ -14,20 +14,20 @@
 	"github.com/merlindock/merlindock/ledger"
 )
 
-var small = Options{Daemons: 3, Runners: 6, Services: 1, Prefill: 10 * time.Microsecond, Decode: 10 * time.Millisecond}
+var smallOptions = Options{Daemons: 3, Runners: 6, Services: 1, Prefill: 10 * time.Microsecond, Decode: 10 * time.Millisecond}
 
 // A daemon's VM is replaced while the platform's log is down. Its balancer
 // sends callers to the new daemon, who would be refused for as long as the
 // outage lasts if it could learn the manifest from the log only.
-func TestDaemonThatRestartsWithTheLogDownServesAtOnce(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
+func TestDaemonRestartDuringLogOutage(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		c.Kill(1)
 		c.Log.SetOutage(true)
 		if err := c.Start(1); err != nil {
 			t.Fatal(err)
 		}
 		took := c.waitReady(t, 1, 2*time.Second)
-		if a := c.ask(t, 1, "after the restart", 5); !a.whole(5) {
+		if a := c.ask(t, 1, "after the restart", 5); !a.isComplete(5) {
 			t.Errorf("%s after %s", a, took)
 		}
 	})
@@ -36,8 +36,8 @@
 // All daemons are restarted at once while the log is down, so that nobody is
 // left who knows the manifest. A caller must be told that nothing ran and when
 // to come back, and be served soon after the log is back.
-func TestHerdRestartWithoutTheLogRefusesHonestly(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
+func TestAllDaemonsRestartDuringLogOutage(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		for i := range c.Nodes {
 			c.Kill(i)
 		}
@@ -63,7 +63,7 @@
 		for i := range c.Nodes {
 			c.waitReady(t, i, 10*time.Second)
 		}
-		if a := c.ask(t, 0, "after the outage", 5); !a.whole(5) {
+		if a := c.ask(t, 0, "after the outage", 5); !a.isComplete(5) {
 			t.Errorf("%s", a)
 		}
 	})
@@ -71,9 +71,9 @@
 
 // The way from one daemon to the log is cut while those of the others work.
 // Callers that meet it would be served by the old manifest for hours.
-func TestDaemonCutFromTheLogTakesTheManifestFromNeighbours(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
-		c.Nodes[2].Way.Disconnect()
+func TestManifestFromNeighboursWithoutLog(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
+		c.Nodes[2].LogView.Disconnect()
 		second := c.Manifest("v1")
 		second.Organisations[0].ID = "renamed"
 		began := time.Now()
@@ -93,25 +93,25 @@
 // The weights of a model are replaced while callers ask. A load takes a runner
 // away for a while and too many at once slow down the store; a request that met
 // runners of both versions would get an answer that is neither's.
-func TestRolloutUnderTrafficCutsNothing(t *testing.T) {
+func TestRolloutUnderTraffic(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
-			o := small
+			o := smallOptions
 			o.Fences = fences
 			o.Store = &standin.WeightStore{AtOnce: 2, Load: 20 * time.Second}
-			inCluster(t, o, rollOut)
+			withCluster(t, o, checkRolloutUnderTraffic)
 		})
 	}
 }
 
-func rollOut(t *testing.T, c *Cluster) {
+func checkRolloutUnderTraffic(t *testing.T, c *Cluster) {
 	c.publish(t, 1, "v2")
 	began := time.Now()
 	for i := 0; !c.allServe("v2"); i++ {
 		if time.Since(began) > 5*time.Minute {
 			t.Fatal("the rollout is not over after 5 min")
 		}
-		if a := c.ask(t, i%len(c.Nodes), fmt.Sprintf("question %d", i), 20); !a.whole(20) {
+		if a := c.ask(t, i%len(c.Nodes), fmt.Sprintf("question %d", i), 20); !a.isComplete(20) {
 			t.Fatalf("request %d, %s after the publication: %s", i, time.Since(began), a)
 		}
 	}
@@ -119,7 +119,7 @@
 		t.Errorf("%d loads at once, 2 are allowed", most)
 	}
 	time.Sleep(5 * time.Second) // virtual
-	if a := c.ask(t, 0, "on the new weights", 5); !a.whole(5) {
+	if a := c.ask(t, 0, "on the new weights", 5); !a.isComplete(5) {
 		t.Errorf("%s", a)
 	}
 }
@@ -137,21 +137,21 @@
 // An endpoint leaves while the platform's list is down, so that only its own
 // refusals tell of it. Requests that still went there would be refused and
 // tried again elsewhere, which callers notice as a late first token.
-func TestLeavingEndpointGetsNoNewWork(t *testing.T) {
+func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	for _, listDown := range []bool{false, true} {
 		t.Run(fmt.Sprintf("list down %v", listDown), func(t *testing.T) {
-			inCluster(t, small, func(t *testing.T, c *Cluster) {
+			withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 				c.VMs.SetOutage(listDown)
 				c.Runners[0].SetDraining(true)
-				c.Leaving("runner-1")
+				c.MarkLeaving("runner-1")
 				time.Sleep(3 * time.Second) // virtual
-				before := tried(c.Runners[0])
+				before := receivedRequests(c.Runners[0])
 				for i := range 60 {
-					if a := c.ask(t, i%3, fmt.Sprintf("question %d", i), 2); !a.whole(2) {
+					if a := c.ask(t, i%3, fmt.Sprintf("question %d", i), 2); !a.isComplete(2) {
 						t.Fatalf("%s", a)
 					}
 				}
-				if n := tried(c.Runners[0]) - before; n != 0 {
+				if n := receivedRequests(c.Runners[0]) - before; n != 0 {
 					t.Errorf("%d requests went to the leaving endpoint", n)
 				}
 			})
@@ -159,16 +159,16 @@
 	}
 }
 
-// tried is how many requests came to the runner, taken or not.
-func tried(r *standin.OrderedRunner) int {
+// receivedRequests is how many requests came to the runner, taken or not.
+func receivedRequests(r *standin.OrderedRunner) int {
 	s := r.Stats()
 	return s.Requests + s.Refused
 }
 
 // A zone is lost with its runners and its daemon while streams are open. Every
 // caller of the other daemons must still get a whole answer.
-func TestLossOfAZoneCutsNoStreamOfOthers(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
+func TestZoneLossKeepsOtherStreams(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		answers := make(chan *answer)
 		const open = 30
 		for i := range open {
@@ -179,7 +179,7 @@
 		c.Runners[5].Crash()
 		c.Kill(2)
 		for range open {
-			if a := <-answers; !a.whole(100) {
+			if a := <-answers; !a.isComplete(100) {
 				t.Errorf("%s", a)
 			}
 		}
@@ -187,8 +187,8 @@
 }
 
 // A daemon is drained while it streams. The caller must get the rest.
-func TestDrainCutsNoStream(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
+func TestDrainCompletesStreams(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		got := make(chan *answer)
 		go func() { got <- c.ask(t, 0, "long question", 2000) }()
 		time.Sleep(time.Second) // virtual
@@ -197,7 +197,7 @@
 		if c.Ready(0) {
 			t.Error("still ready")
 		}
-		if a := <-got; !a.whole(2000) {
+		if a := <-got; !a.isComplete(2000) {
 			t.Errorf("%s", a)
 		}
 		if err := <-c.Nodes[0].Ended; err != nil {
@@ -211,9 +211,9 @@
 // expired. It keeps serving, and once the log is back it must be able to decide
 // again soon: an operator who publishes there would otherwise be turned away
 // for hours.
-func TestDaemonWithAGapIsHelpedByItsNeighbours(t *testing.T) {
-	inCluster(t, small, func(t *testing.T, c *Cluster) {
-		c.Nodes[2].Way.Disconnect()
+func TestNeighboursCloseManifestGap(t *testing.T) {
+	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
+		c.Nodes[2].LogView.Disconnect()
 		c.publish(t, 1, "v1b")
 		time.Sleep(5 * time.Second) // virtual
 		// One more record, refused by all, which the proof of v1b does not cover.
@@ -222,7 +222,7 @@
 		}
 		time.Sleep(5 * time.Second) // virtual
 		c.Log.TruncateAll()
-		c.Nodes[2].Way.Reconnect()
+		c.Nodes[2].LogView.Reconnect()
 		time.Sleep(3 * time.Second) // virtual; until it has read again
 		began := time.Now()
 		for !c.decided(t, 2) {
--- a/lab/cluster/rollout_test.go
+++ b/lab/cluster/rollout_test.go
@@ -16,9 +16,9 @@
 // A daemon is replaced again and again while a rollout runs, and callers meet it
 // before it has heard any runner. Bound to the declared version, their requests
 // would be refused by every runner that has not loaded it yet.
-func TestRestartsDuringARollout(t *testing.T) {
+func TestDaemonRestartsDuringRollout(t *testing.T) {
 	o := Options{Daemons: 3, Runners: 6, Decode: time.Millisecond, Store: &standin.WeightStore{AtOnce: 2, Load: 30 * time.Second}}
-	inCluster(t, o, func(t *testing.T, c *Cluster) {
+	withCluster(t, o, func(t *testing.T, c *Cluster) {
 		c.publish(t, 1, "v2")
 		asked := 0
 		began := time.Now()
@@ -33,7 +33,7 @@
 			c.waitReady(t, 2, 5*time.Second)
 			for i := range 8 {
 				asked++
-				if a := c.ask(t, (2+i)%3, fmt.Sprintf("question %d", asked), 10); !a.whole(10) {
+				if a := c.ask(t, (2+i)%3, fmt.Sprintf("question %d", asked), 10); !a.isComplete(10) {
 					t.Fatalf("request %d, %v after the publication: %s", asked, time.Since(began), a)
 				}
 			}
@@ -46,10 +46,10 @@
 // Two of nine daemons are cut off from the log when a manifest is accepted, and
 // one starts while the log is down. All must follow within five seconds by way
 // of their neighbours, or callers meet two configurations.
-func TestManifestInForceOnNineDaemons(t *testing.T) {
-	inCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
-		c.Nodes[3].Way.Disconnect()
-		c.Nodes[6].Way.Disconnect()
+func TestManifestPropagation(t *testing.T) {
+	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
+		c.Nodes[3].LogView.Disconnect()
+		c.Nodes[6].LogView.Disconnect()
 		c.publish(t, 1, "v2")
 		t.Logf("in force on all after %v", c.waitInForce(t, 2))
 		c.Log.SetOutage(true)
@@ -81,34 +81,34 @@
 // neighbour reads the few hundred bytes from the log; were it to fetch the
 // neighbour's whole manifest, thousands of changes a day would take twenty times
 // the bytes that control may have.
-func TestAnnouncedChangesAreReadFromTheLog(t *testing.T) {
-	inCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
+func TestReadsAnnouncedManifestFromLog(t *testing.T) {
+	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
 		time.Sleep(5 * time.Second) // virtual
-		before := c.fetched(t)
+		before := c.fetchedManifests(t)
 		for i := range 5 {
 			c.publish(t, ports.Offset(i+1), fmt.Sprintf("v%d", i+2))
 			t.Logf("in force on all after %v", c.waitInForce(t, ports.Offset(i+2)))
 			time.Sleep(5 * time.Second) // virtual
 		}
-		if n := c.fetched(t) - before; n > 0 {
+		if n := c.fetchedManifests(t) - before; n > 0 {
 			t.Errorf("%d manifests were fetched from neighbours while the log was up", n)
 		}
 	})
 }
 
-// fetched counts the manifests that nodes have fetched from neighbours.
-func (c *Cluster) fetched(t *testing.T) int {
+// fetchedManifests counts the manifests that nodes have fetchedManifests from neighbours.
+func (c *Cluster) fetchedManifests(t *testing.T) int {
 	t.Helper()
 	total := 0
 	for i := range c.Nodes {
-		total += c.counted(t, i, "peer_events", "fetched")
+		total += c.sumCounters(t, i, "peer_events", "fetched")
 	}
 	return total
 }
 
-// counted adds up the counters on a node's metrics page whose lines hold both
+// sumCounters adds up the counters on a node's metrics page whose lines hold both
 // texts.
-func (c *Cluster) counted(t *testing.T, i int, name, tag string) int {
+func (c *Cluster) sumCounters(t *testing.T, i int, name, tag string) int {
 	t.Helper()
 	total := 0
 	for line := range strings.Lines(c.metrics(t, i)) {
--- a/lab/cluster/shares_test.go
+++ b/lab/cluster/shares_test.go
@@ -16,23 +16,23 @@
 
 // What the two organisations of these tests ask for.
 const (
-	otherKey     = "key-tsukushi"
-	promptTokens = 500
-	tenantsAsk   = 5 * time.Second
-	queueBound   = 2 * time.Second // longest wait of a standard request in a queue
+	otherKey        = "key-tsukushi"
+	promptTokens    = 500
+	trafficDuration = 5 * time.Second
+	maxQueueWait    = 2 * time.Second // longest wait of a standard request in a queue
 )
 
 // tenants are callers of two organisations with equal shares.
 type tenants struct {
 	c *Cluster
 
-	mu      sync.Mutex // guards what follows
-	served  map[string]int
-	refused map[string]int
-	slowest map[string]time.Duration // of those served
-	ids     map[string]bool          // of those refused
-	faults  []string
-	running sync.WaitGroup
+	mu         sync.Mutex // guards what follows
+	served     map[string]int
+	refused    map[string]int
+	slowest    map[string]time.Duration // of those served
+	refusedIDs map[string]bool          // of those refused
+	violations []string
+	running    sync.WaitGroup
 }
 
 // ask sends one prompt that no cache holds and books what became of it.
@@ -51,16 +51,16 @@
 		return
 	}
 	s.refused[key+" "+priority]++
-	s.ids[a.header.Get(gateway.HeaderRequest)] = true
-	if took > queueBound+100*time.Millisecond || a.header.Get("Retry-After") == "" || a.outcome != gateway.OutcomeNotRun {
-		s.faults = append(s.faults, fmt.Sprintf("after %v: %s", took, a))
+	s.refusedIDs[a.header.Get(gateway.HeaderRequest)] = true
+	if took > maxQueueWait+100*time.Millisecond || a.header.Get("Retry-After") == "" || a.outcome != gateway.OutcomeNotRun {
+		s.violations = append(s.violations, fmt.Sprintf("after %v: %s", took, a))
 	}
 }
 
-// every sends requests in even steps while the test lasts.
-func (s *tenants) every(t *testing.T, step time.Duration, key string, priorities ...string) {
+// sendEvery sends requests in even steps while the test lasts.
+func (s *tenants) sendEvery(t *testing.T, step time.Duration, key string, priorities ...string) {
 	s.running.Go(func() {
-		for n := 0; time.Duration(n)*step < tenantsAsk; n++ {
+		for n := 0; time.Duration(n)*step < trafficDuration; n++ {
 			s.running.Go(func() { s.ask(t, n, key, priorities[n/3%len(priorities)]) })
 			time.Sleep(step) // virtual
 		}
@@ -70,9 +70,9 @@
 // One organisation asks for three times its share at every daemon. The other,
 // which keeps within its own, would be crowded out; the callers who are turned
 // away must learn at once that nothing ran, and when to come back.
-func TestGreedyOrganisationTakesNothingFromTheOther(t *testing.T) {
+func TestFairSharesUnderOverload(t *testing.T) {
 	o := Options{Daemons: 3, Runners: 2, Slots: 6, Prefill: 6 * time.Second / 8000}
-	inCluster(t, o, func(t *testing.T, c *Cluster) {
+	withCluster(t, o, func(t *testing.T, c *Cluster) {
 		m := c.Manifest("v1")
 		sum := sha256.Sum256([]byte(otherKey))
 		m.Organisations = append(m.Organisations, manifest.Organisation{
@@ -86,10 +86,10 @@
 		}
 		c.waitInForce(t, 2)
 		time.Sleep(5 * time.Second) // virtual; until the daemons have heard each other
-		s := &tenants{c: c, ids: map[string]bool{}, served: map[string]int{}, refused: map[string]int{}, slowest: map[string]time.Duration{}}
+		s := &tenants{c: c, refusedIDs: map[string]bool{}, served: map[string]int{}, refused: map[string]int{}, slowest: map[string]time.Duration{}}
 		// Two runners prefill 16,000 tokens a second, 16 prompts for each share.
-		s.every(t, time.Second/48, Key, "interactive", "standard")
-		s.every(t, time.Second/12, otherKey, "interactive")
+		s.sendEvery(t, time.Second/48, Key, "interactive", "standard")
+		s.sendEvery(t, time.Second/12, otherKey, "interactive")
 		s.running.Wait()
 		t.Logf("served %v, refused %v, slowest %v", s.served, s.refused, s.slowest)
 		s.check(t)
@@ -98,7 +98,7 @@
 
 func (s *tenants) check(t *testing.T) {
 	t.Helper()
-	for i, f := range s.faults {
+	for i, f := range s.violations {
 		if i < 3 {
 			t.Errorf("refused %s", f)
 		}
@@ -116,7 +116,7 @@
 	}
 	for _, r := range s.c.Runners {
 		for attempt := range r.Stats().Attempts {
-			if id, _, _ := strings.Cut(attempt, "-"); s.ids[id] {
+			if id, _, _ := strings.Cut(attempt, "-"); s.refusedIDs[id] {
 				t.Errorf("a runner saw attempt %s of a refused request", attempt)
 			}
 		}
--- a/lab/cluster/tls_test.go
+++ b/lab/cluster/tls_test.go
@@ -20,8 +20,8 @@
 	cert *x509.Certificate
 }
 
-// bubbleYear is when virtual time begins.
-var bubbleYear = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
+// virtualStart is when virtual time begins.
+var virtualStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
@@ -31,8 +31,8 @@
 	}
 	return &authority{key: key, cert: &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
-		NotBefore:             bubbleYear.AddDate(-1, 0, 0),
-		NotAfter:              bubbleYear.AddDate(1, 0, 0),
+		NotBefore:             virtualStart.AddDate(-1, 0, 0),
+		NotAfter:              virtualStart.AddDate(1, 0, 0),
 		IsCA:                  true,
 		BasicConstraintsValid: true,
 		KeyUsage:              x509.KeyUsageCertSign,
@@ -75,7 +75,7 @@
 // A process on the daemons' network has a certificate of another authority, or
 // none. It would learn the manifest, with its organisations, and push one of its
 // own; a daemon with the right certificate must be helped as before.
-func TestOnlyDaemonsWithTheRightCertificateLearn(t *testing.T) {
+func TestPeersRequireTrustedCertificate(t *testing.T) {
 	good, bad := newAuthority(t), newAuthority(t)
 	flags := [][]string{good.flags(t), good.flags(t), good.flags(t), bad.flags(t), nil}
 	synctest.Test(t, func(t *testing.T) {
@@ -86,7 +86,7 @@
 		}
 		defer c.Close()
 		for _, n := range c.Nodes[2:] {
-			n.Way.Disconnect() // so that only neighbours can tell them
+			n.LogView.Disconnect() // so that only neighbours can tell them
 		}
 		c.publish(t, 0, "v1")
 		for i := range 3 {
--- a/lab/demo/caller.go
+++ b/lab/demo/caller.go
@@ -27,7 +27,7 @@
 	status     int
 	header     http.Header
 	tokens     []string
-	ended      bool // the end marker came
+	complete   bool // the end marker came
 	firstToken time.Duration
 	body       string // of an error, or of a call to a plain service
 }
@@ -64,13 +64,13 @@
 	return text
 }
 
-// ask sends the prompt and reads the stream to its end.
-func ask(ctx context.Context, baseURL string, p *prompt) (*reply, error) {
+// sendPrompt sends the prompt and reads the stream to its end.
+func sendPrompt(ctx context.Context, baseURL string, p *prompt) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+"/v1/chat/completions", bytes.NewReader(p.body()))
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+world.Key(p.organisation))
+	req.Header.Set("Authorization", "Bearer "+world.APIKey(p.organisation))
 	began := time.Now()
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
@@ -102,7 +102,7 @@
 			continue
 		}
 		if data == "[DONE]" {
-			r.ended = true
+			r.complete = true
 			continue
 		}
 		var c chunk
@@ -128,7 +128,7 @@
 	if err != nil {
 		return nil, err
 	}
-	req.Header.Set("Authorization", "Bearer "+world.Key(0))
+	req.Header.Set("Authorization", "Bearer "+world.APIKey(0))
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -16,8 +16,8 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// ErrBroken says that a promise did not hold.
-var ErrBroken = errors.New("demo: a promise was broken")
+// ErrGuaranteeBroken says that a promise did not hold.
+var ErrGuaranteeBroken = errors.New("demo: a promise was broken")
 
 // Options of the demo.
 type Options struct {
@@ -29,26 +29,26 @@
 // Bounds of the demo.
 const (
 	defaultRequests = 320
-	maxTime         = 2 * time.Minute
-	daemons         = 3
+	timeout         = 2 * time.Minute
+	daemonCount     = 3
 	runnerTokens    = float64(time.Second) / float64(prefillPerTok) // tokens/s of a stand-in
 )
 
-// Promise is the outcome of one step.
-type Promise struct {
-	Name string `json:"name"`
-	Held bool   `json:"held"`
-	Seen string `json:"seen"`
+// Result is the outcome of one step.
+type Result struct {
+	Name     string `json:"name"`
+	Held     bool   `json:"held"`
+	Observed string `json:"seen"`
 }
 
-// show is one run of the demo.
-type show struct {
-	o        Options
-	world    *world.World
-	cluster  *world.Cluster
-	prompts  []prompt
-	expected *expected
-	promises []Promise
+// demoRun is one run of the demo.
+type demoRun struct {
+	o         Options
+	world     *world.World
+	cluster   *world.Cluster
+	prompts   []prompt
+	reference *referenceAnswers
+	results   []Result
 }
 
 // Run runs the demo. It returns ErrBroken when a promise did not hold.
@@ -59,7 +59,7 @@
 	if o.Progress == nil {
 		o.Progress = io.Discard
 	}
-	ctx, cancel := context.WithTimeout(ctx, maxTime)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	w, err := world.Start(world.Options{
 		Runners:       6,
@@ -74,9 +74,9 @@
 		return err
 	}
 	defer w.Close()
-	s := &show{o: o, world: w, prompts: workload(o.Requests)}
-	s.expected = expect(s.prompts)
-	s.cluster, err = w.StartCluster(daemons, func(set *settings.Settings) { set.Routing.RunnerTokens = runnerTokens })
+	s := &demoRun{o: o, world: w, prompts: workload(o.Requests)}
+	s.reference = computeReference(s.prompts)
+	s.cluster, err = w.StartCluster(daemonCount, func(set *settings.Settings) { set.Routing.RunnerTokens = runnerTokens })
 	if err != nil {
 		return err
 	}
@@ -84,20 +84,20 @@
 	return s.run(ctx)
 }
 
-func (s *show) run(ctx context.Context) error {
+func (s *demoRun) run(ctx context.Context) error {
 	steps := []struct {
 		name string
-		do   func(context.Context) (Promise, error)
+		do   func(context.Context) (Result, error)
 	}{
 		{"publish a manifest", s.publish},
-		{"send the workload and a baseline", s.measure},
+		{"send the workload and a baseline", s.compareWithBaseline},
 		{"kill a runner in mid-stream", s.killRunner},
-		{"bring the runner back empty", s.returnEmpty},
+		{"bring the runner back empty", s.restartRunner},
 		{"restart a daemon with a stream open and the log down", s.restartDaemon},
 		{"book a slot twice with one key", s.bookTwice},
 		{"book while the log is down", s.bookWithoutLog},
-		{"let an endpoint leave", s.leave},
-		{"publish against an old manifest", s.race},
+		{"let an endpoint leave", s.markLeaving},
+		{"publish against an old manifest", s.publishConflict},
 	}
 	for _, step := range steps {
 		fmt.Fprintf(s.o.Progress, "demo: %s\n", step.name)
@@ -105,30 +105,30 @@
 		if err != nil {
 			return fmt.Errorf("demo: %s: %w", step.name, err)
 		}
-		s.promises = append(s.promises, p)
+		s.results = append(s.results, p)
 	}
 	return s.report()
 }
 
-func (s *show) report() error {
+func (s *demoRun) report() error {
 	broken := 0
 	fmt.Fprintln(s.o.Out, "\nPromise by promise:")
-	for _, p := range s.promises {
+	for _, p := range s.results {
 		verdict := "held  "
 		if !p.Held {
 			verdict = "BROKEN"
 			broken++
 		}
-		fmt.Fprintf(s.o.Out, "  %s  %-58s %s\n", verdict, p.Name, p.Seen)
+		fmt.Fprintf(s.o.Out, "  %s  %-58s %s\n", verdict, p.Name, p.Observed)
 	}
-	fmt.Fprintf(s.o.Out, "%d passed, %d failed\n", len(s.promises)-broken, broken)
+	fmt.Fprintf(s.o.Out, "%d passed, %d failed\n", len(s.results)-broken, broken)
 	if broken > 0 {
-		return ErrBroken
+		return ErrGuaranteeBroken
 	}
 	return nil
 }
 
-func (s *show) urls() []string {
+func (s *demoRun) urls() []string {
 	var urls []string
 	for _, n := range s.cluster.Nodes {
 		urls = append(urls, n.CallersURL)
@@ -137,17 +137,17 @@
 }
 
 // table prints the figures of the workload beside the baseline's.
-func (s *show) table(ours, base *figures) {
-	fmt.Fprintf(s.o.Out, "\n%d requests with nested shared prefixes over %d daemons, %d runners:\n", ours.asked, daemons, len(s.world.Runners))
+func (s *demoRun) table(ours, base *runStats) {
+	fmt.Fprintf(s.o.Out, "\n%d requests with nested shared prefixes over %d daemons, %d runners:\n", ours.requests, daemonCount, len(s.world.Runners))
 	fmt.Fprintf(s.o.Out, "  %-36s %12s %12s\n", "", "merlindock", "random")
 	row := func(name string, a, b any) { fmt.Fprintf(s.o.Out, "  %-36s %12v %12v\n", name, a, b) }
 	percent := func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
-	row("whole answers", ours.right, base.right)
+	row("whole answers", ours.correct, base.correct)
 	row("prefix hit rate", percent(ours.hitRate()), percent(base.hitRate()))
-	row("wasted recomputation, tokens", ours.waste(), base.waste())
+	row("wasted recomputation, tokens", ours.wastedTokens(), base.wastedTokens())
 	for _, q := range []float64{0.50, 0.95, 0.99} {
 		row(fmt.Sprintf("time to first token, p%.0f", 100*q), ours.percentile(q).Round(100*time.Microsecond), base.percentile(q).Round(100*time.Microsecond))
 	}
 }
 
-func seen(parts ...string) string { return strings.Join(parts, ", ") }
+func joinObservations(parts ...string) string { return strings.Join(parts, ", ") }
--- a/lab/demo/steps.go
+++ b/lab/demo/steps.go
@@ -20,8 +20,8 @@
 )
 
 // publish puts the first manifest in force on all daemons.
-func (s *show) publish(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a manifest is in force everywhere within seconds"}
+func (s *demoRun) publish(ctx context.Context) (Result, error) {
+	p := Result{Name: "a manifest is in force everywhere within seconds"}
 	text, err := manifest.Encode(s.world.Manifest())
 	if err != nil {
 		return p, err
@@ -36,28 +36,28 @@
 	}
 	took := time.Since(began)
 	p.Held = got.Outcome == admin.OutcomeAccepted && took < 5*time.Second
-	p.Seen = seen(string(got.Outcome), fmt.Sprintf("ready on %d daemons after %s", daemons, took.Round(time.Millisecond)))
+	p.Observed = joinObservations(string(got.Outcome), fmt.Sprintf("ready on %d daemons after %s", daemonCount, took.Round(time.Millisecond)))
 	return p, nil
 }
 
-// measure sends the workload through the daemons, and then through a gateway
+// compareWithBaseline sends the workload through the daemons, and then through a gateway
 // that places at random, on runners that were emptied.
-func (s *show) measure(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "each caller gets the whole answer to its own request"}
-	ours := drive(ctx, s.world, s.urls(), s.prompts, s.expected)
-	s.emptyRunners()
+func (s *demoRun) compareWithBaseline(ctx context.Context) (Result, error) {
+	p := Result{Name: "each caller gets the whole answer to its own request"}
+	routed := runWorkload(ctx, s.world, s.urls(), s.prompts, s.reference)
+	s.restartRunners()
 	base, err := s.baseline(ctx)
 	if err != nil {
 		return p, err
 	}
-	s.emptyRunners()
-	s.table(ours, base)
-	p.Held = ours.right == ours.asked && ours.hitRate() > base.hitRate()
-	p.Seen = fmt.Sprintf("%d of %d right", ours.right, ours.asked)
+	s.restartRunners()
+	s.table(routed, base)
+	p.Held = routed.correct == routed.requests && routed.hitRate() > base.hitRate()
+	p.Observed = fmt.Sprintf("%d of %d right", routed.correct, routed.requests)
 	return p, nil
 }
 
-func (s *show) emptyRunners() {
+func (s *demoRun) restartRunners() {
 	for _, r := range s.world.Runners {
 		r.Restart()
 	}
@@ -72,7 +72,7 @@
 	return gateway.Placement{Endpoint: e.ID, Address: e.Address}, nil
 }
 
-func (s *show) baseline(ctx context.Context) (*figures, error) {
+func (s *demoRun) baseline(ctx context.Context) (*runStats, error) {
 	m := s.world.Manifest()
 	index, err := catalog.New(&m)
 	if err != nil {
@@ -85,7 +85,7 @@
 	})
 	srv := httptest.NewServer(g)
 	defer srv.Close()
-	return drive(ctx, s.world, []string{srv.URL}, s.prompts, s.expected), nil
+	return runWorkload(ctx, s.world, []string{srv.URL}, s.prompts, s.reference), nil
 }
 
 // longPrompt is a request whose answer takes long enough to be interrupted.
@@ -93,26 +93,26 @@
 	return prompt{
 		seed:   seed,
 		tokens: tokens,
-		levels: []string{filler("preamble-0", preambleTokens), filler("long", questionTokens)},
+		levels: []string{fillerText("preamble-0", preambleTokens), fillerText("long", questionTokens)},
 	}
 }
 
 const (
-	longTokens = 400
-	slowSeed   = 100_000
+	longAnswerTokens = 400
+	longPromptSeed   = 100_000
 )
 
-// underWay asks in the background and returns once a runner generates.
-func (s *show) underWay(ctx context.Context, url string, p *prompt) (<-chan *reply, *standin.Runner, error) {
+// startStream asks in the background and returns once a runner generates.
+func (s *demoRun) startStream(ctx context.Context, url string, p *prompt) (<-chan *reply, *standin.Runner, error) {
 	done := make(chan *reply, 1)
 	go func() {
-		r, err := ask(ctx, url, p)
+		r, err := sendPrompt(ctx, url, p)
 		if err != nil {
 			r = &reply{body: err.Error()}
 		}
 		done <- r
 	}()
-	before := s.generated()
+	before := s.generatedTokens()
 	ticker := time.NewTicker(time.Millisecond)
 	defer ticker.Stop()
 	for {
@@ -129,7 +129,7 @@
 	}
 }
 
-func (s *show) generated() []int {
+func (s *demoRun) generatedTokens() []int {
 	var n []int
 	for _, r := range s.world.Runners {
 		n = append(n, r.Stats().GeneratedTokens)
@@ -137,46 +137,46 @@
 	return n
 }
 
-// whole tells whether a reply is the whole answer to the prompt.
-func whole(r *reply, p *prompt) bool {
-	return r.ended && r.text() == expect([]prompt{*p}).texts[0]
+// isCompleteAnswer tells whether a reply is the isCompleteAnswer answer to the prompt.
+func isCompleteAnswer(r *reply, p *prompt) bool {
+	return r.complete && r.text() == computeReference([]prompt{*p}).answers[0]
 }
 
-func (s *show) killRunner(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a stream stays complete and in order when its runner dies"}
-	long := longPrompt(slowSeed, longTokens)
-	done, r, err := s.underWay(ctx, s.cluster.Nodes[0].CallersURL, &long)
+func (s *demoRun) killRunner(ctx context.Context) (Result, error) {
+	p := Result{Name: "a stream stays complete and in order when its runner dies"}
+	long := longPrompt(longPromptSeed, longAnswerTokens)
+	done, r, err := s.startStream(ctx, s.cluster.Nodes[0].CallersURL, &long)
 	if err != nil {
 		return p, err
 	}
 	r.Crash()
 	got := <-done
-	p.Held = whole(got, &long)
-	p.Seen = fmt.Sprintf("%d of %d tokens, end marker %v", len(got.tokens), longTokens, got.ended)
+	p.Held = isCompleteAnswer(got, &long)
+	p.Observed = fmt.Sprintf("%d of %d tokens, end marker %v", len(got.tokens), longAnswerTokens, got.complete)
 	r.Restart()
 	return p, nil
 }
 
-// returnEmpty counts on the runner that died: every request of the workload's
+// restartRunner counts on the runner that died: every request of the workload's
 // beginning is answered whole though what the daemons knew of it is void.
-func (s *show) returnEmpty(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "no request relies on the cache of a dead engine"}
+func (s *demoRun) restartRunner(ctx context.Context) (Result, error) {
+	p := Result{Name: "no request relies on the cache of a dead engine"}
 	some := s.prompts[:len(s.prompts)/4]
-	drive(ctx, s.world, s.urls(), some, s.expected)
+	runWorkload(ctx, s.world, s.urls(), some, s.reference)
 	s.world.Runners[0].Crash()
 	s.world.Runners[0].Restart()
-	e := &expected{texts: s.expected.texts, prefilled: s.expected.prefilled}
-	f := drive(ctx, s.world, s.urls(), some, e)
-	p.Held = f.right == f.asked
-	p.Seen = fmt.Sprintf("%d of %d right after a runner came back empty", f.right, f.asked)
+	e := &referenceAnswers{answers: s.reference.answers, prefilled: s.reference.prefilled}
+	f := runWorkload(ctx, s.world, s.urls(), some, e)
+	p.Held = f.correct == f.requests
+	p.Observed = fmt.Sprintf("%d of %d right after a runner came back empty", f.correct, f.requests)
 	return p, nil
 }
 
-func (s *show) restartDaemon(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a shutdown cuts nothing and a restarted router serves at once"}
+func (s *demoRun) restartDaemon(ctx context.Context) (Result, error) {
+	p := Result{Name: "a shutdown cuts nothing and a restarted router serves at once"}
 	n := s.cluster.Nodes[1]
-	long := longPrompt(slowSeed+1, longTokens)
-	done, _, err := s.underWay(ctx, n.CallersURL, &long)
+	long := longPrompt(longPromptSeed+1, longAnswerTokens)
+	done, _, err := s.startStream(ctx, n.CallersURL, &long)
 	if err != nil {
 		return p, err
 	}
@@ -194,20 +194,20 @@
 	if err := s.cluster.Nodes[1].WaitReady(ctx); err != nil {
 		return p, err
 	}
-	again, err := ask(ctx, s.cluster.Nodes[1].CallersURL, &s.prompts[0])
+	again, err := sendPrompt(ctx, s.cluster.Nodes[1].CallersURL, &s.prompts[0])
 	if err != nil {
 		return p, err
 	}
 	took := time.Since(began)
-	p.Held = whole(got, &long) && again.text() == s.expected.texts[0] && took < 3*time.Second
-	p.Seen = fmt.Sprintf("stream %d of %d tokens, first answer %s after the start, log down", len(got.tokens), longTokens, took.Round(time.Millisecond))
+	p.Held = isCompleteAnswer(got, &long) && again.text() == s.reference.answers[0] && took < 3*time.Second
+	p.Observed = fmt.Sprintf("stream %d of %d tokens, first answer %s after the start, log down", len(got.tokens), longAnswerTokens, took.Round(time.Millisecond))
 	return p, nil
 }
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
 // effects counts what the plain services did for one slot.
-func (s *show) effects(slot string) int {
+func (s *demoRun) effects(slot string) int {
 	n := 0
 	for _, svc := range s.world.Services {
 		n += svc.Effects()["POST "+world.ServicePath+"slots "+slot]
@@ -215,8 +215,8 @@
 	return n
 }
 
-func (s *show) bookTwice(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a non-idempotent request runs at most once"}
+func (s *demoRun) bookTwice(ctx context.Context) (Result, error) {
+	p := Result{Name: "a non-idempotent request runs at most once"}
 	key, slot := newKey(), "slot 9:30"
 	first, err := bookWhenReady(ctx, s.cluster.Nodes[0].CallersURL, key, slot)
 	if err != nil {
@@ -228,7 +228,7 @@
 	}
 	n := s.effects(slot)
 	p.Held = n == 1 && first.status == 200 && first.body == second.body
-	p.Seen = fmt.Sprintf("two calls at two daemons, %d effect, same answer %v", n, first.body == second.body)
+	p.Observed = fmt.Sprintf("two calls at two daemons, %d effect, same answer %v", n, first.body == second.body)
 	return p, nil
 }
 
@@ -249,8 +249,8 @@
 	}
 }
 
-func (s *show) bookWithoutLog(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a refusal that says \"not run\" is true"}
+func (s *demoRun) bookWithoutLog(ctx context.Context) (Result, error) {
+	p := Result{Name: "a refusal that says \"not run\" is true"}
 	s.world.Log.SetOutage(true)
 	slot := "slot 10:00"
 	r, err := book(ctx, s.cluster.Nodes[0].CallersURL, newKey(), slot)
@@ -261,32 +261,32 @@
 	outcome := r.header.Get(gateway.HeaderOutcome)
 	n := s.effects(slot)
 	p.Held = outcome == string(gateway.OutcomeNotRun) && n == 0 && r.header.Get("Retry-After") != ""
-	p.Seen = fmt.Sprintf("log down: %d %s, %d effects", r.status, outcome, n)
+	p.Observed = fmt.Sprintf("log down: %d %s, %d effects", r.status, outcome, n)
 	return p, nil
 }
 
-// leaveWithin is how soon a leaving endpoint must get no new work.
-const leaveWithin = 3 * time.Second
+// leaveDeadline is how soon a leaving endpoint must get no new work.
+const leaveDeadline = 3 * time.Second
 
-func (s *show) leave(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "a leaving endpoint gets no new work after 3 s"}
+func (s *demoRun) markLeaving(ctx context.Context) (Result, error) {
+	p := Result{Name: "a leaving endpoint gets no new work after 3 s"}
 	leaving := s.world.Runners[2]
-	s.world.Leaving(s.world.Endpoints()[2].ID)
+	s.world.MarkLeaving(s.world.Endpoints()[2].ID)
 	select {
 	case <-ctx.Done():
 		return p, ctx.Err()
-	case <-time.After(leaveWithin):
+	case <-time.After(leaveDeadline):
 	}
 	before := leaving.Stats().Requests
-	f := drive(ctx, s.world, s.urls(), s.prompts[:len(s.prompts)/4], s.expected)
+	f := runWorkload(ctx, s.world, s.urls(), s.prompts[:len(s.prompts)/4], s.reference)
 	got := leaving.Stats().Requests - before
-	p.Held = got == 0 && f.right == f.asked
-	p.Seen = fmt.Sprintf("%d of %d requests went there", got, f.asked)
+	p.Held = got == 0 && f.correct == f.requests
+	p.Observed = fmt.Sprintf("%d of %d requests went there", got, f.requests)
 	return p, nil
 }
 
-func (s *show) race(ctx context.Context) (Promise, error) {
-	p := Promise{Name: "an accepted configuration never reverts"}
+func (s *demoRun) publishConflict(ctx context.Context) (Result, error) {
+	p := Result{Name: "an accepted configuration never reverts"}
 	m := s.world.Manifest()
 	m.Name = "stand-in-second"
 	second, err := manifest.Encode(m)
@@ -309,17 +309,17 @@
 	if err := s.changeSection(ctx); err != nil {
 		return p, err
 	}
-	listed, err := historyOf(ctx, s.cluster.Nodes[1])
+	listed, err := countAccepted(ctx, s.cluster.Nodes[1])
 	if err != nil {
 		return p, err
 	}
 	p.Held = listed >= 3 && a.Outcome == admin.OutcomeAccepted && b.Outcome == admin.OutcomeRefused && b.RefusedBy == a.Revision.Offset
-	p.Seen = fmt.Sprintf("two operators against manifest 1: %s, then %s by manifest %d", a.Outcome, b.Outcome, b.RefusedBy)
+	p.Observed = fmt.Sprintf("two operators against manifest 1: %s, then %s by manifest %d", a.Outcome, b.Outcome, b.RefusedBy)
 	return p, nil
 }
 
-// historyOf is how many accepted manifests a daemon lists.
-func historyOf(ctx context.Context, n *world.Node) (int, error) {
+// countAccepted is how many accepted manifests a daemon lists.
+func countAccepted(ctx context.Context, n *world.Node) (int, error) {
 	text, err := n.Admin().Get(ctx, "/v1/manifest/history")
 	if err != nil {
 		return 0, err
@@ -339,10 +339,10 @@
 
 // changeSection doubles one organisation's share, as an operator would who has
 // read its section.
-func (s *show) changeSection(ctx context.Context) error {
+func (s *demoRun) changeSection(ctx context.Context) error {
 	c := s.cluster.Nodes[1].Admin()
 	id := string(world.Organisation(0))
-	text, was, err := c.Section(ctx, "organisation", id)
+	text, baseDigest, err := c.Section(ctx, "organisation", id)
 	if err != nil {
 		return err
 	}
@@ -354,7 +354,7 @@
 	if text, err = json.Marshal(o); err != nil {
 		return err
 	}
-	p, err := c.ChangeSection(ctx, "organisation", id, was, text)
+	p, err := c.ChangeSection(ctx, "organisation", id, baseDigest, text)
 	if err == nil && p.Outcome != admin.OutcomeAccepted {
 		err = fmt.Errorf("the section was not accepted: %+v", p)
 	}
--- a/lab/demo/workload.go
+++ b/lab/demo/workload.go
@@ -18,21 +18,21 @@
 // The demo's workload: preambles, documents below them and questions below
 // those, in tokens.
 const (
-	organisations  = 8
-	documents      = 4 // of each organisation
-	preambleTokens = 400
-	documentTokens = 1600
-	questionTokens = 40
-	answerTokens   = 8
-	pieceTokens    = 200
-	prefillPerTok  = 10 * time.Microsecond
-	decodePerTok   = 500 * time.Microsecond
-	callersAtOnce  = 12
-	workloadSeed   = 7
+	organisations     = 8
+	documents         = 4 // of each organisation
+	preambleTokens    = 400
+	documentTokens    = 1600
+	questionTokens    = 40
+	answerTokens      = 8
+	pieceTokens       = 200
+	prefillPerTok     = 10 * time.Microsecond
+	decodePerTok      = 500 * time.Microsecond
+	concurrentCallers = 12
+	workloadSeed      = 7
 )
 
-// filler is text of about n tokens that no other name has.
-func filler(name string, n int) string {
+// fillerText is text of about n tokens that no other name has.
+func fillerText(name string, n int) string {
 	word := name + " "
 	return strings.Repeat(word, n*standin.DefaultBytesPerToken/len(word)+1)
 }
@@ -49,30 +49,30 @@
 			seed:         i + 1,
 			tokens:       answerTokens,
 			levels: []string{
-				filler(fmt.Sprintf("preamble-%d", org), preambleTokens),
-				filler(fmt.Sprintf("document-%d-%d", org, document), documentTokens),
-				filler(fmt.Sprintf("question-%d", i), questionTokens),
+				fillerText(fmt.Sprintf("preamble-%d", org), preambleTokens),
+				fillerText(fmt.Sprintf("document-%d-%d", org, document), documentTokens),
+				fillerText(fmt.Sprintf("question-%d", i), questionTokens),
 			},
 		}
 	}
 	return prompts
 }
 
-// expected is what a runner answers and what it takes at the least.
-type expected struct {
-	texts     []string
+// referenceAnswers is what a runner answers and what it takes at the least.
+type referenceAnswers struct {
+	answers   []string
 	prefilled int // by one runner that never forgets
 }
 
-// expect asks a runner of its own, whose cache holds everything, so that the
+// computeReference asks a runner of its own, whose cache holds everything, so that the
 // demo knows each right answer and the least work.
-func expect(prompts []prompt) *expected {
+func computeReference(prompts []prompt) *referenceAnswers {
 	ideal := standin.NewRunner(standin.RunnerOptions{
 		WeightVersion: world.Version,
 		PieceTokens:   pieceTokens,
 		CachePieces:   1 << 20,
 	})
-	e := &expected{}
+	e := &referenceAnswers{}
 	for i := range prompts {
 		rec := httptest.NewRecorder()
 		ideal.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(string(prompts[i].body()))))
@@ -80,41 +80,41 @@
 		if err := r.read(rec.Body, time.Now()); err != nil {
 			panic(err) // the stand-in writes what read reads
 		}
-		e.texts = append(e.texts, r.text())
+		e.answers = append(e.answers, r.text())
 	}
 	stats := ideal.Stats()
 	e.prefilled = stats.PromptTokens - stats.CachedTokens
 	return e
 }
 
-// figures sum up a run of the workload.
-type figures struct {
-	asked     int
-	right     int // whole, in order, the caller's own, with its end marker
-	prompt    int // tokens
-	prefilled int // tokens
-	least     int // tokens that had to be prefilled by anyone
-	first     []time.Duration
+// runStats sum up a run of the workload.
+type runStats struct {
+	requests     int
+	correct      int // whole, in order, the caller's own, with its end marker
+	promptTokens int // tokens
+	prefilled    int // tokens
+	minPrefilled int // tokens that had to be prefilled by anyone
+	firstToken   []time.Duration
 }
 
 // hitRate is the part of the tokens that could come from a cache which did.
-func (f *figures) hitRate() float64 {
-	return float64(f.prompt-f.prefilled) / float64(f.prompt-f.least)
+func (f *runStats) hitRate() float64 {
+	return float64(f.promptTokens-f.prefilled) / float64(f.promptTokens-f.minPrefilled)
 }
 
-// waste is the tokens prefilled beyond the least.
-func (f *figures) waste() int { return f.prefilled - f.least }
+// wastedTokens is the tokens prefilled beyond the least.
+func (f *runStats) wastedTokens() int { return f.prefilled - f.minPrefilled }
 
-func (f *figures) percentile(q float64) time.Duration {
-	if len(f.first) == 0 {
+func (f *runStats) percentile(q float64) time.Duration {
+	if len(f.firstToken) == 0 {
 		return 0
 	}
-	sorted := slices.Sorted(slices.Values(f.first))
+	sorted := slices.Sorted(slices.Values(f.firstToken))
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// totals sums what the runners have done.
-func totals(runners []*standin.Runner) (prompt, cached int) {
+// tokenTotals sums what the runners have done.
+func tokenTotals(runners []*standin.Runner) (prompt, cached int) {
 	for _, r := range runners {
 		s := r.Stats()
 		prompt += s.PromptTokens
@@ -123,22 +123,22 @@
 	return prompt, cached
 }
 
-// drive sends the workload from several callers at once, over the given URLs
+// runWorkload sends the workload from several callers at once, over the given URLs
 // in turn.
-func drive(ctx context.Context, w *world.World, urls []string, prompts []prompt, e *expected) *figures {
-	f := &figures{asked: len(prompts), least: e.prefilled}
-	promptBefore, cachedBefore := totals(w.Runners)
+func runWorkload(ctx context.Context, w *world.World, urls []string, prompts []prompt, e *referenceAnswers) *runStats {
+	f := &runStats{requests: len(prompts), minPrefilled: e.prefilled}
+	promptBefore, cachedBefore := tokenTotals(w.Runners)
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	next := make(chan int)
-	for range callersAtOnce {
+	for range concurrentCallers {
 		wg.Go(func() {
 			for i := range next {
-				r, err := ask(ctx, urls[i%len(urls)], &prompts[i])
+				r, err := sendPrompt(ctx, urls[i%len(urls)], &prompts[i])
 				mu.Lock()
-				if err == nil && r.ended && r.text() == e.texts[i] {
-					f.right++
-					f.first = append(f.first, r.firstToken)
+				if err == nil && r.complete && r.text() == e.answers[i] {
+					f.correct++
+					f.firstToken = append(f.firstToken, r.firstToken)
 				}
 				mu.Unlock()
 			}
@@ -149,8 +149,8 @@
 	}
 	close(next)
 	wg.Wait()
-	prompt, cached := totals(w.Runners)
-	f.prompt = prompt - promptBefore
-	f.prefilled = f.prompt - (cached - cachedBefore)
+	prompt, cached := tokenTotals(w.Runners)
+	f.promptTokens = prompt - promptBefore
+	f.prefilled = f.promptTokens - (cached - cachedBefore)
 	return f
 }
--- a/lab/fairness/traces_test.go
+++ b/lab/fairness/traces_test.go
@@ -12,7 +12,7 @@
 
 // workloads are the users' traces at rates that load the fleet well.
 var workloads = map[string]struct {
-	make func(trace.Generate) *trace.Trace
+	make func(trace.GeneratorOptions) *trace.Trace
 	rate float64 // requests a second
 }{
 	"registre": {trace.Registre, 52},
@@ -26,8 +26,8 @@
 	for b.Loop() {
 		for name, w := range workloads {
 			for seed := uint64(1); seed <= seeds; seed++ {
-				logTrace(b, name+" open", replay.Options{Trace: w.make(trace.Generate{Seed: seed, Duration: traceLength, Rate: w.rate}), Seed: seed})
-				logTrace(b, name+" contract", replay.Options{Trace: w.make(trace.Generate{Seed: seed, Duration: traceLength, Rate: w.rate}), Seed: seed, NewAdmitter: NewAdmitter})
+				logTrace(b, name+" open", replay.Options{Trace: w.make(trace.GeneratorOptions{Seed: seed, Duration: traceLength, Rate: w.rate}), Seed: seed})
+				logTrace(b, name+" contract", replay.Options{Trace: w.make(trace.GeneratorOptions{Seed: seed, Duration: traceLength, Rate: w.rate}), Seed: seed, NewAdmitter: NewAdmitter})
 			}
 		}
 	}
--- a/lab/history/claims_test.go
+++ b/lab/history/claims_test.go
@@ -326,7 +326,7 @@
 }
 
 // hasty sends as soon as its claim is appended, without reading it back.
-type hasty struct{ log *plog.Cut }
+type hasty struct{ log *plog.View }
 
 func (h hasty) Claim(ctx context.Context, r claims.Request) claims.Answer {
 	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: ledger.HashID(r.Key), Request: &r.Digest}
@@ -343,7 +343,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 0)
 		for range 2 {
-			d, _ := Open(t.Context(), DeskOptions{Log: w.log, Service: w.service, Record: w.rec, Claimer: func(c *plog.Cut) Claimer { return hasty{c} }})
+			d, _ := Open(t.Context(), DeskOptions{Log: w.log, Service: w.service, Record: w.rec, Claimer: func(c *plog.View) Claimer { return hasty{c} }})
 			w.desks = append(w.desks, d)
 		}
 		key := Key(time.Now(), 1)
--- a/lab/history/desk.go
+++ b/lab/history/desk.go
@@ -35,7 +35,7 @@
 
 // Desk is one daemon's part in keyed calls: it claims, sends and keeps.
 type Desk struct {
-	Log *plog.Cut
+	Log *plog.View
 
 	rec     *Recorder
 	service *Counter
@@ -54,7 +54,7 @@
 	Seed    uint64
 	Layout  ledger.Layout // zero: two partitions and Window
 	// Claimer replaces the real one when given.
-	Claimer func(*plog.Cut) Claimer
+	Claimer func(*plog.View) Claimer
 }
 
 // Open starts a daemon.
--- a/lab/history/follower.go
+++ b/lab/history/follower.go
@@ -22,7 +22,7 @@
 // proofs to its neighbours.
 type Follower struct {
 	Name string
-	Log  *plog.Cut
+	Log  *plog.View
 
 	manifests *logio.Manifests
 	kill      context.CancelFunc
--- a/lab/history/leases_test.go
+++ b/lab/history/leases_test.go
@@ -17,7 +17,7 @@
 
 // giver is a daemon that gives orders to endpoints while it holds the lease.
 type giver struct {
-	log    *plog.Cut
+	log    *plog.View
 	keeper *logio.LeaseKeeper
 	kill   context.CancelFunc
 	paused bool
--- a/lab/history/publish_test.go
+++ b/lab/history/publish_test.go
@@ -54,11 +54,11 @@
 }
 
 // cutAfterAppend loses its way to the log with the first append.
-type cutAfterAppend struct{ *plog.Cut }
+type cutAfterAppend struct{ *plog.View }
 
 func (c *cutAfterAppend) Append(ctx context.Context, s ports.Stream, data []byte) (ports.Offset, error) {
 	defer c.Disconnect()
-	return c.Cut.Append(ctx, s, data)
+	return c.View.Append(ctx, s, data)
 }
 
 func TestDaemonsFollowAndCheckpointBeforeExpiry(t *testing.T) {
--- a/lab/load/call.go
+++ b/lab/load/call.go
@@ -26,34 +26,34 @@
 	failureCut      = "cut"       // the stream ended without its end marker
 )
 
-// call is one caller. Its fields tell of its last request.
-type call struct {
+// caller is one caller. Its fields tell of its last request.
+type caller struct {
 	o      *Options
 	reader *bufio.Reader
 
-	first  time.Duration // to the first token
-	total  time.Duration
-	gaps   []time.Duration // between tokens that came in separate reads
-	tokens int
-	bytes  int
-	code   string // why it failed; empty if it did not
+	firstToken time.Duration // to the first token
+	total      time.Duration
+	gaps       []time.Duration // between tokens that came in separate reads
+	tokens     int
+	bytes      int
+	failure    string // why it failed; empty if it did not
 }
 
-func newCall(o *Options) *call {
-	return &call{o: o, reader: bufio.NewReaderSize(nil, readBufferBytes)}
+func newCaller(o *Options) *caller {
+	return &caller{o: o, reader: bufio.NewReaderSize(nil, readBufferBytes)}
 }
 
 // run makes one request and reads its answer to the end.
-func (c *call) run(ctx context.Context, body string) {
+func (c *caller) run(ctx context.Context, body string) {
 	ctx, cancel := context.WithTimeout(ctx, c.o.Timeout)
 	defer cancel()
-	c.first, c.tokens, c.bytes, c.code, c.gaps = 0, 0, 0, "", c.gaps[:0]
+	c.firstToken, c.tokens, c.bytes, c.failure, c.gaps = 0, 0, 0, "", c.gaps[:0]
 	began := time.Now()
-	c.code = c.exchange(ctx, body, began)
+	c.failure = c.exchange(ctx, body, began)
 	c.total = time.Since(began)
 }
 
-func (c *call) exchange(ctx context.Context, body string, began time.Time) string {
+func (c *caller) exchange(ctx context.Context, body string, began time.Time) string {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, c.o.URL+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
 		return failureNoAnswer
@@ -79,7 +79,7 @@
 }
 
 // read reads the events up to the end marker.
-func (c *call) read(began time.Time) string {
+func (c *caller) read(began time.Time) string {
 	last := began
 	waited := false // for a line since the last token, such as the one with its number
 	for {
@@ -102,7 +102,7 @@
 		}
 		now := time.Now()
 		if c.tokens == 0 {
-			c.first = now.Sub(began)
+			c.firstToken = now.Sub(began)
 		} else if waited {
 			c.gaps = append(c.gaps, now.Sub(last))
 		}
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -65,12 +65,12 @@
 	eg, ctx := errgroup.WithContext(ctx)
 	eg.Go(func() error {
 		defer close(starts)
-		g.pace(ctx, starts)
+		g.schedule(ctx, starts)
 		return nil
 	})
 	began := time.Now()
 	for range o.Callers {
-		eg.Go(func() error { return g.caller(ctx, starts) })
+		eg.Go(func() error { return g.runCaller(ctx, starts) })
 	}
 	err := eg.Wait()
 	g.report.Elapsed = time.Since(began)
@@ -97,8 +97,8 @@
 	}
 }
 
-// pace hands out the numbers of the requests when each is due.
-func (g *generator) pace(ctx context.Context, starts chan<- int) {
+// schedule hands out the numbers of the requests when each is due.
+func (g *generator) schedule(ctx context.Context, starts chan<- int) {
 	began := time.Now()
 	for i := range g.o.Requests {
 		if g.o.Rate > 0 {
@@ -126,8 +126,8 @@
 	}
 }
 
-func (g *generator) caller(ctx context.Context, starts <-chan int) error {
-	c := newCall(&g.o)
+func (g *generator) runCaller(ctx context.Context, starts <-chan int) error {
+	c := newCaller(&g.o)
 	for i := range starts {
 		c.run(ctx, g.body(i))
 		g.mu.Lock()
@@ -148,20 +148,20 @@
 	prefix := rng.IntN(g.o.Prefixes)
 	half := max(g.o.PromptBytes/2, 1)
 	var b strings.Builder
-	b.Grow(2*half + bodyFrameBytes)
+	b.Grow(2*half + bodyOverheadBytes)
 	fmt.Fprintf(&b, `{"model":%q,"stream":true,"max_tokens":%d,"messages":[{"role":"system","content":"`, g.o.Model, g.o.Tokens)
-	addText(&b, "specification sheet "+strconv.Itoa(prefix)+" ", half)
+	appendText(&b, "specification sheet "+strconv.Itoa(prefix)+" ", half)
 	b.WriteString(`"},{"role":"user","content":"`)
-	addText(&b, "question "+strconv.Itoa(i)+" ", half)
+	appendText(&b, "question "+strconv.Itoa(i)+" ", half)
 	b.WriteString(`"}]}`)
 	return b.String()
 }
 
-// bodyFrameBytes is about what a body has beside its two texts.
-const bodyFrameBytes = 256
+// bodyOverheadBytes is about what a body has beside its two texts.
+const bodyOverheadBytes = 256
 
-// addText adds a phrase over and over, up to a size.
-func addText(b *strings.Builder, phrase string, size int) {
+// appendText adds a phrase over and over, up to a size.
+func appendText(b *strings.Builder, phrase string, size int) {
 	for ; size > 0; size -= len(phrase) {
 		b.WriteString(phrase[:min(len(phrase), size)])
 	}
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -12,8 +12,8 @@
 
 // The range and precision of the histograms, in microseconds.
 const (
-	shortest          = 1
-	longest           = int64(10 * time.Minute / time.Microsecond)
+	minMicroseconds   = 1
+	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
@@ -33,22 +33,22 @@
 func newReport() Report {
 	return Report{
 		Failed:     make(map[string]int),
-		FirstToken: hdrhistogram.New(shortest, longest, significantDigits),
-		Total:      hdrhistogram.New(shortest, longest, significantDigits),
-		Gap:        hdrhistogram.New(shortest, longest, significantDigits),
+		FirstToken: hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
+		Total:      hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
+		Gap:        hdrhistogram.New(minMicroseconds, maxMicroseconds, significantDigits),
 	}
 }
 
-func (r *Report) add(c *call) {
+func (r *Report) add(c *caller) {
 	r.Requests++
 	r.Tokens += c.tokens
 	r.Bytes += int64(c.bytes)
-	if c.code != "" {
-		r.Failed[c.code]++
+	if c.failure != "" {
+		r.Failed[c.failure]++
 		return
 	}
 	r.Answered++
-	record(r.FirstToken, c.first)
+	record(r.FirstToken, c.firstToken)
 	record(r.Total, c.total)
 	for _, gap := range c.gaps {
 		record(r.Gap, gap)
@@ -56,7 +56,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := min(max(d.Microseconds(), shortest), longest)
+	us := min(max(d.Microseconds(), minMicroseconds), maxMicroseconds)
 	// The value is within the histogram's range, so this cannot fail.
 	_ = h.RecordValue(us)
 }
--- a/lab/measure/restart.go
+++ b/lab/measure/restart.go
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	req.Header.Set("Authorization", "Bearer "+world.Key(0))
+	req.Header.Set("Authorization", "Bearer "+world.APIKey(0))
 	resp, err := http.DefaultClient.Do(req)
 	if err != nil {
 		return err
--- a/lab/replay/arrivals.go
+++ b/lab/replay/arrivals.go
@@ -20,7 +20,7 @@
 // The daemon of each is drawn here, so that all policies see the same.
 func (b *bench) jobs() []*job {
 	requests := b.requests()
-	cutter := b.o.Trace.NewCutter()
+	cutter := b.o.Trace.NewSplitter()
 	balancer := rand.New(rand.NewPCG(b.o.Seed, 2))
 	jobs := make([]*job, 0, len(requests))
 	for i := range requests {
--- a/lab/replay/figures/figures.go
+++ b/lab/replay/figures/figures.go
@@ -19,7 +19,7 @@
 // Load is one workload at one rate of requests.
 type Load struct {
 	Name     string
-	Generate func(trace.Generate) *trace.Trace
+	Generate func(trace.GeneratorOptions) *trace.Trace
 	Rate     float64 // requests/s
 }
 
@@ -63,7 +63,7 @@
 			for s := range seeds {
 				group.Go(func() (err error) {
 					seed := uint64(s + 1)
-					tr := l.Generate(trace.Generate{Seed: seed, Duration: duration, Rate: l.Rate})
+					tr := l.Generate(trace.GeneratorOptions{Seed: seed, Duration: duration, Rate: l.Rate})
 					reports[i][s], err = replay.Run(replay.Options{Trace: tr, Policy: p, Seed: seed})
 					return err
 				})
--- a/lab/replay/outcomes_test.go
+++ b/lab/replay/outcomes_test.go
@@ -136,8 +136,8 @@
 // The targets are for traffic that has gone on for a while; the committed
 // traces are too short for that of waste.
 func TestTargetsOnTwoMinutes(t *testing.T) {
-	g := trace.Generate{Seed: 1, Duration: 2 * time.Minute}
-	for rate, generate := range map[float64]func(trace.Generate) *trace.Trace{35: trace.Registre, 20: trace.Tsukushi} {
+	g := trace.GeneratorOptions{Seed: 1, Duration: 2 * time.Minute}
+	for rate, generate := range map[float64]func(trace.GeneratorOptions) *trace.Trace{35: trace.Registre, 20: trace.Tsukushi} {
 		g.Rate = rate
 		tr := generate(g)
 		t.Run(tr.Header.Name, func(t *testing.T) {
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -12,7 +12,7 @@
 
 // small is a Tsukushi trace of 20 seconds at half load.
 func small(seed uint64) *trace.Trace {
-	return trace.Tsukushi(trace.Generate{Seed: seed, Duration: 20 * time.Second, Rate: 16})
+	return trace.Tsukushi(trace.GeneratorOptions{Seed: seed, Duration: 20 * time.Second, Rate: 16})
 }
 
 func run(t *testing.T, o Options) Report {
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -8,33 +8,33 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// maxNames bounds the keys that one piece of a cache is known by.
-const maxNames = 8
+// maxKeysPerPiece bounds the keys that one piece of a cache is known by.
+const maxKeysPerPiece = 8
 
 // pieceCache is a runner's cache of prompt pieces with eviction of the least
 // recently used. A piece that ends a named level has that level's key.
 type pieceCache struct {
-	limit   int
-	order   *list.List // of uint64 keys, the most recently used first
-	index   map[uint64]*list.Element
-	names   map[uint64][]prefix.Key
-	changed func(kind string, key prefix.Key)
+	limit     int
+	order     *list.List // of uint64 keys, the most recently used first
+	index     map[uint64]*list.Element
+	levelKeys map[uint64][]prefix.Key
+	onEvent   func(kind string, key prefix.Key)
 }
 
 func newPieceCache(limit int, changed func(kind string, key prefix.Key)) *pieceCache {
 	return &pieceCache{
-		limit:   limit,
-		order:   list.New(),
-		index:   make(map[uint64]*list.Element),
-		names:   make(map[uint64][]prefix.Key),
-		changed: changed,
+		limit:     limit,
+		order:     list.New(),
+		index:     make(map[uint64]*list.Element),
+		levelKeys: make(map[uint64][]prefix.Key),
+		onEvent:   changed,
 	}
 }
 
 func (c *pieceCache) size() int { return c.order.Len() }
 
-// hits returns how many of the leading pieces are cached, and then caches all.
-func (c *pieceCache) hits(keys []uint64) int {
+// lookup returns how many of the leading pieces are cached, and then caches all.
+func (c *pieceCache) lookup(keys []uint64) int {
 	n := 0
 	for n < len(keys) && c.index[keys[n]] != nil {
 		n++
@@ -58,18 +58,18 @@
 
 func (c *pieceCache) evict(key uint64) {
 	delete(c.index, key)
-	for _, name := range c.names[key] {
-		c.changed(engine.CacheRemoved, name)
+	for _, level := range c.levelKeys[key] {
+		c.onEvent(engine.CacheRemoved, level)
 	}
-	delete(c.names, key)
+	delete(c.levelKeys, key)
 }
 
-// name notes that a level ends with the piece.
-func (c *pieceCache) name(piece uint64, key prefix.Key) {
-	names := c.names[piece]
-	if c.index[piece] == nil || len(names) == maxNames || slices.Contains(names, key) {
+// addLevelKey notes that a level ends with the piece.
+func (c *pieceCache) addLevelKey(piece uint64, key prefix.Key) {
+	names := c.levelKeys[piece]
+	if c.index[piece] == nil || len(names) == maxKeysPerPiece || slices.Contains(names, key) {
 		return
 	}
-	c.names[piece] = append(names, key)
-	c.changed(engine.CacheStored, key)
+	c.levelKeys[piece] = append(names, key)
+	c.onEvent(engine.CacheStored, key)
 }
--- a/lab/standin/events.go
+++ b/lab/standin/events.go
@@ -14,10 +14,10 @@
 )
 
 const (
-	keptEvents     = 4096
-	eventsAtOnce   = 64
-	eventBatchTime = 20 * time.Millisecond
-	eventHeartbeat = 10 * time.Second
+	maxRetainedEvents      = 4096
+	maxEventBatch          = 64
+	eventBatchInterval     = 20 * time.Millisecond
+	eventHeartbeatInterval = 10 * time.Second
 )
 
 // EventFaults say how badly a runner tells of its cache.
@@ -33,7 +33,7 @@
 
 	mu   sync.Mutex // guards what follows; locked after Runner.mu
 	last uint64     // sequence number of the last event; 0: none yet
-	ring [keptEvents]loggedEvent
+	ring [maxRetainedEvents]loggedEvent
 	wake chan struct{} // closed at the next event
 }
 
@@ -42,15 +42,15 @@
 	at time.Time
 }
 
-func newEventLog(life fleet.Incarnation) *eventLog {
-	return &eventLog{incarnation: life, wake: make(chan struct{})}
+func newEventLog(incarnation fleet.Incarnation) *eventLog {
+	return &eventLog{incarnation: incarnation, wake: make(chan struct{})}
 }
 
 func (l *eventLog) add(kind string, key prefix.Key) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.last++
-	l.ring[l.last%keptEvents] = loggedEvent{engine.CacheEvent{Kind: kind, Key: key}, time.Now()}
+	l.ring[l.last%maxRetainedEvents] = loggedEvent{engine.CacheEvent{Kind: kind, Key: key}, time.Now()}
 	close(l.wake)
 	l.wake = make(chan struct{})
 }
@@ -66,12 +66,12 @@
 func (l *eventLog) since(seq uint64, before time.Time) (uint64, []engine.CacheEvent, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.last >= keptEvents {
-		seq = max(seq, l.last-keptEvents+1)
+	if l.last >= maxRetainedEvents {
+		seq = max(seq, l.last-maxRetainedEvents+1)
 	}
 	var events []engine.CacheEvent
-	for s := seq; s <= l.last && len(events) < eventsAtOnce; s++ {
-		e := &l.ring[s%keptEvents]
+	for s := seq; s <= l.last && len(events) < maxEventBatch; s++ {
+		e := &l.ring[s%maxRetainedEvents]
 		if e.at.After(before) {
 			break
 		}
@@ -88,12 +88,12 @@
 	r.eventRand = rand.New(rand.NewPCG(f.Seed, f.Seed))
 }
 
-// faulty returns the delay of events and whether the next message is lost.
-func (r *Runner) faulty() (time.Duration, bool) {
+// nextDelivery returns the delay of events and whether the next message is lost.
+func (r *Runner) nextDelivery() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	lost := r.eventFaults.Loss > 0 && r.eventRand.Float64() < r.eventFaults.Loss
-	return max(r.eventFaults.Delay, eventBatchTime), lost
+	return max(r.eventFaults.Delay, eventBatchInterval), lost
 }
 
 func (r *Runner) serveEvents(w http.ResponseWriter, req *http.Request) {
@@ -102,7 +102,7 @@
 		return
 	}
 	r.mu.Lock()
-	log, life := r.events, r.alive
+	log, alive := r.events, r.alive
 	r.mu.Unlock()
 	w.Header().Set("Content-Type", "text/event-stream")
 	s := &eventSender{w: w, log: log}
@@ -113,7 +113,7 @@
 	timer := time.NewTimer(0)
 	defer timer.Stop()
 	for {
-		delay, lost := r.faulty()
+		delay, lost := r.nextDelivery()
 		first, events, wake, more := log.since(next, time.Now().Add(-delay))
 		if len(events) > 0 {
 			next = first + uint64(len(events))
@@ -122,15 +122,15 @@
 			}
 			continue
 		}
-		wait := eventHeartbeat
+		wait := eventHeartbeatInterval
 		if more {
-			wait, wake = eventBatchTime, nil
+			wait, wake = eventBatchInterval, nil
 		}
 		timer.Reset(wait)
 		select {
 		case <-req.Context().Done():
 			return
-		case <-life.Done():
+		case <-alive.Done():
 			panic(http.ErrAbortHandler)
 		case <-wake:
 		case <-timer.C:
--- a/lab/standin/events_test.go
+++ b/lab/standin/events_test.go
@@ -16,7 +16,7 @@
 
 // An engine that names other prefixes than it was told of, or says nothing of
 // what it evicts, would lead daemons to caches that are gone.
-func TestRunnerTellsWhatItStoresAndEvicts(t *testing.T) {
+func TestRunnerReportsStoredAndEvictedPrefixes(t *testing.T) {
 	r := NewRunner(RunnerOptions{PieceTokens: 10, CachePieces: 2})
 	srv := httptest.NewServer(r)
 	defer srv.Close()
@@ -49,9 +49,9 @@
 	for i := range 2 {
 		key := prefix.Key{byte(i + 1)}
 		body := fmt.Sprintf(`{"model":"m","messages":[{"role":"system","content":%q}]}`, strings.Repeat(fmt.Sprint(i), 80))
-		ask := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
-		ask.Header.Set(engine.HeaderPrefix, prefix.Format([]prefix.Level{{Key: key, Tokens: 25}}))
-		r.ServeHTTP(httptest.NewRecorder(), ask)
+		completionReq := httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(body))
+		completionReq.Header.Set(engine.HeaderPrefix, prefix.Format([]prefix.Level{{Key: key, Tokens: 25}}))
+		r.ServeHTTP(httptest.NewRecorder(), completionReq)
 		want["stored "+key.String()] = true
 	}
 	want["removed "+prefix.Key{1}.String()] = true
--- a/lab/standin/faults.go
+++ b/lab/standin/faults.go
@@ -35,8 +35,8 @@
 }
 
 const (
-	wrongLengthBytes = 1000
-	endlessBytes     = 8 << 20
+	excessContentLength = 1000
+	maxEndlessBytes     = 8 << 20
 )
 
 // InjectFaults queues faults, one for each of the next requests.
@@ -63,8 +63,8 @@
 	return f
 }
 
-// at tells whether the fault comes before the token of the given count.
-func (f Fault) at(sent int) bool {
+// dueAt tells whether the fault comes before the token of the given count.
+func (f Fault) dueAt(sent int) bool {
 	switch f.Kind {
 	case FaultMidStream, FaultMalformed, FaultEndlessLine, FaultError, FaultHang:
 		return sent == f.After
@@ -73,27 +73,27 @@
 	}
 }
 
-// midStream brings the fault about before token i is sent. It does not return.
-func (j *job) midStream(i int) {
+// failMidStream brings the fault about before token i is sent. It does not return.
+func (j *job) failMidStream(i int) {
 	switch j.fault.Kind {
 	case FaultMalformed:
 		token := j.appendToken(nil, i)
 		_, _ = j.w.Write(append(token[:len(token)/2], "\n\n"...))
 	case FaultEndlessLine:
-		endless(j.w, "data: {")
+		writeEndless(j.w, "data: {")
 	case FaultError:
 		_, _ = io.WriteString(j.w, "data: {\"error\":{\"message\":\"out of memory\"}}\n\n")
 	case FaultHang:
 		<-j.ctx.Done()
-		j.broken()
+		j.abort()
 	}
 	_ = http.NewResponseController(j.w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// raw brings about faults that break the protocol below the header, and tells
+// writeRaw brings about faults that break the protocol below the header, and tells
 // whether it did.
-func (f Fault) raw(w http.ResponseWriter) bool {
+func (f Fault) writeRaw(w http.ResponseWriter) bool {
 	if f.Kind != FaultEndlessHeader {
 		return false
 	}
@@ -102,15 +102,15 @@
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = buf.WriteString("HTTP/1.1 200 OK\r\n")
-	endless(buf, "X-Endless: ")
+	writeEndless(buf, "X-Endless: ")
 	_ = conn.Close()
 	return true
 }
 
-func endless(w io.Writer, prefix string) {
+func writeEndless(w io.Writer, prefix string) {
 	filler := strings.Repeat("x", 4<<10)
 	_, _ = io.WriteString(w, prefix)
-	for sent := 0; sent < endlessBytes; sent += len(filler) {
+	for sent := 0; sent < maxEndlessBytes; sent += len(filler) {
 		if _, err := io.WriteString(w, filler); err != nil {
 			return
 		}
--- a/lab/standin/generate.go
+++ b/lab/standin/generate.go
@@ -39,22 +39,22 @@
 	var frame []byte
 	for i := j.first; i <= j.last; i++ {
 		if pause.For(j.ctx, j.r.o.Decode) != nil {
-			j.broken()
+			j.abort()
 		}
-		if j.fault.at(i - j.first) {
-			j.midStream(i)
+		if j.fault.dueAt(i - j.first) {
+			j.failMidStream(i)
 		}
 		if j.fault.Kind == FaultSkippedToken && i-j.first == j.fault.After {
 			continue
 		}
 		frame = j.appendToken(frame[:0], i)
 		if _, err := j.w.Write(frame); err != nil {
-			j.broken()
+			j.abort()
 		}
 		if err := rc.Flush(); err != nil {
-			j.broken()
+			j.abort()
 		}
-		j.generated(1)
+		j.countGenerated(1)
 	}
 	if j.fault.Kind == FaultBeforeEnd {
 		panic(http.ErrAbortHandler)
@@ -69,10 +69,10 @@
 	_, _ = io.WriteString(j.w, end)
 }
 
-// broken ends an answer whose caller left or whose runner crashed.
-func (j *job) broken() {
+// abort ends an answer whose caller left or whose runner crashed.
+func (j *job) abort() {
 	if j.req.Context().Err() != nil {
-		j.r.cancelled()
+		j.r.countCancelled()
 	}
 	panic(http.ErrAbortHandler)
 }
@@ -100,21 +100,21 @@
 	return append(b, "}]}\n\n"...)
 }
 
-type wholeAnswer struct {
-	ID      string        `json:"id"`
-	Object  string        `json:"object"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-	Usage   usage         `json:"usage"`
+type completion struct {
+	ID      string             `json:"id"`
+	Object  string             `json:"object"`
+	Model   string             `json:"model"`
+	Choices []completionChoice `json:"choices"`
+	Usage   usage              `json:"usage"`
 }
 
-type wholeChoice struct {
-	Index        int          `json:"index"`
-	Message      wholeMessage `json:"message"`
-	FinishReason string       `json:"finish_reason"`
+type completionChoice struct {
+	Index        int               `json:"index"`
+	Message      completionMessage `json:"message"`
+	FinishReason string            `json:"finish_reason"`
 }
 
-type wholeMessage struct {
+type completionMessage struct {
 	Role    string `json:"role"`
 	Content string `json:"content"`
 }
@@ -125,23 +125,23 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// answerWhole sends all tokens in one object.
-func (j *job) answerWhole() {
+// sendCompletion sends all tokens in one object.
+func (j *job) sendCompletion() {
 	var text strings.Builder
 	for i := 0; i <= j.last; i++ {
 		if pause.For(j.ctx, j.r.o.Decode) != nil {
-			j.broken()
+			j.abort()
 		}
 		text.WriteString(Token(j.word, i))
 	}
-	j.generated(j.last + 1)
+	j.countGenerated(j.last + 1)
 	prompt := len(j.prompt)/j.r.o.BytesPerToken + 1
-	body, _ := json.Marshal(wholeAnswer{
+	body, _ := json.Marshal(completion{
 		ID:     "cmpl-" + j.word,
 		Object: "chat.completion",
 		Model:  j.body.Model,
-		Choices: []wholeChoice{{
-			Message:      wholeMessage{Role: "assistant", Content: text.String()},
+		Choices: []completionChoice{{
+			Message:      completionMessage{Role: "assistant", Content: text.String()},
 			FinishReason: "stop",
 		}},
 		Usage: usage{PromptTokens: prompt, CompletionTokens: j.last + 1, TotalTokens: prompt + j.last + 1},
@@ -151,20 +151,20 @@
 		panic(http.ErrAbortHandler)
 	}
 	if j.fault.Kind == FaultContentLength {
-		j.w.Header().Set("Content-Length", strconv.Itoa(len(body)+wrongLengthBytes))
+		j.w.Header().Set("Content-Length", strconv.Itoa(len(body)+excessContentLength))
 	}
 	_, _ = j.w.Write(body)
 }
 
-func (j *job) generated(tokens int) {
+func (j *job) countGenerated(tokens int) {
 	j.r.mu.Lock()
 	defer j.r.mu.Unlock()
 	j.r.stats.GeneratedTokens += tokens
 }
 
-// pieces returns the keys of the prompt's whole pieces. Each key depends on
+// pieceKeys returns the keys of the prompt's whole pieceKeys. Each key depends on
 // all before it, and on whose cache it is.
-func (j *job) pieces() []uint64 {
+func (j *job) pieceKeys() []uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(j.req.Header.Get(engine.HeaderOrganisation) + "|" + j.body.Model + "|")
 	_, _ = d.WriteString(j.req.Header.Get(engine.HeaderAdapter) + "|" + j.version + "|")
--- a/lab/standin/lifecycle.go
+++ b/lab/standin/lifecycle.go
@@ -9,9 +9,9 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// live begins another life with an empty cache. The caller holds mu, or is
+// startIncarnation begins another life with an empty cache. The caller holds mu, or is
 // alone.
-func (r *Runner) live() {
+func (r *Runner) startIncarnation() {
 	r.incarnation++
 	r.alive, r.kill = context.WithCancel(context.Background())
 	r.down = false
@@ -33,7 +33,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.kill()
-	r.live()
+	r.startIncarnation()
 }
 
 // SetDraining makes the runner refuse new work, or take it again.
--- a/lab/standin/network.go
+++ b/lab/standin/network.go
@@ -124,14 +124,14 @@
 	for {
 		n, err := c.Conn.Read(p)
 		var e net.Error
-		if !errors.As(err, &e) || !e.Timeout() || c.renew() {
+		if !errors.As(err, &e) || !e.Timeout() || c.expiredOrReset() {
 			return n, err
 		}
 	}
 }
 
-// renew tells whether the deadline has passed, and sets it again if not.
-func (c *conn) renew() bool {
+// expiredOrReset tells whether the deadline has passed, and sets it again if not.
+func (c *conn) expiredOrReset() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !c.deadline.IsZero() && !time.Now().Before(c.deadline) {
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -28,13 +28,13 @@
 	loadLimit = 2
 )
 
-// fleetOf is a fleet of runners that take orders, with one manifest.
-type fleetOf struct {
+// orderedFleet is a fleet of runners that take orders, with one manifest.
+type orderedFleet struct {
 	t       *testing.T
 	store   *standin.WeightStore
 	runners map[string]*standin.OrderedRunner // by address
 	members []fleet.Member
-	holders int
+	leaders int
 	log     *plog.Log
 
 	mu       sync.Mutex
@@ -42,8 +42,8 @@
 	revision ports.Offset
 }
 
-func newFleet(t *testing.T, count int, fences bool) *fleetOf {
-	f := &fleetOf{t: t, log: plog.New(plog.Options{}), runners: map[string]*standin.OrderedRunner{}}
+func newFleet(t *testing.T, count int, fences bool) *orderedFleet {
+	f := &orderedFleet{t: t, log: plog.New(plog.Options{}), runners: map[string]*standin.OrderedRunner{}}
 	f.store = &standin.WeightStore{AtOnce: loadLimit, Load: loadTime}
 	f.publish("v1")
 	for i := range count {
@@ -59,7 +59,7 @@
 	return f
 }
 
-func (f *fleetOf) publish(version string) {
+func (f *orderedFleet) publish(version string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.revision++
@@ -70,19 +70,19 @@
 	}
 }
 
-func (f *fleetOf) situation(time.Time) orders.FleetState {
+func (f *orderedFleet) state(time.Time) orders.FleetState {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return orders.FleetState{Manifest: f.manifest, Revision: f.revision, Endpoints: f.members}
 }
 
-// tookOnly tells whether a runner took orders for one version only.
-func (f *fleetOf) tookOnly(address, version string) bool {
+// executedOnly tells whether a runner took orders for one version only.
+func (f *orderedFleet) executedOnly(address, version string) bool {
 	return !slices.ContainsFunc(f.runners[address].ExecutedOrders(), func(o rollout.Order) bool { return o.Version != version })
 }
 
-// leaving sets what the daemons believe of a runner.
-func (f *fleetOf) leaving(address string, leaving bool) {
+// setLeaving sets what the daemons believe of a runner.
+func (f *orderedFleet) setLeaving(address string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.members = slices.Clone(f.members)
@@ -93,25 +93,25 @@
 	}
 }
 
-// path is the way from one holder to the runners. Its pauses happen before or
+// leaderTransport is the way from one holder to the runners. Its pauses happen before or
 // after the order's bytes are taken.
-type path struct {
-	f       *fleetOf
-	mu      sync.Mutex
-	before  time.Duration // the holder stops before it writes
-	network time.Duration // the bytes are under way; the holder gives up meanwhile
-	late    atomic.Value  // address that they are under way to
-	log     *plog.Cut     // as the holder sees it
+type leaderTransport struct {
+	f           *orderedFleet
+	mu          sync.Mutex
+	before      time.Duration // the holder stops before it writes
+	inTransit   time.Duration // the bytes are under way; the holder gives up meanwhile
+	lateAddress atomic.Value  // address that they are under way to
+	log         *plog.View    // as the holder sees it
 }
 
-func (p *path) pause(before, network time.Duration) {
+func (p *leaderTransport) pause(before, network time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.before, p.network = before, network
+	p.before, p.inTransit = before, network
 }
 
-// stop is the pause of the whole process: nothing goes to the log meanwhile.
-func (p *path) stop(d time.Duration) {
+// suspend is the pause of the whole process: nothing goes to the log meanwhile.
+func (p *leaderTransport) suspend(d time.Duration) {
 	if d == 0 {
 		return
 	}
@@ -120,15 +120,15 @@
 	time.AfterFunc(time.Second, p.log.Reconnect)
 }
 
-func (p *path) RoundTrip(req *http.Request) (*http.Response, error) {
+func (p *leaderTransport) RoundTrip(req *http.Request) (*http.Response, error) {
 	var before, network time.Duration
 	if req.Method == http.MethodPost {
 		p.mu.Lock()
-		before, network = p.before, p.network
-		p.before, p.network = 0, 0
+		before, network = p.before, p.inTransit
+		p.before, p.inTransit = 0, 0
 		p.mu.Unlock()
 	}
-	p.stop(before)
+	p.suspend(before)
 	taken := req.Clone(context.Background())
 	if req.Body != nil {
 		text, err := io.ReadAll(req.Body)
@@ -140,7 +140,7 @@
 	if network == 0 {
 		return p.f.serve(req.URL.Host, taken)
 	}
-	p.late.Store(req.URL.Host)
+	p.lateAddress.Store(req.URL.Host)
 	time.AfterFunc(network, func() {
 		if resp, err := p.f.serve(req.URL.Host, taken); err == nil {
 			resp.Body.Close()
@@ -150,7 +150,7 @@
 	return nil, req.Context().Err()
 }
 
-func (f *fleetOf) serve(address string, req *http.Request) (resp *http.Response, err error) {
+func (f *orderedFleet) serve(address string, req *http.Request) (resp *http.Response, err error) {
 	defer func() {
 		if recover() != nil {
 			err = io.ErrUnexpectedEOF
@@ -161,24 +161,24 @@
 	return w.Result(), nil
 }
 
-// holder starts a daemon that gives orders, and returns its path and a way to
+// startLeader starts a daemon that gives orders, and returns its path and a way to
 // stop it.
-func (f *fleetOf) holder() (*path, func()) {
-	p := &path{f: f, log: f.log.View()}
-	f.holders++
+func (f *orderedFleet) startLeader() (*leaderTransport, func()) {
+	p := &leaderTransport{f: f, log: f.log.View()}
+	f.leaders++
 	keeper := logio.NewLeaseKeeper(logio.LeaseOptions{
 		Log:    p.log,
 		Name:   "orders",
-		Holder: fmt.Sprintf("entry-%d", f.holders),
+		Holder: fmt.Sprintf("entry-%d", f.leaders),
 		Poll:   200 * time.Millisecond,
-		Seed:   uint64(f.holders),
+		Seed:   uint64(f.leaders),
 	})
-	return p, f.give(p, keeper, keeper.Run)
+	return p, f.runLeader(p, keeper, keeper.Run)
 }
 
-// give starts the giving of orders under a lease, and returns how to stop it.
-func (f *fleetOf) give(p *path, l orders.Lease, run func(context.Context) error) func() {
-	g := orders.New(orders.Options{Lease: l, FleetState: f.situation, Transport: p})
+// runLeader starts the giving of orders under a lease, and returns how to stop it.
+func (f *orderedFleet) runLeader(p *leaderTransport, l orders.Lease, run func(context.Context) error) func() {
+	g := orders.New(orders.Options{Lease: l, FleetState: f.state, Transport: p})
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = run(ctx) })
@@ -191,19 +191,19 @@
 	return stop
 }
 
-// held is a lease that is held for the whole time.
-type held ports.Offset
+// fixedLease is a lease that is fixedLease for the whole time.
+type fixedLease ports.Offset
 
-func (h held) Holding(now time.Time) (logio.Holding, bool) {
+func (h fixedLease) Holding(now time.Time) (logio.Holding, bool) {
 	return logio.Holding{Fence: ports.Offset(h), Until: now.Add(time.Minute)}, true
 }
 
-func (held) Release(context.Context) {}
+func (fixedLease) Release(context.Context) {}
 
-func (held) run(context.Context) error { return nil }
+func (fixedLease) run(context.Context) error { return nil }
 
-// all tells whether every runner has the version, and none else.
-func (f *fleetOf) all(version string) bool {
+// allRun tells whether every runner has the version, and none else.
+func (f *orderedFleet) allRun(version string) bool {
 	for _, r := range f.runners {
 		s := r.Status()
 		if s.Loading != nil || len(s.Models) != 1 || s.Models[0].Version != version {
@@ -213,11 +213,11 @@
 	return true
 }
 
-func (f *fleetOf) wait(version string) time.Duration {
+func (f *orderedFleet) waitForVersion(version string) time.Duration {
 	f.t.Helper()
 	began := time.Now()
 	for time.Since(began) < 2*time.Hour {
-		if f.all(version) {
+		if f.allRun(version) {
 			return time.Since(began)
 		}
 		time.Sleep(time.Second)
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -23,35 +23,35 @@
 	Refuse int // 0: never
 	Load   time.Duration
 
-	mu   sync.Mutex // guards what follows
-	open int
-	most int
+	mu           sync.Mutex // guards what follows
+	openLoads    int
+	maxOpenLoads int
 }
 
-// begin starts a load and returns how long it takes; false when it is refused.
-func (s *WeightStore) begin() (time.Duration, bool) {
+// beginLoad starts a load and returns how long it takes; false when it is refused.
+func (s *WeightStore) beginLoad() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Refuse > 0 && s.open >= s.Refuse {
+	if s.Refuse > 0 && s.openLoads >= s.Refuse {
 		return 0, false
 	}
-	s.open++
-	s.most = max(s.most, s.open)
-	slower := max(1, float64(s.open)/float64(max(1, s.AtOnce)))
+	s.openLoads++
+	s.maxOpenLoads = max(s.maxOpenLoads, s.openLoads)
+	slower := max(1, float64(s.openLoads)/float64(max(1, s.AtOnce)))
 	return time.Duration(float64(s.Load) * slower), true
 }
 
-func (s *WeightStore) end() {
+func (s *WeightStore) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.openLoads--
 }
 
 // MaxConcurrentLoads is the most loads that were ever open at once.
 func (s *WeightStore) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.maxOpenLoads
 }
 
 // OrderOptions describe how a runner takes orders.
@@ -71,14 +71,14 @@
 	*Runner
 	o OrderOptions
 
-	mu     sync.Mutex // guards what follows
-	status rollout.Status
-	fence  ports.Offset
-	timer  *time.Timer
-	taken  []rollout.Order
-	lose   int
-	fail   bool
-	served string // version that the Runner was told to serve
+	mu            sync.Mutex // guards what follows
+	status        rollout.Status
+	fence         ports.Offset
+	timer         *time.Timer
+	executed      []rollout.Order
+	answersToDrop int
+	failLoads     bool
+	servedVersion string // version that the Runner was told to serve
 }
 
 // AcceptOrders makes a runner take orders.
@@ -94,21 +94,21 @@
 func (e *OrderedRunner) DropAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lose = n
+	e.answersToDrop = n
 }
 
 // FailLoads makes all loads fail at their end, or succeed again.
 func (e *OrderedRunner) FailLoads(fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fail = fail
+	e.failLoads = fail
 }
 
 // ExecutedOrders returns the orders that took effect.
 func (e *OrderedRunner) ExecutedOrders() []rollout.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.taken)
+	return slices.Clone(e.executed)
 }
 
 // Crash loses what is loaded and what is being loaded, see Runner.Crash.
@@ -116,7 +116,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.timer != nil && e.timer.Stop() {
-		e.o.Store.end()
+		e.o.Store.endLoad()
 	}
 	e.status = rollout.Status{}
 	e.serveLoaded()
@@ -168,7 +168,7 @@
 	}
 	fence, _ := strconv.ParseInt(req.Header.Get(engine.HeaderFence), 10, 64)
 	o.Fence = ports.Offset(fence)
-	status, lost := e.take(o)
+	status, lost := e.execute(o)
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
@@ -181,9 +181,9 @@
 	w.WriteHeader(status)
 }
 
-// take carries an order out, and returns the answer's status and whether the
+// execute carries an order out, and returns the answer's status and whether the
 // answer is lost.
-func (e *OrderedRunner) take(o rollout.Order) (status int, lost bool) {
+func (e *OrderedRunner) execute(o rollout.Order) (status int, lost bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.o.Fences && o.Fence < e.fence {
@@ -195,9 +195,9 @@
 	}
 	status = e.begin(o)
 	if status == http.StatusAccepted {
-		e.taken = append(e.taken, o)
-		lost = e.lose > 0
-		e.lose--
+		e.executed = append(e.executed, o)
+		lost = e.answersToDrop > 0
+		e.answersToDrop--
 	}
 	return status, lost
 }
@@ -206,25 +206,25 @@
 func (e *OrderedRunner) begin(o rollout.Order) int {
 	switch o.Kind {
 	case rollout.KindLoad, rollout.KindLoadAdapter:
-		d, ok := e.o.Store.begin()
+		d, ok := e.o.Store.beginLoad()
 		if !ok {
 			return http.StatusTooManyRequests
 		}
 		e.status.Loading = &o
 		if o.Kind == rollout.KindLoad {
-			e.drop(o.Model)
+			e.removeModel(o.Model)
 		}
-		life := e.Incarnation()
+		incarnation := e.Incarnation()
 		e.timer = time.AfterFunc(d, func() {
-			e.o.Store.end()
+			e.o.Store.endLoad()
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.Incarnation() == life && e.status.Loading != nil {
-				e.loaded(o)
+			if e.Incarnation() == incarnation && e.status.Loading != nil {
+				e.finishLoad(o)
 			}
 		})
 	case rollout.KindUnload:
-		e.drop(o.Model)
+		e.removeModel(o.Model)
 	case rollout.KindRole:
 		e.status.Role = o.Role
 	case rollout.KindUnloadAdapter:
@@ -239,12 +239,12 @@
 	return http.StatusAccepted
 }
 
-// loaded ends a load. The caller holds mu.
-func (e *OrderedRunner) loaded(o rollout.Order) {
+// finishLoad ends a load. The caller holds mu.
+func (e *OrderedRunner) finishLoad(o rollout.Order) {
 	e.status.Loading = nil
-	e.status.Last = &rollout.Result{Order: o.ID, Done: !e.fail}
+	e.status.Last = &rollout.Result{Order: o.ID, Done: !e.failLoads}
 	switch {
-	case e.fail:
+	case e.failLoads:
 		e.status.Last.Detail = "no space left for weights"
 	case o.Kind == rollout.KindLoad:
 		e.status.Models = append(slices.Clone(e.status.Models), rollout.Model{ID: o.Model, Version: o.Version})
@@ -254,7 +254,7 @@
 	e.serveLoaded()
 }
 
-func (e *OrderedRunner) drop(model string) {
+func (e *OrderedRunner) removeModel(model string) {
 	e.status.Models = slices.DeleteFunc(slices.Clone(e.status.Models), func(m rollout.Model) bool { return m.ID == model })
 }
 
@@ -289,8 +289,8 @@
 		weights = []fleet.Weights{{}} // nothing is ready
 	}
 	e.setWeights(weights)
-	if version != e.served {
-		e.served = version
+	if version != e.servedVersion {
+		e.servedVersion = version
 		e.SetWeightVersion(version)
 	}
 }
--- a/lab/standin/orders_test.go
+++ b/lab/standin/orders_test.go
@@ -11,21 +11,21 @@
 // a garbage collection, or its VM is moved. Its lease lapses and another daemon
 // rolls out a newer manifest. When the first wakes up it still believes that it
 // holds the lease; the order that it was about to write must not leave.
-func TestPausedHolderWakesUp(t *testing.T) {
+func TestSuspendedLeaderSendsNoStaleOrder(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 12, fences)
-				first, _ := f.holder()
+				first, _ := f.startLeader()
 				time.Sleep(30 * time.Second)
 				first.pause(5*time.Minute, 0)
 				f.publish("v2")
 				time.Sleep(5 * time.Second)
 				f.publish("v3")
-				f.holder()
+				f.startLeader()
 				time.Sleep(6 * time.Minute)
-				f.wait("v3")
-				f.noneTaken("v2")
+				f.waitForVersion("v3")
+				f.checkNoneExecuted("v2")
 				if f.store.MaxConcurrentLoads() > 2 {
 					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 				}
@@ -34,7 +34,7 @@
 	}
 }
 
-func (f *fleetOf) noneTaken(version string) {
+func (f *orderedFleet) checkNoneExecuted(version string) {
 	f.t.Helper()
 	for id, r := range f.runners {
 		for _, o := range r.ExecutedOrders() {
@@ -50,25 +50,25 @@
 // loads the older version; the present holder reads that back and puts it
 // right, one load beyond the limit at the most, and requests never run on the
 // wrong version, since they name theirs.
-func TestOrderArrivesAfterTheLeaseWentElsewhere(t *testing.T) {
+func TestOrderDelayedBeyondLease(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 12, fences)
-				first, stop := f.holder()
+				first, stop := f.startLeader()
 				time.Sleep(30 * time.Second)
 				first.pause(0, 5*time.Minute)
 				f.publish("v2")
 				time.Sleep(5 * time.Second)
 				stop()
 				f.publish("v3")
-				f.holder()
+				f.startLeader()
 				time.Sleep(6 * time.Minute)
-				f.wait("v3")
+				f.waitForVersion("v3")
 				if f.store.MaxConcurrentLoads() > 3 {
 					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 				}
-				if late := first.late.Load().(string); fences != f.tookOnly(late, "v3") {
+				if late := first.lateAddress.Load().(string); fences != f.executedOnly(late, "v3") {
 					t.Errorf("runner that fences %v: took %v", fences, f.runners[late].ExecutedOrders())
 				}
 			})
@@ -79,21 +79,21 @@
 // A daemon stops while its last order is still on its way to a runner, and gives
 // the lease up. The next holder, who thinks that this runner is leaving, must not
 // fill the loads of the fleet before that order has arrived or never will.
-func TestNextHolderWaitsOutTheLastOrder(t *testing.T) {
+func TestNewLeaderWaitsForOrderInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, false)
-		first := &path{f: f}
-		stop := f.give(first, held(1), held(1).run)
+		first := &leaderTransport{f: f}
+		stop := f.runLeader(first, fixedLease(1), fixedLease(1).run)
 		time.Sleep(30 * time.Second)
 		first.pause(0, 4*time.Second)
 		f.publish("v2")
 		time.Sleep(1500 * time.Millisecond)
 		stop()
-		f.leaving(first.late.Load().(string), true)
-		f.give(&path{f: f}, held(2), held(2).run)
+		f.setLeaving(first.lateAddress.Load().(string), true)
+		f.runLeader(&leaderTransport{f: f}, fixedLease(2), fixedLease(2).run)
 		time.Sleep(30 * time.Second)
-		f.leaving(first.late.Load().(string), false)
-		f.wait("v2")
+		f.setLeaving(first.lateAddress.Load().(string), false)
+		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() > 2 {
 			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 		}
@@ -102,14 +102,14 @@
 
 // Six daemons start at once and all want to give orders. If two did, the weight
 // store would see twice the loads that it bears.
-func TestManyDaemonsOneHolder(t *testing.T) {
+func TestSingleLeaderAmongManyDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for range 6 {
-			f.holder()
+			f.startLeader()
 		}
 		f.publish("v2")
-		t.Logf("12 runners, 2 loads of %v at once: %v", loadTime, f.wait("v2"))
+		t.Logf("12 runners, 2 loads of %v at once: %v", loadTime, f.waitForVersion("v2"))
 		if f.store.MaxConcurrentLoads() != 2 {
 			t.Errorf("%d loads at once, want 2", f.store.MaxConcurrentLoads())
 		}
@@ -118,13 +118,13 @@
 
 // Answers are lost after orders took effect, a runner crashes in mid-load and
 // comes back empty. The rollout ends, within the limit of loads.
-func TestRolloutWithLostAnswersAndACrash(t *testing.T) {
+func TestRolloutWithLostAnswersAndCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for _, r := range f.runners {
 			r.DropAnswers(1)
 		}
-		f.holder()
+		f.startLeader()
 		f.publish("v2")
 		crashed := false
 		for !crashed {
@@ -137,7 +137,7 @@
 				}
 			}
 		}
-		f.wait("v2")
+		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() > 2 {
 			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 		}
@@ -150,9 +150,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, true)
 		f.store.Refuse = 1
-		f.holder()
+		f.startLeader()
 		f.publish("v2")
-		f.wait("v2")
+		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() != 1 {
 			t.Errorf("%d loads at once, want 1", f.store.MaxConcurrentLoads())
 		}
@@ -167,7 +167,7 @@
 		for _, r := range f.runners {
 			r.FailLoads(true)
 		}
-		f.holder()
+		f.startLeader()
 		time.Sleep(30 * time.Second)
 		f.publish("v2")
 		for range 60 {
@@ -183,6 +183,6 @@
 		for _, r := range f.runners {
 			r.FailLoads(false)
 		}
-		f.wait("v2")
+		f.waitForVersion("v2")
 	})
 }
--- a/lab/standin/plog/faults.go
+++ b/lab/standin/plog/faults.go
@@ -7,8 +7,8 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// repeatDepth is how far back a duplicate delivery reaches.
-const repeatDepth = 3
+// duplicateRecords is how far back a duplicate delivery reaches.
+const duplicateRecords = 3
 
 type faults struct {
 	outage      bool
@@ -17,12 +17,12 @@
 	loseAnswers int
 	repeatReads int
 	lateAppends int
-	lateBy      time.Duration
+	lateDelay   time.Duration
 }
 
 func (f *faults) down(now time.Time) bool { return f.outage || now.Before(f.outageUntil) }
 
-func (f *faults) loseAnswer() bool {
+func (f *faults) takeLostAnswer() bool {
 	if f.loseAnswers == 0 {
 		return false
 	}
@@ -35,43 +35,43 @@
 		return from
 	}
 	f.repeatReads--
-	return max(first, from-repeatDepth)
+	return max(first, from-duplicateRecords)
 }
 
 // SetOutage starts or ends an outage: no append takes effect, no read is
 // answered.
-func (l *Log) SetOutage(on bool) { l.fault(func(f *faults) { f.outage = on }) }
+func (l *Log) SetOutage(on bool) { l.updateFaults(func(f *faults) { f.outage = on }) }
 
 // OutageFor starts an outage that ends by itself.
 func (l *Log) OutageFor(d time.Duration) {
 	until := l.opt.Now().Add(d)
-	l.fault(func(f *faults) { f.outageUntil = until })
+	l.updateFaults(func(f *faults) { f.outageUntil = until })
 }
 
 // SetDelay makes every call take d.
-func (l *Log) SetDelay(d time.Duration) { l.fault(func(f *faults) { f.delay = d }) }
+func (l *Log) SetDelay(d time.Duration) { l.updateFaults(func(f *faults) { f.delay = d }) }
 
 // LoseAnswers makes the next n appends take effect and fail.
-func (l *Log) LoseAnswers(n int) { l.fault(func(f *faults) { f.loseAnswers = n }) }
+func (l *Log) LoseAnswers(n int) { l.updateFaults(func(f *faults) { f.loseAnswers = n }) }
 
 // RepeatReads makes the next n reads deliver records again that were
 // delivered before.
-func (l *Log) RepeatReads(n int) { l.fault(func(f *faults) { f.repeatReads = n }) }
+func (l *Log) RepeatReads(n int) { l.updateFaults(func(f *faults) { f.repeatReads = n }) }
 
 // LateAppends makes the next n appends fail at once and take effect after d.
 func (l *Log) LateAppends(n int, d time.Duration) {
-	l.fault(func(f *faults) { f.lateAppends, f.lateBy = n, d })
+	l.updateFaults(func(f *faults) { f.lateAppends, f.lateDelay = n, d })
 }
 
-func (f *faults) late() (time.Duration, bool) {
+func (f *faults) takeLateAppend() (time.Duration, bool) {
 	if f.lateAppends == 0 {
 		return 0, false
 	}
 	f.lateAppends--
-	return f.lateBy, true
+	return f.lateDelay, true
 }
 
-func (l *Log) fault(change func(*faults)) {
+func (l *Log) updateFaults(change func(*faults)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	change(&l.faults)
@@ -94,43 +94,43 @@
 	}
 }
 
-// Cut is one daemon's way to the log, which can be interrupted while others
+// View is one daemon's way to the log, which can be interrupted while others
 // reach it.
-type Cut struct {
-	Log *Log
-	off chan struct{}
+type View struct {
+	Log          *Log
+	disconnected chan struct{}
 }
 
 // View returns a way to the log that Disconnect interrupts.
-func (l *Log) View() *Cut { return &Cut{Log: l, off: make(chan struct{}, 1)} }
+func (l *Log) View() *View { return &View{Log: l, disconnected: make(chan struct{}, 1)} }
 
 // Disconnect makes every call by this way fail.
-func (c *Cut) Disconnect() {
+func (c *View) Disconnect() {
 	select {
-	case c.off <- struct{}{}:
+	case c.disconnected <- struct{}{}:
 	default:
 	}
 }
 
 // Reconnect ends Disconnect.
-func (c *Cut) Reconnect() {
+func (c *View) Reconnect() {
 	select {
-	case <-c.off:
+	case <-c.disconnected:
 	default:
 	}
 }
 
 // Append implements ports.Log.
-func (c *Cut) Append(ctx context.Context, s ports.Stream, data []byte) (ports.Offset, error) {
-	if len(c.off) > 0 {
+func (c *View) Append(ctx context.Context, s ports.Stream, data []byte) (ports.Offset, error) {
+	if len(c.disconnected) > 0 {
 		return 0, ports.ErrNotAppended
 	}
 	return c.Log.Append(ctx, s, data)
 }
 
 // Read implements ports.Log.
-func (c *Cut) Read(ctx context.Context, s ports.Stream, from ports.Offset, limit int) (ports.Page, error) {
-	if len(c.off) > 0 {
+func (c *View) Read(ctx context.Context, s ports.Stream, from ports.Offset, limit int) (ports.Page, error) {
+	if len(c.disconnected) > 0 {
 		return ports.Page{}, ports.ErrUnavailable
 	}
 	return c.Log.Read(ctx, s, from, limit)
--- a/lab/standin/plog/http.go
+++ b/lab/standin/plog/http.go
@@ -22,11 +22,11 @@
 	mux.HandleFunc("GET "+records, l.serveRead)
 	mux.HandleFunc("GET "+httplog.PathEndpoints, func(w http.ResponseWriter, r *http.Request) {
 		list, err := v.Endpoints(r.Context())
-		answerList(w, r, list, err)
+		writeList(w, r, list, err)
 	})
 	mux.HandleFunc("GET "+httplog.PathDaemons, func(w http.ResponseWriter, r *http.Request) {
 		list, err := v.Daemons(r.Context())
-		answerList(w, r, list, err)
+		writeList(w, r, list, err)
 	})
 	return mux
 }
@@ -39,7 +39,7 @@
 		return
 	}
 	offset, err := l.Append(r.Context(), ports.Stream(r.PathValue("stream")), body)
-	answer(w, httplog.Appended{Offset: offset}, err)
+	writeResult(w, httplog.Appended{Offset: offset}, err)
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -54,10 +54,10 @@
 		return
 	}
 	page, err := l.Read(r.Context(), ports.Stream(r.PathValue("stream")), ports.Offset(from), limit)
-	answer(w, page, err)
+	writeResult(w, page, err)
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+func writeResult(w http.ResponseWriter, v any, err error) {
 	var truncated *ports.TruncatedError
 	switch {
 	case err == nil:
@@ -72,12 +72,12 @@
 	}
 }
 
-// answerList answers with a tag of the list's content, and without the list
+// writeList answers with a tag of the list's content, and without the list
 // when the caller has it.
-func answerList(w http.ResponseWriter, r *http.Request, list any, err error) {
+func writeList(w http.ResponseWriter, r *http.Request, list any, err error) {
 	text, marshalErr := json.Marshal(list)
 	if err != nil || marshalErr != nil {
-		answer(w, list, errors.Join(err, marshalErr))
+		writeResult(w, list, errors.Join(err, marshalErr))
 		return
 	}
 	tag := fmt.Sprintf(`"%x"`, xxhash.Sum64(text))
--- a/lab/standin/plog/plog.go
+++ b/lab/standin/plog/plog.go
@@ -24,7 +24,7 @@
 	DefaultRetention      = 6 * time.Hour
 	DefaultAppendRate     = 300 // appends a second
 	DefaultMaxRecordBytes = 9 << 20
-	maxPage               = 1000 // records in one answer
+	maxPageRecords        = 1000 // records in one answer
 	maxPageBytes          = 32 << 20
 )
 
@@ -89,14 +89,14 @@
 
 // Append implements ports.Log.
 func (l *Log) Append(ctx context.Context, name ports.Stream, data []byte) (ports.Offset, error) {
-	delay, err := l.beforeAppend(len(data))
+	delay, err := l.checkAppend(len(data))
 	if err != nil {
 		return 0, err
 	}
 	if err := pause.For(ctx, delay/2); err != nil {
 		return 0, fmt.Errorf("%w: %w", ports.ErrNotAppended, err)
 	}
-	if by, late := l.late(); late {
+	if by, late := l.takeLateAppend(); late {
 		data = append([]byte(nil), data...)
 		time.AfterFunc(by, func() { l.add(name, data) })
 		return 0, fmt.Errorf("%w: no answer", ports.ErrUnavailable)
@@ -111,7 +111,7 @@
 	return offset, nil
 }
 
-func (l *Log) beforeAppend(size int) (time.Duration, error) {
+func (l *Log) checkAppend(size int) (time.Duration, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opt.Now()
@@ -130,10 +130,10 @@
 	return l.faults.delay, nil
 }
 
-func (l *Log) late() (time.Duration, bool) {
+func (l *Log) takeLateAppend() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.faults.late()
+	return l.faults.takeLateAppend()
 }
 
 func (l *Log) add(name ports.Stream, data []byte) (ports.Offset, bool) {
@@ -147,7 +147,7 @@
 	}
 	l.counts.Appends++
 	l.counts.BytesIn += len(data)
-	return r.Offset, l.faults.loseAnswer()
+	return r.Offset, l.faults.takeLostAnswer()
 }
 
 func (l *Log) stream(name ports.Stream) *stream {
@@ -200,7 +200,7 @@
 	limit += int(asked - from)
 	page := ports.Page{First: s.first, Next: s.next()}
 	bytes := 0
-	for o := from; o < s.next() && len(page.Records) < min(limit, maxPage) && bytes < maxPageBytes; o++ {
+	for o := from; o < s.next() && len(page.Records) < min(limit, maxPageRecords) && bytes < maxPageBytes; o++ {
 		r := s.records[o-s.first]
 		bytes += len(r.Data)
 		page.Records = append(page.Records, r)
--- a/lab/standin/plog/plog_test.go
+++ b/lab/standin/plog/plog_test.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-func TestClientAndStandInAgree(t *testing.T) {
+func TestClientAgainstStandIn(t *testing.T) {
 	ctx := t.Context()
 	l, v := New(Options{AppendRate: -1}), NewVMs(nil, 0)
 	c := client(t, l, v)
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestClientTellsNotAppendedFromUnknown(t *testing.T) {
+func TestClientDistinguishesNotAppendedFromUnknown(t *testing.T) {
 	// The log refuses an append, or takes it and loses the answer. A client
 	// that mixed the two up would tell callers "not run" of what is in the log.
 	ctx := t.Context()
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestFaultsOnCommand(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		l := New(Options{Retention: time.Hour, AppendRate: 10})
--- a/lab/standin/plog/vms.go
+++ b/lab/standin/plog/vms.go
@@ -16,7 +16,7 @@
 	lag time.Duration
 
 	mu     sync.Mutex
-	down   bool
+	outage bool
 	states []vmState // oldest first
 }
 
@@ -56,13 +56,13 @@
 func (v *VMs) SetOutage(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.down = on
+	v.outage = on
 }
 
 func (v *VMs) current() (vmState, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.down {
+	if v.outage {
 		return vmState{}, fmt.Errorf("%w: VM list", ports.ErrUnavailable)
 	}
 	seen := v.now().Add(-v.lag)
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -107,12 +107,12 @@
 	setDefault(&o.Slots, DefaultSlots)
 	r := &Runner{o: o, slots: make(chan struct{}, o.Slots), version: o.WeightVersion}
 	r.transport = &http.Transport{DialContext: o.Dial, DisableKeepAlives: true}
-	r.exports = make(chan struct{}, exportsAtOnce)
+	r.exports = make(chan struct{}, maxConcurrentExports)
 	r.stats.Attempts = make(map[string]int)
-	r.live()
+	r.startIncarnation()
 	r.mux = http.NewServeMux()
-	r.mux.HandleFunc("POST /v1/chat/completions", r.complete)
-	r.mux.HandleFunc("POST /v1/completions", r.complete)
+	r.mux.HandleFunc("POST /v1/chat/completions", r.serveCompletion)
+	r.mux.HandleFunc("POST /v1/completions", r.serveCompletion)
 	r.mux.HandleFunc("GET "+engine.PathLoad, r.serveLoad)
 	r.mux.HandleFunc("GET "+engine.PathEvents, r.serveEvents)
 	return r
@@ -143,20 +143,20 @@
 
 // job is one request at a runner.
 type job struct {
-	r       *Runner
-	w       http.ResponseWriter
-	req     *http.Request
-	ctx     context.Context
-	body    completionRequest
-	prompt  []byte
-	levels  []prefix.Level
-	fault   Fault
-	first   int // index of the first token to send
-	last    int // index of the last token
-	cached  int
-	version string
-	life    fleet.Incarnation
-	word    string // what the generated tokens are made of
+	r           *Runner
+	w           http.ResponseWriter
+	req         *http.Request
+	ctx         context.Context
+	body        completionRequest
+	prompt      []byte
+	levels      []prefix.Level
+	fault       Fault
+	first       int // index of the first token to send
+	last        int // index of the last token
+	cached      int
+	version     string
+	incarnation fleet.Incarnation
+	word        string // what the generated tokens are made of
 }
 
 type completionRequest struct {
@@ -168,33 +168,33 @@
 	Seed      int64           `json:"seed"`
 }
 
-func (r *Runner) complete(w http.ResponseWriter, req *http.Request) {
+func (r *Runner) serveCompletion(w http.ResponseWriter, req *http.Request) {
 	j := &job{r: r, w: w, req: req}
-	if !j.read() || !j.begin() {
+	if !j.parse() || !j.admit() {
 		return
 	}
 	if j.fault.Kind == FaultBeforeFirstByte {
 		panic(http.ErrAbortHandler)
 	}
-	stop := j.bind()
+	stop := j.bindContext()
 	defer stop()
 	if !j.prefill() {
-		r.cancelled()
+		r.countCancelled()
 		return
 	}
-	if j.fault.raw(w) {
+	if j.fault.writeRaw(w) {
 		return
 	}
-	j.header()
+	j.setHeaders()
 	if j.body.Stream {
 		j.streamTokens()
 		return
 	}
-	j.answerWhole()
+	j.sendCompletion()
 }
 
-// read takes the request apart and refuses what a runner refuses.
-func (j *job) read() bool {
+// parse takes the request apart and refuses what a runner refuses.
+func (j *job) parse() bool {
 	raw, err := io.ReadAll(io.LimitReader(j.req.Body, maxBodyBytes))
 	if err != nil || json.Unmarshal(raw, &j.body) != nil {
 		http.Error(j.w, `{"error":{"message":"bad body"}}`, http.StatusBadRequest)
@@ -218,11 +218,11 @@
 	return true
 }
 
-// begin takes the request into the runner's books, unless it refuses it.
-func (j *job) begin() bool {
+// admit takes the request into the runner's books, unless it refuses it.
+func (j *job) admit() bool {
 	r := j.r
 	r.mu.Lock()
-	j.life, j.version, j.ctx = r.incarnation, r.version, r.alive
+	j.incarnation, j.version, j.ctx = r.incarnation, r.version, r.alive
 	asked := j.req.Header.Get(engine.HeaderWeightVersion)
 	if j.version == "" {
 		j.version = asked
@@ -241,11 +241,11 @@
 		r.stats.Requests++
 		r.stats.Attempts[j.req.Header.Get(engine.HeaderAttempt)]++
 		tokens := len(j.prompt)/r.o.BytesPerToken + 1
-		pieces := j.pieces()
-		j.cached = r.cache.hits(pieces) * r.o.PieceTokens
+		pieces := j.pieceKeys()
+		j.cached = r.cache.lookup(pieces) * r.o.PieceTokens
 		for _, l := range j.levels {
 			if n := l.Tokens / r.o.PieceTokens; n > 0 && n <= len(pieces) {
-				r.cache.name(pieces[n-1], l.Key)
+				r.cache.addLevelKey(pieces[n-1], l.Key)
 			}
 		}
 		r.stats.PromptTokens += tokens
@@ -260,19 +260,19 @@
 }
 
 func (j *job) refuse(status int) {
-	j.header()
+	j.setHeaders()
 	j.w.Header().Set(engine.HeaderNotRun, "true")
 	j.w.Header().Set("Content-Type", "application/json")
 	j.w.WriteHeader(status)
 	_, _ = io.WriteString(j.w, `{"error":{"message":"not taken"}}`)
 }
 
-// bind makes the job end with its caller or its runner, whichever goes first.
-func (j *job) bind() (stop func()) {
-	life := j.ctx
+// bindContext makes the job end with its caller or its runner, whichever goes first.
+func (j *job) bindContext() (stop func()) {
+	alive := j.ctx
 	ctx, cancel := context.WithCancel(j.req.Context())
 	j.ctx = ctx
-	release := context.AfterFunc(life, cancel)
+	release := context.AfterFunc(alive, cancel)
 	return func() {
 		release()
 		cancel()
@@ -309,15 +309,15 @@
 	return true
 }
 
-// header sets what an answer says beside itself.
-func (j *job) header() {
+// setHeaders sets what an answer says beside itself.
+func (j *job) setHeaders() {
 	if j.r.o.Plain {
 		return
 	}
 	h := j.w.Header()
 	load, _ := json.Marshal(j.r.Load())
 	h.Set(engine.HeaderAttempt, j.req.Header.Get(engine.HeaderAttempt))
-	h.Set(engine.HeaderIncarnation, strconv.FormatUint(uint64(j.life), 10))
+	h.Set(engine.HeaderIncarnation, strconv.FormatUint(uint64(j.incarnation), 10))
 	h.Set(engine.HeaderCachedTokens, strconv.Itoa(j.cached))
 	h.Set(engine.HeaderLoad, string(load))
 	h.Set(engine.HeaderWeightVersion, j.version)
@@ -329,7 +329,7 @@
 	}
 }
 
-func (r *Runner) cancelled() {
+func (r *Runner) countCancelled() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.Cancelled++
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -75,7 +75,7 @@
 		w.Header().Set(engine.HeaderAttempt, r.Header.Get(engine.HeaderAttempt))
 		w.Header().Set(engine.HeaderIncarnation, "1")
 	}
-	fault, number, ok := s.take(r, string(body))
+	fault, number, ok := s.admit(r, string(body))
 	if !ok {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "draining", http.StatusServiceUnavailable)
@@ -84,7 +84,7 @@
 	if pause.For(r.Context(), s.Delay) != nil || fault.Kind == FaultAfterRun || fault.Kind == FaultBeforeFirstByte {
 		panic(http.ErrAbortHandler)
 	}
-	if fault.raw(w) {
+	if fault.writeRaw(w) {
 		return
 	}
 	if fault.Kind == FaultWrongAttempt {
@@ -94,13 +94,13 @@
 		s.ID, number, r.Method, r.URL.RequestURI(), len(body))
 	w.Header().Set("Content-Type", "application/json")
 	if fault.Kind == FaultContentLength {
-		w.Header().Set("Content-Length", strconv.Itoa(len(answer)+wrongLengthBytes))
+		w.Header().Set("Content-Length", strconv.Itoa(len(answer)+excessContentLength))
 	}
 	_, _ = io.WriteString(w, answer)
 }
 
-// take books the call and its effect.
-func (s *Service) take(r *http.Request, body string) (f Fault, number int, ok bool) {
+// admit books the call and its effect.
+func (s *Service) admit(r *http.Request, body string) (f Fault, number int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.draining {
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -139,12 +139,12 @@
 	defer s.mu.Unlock()
 	s.stats.Exports++
 	for i := len(levels) - 1; i >= 0; i-- {
-		s.keep(levels[i].Key)
+		s.insert(levels[i].Key)
 	}
 }
 
-// keep takes a level in and makes room for it. The caller holds mu.
-func (s *Store) keep(k prefix.Key) {
+// insert takes a level in and makes room for it. The caller holds mu.
+func (s *Store) insert(k prefix.Key) {
 	if e := s.index[k]; e != nil {
 		s.order.MoveToFront(e)
 		return
@@ -155,8 +155,8 @@
 	}
 }
 
-// held returns the leading levels up to the deepest one the store has.
-func (s *Store) held(levels []prefix.Level) []prefix.Level {
+// lookup returns the leading levels up to the deepest one the store has.
+func (s *Store) lookup(levels []prefix.Level) []prefix.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.stats.Imports++
@@ -178,12 +178,12 @@
 		return
 	}
 	fault, alive := s.state()
-	held := s.held(levels)
+	held := s.lookup(levels)
 	announced, deliver := held, held
 	if fault == StoreOverstates {
 		announced, deliver = levels, levels[:len(levels)/2]
 	}
-	w.Header().Set(engine.HeaderCachedTokens, strconv.Itoa(tokensOf(announced)))
+	w.Header().Set(engine.HeaderCachedTokens, strconv.Itoa(totalTokens(announced)))
 	ctx, cancel := context.WithCancel(r.Context())
 	defer cancel()
 	defer context.AfterFunc(alive, cancel)()
@@ -217,7 +217,7 @@
 	return true
 }
 
-func tokensOf(levels []prefix.Level) int {
+func totalTokens(levels []prefix.Level) int {
 	if len(levels) == 0 {
 		return 0
 	}
--- a/lab/standin/transfer.go
+++ b/lab/standin/transfer.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	exportsAtOnce = 32 // of one runner; more are left out
-	exportLimit   = 5 * time.Second
-	// importLimit is the least time that an import may take. Beyond it, an
+	maxConcurrentExports = 32 // of one runner; more are left out
+	exportTimeout        = 5 * time.Second
+	// minImportTimeout is the least time that an import may take. Beyond it, an
 	// import that takes longer than computing is given up.
-	importLimit  = 100 * time.Millisecond
-	maxLineBytes = 128
+	minImportTimeout = 100 * time.Millisecond
+	maxLineBytes     = 128
 )
 
 // importPrefix fetches what the KV store has and counts it as cached. Whatever
 // the store does, the request goes on: what did not come is computed.
 func (j *job) importPrefix(todo int64) {
 	address := j.req.Header.Get(engine.HeaderImportFrom)
-	if j.r.o.Plain || address == "" || tokensOf(j.levels) <= j.cached {
+	if j.r.o.Plain || address == "" || totalTokens(j.levels) <= j.cached {
 		return
 	}
-	limit := max(importLimit, time.Duration(todo)*j.r.o.Prefill)
+	limit := max(minImportTimeout, time.Duration(todo)*j.r.o.Prefill)
 	ctx, cancel := context.WithTimeout(j.ctx, limit)
 	defer cancel()
 	got := j.fetch(ctx, address)
@@ -84,11 +84,11 @@
 		return
 	}
 	r.mu.Lock()
-	life := r.alive
+	alive := r.alive
 	r.mu.Unlock()
 	go func() {
 		defer func() { <-r.exports }()
-		ctx, cancel := context.WithTimeout(life, exportLimit)
+		ctx, cancel := context.WithTimeout(alive, exportTimeout)
 		defer cancel()
 		req, err := transferRequest(ctx, r.o.Store, StorePathExport, j.levels)
 		if err != nil {
--- a/lab/trace/generate.go
+++ b/lab/trace/generate.go
@@ -10,35 +10,35 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// Generate options of both workloads.
-type Generate struct {
+// GeneratorOptions options of both workloads.
+type GeneratorOptions struct {
 	Seed     uint64
 	Duration time.Duration // of the arrivals
 	Rate     float64       // requests/s on average
 }
 
-// shares of the eight organisations, a few of them large.
-var shares = []float64{0.30, 0.22, 0.16, 0.10, 0.08, 0.06, 0.05, 0.03}
+// organisationShares of the eight organisations, a few of them large.
+var organisationShares = []float64{0.30, 0.22, 0.16, 0.10, 0.08, 0.06, 0.05, 0.03}
 
 // workload is what differs between the two users.
 type workload struct {
-	name      string
-	fleet     Fleet
-	model     string
-	preamble  [2]int  // tokens, from and to
-	document  [2]int  // tokens, from and to
-	documents int     // of one organisation, or of one garage
-	skew      float64 // exponent of the documents' popularity
-	followUps float64 // mean of further questions in one session
-	pause     float64 // mean seconds between them
-	question  [2]int
-	output    [2]int
-	garages   int     // second level of this many; 0: none
-	standing  [2]int  // tokens of the second level
-	short     float64 // part of requests without a document
-	shortPri  contract.Priority
-	urgent    float64 // part of sessions that are interactive
-	batch     float64 // part of sessions that are batch
+	name                string
+	fleet               Fleet
+	model               string
+	preamble            [2]int  // tokens, from and to
+	document            [2]int  // tokens, from and to
+	documents           int     // of one organisation, or of one garage
+	zipfExponent        float64 // exponent of the documents' popularity
+	followUps           float64 // mean of further questions in one session
+	thinkTime           float64 // mean seconds between them
+	question            [2]int
+	output              [2]int
+	garages             int     // second level of this many; 0: none
+	instructions        [2]int  // tokens of the second level
+	shortFraction       float64 // part of requests without a document
+	shortPriority       contract.Priority
+	interactiveFraction float64 // part of sessions that are interactive
+	batchFraction       float64 // part of sessions that are batch
 }
 
 var registre = workload{
@@ -48,8 +48,8 @@
 		Slots: 48, CacheTokens: 150_000, StoreTokens: 1_500_000,
 	},
 	model: "conformity", preamble: [2]int{1200, 1800}, document: [2]int{6000, 24000},
-	documents: 400, skew: 0.9, followUps: 6, pause: 2, question: [2]int{80, 300}, output: [2]int{40, 160},
-	short: 0.35, shortPri: contract.PriorityBatch, urgent: 0.15, batch: 0.10,
+	documents: 400, zipfExponent: 0.9, followUps: 6, thinkTime: 2, question: [2]int{80, 300}, output: [2]int{40, 160},
+	shortFraction: 0.35, shortPriority: contract.PriorityBatch, interactiveFraction: 0.15, batchFraction: 0.10,
 }
 
 var tsukushi = workload{
@@ -59,40 +59,40 @@
 		Slots: 48, CacheTokens: 120_000, StoreTokens: 1_000_000,
 	},
 	model: "assistant", preamble: [2]int{700, 1100}, document: [2]int{2500, 9000},
-	documents: 120, skew: 0.6, followUps: 3, pause: 2.5, question: [2]int{40, 160}, output: [2]int{30, 90},
-	garages: 20, standing: [2]int{1000, 2200},
-	short: 0.20, shortPri: contract.PriorityStandard, urgent: 0.55, batch: 0.15,
+	documents: 120, zipfExponent: 0.6, followUps: 3, thinkTime: 2.5, question: [2]int{40, 160}, output: [2]int{30, 90},
+	garages: 20, instructions: [2]int{1000, 2200},
+	shortFraction: 0.20, shortPriority: contract.PriorityStandard, interactiveFraction: 0.55, batchFraction: 0.15,
 }
 
 // Registre generates traffic of the register of architectural drawings: long
 // specification sheets with several questions each, and short tag requests.
-func Registre(g Generate) *Trace { return generate(registre, g) }
+func Registre(g GeneratorOptions) *Trace { return generate(registre, g) }
 
 // Tsukushi generates traffic of the booking services: garages' standing
 // instructions, service histories, and drivers on phones.
-func Tsukushi(g Generate) *Trace { return generate(tsukushi, g) }
+func Tsukushi(g GeneratorOptions) *Trace { return generate(tsukushi, g) }
 
 type generator struct {
-	w        workload
-	g        Generate
-	random   *rand.Rand
-	popular  []float64 // cumulative weight of documents
-	garages  []float64
-	question int
-	t        *Trace
+	w               workload
+	o               GeneratorOptions
+	random          *rand.Rand
+	documentWeights []float64 // cumulative weight of documents
+	garageWeights   []float64
+	questions       int
+	t               *Trace
 }
 
-func generate(w workload, g Generate) *Trace {
+func generate(w workload, g GeneratorOptions) *Trace {
 	t := &Trace{Header: Header{
 		Format: Format, Version: Version, Name: w.name, Synthetic: true, Seed: g.Seed,
 		PieceTokens: 2000, Fleet: w.fleet,
 	}}
-	for i, s := range shares {
+	for i, s := range organisationShares {
 		t.Header.Organisations = append(t.Header.Organisations, Organisation{ID: organisation(w, i), Share: s})
 	}
 	gen := &generator{
-		w: w, g: g, t: t, random: rand.New(rand.NewPCG(g.Seed, 7)),
-		popular: zipf(w.documents, w.skew), garages: zipf(max(w.garages, 1), 1.0),
+		w: w, o: g, t: t, random: rand.New(rand.NewPCG(g.Seed, 7)),
+		documentWeights: zipfWeights(w.documents, w.zipfExponent), garageWeights: zipfWeights(max(w.garages, 1), 1.0),
 	}
 	gen.run()
 	return t
@@ -104,11 +104,11 @@
 
 // run draws sessions until the wanted number of requests has arrived.
 func (g *generator) run() {
-	perSession := g.w.short + (1-g.w.short)*(1+g.w.followUps)
-	sessions := g.g.Rate / perSession
-	end := g.g.Duration.Seconds()
+	perSession := g.w.shortFraction + (1-g.w.shortFraction)*(1+g.w.followUps)
+	sessionRate := g.o.Rate / perSession
+	end := g.o.Duration.Seconds()
 	// Sessions begin before the trace does, so that it starts in mid-traffic.
-	for at := -g.w.followUps * g.w.pause; at < end; at += g.random.ExpFloat64() / sessions {
+	for at := -g.w.followUps * g.w.thinkTime; at < end; at += g.random.ExpFloat64() / sessionRate {
 		g.session(at, end)
 	}
 	slices.SortStableFunc(g.t.Requests, func(a, b Request) int {
@@ -123,20 +123,20 @@
 }
 
 func (g *generator) session(at, end float64) {
-	org := g.pick(cumulative(shares))
-	if g.random.Float64() < g.w.short {
-		parts, _ := g.leading(org)
-		g.request(at, end, org, g.w.shortPri, parts)
+	org := g.sample(cumulative(organisationShares))
+	if g.random.Float64() < g.w.shortFraction {
+		parts, _ := g.sharedParts(org)
+		g.request(at, end, org, g.w.shortPriority, parts)
 		return
 	}
-	parts, garage := g.leading(org)
-	doc := garage*g.w.documents + g.pick(g.popular)
-	parts = append(parts, Part{ID: fmt.Sprintf("o%d-d%d", org, doc), Tokens: spread(g.w.document, org, doc)})
+	parts, garage := g.sharedParts(org)
+	doc := garage*g.w.documents + g.sample(g.documentWeights)
+	parts = append(parts, Part{ID: fmt.Sprintf("o%d-d%d", org, doc), Tokens: fixedLength(g.w.document, org, doc)})
 	pri := contract.PriorityStandard
 	switch p := g.random.Float64(); {
-	case p < g.w.urgent:
+	case p < g.w.interactiveFraction:
 		pri = contract.PriorityInteractive
-	case p < g.w.urgent+g.w.batch:
+	case p < g.w.interactiveFraction+g.w.batchFraction:
 		pri = contract.PriorityBatch
 	}
 	for {
@@ -144,24 +144,24 @@
 		if g.random.Float64() < 1/(1+g.w.followUps) {
 			return
 		}
-		at += g.random.ExpFloat64() * g.w.pause
+		at += g.random.ExpFloat64() * g.w.thinkTime
 	}
 }
 
-// leading returns the parts that a whole organisation or garage shares.
-func (g *generator) leading(org int) (parts []Part, garage int) {
-	parts = []Part{{ID: fmt.Sprintf("o%d", org), Tokens: spread(g.w.preamble, org, 0)}}
+// sharedParts returns the parts that a whole organisation or garage shares.
+func (g *generator) sharedParts(org int) (parts []Part, garage int) {
+	parts = []Part{{ID: fmt.Sprintf("o%d", org), Tokens: fixedLength(g.w.preamble, org, 0)}}
 	if g.w.garages > 0 {
-		garage = g.pick(g.garages)
-		parts = append(parts, Part{ID: fmt.Sprintf("o%d-g%d", org, garage), Tokens: spread(g.w.standing, org, garage)})
+		garage = g.sample(g.garageWeights)
+		parts = append(parts, Part{ID: fmt.Sprintf("o%d-g%d", org, garage), Tokens: fixedLength(g.w.instructions, org, garage)})
 	}
 	return parts, garage
 }
 
 func (g *generator) request(at, end float64, org int, pri contract.Priority, parts []Part) {
-	question := Part{ID: fmt.Sprintf("q%d", g.question), Tokens: g.between(g.w.question)}
-	output := g.between(g.w.output)
-	g.question++
+	question := Part{ID: fmt.Sprintf("q%d", g.questions), Tokens: g.uniform(g.w.question)}
+	output := g.uniform(g.w.output)
+	g.questions++
 	if at < 0 || at >= end {
 		return
 	}
@@ -172,19 +172,19 @@
 	})
 }
 
-func (g *generator) between(r [2]int) int { return r[0] + g.random.IntN(r[1]-r[0]+1) }
+func (g *generator) uniform(r [2]int) int { return r[0] + g.random.IntN(r[1]-r[0]+1) }
 
-func (g *generator) pick(weights []float64) int {
+func (g *generator) sample(weights []float64) int {
 	i, _ := slices.BinarySearch(weights, g.random.Float64()*weights[len(weights)-1])
 	return min(i, len(weights)-1)
 }
 
-// spread gives a document its length, the same each time.
-func spread(r [2]int, org, doc int) int {
+// fixedLength gives a document its length, the same each time.
+func fixedLength(r [2]int, org, doc int) int {
 	return r[0] + rand.New(rand.NewPCG(uint64(org), uint64(doc))).IntN(r[1]-r[0]+1)
 }
 
-func zipf(n int, skew float64) []float64 {
+func zipfWeights(n int, skew float64) []float64 {
 	weights := make([]float64, n)
 	for i := range weights {
 		weights[i] = math.Pow(float64(i+1), -skew)
--- a/lab/trace/trace.go
+++ b/lab/trace/trace.go
@@ -105,8 +105,8 @@
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// NewCutter returns a cutter for the trace's prompts.
-func (t *Trace) NewCutter() *prefix.Splitter {
+// NewSplitter returns a cutter for the trace's prompts.
+func (t *Trace) NewSplitter() *prefix.Splitter {
 	return prefix.NewSplitter(prefix.Options{PieceTokens: t.Header.PieceTokens, BytesPerToken: 1})
 }
 
--- a/lab/trace/trace_test.go
+++ b/lab/trace/trace_test.go
@@ -13,7 +13,7 @@
 )
 
 func TestWriteAndRead(t *testing.T) {
-	want := Tsukushi(Generate{Seed: 3, Duration: 5 * time.Second, Rate: 10})
+	want := Tsukushi(GeneratorOptions{Seed: 3, Duration: 5 * time.Second, Rate: 10})
 	var file bytes.Buffer
 	if err := Write(&file, want); err != nil {
 		t.Fatal(err)
@@ -27,8 +27,8 @@
 	}
 }
 
-func TestGeneratorFollowsItsSeed(t *testing.T) {
-	g := Generate{Seed: 1, Duration: 10 * time.Second, Rate: 20}
+func TestGenerateIsDeterministic(t *testing.T) {
+	g := GeneratorOptions{Seed: 1, Duration: 10 * time.Second, Rate: 20}
 	if !cmp.Equal(Registre(g), Registre(g)) {
 		t.Error("one seed gave two traces")
 	}
@@ -39,7 +39,7 @@
 	}
 }
 
-func TestReadNamesTheFaultyLine(t *testing.T) {
+func TestReadErrors(t *testing.T) {
 	const header = `{"format":"merlindock-trace","version":1,"fleet":{"runners":1,"zones":1,"daemons":1,"prefill_rate":1,"token_ms":1,"slots":1,"cache_tokens":1}}`
 	const good = `{"ms":5,"org":"o","model":"m","pri":"batch","parts":[{"id":"a","t":1}],"out":1}`
 	tests := map[string]string{
@@ -62,7 +62,7 @@
 	}
 }
 
-func TestLevelsShareWhatPartsShare(t *testing.T) {
+func TestLevelsOfSharedParts(t *testing.T) {
 	one := Request{Organisation: "o", Model: "m", Parts: []Part{{"pre", 900}, {"doc", 4500}, {"q1", 80}}}
 	two := Request{Organisation: "o", Model: "m", Parts: []Part{{"pre", 900}, {"doc", 4500}, {"q2", 80}}}
 	c := prefix.NewSplitter(prefix.Options{BytesPerToken: 1})
--- a/lab/world/cluster.go
+++ b/lab/world/cluster.go
@@ -43,14 +43,14 @@
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	tuning func(*settings.Settings)
+	adjust func(*settings.Settings)
 }
 
 // StartCluster starts daemons on ports of their own, one zone after the other.
 // Tuning may change their settings; nil leaves them.
 func (w *World) StartCluster(daemons int, tuning func(*settings.Settings)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{World: w, ctx: ctx, cancel: cancel, tuning: tuning}
+	c := &Cluster{World: w, ctx: ctx, cancel: cancel, adjust: tuning}
 	for i := range daemons {
 		n, err := openNode(fmt.Sprintf("daemon-%d", i+1))
 		if err != nil {
@@ -59,9 +59,9 @@
 		}
 		c.Nodes = append(c.Nodes, n)
 	}
-	c.list()
+	c.publishDaemons()
 	for i := range c.Nodes {
-		if err := c.run(i); err != nil {
+		if err := c.startNode(i); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -84,8 +84,8 @@
 	return n, nil
 }
 
-// list puts the nodes on the platform's list of daemons.
-func (c *Cluster) list() {
+// publishDaemons puts the nodes on the platform's publishDaemons of daemons.
+func (c *Cluster) publishDaemons() {
 	var daemons []ports.Daemon
 	for i, n := range c.Nodes {
 		daemons = append(daemons, ports.Daemon{
@@ -98,7 +98,7 @@
 	c.World.SetDaemons(daemons)
 }
 
-func (c *Cluster) run(i int) error {
+func (c *Cluster) startNode(i int) error {
 	n := c.Nodes[i]
 	s, err := settings.Load(settings.Input{Args: []string{
 		"-daemon.id=" + n.ID,
@@ -114,18 +114,18 @@
 	if err != nil {
 		return err
 	}
-	if c.tuning != nil {
-		c.tuning(&s)
+	if c.adjust != nil {
+		c.adjust(&s)
 	}
-	plat, err := httplog.New(httplog.Options{BaseURL: c.World.PlatformURL, Timeout: s.Platform.Timeout})
+	platform, err := httplog.New(httplog.Options{BaseURL: c.World.PlatformURL, Timeout: s.Platform.Timeout})
 	if err != nil {
 		return err
 	}
 	n.Daemon, err = daemon.New(daemon.Options{
 		Settings:  s,
 		Token:     Token,
-		Log:       plat,
-		VMs:       plat,
+		Log:       platform,
+		VMs:       platform,
 		Logs:      logging.Discard(),
 		Listeners: n.listeners,
 	})
@@ -143,8 +143,8 @@
 		return err
 	}
 	c.Nodes[i] = n
-	c.list()
-	return c.run(i)
+	c.publishDaemons()
+	return c.startNode(i)
 }
 
 // WaitReady waits until every node says that it is ready.
@@ -157,12 +157,12 @@
 	return nil
 }
 
-// readyPoll is how often a node is asked whether it is ready.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is how often a node is asked whether it is ready.
+const readyPollInterval = 5 * time.Millisecond
 
 // WaitReady waits until the node says that it is ready.
 func (n *Node) WaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
 		_, err := n.Admin().Get(ctx, "/readyz")
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -23,12 +23,12 @@
 
 // Names of the stand-in deployment.
 const (
-	Model       = "codes"
-	Version     = "v1"
-	ServicePath = "/receipts/"
-	classRunner = "runner"
-	classCount  = "counter"
-	classStore  = "store"
+	Model        = "codes"
+	Version      = "v1"
+	ServicePath  = "/receipts/"
+	classRunner  = "runner"
+	classCounter = "counter"
+	classStore   = "store"
 )
 
 // Zones of the stand-in deployment.
@@ -123,7 +123,7 @@
 			Store:         store,
 		})
 		w.Runners = append(w.Runners, r)
-		if err := w.endpoint(fmt.Sprintf("runner-%02d", i+1), classRunner, i, r); err != nil {
+		if err := w.startEndpoint(fmt.Sprintf("runner-%02d", i+1), classRunner, i, r); err != nil {
 			return err
 		}
 	}
@@ -131,24 +131,24 @@
 		id := fmt.Sprintf("counter-%02d", i+1)
 		s := standin.NewService(fleet.EndpointID(id))
 		w.Services = append(w.Services, s)
-		if err := w.endpoint(id, classCount, i, s); err != nil {
+		if err := w.startEndpoint(id, classCounter, i, s); err != nil {
 			return err
 		}
 	}
-	w.list("store-01", classStore, 0, store)
+	w.addEndpoint("store-01", classStore, 0, store)
 	return nil
 }
 
-func (w *World) endpoint(id, class string, i int, h http.Handler) error {
+func (w *World) startEndpoint(id, class string, i int, h http.Handler) error {
 	address, err := w.serve(0, h)
 	if err != nil {
 		return err
 	}
-	w.list(id, class, i, address)
+	w.addEndpoint(id, class, i, address)
 	return nil
 }
 
-func (w *World) list(id, class string, i int, address string) {
+func (w *World) addEndpoint(id, class string, i int, address string) {
 	w.endpoints = append(w.endpoints, fleet.Endpoint{
 		ID:      fleet.EndpointID(id),
 		VM:      fleet.VMID("vm-" + id),
@@ -186,8 +186,8 @@
 	w.publishList()
 }
 
-// Leaving marks an endpoint as leaving on the platform's list.
-func (w *World) Leaving(id fleet.EndpointID) {
+// MarkLeaving marks an endpoint as leaving on the platform's list.
+func (w *World) MarkLeaving(id fleet.EndpointID) {
 	for i := range w.endpoints {
 		if w.endpoints[i].ID == id {
 			w.endpoints[i].State = fleet.VMLeaving
@@ -215,8 +215,8 @@
 	}
 }
 
-// Key is the API key of the organisation with the given number, from 0.
-func Key(i int) string { return fmt.Sprintf("demo-key-%d", i+1) }
+// APIKey is the API key of the organisation with the given number, from 0.
+func APIKey(i int) string { return fmt.Sprintf("demo-key-%d", i+1) }
 
 // Organisation is the name of the organisation with the given number.
 func Organisation(i int) contract.OrganisationID {
@@ -237,13 +237,13 @@
 		Models: []manifest.Model{{ID: Model, Version: Version}},
 		Classes: []manifest.Class{
 			{ID: classRunner, Kind: fleet.KindModel, Models: []string{Model}},
-			{ID: classCount, Kind: fleet.KindService},
+			{ID: classCounter, Kind: fleet.KindService},
 			{ID: classStore, Kind: fleet.KindStore},
 		},
 		Services: []manifest.Service{{
 			ID:         "receipts",
 			PathPrefix: ServicePath,
-			Class:      classCount,
+			Class:      classCounter,
 			Calls:      []manifest.Call{{Method: http.MethodGet, Path: "*", Idempotent: true}},
 		}},
 		Retention: manifest.Retention{
@@ -252,7 +252,7 @@
 		},
 	}
 	for i := range w.o.Organisations {
-		sum := sha256.Sum256([]byte(Key(i)))
+		sum := sha256.Sum256([]byte(APIKey(i)))
 		m.Organisations = append(m.Organisations, manifest.Organisation{
 			ID:         Organisation(i),
 			KeyHashes:  []string{hex.EncodeToString(sum[:])},
