--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -8,14 +8,15 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// maxKeysPerPiece bounds the keys that one piece of a cache is known by.
+// maxKeysPerPiece limits the prefix keys recorded for one cached piece.
 const maxKeysPerPiece = 8
 
-// pieceCache is a runner's cache of prompt pieces with eviction of the least
-// recently used. A piece that ends a named level has that level's key.
+// pieceCache is a runner's LRU cache of prompt pieces. It records the keys of
+// the prefix levels that end with a piece, and reports when such a level is
+// stored or removed.
 type pieceCache struct {
 	limit     int
-	order     *list.List // of uint64 keys, the most recently used first
+	order     *list.List // of uint64 piece keys, most recently used first
 	index     map[uint64]*list.Element
 	levelKeys map[uint64][]prefix.Key
 	onEvent   func(kind string, key prefix.Key)
@@ -33,7 +34,8 @@
 
 func (c *pieceCache) size() int { return c.order.Len() }
 
-// lookup returns how many of the leading pieces are cached, and then caches all.
+// lookup returns how many of the leading pieces are cached, and then inserts all
+// pieces or marks them as used.
 func (c *pieceCache) lookup(keys []uint64) int {
 	n := 0
 	for n < len(keys) && c.index[keys[n]] != nil {
@@ -64,7 +66,9 @@
 	delete(c.levelKeys, key)
 }
 
-// addLevelKey notes that a level ends with the piece.
+// addLevelKey records that the level with the given key ends with a piece, and
+// reports the level as stored. It has no effect if the piece is not cached, has
+// the key already or has maxKeysPerPiece keys.
 func (c *pieceCache) addLevelKey(piece uint64, key prefix.Key) {
 	names := c.levelKeys[piece]
 	if c.index[piece] == nil || len(names) == maxKeysPerPiece || slices.Contains(names, key) {
--- a/lab/standin/events.go
+++ b/lab/standin/events.go
@@ -20,19 +20,19 @@
 	eventHeartbeatInterval = 10 * time.Second
 )
 
-// EventFaults say how badly a runner tells of its cache.
+// EventFaults describe how a runner's cache event stream degrades.
 type EventFaults struct {
-	Delay time.Duration // before an event is sent
-	Loss  float64       // part of the messages that are not sent
-	Seed  uint64        // of which ones
+	Delay time.Duration // between an event and its message
+	Loss  float64       // fraction of the messages that are dropped
+	Seed  uint64        // of the choice of dropped messages
 }
 
-// eventLog keeps the latest cache events of one life of a runner.
+// eventLog keeps the latest cache events of one incarnation of a runner.
 type eventLog struct {
 	incarnation fleet.Incarnation
 
 	mu   sync.Mutex // guards what follows; locked after Runner.mu
-	last uint64     // sequence number of the last event; 0: none yet
+	last uint64     // sequence number of the latest event; 0: none yet
 	ring [maxRetainedEvents]loggedEvent
 	wake chan struct{} // closed at the next event
 }
@@ -61,8 +61,10 @@
 	return l.last + 1
 }
 
-// since returns the events from seq on that happened before the given time, the
-// sequence number of the first, and what to wait for if there are none.
+// since returns up to maxEventBatch events from seq on that happened before the
+// given time, the sequence number of the first one, a channel that is closed at
+// the next event, and whether there are events from seq on at all. If the
+// events at seq are no longer retained it begins at the oldest one that is.
 func (l *eventLog) since(seq uint64, before time.Time) (uint64, []engine.CacheEvent, <-chan struct{}, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -80,7 +82,7 @@
 	return seq, events, l.wake, seq <= l.last
 }
 
-// SetEventFaults sets how the runner tells of its cache from now on.
+// SetEventFaults sets the faults of the runner's cache event streams from now on.
 func (r *Runner) SetEventFaults(f EventFaults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -88,7 +90,8 @@
 	r.eventRand = rand.New(rand.NewPCG(f.Seed, f.Seed))
 }
 
-// nextDelivery returns the delay of events and whether the next message is lost.
+// nextDelivery returns the delay of events and whether the next message is
+// dropped.
 func (r *Runner) nextDelivery() (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/standin/events_test.go
+++ b/lab/standin/events_test.go
@@ -14,8 +14,8 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// An engine that names other prefixes than it was told of, or says nothing of
-// what it evicts, would lead daemons to caches that are gone.
+// A runner that reported other keys than the requests' prefix header has, or did
+// not report evictions, would make daemons route to endpoints without the prefix.
 func TestRunnerReportsStoredAndEvictedPrefixes(t *testing.T) {
 	r := NewRunner(RunnerOptions{PieceTokens: 10, CachePieces: 2})
 	srv := httptest.NewServer(r)
--- a/lab/standin/faults.go
+++ b/lab/standin/faults.go
@@ -6,32 +6,32 @@
 	"strings"
 )
 
-// FaultKind names a fault that a stand-in brings about on command.
+// FaultKind is a kind of fault that a stand-in can inject.
 type FaultKind int
 
-// The faults.
+// Faults of runners and services.
 const (
 	FaultNone               FaultKind = iota
-	FaultBeforeFirstByte              // dies before the first byte of the answer
-	FaultMidStream                    // dies after Fault.After tokens
-	FaultBeforeEnd                    // dies after the last token, before the end marker
+	FaultBeforeFirstByte              // drops the connection before the first byte of the answer
+	FaultMidStream                    // drops the connection after Fault.After tokens
+	FaultBeforeEnd                    // drops the connection after the last token, before the end marker
 	FaultMissingEndMarker             // ends the stream cleanly without the end marker
 	FaultAfterRun                     // runs the request and drops the connection
-	FaultWrongAttempt                 // answers with another attempt's id
+	FaultWrongAttempt                 // answers with the ID of another attempt
 	FaultWrongWeightVersion           // answers with another weight version
 	FaultMalformed                    // sends half an event after Fault.After tokens
-	FaultEndlessLine                  // sends a line without an end after Fault.After tokens
-	FaultSkippedToken                 // leaves out a token after Fault.After tokens
+	FaultEndlessLine                  // sends an unterminated line of maxEndlessBytes after Fault.After tokens
+	FaultSkippedToken                 // omits the token that follows Fault.After tokens
 	FaultError                        // reports an error in the stream after Fault.After tokens
-	FaultHang                         // sends nothing more after Fault.After tokens
-	FaultEndlessHeader                // sends a header without an end
-	FaultContentLength                // announces more than it sends
+	FaultHang                         // sends nothing after Fault.After tokens and keeps the connection open
+	FaultEndlessHeader                // sends an unterminated header of maxEndlessBytes
+	FaultContentLength                // sends a body shorter than its Content-Length
 )
 
-// Fault is a fault for one request.
+// Fault is a fault injected into one request.
 type Fault struct {
 	Kind  FaultKind
-	After int // tokens sent before it
+	After int // tokens sent before the fault, for kinds that apply within a stream
 }
 
 const (
@@ -46,14 +46,15 @@
 	r.faults = append(r.faults, faults...)
 }
 
-// ClearFaults takes the queued faults back.
+// ClearFaults removes the queued faults.
 func (r *Runner) ClearFaults() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = nil
 }
 
-// takeFault returns the next request's fault. The caller holds mu.
+// takeFault removes the first queued fault and returns it; without one it returns
+// the zero Fault. The caller holds mu.
 func (r *Runner) takeFault() Fault {
 	if len(r.faults) == 0 {
 		return Fault{}
@@ -63,7 +64,8 @@
 	return f
 }
 
-// dueAt tells whether the fault comes before the token of the given count.
+// dueAt reports whether the fault interrupts the stream after the given number of
+// tokens.
 func (f Fault) dueAt(sent int) bool {
 	switch f.Kind {
 	case FaultMidStream, FaultMalformed, FaultEndlessLine, FaultError, FaultHang:
@@ -73,7 +75,8 @@
 	}
 }
 
-// failMidStream brings the fault about before token i is sent. It does not return.
+// failMidStream interrupts the stream before token i is sent. It always panics with
+// http.ErrAbortHandler, which closes the connection.
 func (j *job) failMidStream(i int) {
 	switch j.fault.Kind {
 	case FaultMalformed:
@@ -91,8 +94,8 @@
 	panic(http.ErrAbortHandler)
 }
 
-// writeRaw brings about faults that break the protocol below the header, and tells
-// whether it did.
+// writeRaw injects a fault that violates HTTP itself, which needs the raw
+// connection. It reports whether the fault was of such a kind.
 func (f Fault) writeRaw(w http.ResponseWriter) bool {
 	if f.Kind != FaultEndlessHeader {
 		return false
--- a/lab/standin/generate.go
+++ b/lab/standin/generate.go
@@ -15,10 +15,10 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// contentWord returns what the tokens of an answer are made of. It depends on
-// all that an engine's answer depends on, so that two runners with the same
-// weights generate the same answer to the same request, and a test sees it when
-// an answer is somebody else's.
+// contentWord returns the word that every token of an answer contains. It is a
+// hash of the prompt, the weight version and the seed, so that two runners with
+// the same weights generate the same answer to the same request, and a test
+// detects an answer that belongs to another request.
 func contentWord(prompt []byte, version string, seed int64) string {
 	d := xxhash.New()
 	_, _ = d.Write(prompt)
@@ -26,12 +26,14 @@
 	return fmt.Sprintf("%08x", uint32(d.Sum64()))
 }
 
-// Token returns the text of one token of an answer.
+// Token returns the text of the token with the given index, from 0, in an answer
+// with the given content word.
 func Token(word string, index int) string {
 	return word + "." + strconv.Itoa(index) + " "
 }
 
-// streamTokens sends the tokens as events, with the faults asked for.
+// streamTokens sends the tokens as server-sent events and injects the request's
+// fault.
 func (j *job) streamTokens() {
 	j.w.Header().Set("Content-Type", "text/event-stream")
 	j.w.WriteHeader(http.StatusOK)
@@ -69,7 +71,7 @@
 	_, _ = io.WriteString(j.w, end)
 }
 
-// abort ends an answer whose caller left or whose runner crashed.
+// abort drops the connection after the caller disconnected or the runner crashed.
 func (j *job) abort() {
 	if j.req.Context().Err() != nil {
 		j.r.countCancelled()
@@ -125,7 +127,7 @@
 	TotalTokens      int `json:"total_tokens"`
 }
 
-// sendCompletion sends all tokens in one object.
+// sendCompletion sends all tokens in one JSON object.
 func (j *job) sendCompletion() {
 	var text strings.Builder
 	for i := 0; i <= j.last; i++ {
@@ -162,8 +164,9 @@
 	j.r.stats.GeneratedTokens += tokens
 }
 
-// pieceKeys returns the keys of the prompt's whole pieceKeys. Each key depends on
-// all before it, and on whose cache it is.
+// pieceKeys returns the keys of the prompt's complete pieces. Each key depends on all
+// pieces up to its own, and on the organisation, model, adapter and weight version,
+// which share no cache entries with others.
 func (j *job) pieceKeys() []uint64 {
 	d := xxhash.New()
 	_, _ = d.WriteString(j.req.Header.Get(engine.HeaderOrganisation) + "|" + j.body.Model + "|")
--- a/lab/standin/lifecycle.go
+++ b/lab/standin/lifecycle.go
@@ -9,8 +9,8 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// startIncarnation begins another life with an empty cache. The caller holds mu, or is
-// alone.
+// startIncarnation starts a new incarnation with an empty cache. The caller holds mu,
+// or the runner is not shared yet.
 func (r *Runner) startIncarnation() {
 	r.incarnation++
 	r.alive, r.kill = context.WithCancel(context.Background())
@@ -19,7 +19,7 @@
 	r.cache = newPieceCache(r.o.CachePieces, r.events.add)
 }
 
-// Crash breaks off all answers and refuses connections until Restart.
+// Crash aborts all answers and makes the runner drop every request until Restart.
 func (r *Runner) Crash() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -27,8 +27,8 @@
 	r.kill()
 }
 
-// Restart brings the runner back empty, with another incarnation, under the
-// same address.
+// Restart starts the runner again under the same address, with a new incarnation
+// and an empty cache.
 func (r *Runner) Restart() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -36,14 +36,14 @@
 	r.startIncarnation()
 }
 
-// SetDraining makes the runner refuse new work, or take it again.
+// SetDraining sets whether the runner refuses new requests.
 func (r *Runner) SetDraining(draining bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.draining = draining
 }
 
-// SetWeightVersion loads another weight version; what was cached is gone.
+// SetWeightVersion loads another weight version, which clears the cache.
 func (r *Runner) SetWeightVersion(version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,14 +52,14 @@
 	r.events.add(engine.CacheCleared, prefix.Key{})
 }
 
-// Incarnation returns the runner's present incarnation.
+// Incarnation returns the runner's current incarnation.
 func (r *Runner) Incarnation() fleet.Incarnation {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.incarnation
 }
 
-// Stats returns a copy of what the runner has done.
+// Stats returns a copy of the runner's counters.
 func (r *Runner) Stats() RunnerStats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -71,7 +71,7 @@
 	return s
 }
 
-// Load returns what the runner reports of itself.
+// Load returns the load report of the runner.
 func (r *Runner) Load() fleet.Load {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/standin/network.go
+++ b/lab/standin/network.go
@@ -13,21 +13,21 @@
 	"google.golang.org/grpc/test/bufconn"
 )
 
-// DefaultConnBytes is what a connection of a Network buffers each way.
+// DefaultConnBytes is the size of a connection's buffer in each direction.
 const DefaultConnBytes = 16 << 10
 
-// Network is a network in memory, for tests in virtual time and for more
-// connections than a process may have file descriptors.
+// Network is an in-memory network. It serves tests that run in virtual time, and
+// tests with more connections than the process's limit of file descriptors.
 type Network struct {
-	ConnBytes int // buffered each way by connections; 0: DefaultConnBytes
+	ConnBytes int // of a connection's buffer in each direction; 0: DefaultConnBytes
 
 	mu        sync.Mutex // guards what follows
 	listeners map[string]*bufconn.Listener
-	refused   map[string]bool // addresses where nobody listens for now
+	refused   map[string]bool // addresses that refuse connections
 }
 
-// SetRefused has connections to an address refused, as after the end of its process, or
-// taken again.
+// SetRefused sets whether connections to an address are refused, as they are while
+// its process is not running.
 func (n *Network) SetRefused(address string, refused bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -37,7 +37,7 @@
 	n.refused[address] = refused
 }
 
-// Listen returns a listener for an address, which replaces an earlier one.
+// Listen returns a listener for an address. It replaces an earlier listener.
 func (n *Network) Listen(address string) net.Listener {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -52,7 +52,8 @@
 }
 
 // DialContext connects to the listener of an address; the network's name is
-// not looked at.
+// ignored. It returns ECONNREFUSED for an address set by SetRefused, and another
+// error if the address has no listener.
 func (n *Network) DialContext(ctx context.Context, _, address string) (net.Conn, error) {
 	n.mu.Lock()
 	l, refused := n.listeners[address], n.refused[address]
@@ -61,7 +62,7 @@
 		return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 	}
 	if l == nil {
-		return nil, fmt.Errorf("standin: nothing listens on %s", address)
+		return nil, fmt.Errorf("standin: no listener on %s", address)
 	}
 	c, err := l.DialContext(ctx)
 	if err != nil {
@@ -70,7 +71,7 @@
 	return &conn{Conn: c}, nil
 }
 
-// Serve serves a handler under an address until the server returned is closed.
+// Serve serves a handler at an address until the returned server is closed.
 func (n *Network) Serve(address string, h http.Handler) *http.Server {
 	s := &http.Server{Handler: h}
 	l := n.Listen(address)
@@ -78,7 +79,7 @@
 	return s
 }
 
-// listener hands out connections whose deadlines can be taken back.
+// listener accepts connections whose read deadlines can be cleared.
 type listener struct{ net.Listener }
 
 // Accept implements net.Listener.
@@ -90,13 +91,13 @@
 	return &conn{Conn: c}, nil
 }
 
-// conn is a connection whose read deadline can be taken back.
+// conn is a connection whose read deadline can be cleared.
 //
-// bufconn keeps a deadline by a timer that may still strike after the deadline
-// was taken back. net/http's server sets one in the past and takes it back
-// between two requests, and the next request was then, once in a few hundred,
-// taken for one whose caller had left. A timeout is passed on only when the
-// deadline in force has passed.
+// bufconn implements a deadline by a timer that may still fire after the deadline
+// was cleared. net/http's server sets a deadline in the past and clears it between
+// two requests. About once in a few hundred requests, the timer then made the next
+// request look as if its caller had disconnected. Read therefore returns a timeout
+// only if the current deadline has passed.
 type conn struct {
 	net.Conn
 	mu       sync.Mutex // guards deadline
@@ -130,7 +131,8 @@
 	}
 }
 
-// expiredOrReset tells whether the deadline has passed, and sets it again if not.
+// expiredOrReset reports whether the current deadline has passed. If not, it sets
+// the deadline again, so that reads can go on after a stale timeout.
 func (c *conn) expiredOrReset() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -28,7 +28,7 @@
 	loadLimit = 2
 )
 
-// orderedFleet is a fleet of runners that take orders, with one manifest.
+// orderedFleet is a fleet of runners that execute orders, with one manifest.
 type orderedFleet struct {
 	t       *testing.T
 	store   *standin.WeightStore
@@ -76,12 +76,12 @@
 	return orders.FleetState{Manifest: f.manifest, Revision: f.revision, Endpoints: f.members}
 }
 
-// executedOnly tells whether a runner took orders for one version only.
+// executedOnly reports whether a runner executed only orders for the given version.
 func (f *orderedFleet) executedOnly(address, version string) bool {
 	return !slices.ContainsFunc(f.runners[address].ExecutedOrders(), func(o rollout.Order) bool { return o.Version != version })
 }
 
-// setLeaving sets what the daemons believe of a runner.
+// setLeaving sets whether the daemons regard a runner as leaving.
 func (f *orderedFleet) setLeaving(address string, leaving bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -93,15 +93,15 @@
 	}
 }
 
-// leaderTransport is the way from one holder to the runners. Its pauses happen before or
-// after the order's bytes are taken.
+// leaderTransport is the HTTP transport from one leader to the runners. It can delay
+// an order before or after its bytes are sent.
 type leaderTransport struct {
 	f           *orderedFleet
 	mu          sync.Mutex
-	before      time.Duration // the holder stops before it writes
-	inTransit   time.Duration // the bytes are under way; the holder gives up meanwhile
-	lateAddress atomic.Value  // address that they are under way to
-	log         *plog.View    // as the holder sees it
+	before      time.Duration // the leader is suspended before it sends
+	inTransit   time.Duration // delay of the bytes, while the leader's call times out
+	lateAddress atomic.Value  // address of the runner that the delayed bytes go to
+	log         *plog.View    // the leader's connection to the log
 }
 
 func (p *leaderTransport) pause(before, network time.Duration) {
@@ -110,7 +110,8 @@
 	p.before, p.inTransit = before, network
 }
 
-// suspend is the pause of the whole process: nothing goes to the log meanwhile.
+// suspend suspends the leader's process: it doesn't reach the log either, and gets its
+// connection back a second after it resumes.
 func (p *leaderTransport) suspend(d time.Duration) {
 	if d == 0 {
 		return
@@ -161,8 +162,8 @@
 	return w.Result(), nil
 }
 
-// startLeader starts a daemon that gives orders, and returns its path and a way to
-// stop it.
+// startLeader starts a daemon that competes for the rollout lease, and returns its
+// transport and a function that stops it.
 func (f *orderedFleet) startLeader() (*leaderTransport, func()) {
 	p := &leaderTransport{f: f, log: f.log.View()}
 	f.leaders++
@@ -176,7 +177,8 @@
 	return p, f.runLeader(p, keeper, keeper.Run)
 }
 
-// runLeader starts the giving of orders under a lease, and returns how to stop it.
+// runLeader starts a rollout leader under a lease, and returns a function that stops
+// it.
 func (f *orderedFleet) runLeader(p *leaderTransport, l orders.Lease, run func(context.Context) error) func() {
 	g := orders.New(orders.Options{Lease: l, FleetState: f.state, Transport: p})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -191,7 +193,7 @@
 	return stop
 }
 
-// fixedLease is a lease that is fixedLease for the whole time.
+// fixedLease is a lease that is always held. Its value is the fencing token.
 type fixedLease ports.Offset
 
 func (h fixedLease) Holding(now time.Time) (logio.Holding, bool) {
@@ -202,7 +204,8 @@
 
 func (fixedLease) run(context.Context) error { return nil }
 
-// allRun tells whether every runner has the version, and none else.
+// allRun reports whether every runner has loaded only the given version and loads
+// nothing.
 func (f *orderedFleet) allRun(version string) bool {
 	for _, r := range f.runners {
 		s := r.Status()
@@ -222,6 +225,6 @@
 		}
 		time.Sleep(time.Second)
 	}
-	f.t.Fatalf("not all have %s", version)
+	f.t.Fatalf("not all runners have %s", version)
 	return 0
 }
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -15,12 +15,12 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// WeightStore is a stand-in for the rate-limited store of weights, shared by
-// runners. Up to AtOnce loads go at full speed; with more of them, each one
-// slows in proportion. Beyond Refuse it takes no more.
+// WeightStore is a stand-in for the rate-limited store of weights that runners
+// share. Up to AtOnce concurrent loads take the time Load each; with more, a load
+// that begins takes longer in proportion to their number.
 type WeightStore struct {
 	AtOnce int
-	Refuse int // 0: never
+	Refuse int // concurrent loads from which on it refuses another; 0: no limit
 	Load   time.Duration
 
 	mu           sync.Mutex // guards what follows
@@ -28,7 +28,8 @@
 	maxOpenLoads int
 }
 
-// beginLoad starts a load and returns how long it takes; false when it is refused.
+// beginLoad starts a load and returns how long it takes, or false if the load is
+// refused.
 func (s *WeightStore) beginLoad() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -47,26 +48,26 @@
 	s.openLoads--
 }
 
-// MaxConcurrentLoads is the most loads that were ever open at once.
+// MaxConcurrentLoads returns the highest number of concurrent loads so far.
 func (s *WeightStore) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.maxOpenLoads
 }
 
-// OrderOptions describe how a runner takes orders.
+// OrderOptions describe how a runner handles orders.
 type OrderOptions struct {
 	Store  *WeightStore
-	Fences bool            // refuses an old fencing number; otherwise ignores it
-	Models []rollout.Model // loaded at first
+	Fences bool            // whether it refuses orders with an outdated fencing token
+	Models []rollout.Model // loaded at the start
 }
 
-// loadingVersion is what a runner that loads serves: no request asks for it, so
-// that it refuses all with "not run".
+// loadingVersion is the weight version of a runner without loaded weights. No
+// request asks for it, so that the runner refuses all requests as not run.
 const loadingVersion = "(loading)"
 
-// OrderedRunner is a runner that takes orders besides requests. It locks its
-// own mu before the Runner's.
+// OrderedRunner is a runner that also executes rollout orders. Its own mu is
+// locked before the Runner's.
 type OrderedRunner struct {
 	*Runner
 	o OrderOptions
@@ -78,10 +79,11 @@
 	executed      []rollout.Order
 	answersToDrop int
 	failLoads     bool
-	servedVersion string // version that the Runner was told to serve
+	servedVersion string // weight version last set in the Runner
 }
 
-// AcceptOrders makes a runner take orders.
+// AcceptOrders returns a handler of both the runner's requests and of orders. It
+// replaces the runner's weight version by that of o.Models.
 func (r *Runner) AcceptOrders(o OrderOptions) *OrderedRunner {
 	e := &OrderedRunner{Runner: r, o: o}
 	e.status.Models = slices.Clone(o.Models)
@@ -89,29 +91,29 @@
 	return e
 }
 
-// DropAnswers drops the connection after each of the next n orders, which take
-// effect all the same.
+// DropAnswers drops the connection instead of answering each of the next n
+// orders that are accepted; the orders still take effect.
 func (e *OrderedRunner) DropAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.answersToDrop = n
 }
 
-// FailLoads makes all loads fail at their end, or succeed again.
+// FailLoads sets whether loads fail when they end.
 func (e *OrderedRunner) FailLoads(fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.failLoads = fail
 }
 
-// ExecutedOrders returns the orders that took effect.
+// ExecutedOrders returns the accepted orders, oldest first.
 func (e *OrderedRunner) ExecutedOrders() []rollout.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return slices.Clone(e.executed)
 }
 
-// Crash loses what is loaded and what is being loaded, see Runner.Crash.
+// Crash discards the loaded weights and a load in progress, and crashes the Runner.
 func (e *OrderedRunner) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -123,7 +125,8 @@
 	e.Runner.Crash()
 }
 
-// Status returns what the runner has loaded and what it is doing.
+// Status returns the loaded weights, the load in progress and the result of the
+// last order. Its fencing token is 0 unless OrderOptions.Fences is set.
 func (e *OrderedRunner) Status() rollout.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -181,8 +184,8 @@
 	w.WriteHeader(status)
 }
 
-// execute carries an order out, and returns the answer's status and whether the
-// answer is lost.
+// execute starts an order unless it is refused, and returns the answer's HTTP status
+// and whether the connection is to be dropped instead.
 func (e *OrderedRunner) execute(o rollout.Order) (status int, lost bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -202,7 +205,8 @@
 	return status, lost
 }
 
-// begin starts what the order asks for. The caller holds mu.
+// begin starts a load, or executes any other order at once, and returns the
+// answer's HTTP status. The caller holds mu.
 func (e *OrderedRunner) begin(o rollout.Order) int {
 	switch o.Kind {
 	case rollout.KindLoad, rollout.KindLoadAdapter:
@@ -239,7 +243,7 @@
 	return http.StatusAccepted
 }
 
-// finishLoad ends a load. The caller holds mu.
+// finishLoad records the result of a load. The caller holds mu.
 func (e *OrderedRunner) finishLoad(o rollout.Order) {
 	e.status.Loading = nil
 	e.status.Last = &rollout.Result{Order: o.ID, Done: !e.failLoads}
@@ -273,8 +277,9 @@
 	e.status.Models = models
 }
 
-// serveLoaded makes the runner serve the version that is loaded, or refuse
-// everything while none is, and report its weights. The caller holds mu.
+// serveLoaded sets the Runner's weight version to the loaded one, or to
+// loadingVersion if none is, and updates the weights in its load report. The
+// caller holds mu.
 func (e *OrderedRunner) serveLoaded() {
 	version := loadingVersion
 	var weights []fleet.Weights
@@ -286,7 +291,7 @@
 		weights = append(weights, fleet.Weights{Model: l.Model})
 	}
 	if len(weights) == 0 {
-		weights = []fleet.Weights{{}} // nothing is ready
+		weights = []fleet.Weights{{}} // reports that no weights are ready; an empty list reports nothing
 	}
 	e.setWeights(weights)
 	if version != e.servedVersion {
@@ -295,7 +300,7 @@
 	}
 }
 
-// setWeights makes the runner report weights in its load.
+// setWeights sets the weights in the runner's load report.
 func (r *Runner) setWeights(weights []fleet.Weights) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/standin/orders_test.go
+++ b/lab/standin/orders_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// The daemon that gives orders stops for minutes right before it writes one:
-// a garbage collection, or its VM is moved. Its lease lapses and another daemon
-// rolls out a newer manifest. When the first wakes up it still believes that it
-// holds the lease; the order that it was about to write must not leave.
+// The rollout leader is suspended for minutes right before it sends an order, for
+// example by garbage collection or a migration of its VM. Its lease expires and
+// another daemon rolls out a newer manifest. When the first one resumes, it still
+// assumes that it holds the lease; it must not send the outdated order.
 func TestSuspendedLeaderSendsNoStaleOrder(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
@@ -39,17 +39,17 @@
 	for id, r := range f.runners {
 		for _, o := range r.ExecutedOrders() {
 			if o.Version == version {
-				f.t.Errorf("%s took an order for %s", id, version)
+				f.t.Errorf("%s executed an order for %s", id, version)
 			}
 		}
 	}
 }
 
-// The bytes of an order are on their way for minutes, longer than any timeout
-// allows for. An engine that knows fencing numbers refuses them. Another one
-// loads the older version; the present holder reads that back and puts it
-// right, one load beyond the limit at the most, and requests never run on the
-// wrong version, since they name theirs.
+// The bytes of an order are delayed in the network for minutes, longer than any
+// timeout. A runner that checks fencing tokens refuses the order. One that does not
+// loads the outdated version; the current leader reads its status and corrects it,
+// with at most one load above the limit. Requests never run on the wrong version,
+// since they name theirs.
 func TestOrderDelayedBeyondLease(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
@@ -69,16 +69,17 @@
 					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
 				}
 				if late := first.lateAddress.Load().(string); fences != f.executedOnly(late, "v3") {
-					t.Errorf("runner that fences %v: took %v", fences, f.runners[late].ExecutedOrders())
+					t.Errorf("runner with fences %v executed %v", fences, f.runners[late].ExecutedOrders())
 				}
 			})
 		})
 	}
 }
 
-// A daemon stops while its last order is still on its way to a runner, and gives
-// the lease up. The next holder, who thinks that this runner is leaving, must not
-// fill the loads of the fleet before that order has arrived or never will.
+// A leader stops and releases its lease while its last order is still in transit.
+// The next leader regards the runner that the order goes to as leaving. It must not
+// start as many loads as the limit allows before the order has arrived or can no
+// longer arrive.
 func TestNewLeaderWaitsForOrderInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, false)
@@ -100,8 +101,8 @@
 	})
 }
 
-// Six daemons start at once and all want to give orders. If two did, the weight
-// store would see twice the loads that it bears.
+// Six daemons start at once and compete for the rollout lease. Two leaders would
+// start twice the number of loads that the weight store allows.
 func TestSingleLeaderAmongManyDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
@@ -116,8 +117,8 @@
 	})
 }
 
-// Answers are lost after orders took effect, a runner crashes in mid-load and
-// comes back empty. The rollout ends, within the limit of loads.
+// Answers are lost after orders took effect, and a runner crashes during a load and
+// restarts empty. The rollout must still end, within the limit of concurrent loads.
 func TestRolloutWithLostAnswersAndCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
@@ -144,8 +145,8 @@
 	})
 }
 
-// Another user of the weight store takes its capacity, so that it refuses loads.
-// Orders wait as long as it asks for.
+// Another user of the weight store takes up its capacity, so that it refuses loads.
+// The leader must wait for the time that Retry-After states.
 func TestWeightStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, true)
@@ -159,8 +160,9 @@
 	})
 }
 
-// The weight store is down for ten minutes and each load that was begun fails. A
-// quarter of the runners at the most may wait for it; the rest serve on.
+// The weight store is down for ten minutes, so that each load fails at its end. At
+// most a quarter of the runners may be without weights meanwhile; the rest must
+// keep serving.
 func TestWeightStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -1,6 +1,7 @@
-// Package standin holds small stand-ins for what merlindock meets in
-// production: model runners and plain services. Each is an http.Handler with
-// faults that a test or the demo brings about on command.
+// Package standin implements small stand-ins for the systems that merlindock works
+// with in production: model runners, KV stores, weight stores and plain services.
+// Runners, KV stores and services are http.Handlers into which a test or the demo
+// injects faults.
 package standin
 
 import (
@@ -23,7 +24,7 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Defaults of a runner.
+// Defaults of RunnerOptions.
 const (
 	DefaultBytesPerToken = 4
 	DefaultPieceTokens   = 2000
@@ -34,25 +35,25 @@
 	maxBodyBytes = 16 << 20
 )
 
-// RunnerOptions describe a runner. Zero values take the defaults; zero delays
-// mean that it answers at once.
+// RunnerOptions describe a runner. Zero counts take the defaults; zero delays mean
+// no delay.
 type RunnerOptions struct {
 	ID            fleet.EndpointID
-	WeightVersion string        // loaded; empty: whatever is asked for
+	WeightVersion string        // loaded; empty: serves any version that a request names
 	BytesPerToken int           // of a prompt
 	PieceTokens   int           // tokens in one piece of its cache
 	CachePieces   int           // pieces its cache holds
-	AnswerTokens  int           // generated when a request names no limit
-	Slots         int           // requests it generates at once
+	AnswerTokens  int           // generated if a request has no max_tokens
+	Slots         int           // concurrent requests; further ones wait
 	Prefill       time.Duration // per prompt token that is not cached
 	Decode        time.Duration // per token generated
 	Store         string        // address of the KV store to export to; empty: none
 	Dial          Dial          // to the KV store; nil: TCP
-	Plain         bool          // knows none of merlindock's headers
-	IgnoresResume bool          // begins at the first token whatever is asked
+	Plain         bool          // does not support merlindock's headers
+	IgnoresResume bool          // begins at the first token even when asked to resume
 }
 
-// Dial opens a connection.
+// Dial opens a connection, like net.Dialer.DialContext.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
 // Runner is a stand-in for a model engine.
@@ -62,11 +63,11 @@
 	slots chan struct{}
 
 	transport *http.Transport // to the KV store
-	exports   chan struct{}   // one for each export under way
+	exports   chan struct{}   // one element for each export in progress
 
 	running atomic.Int64
 	waiting atomic.Int64
-	queued  atomic.Int64 // prompt tokens that wait or are prefilled
+	queued  atomic.Int64 // prompt tokens of requests that wait or prefill
 
 	mu          sync.Mutex // guards what follows
 	incarnation fleet.Incarnation
@@ -78,27 +79,27 @@
 	cache       *pieceCache
 	faults      []Fault
 	stats       RunnerStats
-	weights     []fleet.Weights // reported in its load, see TakeOrders
+	weights     []fleet.Weights // for the load report, see AcceptOrders
 	events      *eventLog
 	eventFaults EventFaults
 	eventRand   *rand.Rand
 }
 
-// RunnerStats is what a runner has done since it was made.
+// RunnerStats counts what a runner has done since NewRunner, over all incarnations.
 type RunnerStats struct {
-	Requests        int // taken, whether answered or not
-	Refused         int // not taken, since it drains or has other weights
-	Cancelled       int // whose caller left before the end
+	Requests        int // admitted, whether answered or not
+	Refused         int // refused because the runner drains or has another weight version
+	Cancelled       int // requests whose caller disconnected before the end
 	PromptTokens    int
-	CachedTokens    int // of the prompt tokens, imported ones included
-	Imports         int // asked of the KV store
-	ImportsVain     int // that brought nothing
+	CachedTokens    int // cached prompt tokens, including imported ones
+	Imports         int // requests to the KV store
+	ImportsVain     int // of these, those that gained no tokens
 	ImportedTokens  int
 	GeneratedTokens int
-	Attempts        map[string]int // times each attempt id came
+	Attempts        map[string]int // requests by attempt ID
 }
 
-// NewRunner returns a runner that is up and empty.
+// NewRunner returns a running runner with an empty cache.
 func NewRunner(o RunnerOptions) *Runner {
 	setDefault(&o.BytesPerToken, DefaultBytesPerToken)
 	setDefault(&o.PieceTokens, DefaultPieceTokens)
@@ -141,7 +142,7 @@
 	_ = json.NewEncoder(w).Encode(r.Load())
 }
 
-// job is one request at a runner.
+// job is one request handled by a runner.
 type job struct {
 	r           *Runner
 	w           http.ResponseWriter
@@ -156,7 +157,7 @@
 	cached      int
 	version     string
 	incarnation fleet.Incarnation
-	word        string // what the generated tokens are made of
+	word        string // contained in every token, see contentWord
 }
 
 type completionRequest struct {
@@ -193,14 +194,16 @@
 	j.sendCompletion()
 }
 
-// parse takes the request apart and refuses what a runner refuses.
+// parse decodes the request. It answers a malformed body with an error and returns
+// false.
 func (j *job) parse() bool {
 	raw, err := io.ReadAll(io.LimitReader(j.req.Body, maxBodyBytes))
 	if err != nil || json.Unmarshal(raw, &j.body) != nil {
 		http.Error(j.w, `{"error":{"message":"bad body"}}`, http.StatusBadRequest)
 		return false
 	}
-	// The same bytes as the daemon counts, so that its levels end where they do.
+	// The daemon counts the same bytes, so that its prefix levels end at the same
+	// positions.
 	j.prompt = append(bytes.Trim(j.body.Messages, "[]"), j.body.Prompt...)
 	if !j.r.o.Plain {
 		j.levels, _ = prefix.Parse(j.req.Header.Get(engine.HeaderPrefix))
@@ -218,7 +221,9 @@
 	return true
 }
 
-// admit takes the request into the runner's books, unless it refuses it.
+// admit counts the request, looks its prompt up in the cache and takes its fault. It
+// refuses the request and returns false if the runner drains or has another weight
+// version than the request names.
 func (j *job) admit() bool {
 	r := j.r
 	r.mu.Lock()
@@ -267,7 +272,8 @@
 	_, _ = io.WriteString(j.w, `{"error":{"message":"not taken"}}`)
 }
 
-// bindContext makes the job end with its caller or its runner, whichever goes first.
+// bindContext makes the job's context end when its caller disconnects or its runner
+// crashes. The caller of bindContext must call stop.
 func (j *job) bindContext() (stop func()) {
 	alive := j.ctx
 	ctx, cancel := context.WithCancel(j.req.Context())
@@ -279,7 +285,9 @@
 	}
 }
 
-// prefill waits for a slot and for the prompt tokens that are not cached.
+// prefill waits for a slot, imports what the KV store has of the prompt, and takes
+// the time to compute the tokens that are not cached. It returns false if the job's
+// context ended.
 func (j *job) prefill() bool {
 	r := j.r
 	todo := int64(len(j.prompt)/r.o.BytesPerToken + 1 - j.cached)
@@ -309,7 +317,7 @@
 	return true
 }
 
-// setHeaders sets what an answer says beside itself.
+// setHeaders sets the answer's merlindock headers.
 func (j *job) setHeaders() {
 	if j.r.o.Plain {
 		return
--- a/lab/standin/service.go
+++ b/lab/standin/service.go
@@ -15,11 +15,11 @@
 )
 
 // Service is a stand-in for a plain service, such as the counter application.
-// Each call but a GET has an effect, which it counts.
+// Every call except GET has an effect, which it counts.
 type Service struct {
 	ID    fleet.EndpointID
-	Plain bool          // knows none of merlindock's headers
-	Delay time.Duration // of each call
+	Plain bool          // does not support merlindock's headers
+	Delay time.Duration // before each answer
 
 	mu       sync.Mutex // guards what follows
 	effects  map[string]int
@@ -28,7 +28,7 @@
 	draining bool
 }
 
-// NewService returns a service that is up.
+// NewService returns a running service.
 func NewService(id fleet.EndpointID) *Service {
 	return &Service{ID: id, effects: make(map[string]int)}
 }
@@ -40,14 +40,15 @@
 	s.faults = append(s.faults, faults...)
 }
 
-// SetDraining makes the service refuse new work, or take it again.
+// SetDraining sets whether the service refuses new calls.
 func (s *Service) SetDraining(draining bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.draining = draining
 }
 
-// Effects returns how often each effect has happened, by method, path and body.
+// Effects returns how often each effect has happened. The keys are method, path
+// and body, separated by spaces.
 func (s *Service) Effects() map[string]int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -58,7 +59,7 @@
 	return out
 }
 
-// Calls returns how many calls the service has taken.
+// Calls returns how many calls the service has admitted.
 func (s *Service) Calls() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +100,8 @@
 	_, _ = io.WriteString(w, answer)
 }
 
-// admit books the call and its effect.
+// admit counts the call and its effect, and returns its fault and its number from 1.
+// It returns false if the service drains.
 func (s *Service) admit(r *http.Request, body string) (f Fault, number int, ok bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -17,45 +17,45 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Paths of a KV store, between it and runners. Both are POSTs that name levels
-// in engine.HeaderPrefix. The answer to an import says in
-// engine.HeaderCachedTokens what the store has, and has one line for each level
-// delivered.
+// Paths of a KV store's protocol with runners. Both take a POST whose
+// engine.HeaderPrefix lists prefix levels. The answer to an import has the number of
+// available tokens in engine.HeaderCachedTokens, and one line in its body for each
+// level delivered.
 const (
 	StorePathImport = "/kv/import"
 	StorePathExport = "/kv/export"
 )
 
-// DefaultStoreLevels is how many levels a store keeps.
+// DefaultStoreLevels is the default of StoreOptions.Levels.
 const DefaultStoreLevels = 1 << 14
 
-// StoreFault names what a store does wrong.
+// StoreFault is a kind of fault that a store can inject.
 type StoreFault int
 
 // The faults of a store.
 const (
 	StoreNoFault    StoreFault = iota
-	StoreDown                  // drops connections, also open ones
-	StoreHangs                 // answers nothing
-	StoreOverstates            // says that it has all and delivers half
+	StoreDown                  // drops connections, including open ones
+	StoreHangs                 // accepts requests and does not answer them
+	StoreOverstates            // announces all requested levels and delivers half of them
 )
 
-// StoreOptions describe a KV store. Zero delays mean that it answers at once.
+// StoreOptions describe a KV store. Zero delays mean no delay.
 type StoreOptions struct {
-	Levels  int           // kept at most
-	Latency time.Duration // before the first level
+	Levels  int           // kept at most; 0: DefaultStoreLevels
+	Latency time.Duration // before the first level of an import
 	Rate    float64       // tokens/s of one import; 0: no limit
-	Delay   time.Duration // from an export until it can be imported
+	Delay   time.Duration // from an export until its levels can be imported
 }
 
-// StoreStats is what a store has done.
+// StoreStats counts what a store has done.
 type StoreStats struct {
-	Imports  int // asked for
-	Cut      int // not delivered whole
+	Imports  int // requested
+	Cut      int // imports that were not delivered completely
 	Exports  int
 	Tokens   int // delivered
-	Levels   int // kept now
-	Unworthy int // imports of which it had nothing
+	Levels   int // currently kept
+	Unworthy int // imports for which the store had no level
 }
 
 // Store is a stand-in for a KV store that runners share.
@@ -67,7 +67,7 @@
 	fault StoreFault
 	alive context.Context // cancelled by StoreDown
 	kill  context.CancelFunc
-	order *list.List // of *storedLevel, the latest used first
+	order *list.List // of *storedLevel, most recently used first
 	index map[prefix.Key]*list.Element
 	stats StoreStats
 }
@@ -90,7 +90,8 @@
 	return s
 }
 
-// SetFault makes the store do something wrong from now on, or work again.
+// SetFault sets the store's fault from now on. StoreDown also drops open
+// connections.
 func (s *Store) SetFault(f StoreFault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,7 +102,7 @@
 	}
 }
 
-// Stats returns what the store has done.
+// Stats returns a copy of the store's counters.
 func (s *Store) Stats() StoreStats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -143,7 +144,8 @@
 	}
 }
 
-// insert takes a level in and makes room for it. The caller holds mu.
+// insert adds a level, or marks it as used, and evicts the least recently used ones
+// beyond the limit. The caller holds mu.
 func (s *Store) insert(k prefix.Key) {
 	if e := s.index[k]; e != nil {
 		s.order.MoveToFront(e)
@@ -155,7 +157,8 @@
 	}
 }
 
-// lookup returns the leading levels up to the deepest one the store has.
+// lookup counts an import and returns the leading levels up to the deepest one that
+// the store has ready.
 func (s *Store) lookup(levels []prefix.Level) []prefix.Level {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -195,7 +198,8 @@
 	}
 }
 
-// deliver sends the levels at the store's pace.
+// deliver sends the levels at the store's rate. It returns false if it could not
+// send all of them.
 func (s *Store) deliver(ctx context.Context, w http.ResponseWriter, levels []prefix.Level) bool {
 	if pause.For(ctx, s.o.Latency) != nil {
 		return false
--- a/lab/standin/transfer.go
+++ b/lab/standin/transfer.go
@@ -11,16 +11,18 @@
 )
 
 const (
-	maxConcurrentExports = 32 // of one runner; more are left out
+	maxConcurrentExports = 32 // of one runner; further ones are skipped
 	exportTimeout        = 5 * time.Second
-	// minImportTimeout is the least time that an import may take. Beyond it, an
-	// import that takes longer than computing is given up.
+	// minImportTimeout is the lower bound of an import's timeout. The timeout is
+	// otherwise the time that computing the tokens takes, since a slower import
+	// gains nothing.
 	minImportTimeout = 100 * time.Millisecond
 	maxLineBytes     = 128
 )
 
-// importPrefix fetches what the KV store has and counts it as cached. Whatever
-// the store does, the request goes on: what did not come is computed.
+// importPrefix imports the prompt's levels from the KV store and counts them as
+// cached. A failing store doesn't fail the request: tokens that were not delivered
+// are computed.
 func (j *job) importPrefix(todo int64) {
 	address := j.req.Header.Get(engine.HeaderImportFrom)
 	if j.r.o.Plain || address == "" || totalTokens(j.levels) <= j.cached {
@@ -31,22 +33,23 @@
 	defer cancel()
 	got := j.fetch(ctx, address)
 	size := j.r.o.PieceTokens
-	whole := min(got, len(j.prompt)/j.r.o.BytesPerToken) / size * size
+	imported := min(got, len(j.prompt)/j.r.o.BytesPerToken) / size * size
 	r := j.r
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.Imports++
-	if whole <= j.cached {
+	if imported <= j.cached {
 		r.stats.ImportsVain++
 		return
 	}
-	r.stats.ImportedTokens += whole - j.cached
-	r.stats.CachedTokens += whole - j.cached
-	j.cached = whole
+	r.stats.ImportedTokens += imported - j.cached
+	r.stats.CachedTokens += imported - j.cached
+	j.cached = imported
 }
 
-// fetch returns the tokens that came. Only levels that were asked for, in their
-// order and delivered whole, count; what the store announces does not.
+// fetch requests the prompt's levels from the KV store and returns the number of
+// tokens delivered. It counts only complete lines that match the requested levels
+// in order, not the number that the store announces.
 func (j *job) fetch(ctx context.Context, address string) int {
 	req, err := transferRequest(ctx, address, StorePathImport, j.levels)
 	if err != nil {
@@ -72,7 +75,8 @@
 	return tokens
 }
 
-// export gives the prompt's levels to the KV store, beside the request.
+// export sends the prompt's levels to the KV store in the background. It skips the
+// export if maxConcurrentExports are in progress.
 func (j *job) export() {
 	r := j.r
 	if r.o.Plain || r.o.Store == "" || len(j.levels) == 0 {
