--- a/lab/load/call.go
+++ b/lab/load/call.go
@@ -20,30 +20,31 @@
 	errorData = []byte(`data: {"error"`)
 )
 
-// Failures that the generator itself names; others have the gateway's code.
+// Failures that the load generator detects. Other failures have the error code of
+// the answer.
 const (
-	failureNoAnswer = "no_answer" // the connection failed
+	failureNoAnswer = "no_answer" // the connection failed, or an error had no code
 	failureCut      = "cut"       // the stream ended without its end marker
 )
 
-// caller is one caller. Its fields tell of its last request.
+// caller makes one request at a time. Its fields describe the last request.
 type caller struct {
 	o      *Options
 	reader *bufio.Reader
 
-	firstToken time.Duration // to the first token
+	firstToken time.Duration // from the start to the first token
 	total      time.Duration
-	gaps       []time.Duration // between tokens that came in separate reads
+	gaps       []time.Duration // between tokens that arrived in separate reads
 	tokens     int
 	bytes      int
-	failure    string // why it failed; empty if it did not
+	failure    string // a failure or error code; empty on success
 }
 
 func newCaller(o *Options) *caller {
 	return &caller{o: o, reader: bufio.NewReaderSize(nil, readBufferBytes)}
 }
 
-// run makes one request and reads its answer to the end.
+// run makes one request, reads its answer to the end and sets the fields.
 func (c *caller) run(ctx context.Context, body string) {
 	ctx, cancel := context.WithTimeout(ctx, c.o.Timeout)
 	defer cancel()
@@ -78,10 +79,11 @@
 	return c.read(began)
 }
 
-// read reads the events up to the end marker.
+// read reads the answer's events up to the end marker, and returns a failure, the
+// code of an error event, or "".
 func (c *caller) read(began time.Time) string {
 	last := began
-	waited := false // for a line since the last token, such as the one with its number
+	waited := false // for a line since the last token, such as the line with the event's ID
 	for {
 		waited = waited || c.reader.Buffered() == 0
 		line, err := c.reader.ReadSlice('\n')
@@ -92,7 +94,7 @@
 		line = bytes.TrimSpace(line)
 		switch {
 		case bytes.Equal(line, doneEvent):
-			// Reading to the end gives the connection back for reuse.
+			// The connection is reused only if its answer was read to the end.
 			_, _ = io.Copy(io.Discard, c.reader)
 			return ""
 		case bytes.HasPrefix(line, errorData):
@@ -111,7 +113,8 @@
 	}
 }
 
-// errorCode finds the code in an error's JSON.
+// errorCode returns the error code in the JSON of an error, or failureNoAnswer if
+// there is none.
 func errorCode(text []byte) string {
 	_, rest, ok := bytes.Cut(text, codeField)
 	if !ok {
--- a/lab/load/load.go
+++ b/lab/load/load.go
@@ -1,6 +1,6 @@
-// Package load makes callers' requests to a gateway or a runner and measures
-// what the callers see. It is for benchmarks and for trying a deployment on
-// loopback.
+// Package load generates requests to a gateway or a runner and measures the latency
+// and the failures that callers observe. It serves benchmarks and trials of a local
+// deployment.
 package load
 
 import (
@@ -29,32 +29,33 @@
 
 // Options describe the load. Zero values take the defaults.
 type Options struct {
-	URL         string // of the gateway or runner, without a path
+	URL         string // base URL of the gateway or runner, without a path
 	Key         string // API key
 	Model       string
-	Client      *http.Client // nil: one of its own with a connection per caller
-	Callers     int          // requests in flight at most
-	Requests    int          // in all; ends sooner with the context
-	Rate        float64      // requests a second; 0: as fast as answers come
+	Client      *http.Client // nil: a new one that keeps a connection per caller
+	Callers     int          // concurrent requests at most
+	Requests    int          // total number; fewer if the context ends
+	Rate        float64      // requests per second; 0: as fast as answers arrive
 	Tokens      int          // generated per request
-	PromptBytes int          // of the whole prompt
-	Prefixes    int          // different first messages, half of each prompt
+	PromptBytes int          // of both messages of a prompt
+	Prefixes    int          // number of different first messages, which are half of each prompt
 	Priority    string       // empty: the gateway's default
 	Timeout     time.Duration
 	Seed        uint64
-	// Progress, unless nil, is told now and then how many requests have ended.
+	// Progress, unless nil, is called after each request, also concurrently, with the
+	// number of requests that have ended and the total number.
 	Progress func(done, of int)
 }
 
-// generator is one run.
+// generator is the state of one Run.
 type generator struct {
 	o      Options
 	report Report
 	mu     sync.Mutex // guards report
 }
 
-// Run makes the requests and returns what the callers saw. The error is about
-// the run; failed requests are counted in the report.
+// Run makes the requests and returns a report, or an error if the URL or the model is
+// missing. Failed requests are counted in the report.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	if o.URL == "" || o.Model == "" {
 		return nil, errors.New("load: the URL or the model is missing")
@@ -97,7 +98,7 @@
 	}
 }
 
-// schedule hands out the numbers of the requests when each is due.
+// schedule sends the number of each request to starts when the request is due.
 func (g *generator) schedule(ctx context.Context, starts chan<- int) {
 	began := time.Now()
 	for i := range g.o.Requests {
@@ -141,8 +142,8 @@
 	return nil
 }
 
-// body returns the body of request i: a first message that many requests
-// share, and a question of its own.
+// body returns the body of request i: a first message that other requests share, and
+// a question that is unique.
 func (g *generator) body(i int) string {
 	rng := rand.New(rand.NewPCG(g.o.Seed, uint64(i)))
 	prefix := rng.IntN(g.o.Prefixes)
@@ -157,10 +158,10 @@
 	return b.String()
 }
 
-// bodyOverheadBytes is about what a body has beside its two texts.
+// bodyOverheadBytes is the approximate size of a body without its two texts.
 const bodyOverheadBytes = 256
 
-// appendText adds a phrase over and over, up to a size.
+// appendText appends a phrase repeatedly, until size bytes were added.
 func appendText(b *strings.Builder, phrase string, size int) {
 	for ; size > 0; size -= len(phrase) {
 		b.WriteString(phrase[:min(len(phrase), size)])
--- a/lab/load/report.go
+++ b/lab/load/report.go
@@ -10,18 +10,18 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// The range and precision of the histograms, in microseconds.
+// Range in microseconds and precision of the histograms.
 const (
 	minMicroseconds   = 1
 	maxMicroseconds   = int64(10 * time.Minute / time.Microsecond)
 	significantDigits = 3
 )
 
-// Report is what the callers saw. Histograms are in microseconds.
+// Report holds the results of a Run. Histograms are in microseconds.
 type Report struct {
 	Requests   int
-	Answered   int            // whole, with the end marker
-	Failed     map[string]int // by code
+	Answered   int            // completely, with the end marker
+	Failed     map[string]int // by failure or error code
 	Tokens     int
 	Bytes      int64 // of the answers' bodies
 	Elapsed    time.Duration
@@ -57,16 +57,16 @@
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(d.Microseconds(), minMicroseconds), maxMicroseconds)
-	// The value is within the histogram's range, so this cannot fail.
+	// RecordValue fails only for values outside the histogram's range.
 	_ = h.RecordValue(us)
 }
 
-// Quantile returns a histogram's value below which the given percentage lies.
+// Quantile returns the given percentile of a histogram, from 0 to 100.
 func Quantile(h *hdrhistogram.Histogram, percent float64) time.Duration {
 	return time.Duration(h.ValueAtQuantile(percent)) * time.Microsecond
 }
 
-// Summary is a report in the form a script reads. Times are in milliseconds.
+// Summary is the machine-readable form of a Report. Times are in milliseconds.
 type Summary struct {
 	Requests     int            `json:"requests"`
 	Answered     int            `json:"answered"`
@@ -79,14 +79,14 @@
 	Total        Quantiles      `json:"total_ms"`
 }
 
-// Quantiles are the usual ones of a histogram, in milliseconds.
+// Quantiles are the 50th, 95th and 99th percentile of a histogram, in milliseconds.
 type Quantiles struct {
 	P50 float64 `json:"p50"`
 	P95 float64 `json:"p95"`
 	P99 float64 `json:"p99"`
 }
 
-// Summary returns the report's figures.
+// Summary returns the machine-readable form of the report.
 func (r *Report) Summary() Summary {
 	seconds := max(r.Elapsed.Seconds(), 1e-9)
 	return Summary{
@@ -107,10 +107,10 @@
 	return Quantiles{P50: ms(50), P95: ms(95), P99: ms(99)}
 }
 
-// Write prints the report for a person.
+// Write writes the report as text.
 func (r *Report) Write(w io.Writer) {
 	s := r.Summary()
-	fmt.Fprintf(w, "requests %d, answered whole %d, %.0f a second, %.0f tokens a second\n", s.Requests, s.Answered, s.RequestsPerS, s.TokensPerS)
+	fmt.Fprintf(w, "requests %d, answered completely %d, %.0f requests/s, %.0f tokens/s\n", s.Requests, s.Answered, s.RequestsPerS, s.TokensPerS)
 	for _, code := range slices.Sorted(maps.Keys(s.Failed)) {
 		fmt.Fprintf(w, "failed with %s: %d\n", code, s.Failed[code])
 	}
@@ -118,7 +118,7 @@
 	for _, row := range []struct {
 		name string
 		q    Quantiles
-	}{{"first token", s.FirstToken}, {"between tokens", s.Gap}, {"whole answer", s.Total}} {
+	}{{"first token", s.FirstToken}, {"between tokens", s.Gap}, {"complete answer", s.Total}} {
 		fmt.Fprintf(w, "%-20s %10.3f %10.3f %10.3f\n", row.name, row.q.P50, row.q.P95, row.q.P99)
 	}
 }
--- a/lab/standin/plog/faults.go
+++ b/lab/standin/plog/faults.go
@@ -7,7 +7,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// duplicateRecords is how far back a duplicate delivery reaches.
+// duplicateRecords is how many records a read delivers again at most, see RepeatReads.
 const duplicateRecords = 3
 
 type faults struct {
@@ -38,27 +38,28 @@
 	return max(first, from-duplicateRecords)
 }
 
-// SetOutage starts or ends an outage: no append takes effect, no read is
-// answered.
+// SetOutage starts or ends an outage, during which appends and reads fail and no
+// append takes effect.
 func (l *Log) SetOutage(on bool) { l.updateFaults(func(f *faults) { f.outage = on }) }
 
-// OutageFor starts an outage that ends by itself.
+// OutageFor starts an outage that ends after d. It does not end one of SetOutage.
 func (l *Log) OutageFor(d time.Duration) {
 	until := l.opt.Now().Add(d)
 	l.updateFaults(func(f *faults) { f.outageUntil = until })
 }
 
-// SetDelay makes every call take d.
+// SetDelay sets how long every append and read takes.
 func (l *Log) SetDelay(d time.Duration) { l.updateFaults(func(f *faults) { f.delay = d }) }
 
-// LoseAnswers makes the next n appends take effect and fail.
+// LoseAnswers makes the next n appends take effect and return ports.ErrUnavailable.
 func (l *Log) LoseAnswers(n int) { l.updateFaults(func(f *faults) { f.loseAnswers = n }) }
 
-// RepeatReads makes the next n reads deliver records again that were
-// delivered before.
+// RepeatReads makes the next n reads begin up to duplicateRecords records before
+// the requested offset, so that records are delivered twice.
 func (l *Log) RepeatReads(n int) { l.updateFaults(func(f *faults) { f.repeatReads = n }) }
 
-// LateAppends makes the next n appends fail at once and take effect after d.
+// LateAppends makes the next n appends return ports.ErrUnavailable at once and take
+// effect after d.
 func (l *Log) LateAppends(n int, d time.Duration) {
 	l.updateFaults(func(f *faults) { f.lateAppends, f.lateDelay = n, d })
 }
@@ -77,7 +78,8 @@
 	change(&l.faults)
 }
 
-// Truncate drops the records of a stream before first, as if they had expired.
+// Truncate drops the records of a stream before the offset first, as if they had
+// expired.
 func (l *Log) Truncate(name ports.Stream, first ports.Offset) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -94,17 +96,17 @@
 	}
 }
 
-// View is one daemon's way to the log, which can be interrupted while others
-// reach it.
+// View is one daemon's connection to the log, which can be interrupted while other
+// daemons reach the log.
 type View struct {
 	Log          *Log
 	disconnected chan struct{}
 }
 
-// View returns a way to the log that Disconnect interrupts.
+// View returns a connection to the log that Disconnect interrupts.
 func (l *Log) View() *View { return &View{Log: l, disconnected: make(chan struct{}, 1)} }
 
-// Disconnect makes every call by this way fail.
+// Disconnect makes every append and read of this view fail until Reconnect.
 func (c *View) Disconnect() {
 	select {
 	case c.disconnected <- struct{}{}:
@@ -112,7 +114,7 @@
 	}
 }
 
-// Reconnect ends Disconnect.
+// Reconnect ends the effect of Disconnect.
 func (c *View) Reconnect() {
 	select {
 	case <-c.disconnected:
--- a/lab/standin/plog/http.go
+++ b/lab/standin/plog/http.go
@@ -14,7 +14,8 @@
 	"github.com/merlindock/merlindock/ports/httplog"
 )
 
-// Handler serves the log and the list as docs/PLATFORM.md states.
+// Handler serves the log and the VM list by the HTTP protocol that docs/PLATFORM.md
+// specifies.
 func Handler(l *Log, v *VMs) http.Handler {
 	mux := http.NewServeMux()
 	records := httplog.PathStreams + "{stream}/records"
@@ -72,8 +73,8 @@
 	}
 }
 
-// writeList answers with a tag of the list's content, and without the list
-// when the caller has it.
+// writeList answers with the list and an ETag of its content, or with status 304 if the
+// request's If-None-Match has that ETag.
 func writeList(w http.ResponseWriter, r *http.Request, list any, err error) {
 	text, marshalErr := json.Marshal(list)
 	if err != nil || marshalErr != nil {
@@ -93,6 +94,6 @@
 func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	// A failed write means that the caller has gone, who will ask again.
+	// A write fails if the client has disconnected. It repeats its request.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/lab/standin/plog/plog.go
+++ b/lab/standin/plog/plog.go
@@ -1,8 +1,8 @@
-// Package plog stands in for the platform: its append-only log and its list
-// of VMs, in process or behind HTTP, with every fault of the real ones on
-// command.
+// Package plog is a stand-in for the platform: its append-only log and its list of
+// VMs. They can be used in process or over HTTP, and can inject every fault of the
+// real ones.
 //
-// Lock order: each type has one mutex and calls nothing that locks while it
+// Lock order: each type has one mutex, and calls nothing that locks another while it
 // holds it.
 package plog
 
@@ -19,12 +19,12 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Defaults of the stand-in.
+// Defaults of Options, and limits of one read.
 const (
 	DefaultRetention      = 6 * time.Hour
 	DefaultAppendRate     = 300 // appends a second
 	DefaultMaxRecordBytes = 9 << 20
-	maxPageRecords        = 1000 // records in one answer
+	maxPageRecords        = 1000 // records in the answer to one read
 	maxPageBytes          = 32 << 20
 )
 
@@ -34,7 +34,7 @@
 	Retention      time.Duration    // how long a record is kept
 	AppendRate     float64          // appends a second over all streams; negative: no limit
 	MaxRecordBytes int
-	KeepJournal    bool // keep what expires, for Journal
+	KeepJournal    bool // whether Journal also returns expired records
 }
 
 // Log is an in-memory ports.Log.
@@ -56,10 +56,10 @@
 
 func (s *stream) next() ports.Offset { return s.first + ports.Offset(len(s.records)) }
 
-// Counts tells what the log was asked.
+// Counts are the log's counters of calls, records and bytes.
 type Counts struct {
 	Appends     int `json:"appends"` // that took effect
-	Refused     int `json:"refused"` // certainly not appended
+	Refused     int `json:"refused"` // refused by the log without effect
 	Reads       int `json:"reads"`
 	BytesIn     int `json:"bytes_in"`
 	BytesOut    int `json:"bytes_out"`
@@ -217,15 +217,16 @@
 	return l.stream(name).next()
 }
 
-// Journal returns every record that a stream ever had, for a check of what
-// readers made of them. It is empty unless Options.KeepJournal is set.
+// Journal returns every record appended to a stream, including expired ones, so that
+// a test can check the state that readers derived from them. It is empty unless
+// Options.KeepJournal is set.
 func (l *Log) Journal(name ports.Stream) []ports.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]ports.Record(nil), l.stream(name).journal...)
 }
 
-// Counts returns what the log was asked so far.
+// Counts returns a copy of the log's counters.
 func (l *Log) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/standin/plog/plog_test.go
+++ b/lab/standin/plog/plog_test.go
@@ -56,8 +56,9 @@
 }
 
 func TestClientDistinguishesNotAppendedFromUnknown(t *testing.T) {
-	// The log refuses an append, or takes it and loses the answer. A client
-	// that mixed the two up would tell callers "not run" of what is in the log.
+	// The log either refuses an append, or appends the record and loses the answer.
+	// A client that confused the two would report a call as not run although its
+	// record is in the log.
 	ctx := t.Context()
 	l := New(Options{AppendRate: -1})
 	c := client(t, l, NewVMs(nil, 0))
--- a/lab/standin/plog/vms.go
+++ b/lab/standin/plog/vms.go
@@ -10,7 +10,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// VMs is an in-memory ports.VMList. Its answers lag by Lag.
+// VMs is an in-memory ports.VMList whose answers lag behind its changes.
 type VMs struct {
 	now func() time.Time
 	lag time.Duration
@@ -26,10 +26,11 @@
 	daemons   []ports.Daemon
 }
 
-// maxVMStates bounds the changes that are remembered for the lag.
+// maxVMStates limits the number of list states that are kept for the lag.
 const maxVMStates = 1000
 
-// NewVMs returns an empty list that lags by the given time.
+// NewVMs returns an empty list whose answers lag by the given time. A nil clock
+// means time.Now.
 func NewVMs(now func() time.Time, lag time.Duration) *VMs {
 	if now == nil {
 		now = time.Now
@@ -37,7 +38,7 @@
 	return &VMs{now: now, lag: lag}
 }
 
-// Set replaces the list. Readers see it after the lag; the first list is seen
+// Set replaces the list. Readers see the new list after the lag, and the first one
 // at once.
 func (v *VMs) Set(endpoints []fleet.Endpoint, daemons []ports.Daemon) {
 	v.mu.Lock()
@@ -52,7 +53,8 @@
 	}
 }
 
-// SetOutage makes every call fail, or ends that.
+// SetOutage starts or ends an outage, during which every call returns
+// ports.ErrUnavailable.
 func (v *VMs) SetOutage(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
--- a/lab/trace/generate.go
+++ b/lab/trace/generate.go
@@ -10,35 +10,37 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// GeneratorOptions options of both workloads.
+// GeneratorOptions are the options of both workload generators.
 type GeneratorOptions struct {
 	Seed     uint64
-	Duration time.Duration // of the arrivals
+	Duration time.Duration // period in which the requests arrive
 	Rate     float64       // requests/s on average
 }
 
-// organisationShares of the eight organisations, a few of them large.
+// organisationShares are the shares of the eight organisations, both in the sessions
+// and in the fleet. A few organisations are large.
 var organisationShares = []float64{0.30, 0.22, 0.16, 0.10, 0.08, 0.06, 0.05, 0.03}
 
-// workload is what differs between the two users.
+// workload holds the parameters in which the two workloads differ. Pairs are the
+// least and the greatest value of a uniform distribution.
 type workload struct {
 	name                string
 	fleet               Fleet
 	model               string
-	preamble            [2]int  // tokens, from and to
-	document            [2]int  // tokens, from and to
+	preamble            [2]int  // tokens of an organisation's first part
+	document            [2]int  // tokens
 	documents           int     // of one organisation, or of one garage
-	zipfExponent        float64 // exponent of the documents' popularity
-	followUps           float64 // mean of further questions in one session
-	thinkTime           float64 // mean seconds between them
+	zipfExponent        float64 // of the documents' popularity
+	followUps           float64 // mean number of further questions in a session
+	thinkTime           float64 // mean seconds between the questions
 	question            [2]int
 	output              [2]int
-	garages             int     // second level of this many; 0: none
-	instructions        [2]int  // tokens of the second level
-	shortFraction       float64 // part of requests without a document
+	garages             int     // of one organisation, with a part of their own; 0: none
+	instructions        [2]int  // tokens of a garage's part
+	shortFraction       float64 // fraction of sessions that are one request without a document
 	shortPriority       contract.Priority
-	interactiveFraction float64 // part of sessions that are interactive
-	batchFraction       float64 // part of sessions that are batch
+	interactiveFraction float64 // fraction of other sessions that are interactive
+	batchFraction       float64 // fraction of other sessions that are batch
 }
 
 var registre = workload{
@@ -64,12 +66,12 @@
 	shortFraction: 0.20, shortPriority: contract.PriorityStandard, interactiveFraction: 0.55, batchFraction: 0.15,
 }
 
-// Registre generates traffic of the register of architectural drawings: long
+// Registre generates a trace of the register of architectural drawings: long
 // specification sheets with several questions each, and short tag requests.
 func Registre(g GeneratorOptions) *Trace { return generate(registre, g) }
 
-// Tsukushi generates traffic of the booking services: garages' standing
-// instructions, service histories, and drivers on phones.
+// Tsukushi generates a trace of the booking services: standing instructions of
+// garages, service histories, and drivers on phones.
 func Tsukushi(g GeneratorOptions) *Trace { return generate(tsukushi, g) }
 
 type generator struct {
@@ -102,12 +104,14 @@
 	return contract.OrganisationID(fmt.Sprintf("%s-%d", w.name, i+1))
 }
 
-// run draws sessions until the wanted number of requests has arrived.
+// run generates sessions over the trace's duration, with exponentially distributed
+// intervals at a rate that gives the average rate of requests in the options.
 func (g *generator) run() {
 	perSession := g.w.shortFraction + (1-g.w.shortFraction)*(1+g.w.followUps)
 	sessionRate := g.o.Rate / perSession
 	end := g.o.Duration.Seconds()
-	// Sessions begin before the trace does, so that it starts in mid-traffic.
+	// Sessions begin before the trace does, so that it starts with sessions in
+	// progress.
 	for at := -g.w.followUps * g.w.thinkTime; at < end; at += g.random.ExpFloat64() / sessionRate {
 		g.session(at, end)
 	}
@@ -148,7 +152,8 @@
 	}
 }
 
-// sharedParts returns the parts that a whole organisation or garage shares.
+// sharedParts returns the parts that all prompts of an organisation or garage begin
+// with.
 func (g *generator) sharedParts(org int) (parts []Part, garage int) {
 	parts = []Part{{ID: fmt.Sprintf("o%d", org), Tokens: fixedLength(g.w.preamble, org, 0)}}
 	if g.w.garages > 0 {
@@ -179,7 +184,8 @@
 	return min(i, len(weights)-1)
 }
 
-// fixedLength gives a document its length, the same each time.
+// fixedLength returns the length of a document or shared part. It depends only on the
+// arguments.
 func fixedLength(r [2]int, org, doc int) int {
 	return r[0] + rand.New(rand.NewPCG(uint64(org), uint64(doc))).IntN(r[1]-r[0]+1)
 }
--- a/lab/trace/trace.go
+++ b/lab/trace/trace.go
@@ -1,6 +1,6 @@
-// Package trace reads and writes recorded traffic as JSON Lines, and generates
-// synthetic traces of the two workloads that merlindock is built for. The
-// format is described in docs/TRACES.md.
+// Package trace reads and writes traces of requests as JSON Lines, and generates
+// synthetic traces of the two workloads that merlindock is built for. docs/TRACES.md
+// specifies the format.
 package trace
 
 import (
@@ -23,8 +23,8 @@
 	MaxPartCount = 64      // parts of one prompt
 )
 
-// ErrFormat reports a file that is not a trace, or a line that is not a
-// request.
+// ErrFormat is the error for a file that is not a trace, or a line that is not a
+// valid request.
 var ErrFormat = errors.New("trace: malformed")
 
 // Header is the first line of a trace.
@@ -39,7 +39,7 @@
 	Organisations []Organisation `json:"organisations"`
 }
 
-// Fleet describes the runners that the traffic was recorded in front of.
+// Fleet describes the fleet that the trace was recorded or generated for.
 type Fleet struct {
 	Runners     int     `json:"runners"`
 	Zones       int     `json:"zones"`
@@ -51,19 +51,19 @@
 	StoreTokens int     `json:"store_tokens"` // capacity of the KV store; 0: none
 }
 
-// Organisation is a customer with its share of the fleet.
+// Organisation is an organisation's ID and its share of the fleet.
 type Organisation struct {
 	ID    contract.OrganisationID `json:"id"`
-	Share float64                 `json:"share"` // shares sum to 1
+	Share float64                 `json:"share"` // the shares sum to 1
 }
 
-// Part is one message of a prompt. Equal IDs stand for equal text.
+// Part is one message of a prompt. Parts with equal IDs have equal text.
 type Part struct {
 	ID     string `json:"id"`
 	Tokens int    `json:"t"`
 }
 
-// Request is one line after the header.
+// Request is one request, encoded as one line after the header.
 type Request struct {
 	AtMS         float64                 `json:"ms"` // since the beginning of the trace
 	Organisation contract.OrganisationID `json:"org"`
@@ -74,13 +74,13 @@
 	Output       int                     `json:"out"` // tokens generated
 }
 
-// Trace is a whole recording, in the order of arrival.
+// Trace is a header and its requests in the order of arrival.
 type Trace struct {
 	Header   Header
 	Requests []Request
 }
 
-// Tokens is the length of the prompt.
+// Tokens returns the length of the prompt in tokens.
 func (r *Request) Tokens() int {
 	n := 0
 	for _, p := range r.Parts {
@@ -89,8 +89,9 @@
 	return n
 }
 
-// Levels cuts the prompt with the product's own cutter. Each part stands for
-// text that follows from its ID, one byte a token.
+// Levels returns the prefix levels of the prompt, computed by the splitter that the
+// daemon uses too. The text of a part is derived from its ID, with one byte for each
+// token.
 func (r *Request) Levels(c *prefix.Splitter) []prefix.Level {
 	c.Reset(prefix.Seed{Organisation: r.Organisation, Model: r.Model, Version: "1", Adapter: r.Adapter})
 	var text [4096]byte
@@ -105,7 +106,7 @@
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// NewSplitter returns a cutter for the trace's prompts.
+// NewSplitter returns a splitter for the trace's prompts.
 func (t *Trace) NewSplitter() *prefix.Splitter {
 	return prefix.NewSplitter(prefix.Options{PieceTokens: t.Header.PieceTokens, BytesPerToken: 1})
 }
@@ -125,8 +126,8 @@
 	return b.Flush()
 }
 
-// Read reads a trace. Errors name the line and match ErrFormat, or come from
-// the reader.
+// Read reads a trace. Errors in the file's content match ErrFormat, and those of a
+// request name its line; other errors come from the reader.
 func Read(r io.Reader) (*Trace, error) {
 	lines := bufio.NewScanner(r)
 	lines.Buffer(make([]byte, 0, 64<<10), MaxLine)
--- a/lab/trace/trace_test.go
+++ b/lab/trace/trace_test.go
@@ -23,19 +23,19 @@
 		t.Fatal(err)
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
-		t.Errorf("trace changed on the way:\n%s", diff)
+		t.Errorf("the trace differs after writing and reading:\n%s", diff)
 	}
 }
 
 func TestGenerateIsDeterministic(t *testing.T) {
 	g := GeneratorOptions{Seed: 1, Duration: 10 * time.Second, Rate: 20}
 	if !cmp.Equal(Registre(g), Registre(g)) {
-		t.Error("one seed gave two traces")
+		t.Error("equal seeds gave different traces")
 	}
 	other := g
 	other.Seed = 2
 	if cmp.Equal(Registre(g), Registre(other)) {
-		t.Error("two seeds gave one trace")
+		t.Error("different seeds gave equal traces")
 	}
 }
 
@@ -72,6 +72,6 @@
 		t.Fatalf("levels %+v", a)
 	}
 	if !cmp.Equal(a[:last], b[:last]) || a[last].Key == b[last].Key {
-		t.Error("prompts share other levels than their parts")
+		t.Error("the prompts' common levels are not those of their common parts")
 	}
 }
--- a/lab/world/cluster.go
+++ b/lab/world/cluster.go
@@ -15,10 +15,11 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// Token is the administration token of a cluster's daemons.
+// Token is the token of the daemons' administration API.
 const Token = "demo-admin-token"
 
-// Node is one daemon of a cluster, in this process and behind real sockets.
+// Node is one daemon of a cluster. It runs in this process and listens on TCP
+// sockets.
 type Node struct {
 	ID         string
 	CallersURL string
@@ -33,10 +34,10 @@
 // Admin returns a client of the node's administration API.
 func (n *Node) Admin() *client.Client { return &client.Client{BaseURL: n.AdminURL, Token: Token} }
 
-// Ended gives what the daemon's Run returned.
+// Ended returns a channel that receives the result of the daemon's Run once.
 func (n *Node) Ended() <-chan error { return n.ended }
 
-// Cluster is daemons in front of a World.
+// Cluster is a set of daemons in front of a World.
 type Cluster struct {
 	World *World
 	Nodes []*Node
@@ -46,8 +47,9 @@
 	adjust func(*settings.Settings)
 }
 
-// StartCluster starts daemons on ports of their own, one zone after the other.
-// Tuning may change their settings; nil leaves them.
+// StartCluster starts daemons on free ports and assigns them to the zones in turn.
+// The function adjust may change each daemon's settings, unless it is nil. The caller
+// must Close the cluster.
 func (w *World) StartCluster(daemons int, tuning func(*settings.Settings)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Cluster{World: w, ctx: ctx, cancel: cancel, adjust: tuning}
@@ -84,7 +86,7 @@
 	return n, nil
 }
 
-// publishDaemons puts the nodes on the platform's publishDaemons of daemons.
+// publishDaemons sets the platform's list of daemons to the nodes.
 func (c *Cluster) publishDaemons() {
 	var daemons []ports.Daemon
 	for i, n := range c.Nodes {
@@ -136,7 +138,8 @@
 	return nil
 }
 
-// Restart replaces an ended node by a new daemon of the same name.
+// Restart replaces a node whose daemon has ended by a new daemon with the same ID and
+// other ports.
 func (c *Cluster) Restart(i int) error {
 	n, err := openNode(c.Nodes[i].ID)
 	if err != nil {
@@ -147,7 +150,7 @@
 	return c.startNode(i)
 }
 
-// WaitReady waits until every node says that it is ready.
+// WaitReady waits until every node reports that it is ready.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for _, n := range c.Nodes {
 		if err := n.WaitReady(ctx); err != nil {
@@ -157,10 +160,10 @@
 	return nil
 }
 
-// readyPollInterval is how often a node is asked whether it is ready.
+// readyPollInterval is the interval between WaitReady's requests.
 const readyPollInterval = 5 * time.Millisecond
 
-// WaitReady waits until the node says that it is ready.
+// WaitReady waits until the node reports that it is ready.
 func (n *Node) WaitReady(ctx context.Context) error {
 	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
@@ -177,12 +180,12 @@
 	}
 }
 
-// Close ends all daemons, cutting what is open.
+// Close ends all daemons without draining them, and waits for their end.
 func (c *Cluster) Close() {
 	c.cancel()
 	for _, n := range c.Nodes {
 		if n.Daemon != nil {
-			<-n.ended //nolint:errcheck // it was cut off, so its error tells nothing
+			<-n.ended //nolint:errcheck // the daemon was cancelled, so any error is expected
 		}
 	}
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world runs stand-ins for a whole deployment on loopback: the
-// platform's log and list of VMs, model runners, a KV store and a plain
-// service. The demo, the load tool and the stand-in command build on it.
+// Package world runs stand-ins for a complete deployment on local ports: the
+// platform's log and list of VMs, model runners, a KV store and plain services. The
+// demo, the load tool and the stand-in command use it.
 package world
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Names of the stand-in deployment.
+// Names used in the manifest of the deployment.
 const (
 	Model        = "codes"
 	Version      = "v1"
@@ -31,7 +31,7 @@
 	classStore   = "store"
 )
 
-// Zones of the stand-in deployment.
+// Zones are the availability zones of the deployment.
 var Zones = []fleet.ZoneID{"quebec-est-a", "quebec-est-b", "quebec-est-c"}
 
 // Options describe the deployment. Zero values take small defaults.
@@ -45,13 +45,13 @@
 	Decode        time.Duration // per generated token
 	AnswerTokens  int
 	PieceTokens   int
-	CachePieces   int           // of one runner
-	Slots         int           // requests that one runner generates at once
-	ListLag       time.Duration // of the platform's list
+	CachePieces   int           // cache capacity of one runner
+	Slots         int           // concurrent requests of one runner
+	ListLag       time.Duration // delay of changes in the platform's list
 	Store         standin.StoreOptions
 }
 
-// World is a running deployment without daemons.
+// World is a running deployment without daemons, see StartCluster.
 type World struct {
 	Log      *plog.Log
 	VMs      *plog.VMs
@@ -177,16 +177,17 @@
 	return l.Addr().String(), nil
 }
 
-// Endpoints returns the endpoints as the platform lists them.
+// Endpoints returns the endpoints of the platform's list: runners, then services,
+// then the store.
 func (w *World) Endpoints() []fleet.Endpoint { return w.endpoints }
 
-// SetDaemons puts daemons on the platform's list.
+// SetDaemons sets the platform's list of daemons.
 func (w *World) SetDaemons(daemons []ports.Daemon) {
 	w.daemons = daemons
 	w.publishList()
 }
 
-// MarkLeaving marks an endpoint as leaving on the platform's list.
+// MarkLeaving marks an endpoint as leaving in the platform's list.
 func (w *World) MarkLeaving(id fleet.EndpointID) {
 	for i := range w.endpoints {
 		if w.endpoints[i].ID == id {
@@ -198,14 +199,14 @@
 
 func (w *World) publishList() { w.VMs.Set(append([]fleet.Endpoint(nil), w.endpoints...), w.daemons) }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (w *World) Close() {
 	for _, srv := range w.servers {
 		_ = srv.Close()
 	}
 }
 
-// Wait returns when ctx ends or a stand-in fails.
+// Wait returns nil when ctx ends, or an error when a stand-in's server fails.
 func (w *World) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -215,15 +216,15 @@
 	}
 }
 
-// APIKey is the API key of the organisation with the given number, from 0.
+// APIKey returns the API key of the organisation with the given index.
 func APIKey(i int) string { return fmt.Sprintf("demo-key-%d", i+1) }
 
-// Organisation is the name of the organisation with the given number.
+// Organisation returns the ID of the organisation with the given index.
 func Organisation(i int) contract.OrganisationID {
 	return contract.OrganisationID(fmt.Sprintf("org-%d", i+1))
 }
 
-// Manifest returns a manifest for the deployment.
+// Manifest returns a manifest that declares the deployment.
 func (w *World) Manifest() manifest.Manifest {
 	m := manifest.Manifest{
 		Rules: manifest.RulesVersion,
