--- a/lab/cluster/caller_test.go
+++ b/lab/cluster/caller_test.go
@@ -13,8 +13,8 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// withCluster runs a test in virtual time, with the manifest of version v1 in
-// force on every node.
+// withCluster runs a test in virtual time on a new cluster. On every node, a manifest
+// with weight version v1 is in force.
 func withCluster(t *testing.T, o Options, test func(t *testing.T, c *Cluster)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -39,7 +39,8 @@
 	}
 }
 
-// waitReady fails the test when the node is not ready within the time.
+// waitReady waits until the node is ready and returns how long that took. It fails
+// the test if the node is not ready within the given time.
 func (c *Cluster) waitReady(t *testing.T, i int, within time.Duration) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -52,7 +53,7 @@
 	return time.Since(began)
 }
 
-// answer is what a caller got.
+// answer is the answer that a caller received.
 type answer struct {
 	status    int
 	outcome   gateway.Outcome
@@ -62,7 +63,8 @@
 	endMarker bool
 }
 
-// post sends a request to a node and reads all of the answer.
+// post sends a request to a node and reads the complete answer. The headers are names
+// and values in turn.
 func (c *Cluster) post(t *testing.T, node int, path, body string, header ...string) *answer {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodPost, c.Nodes[node].URL+path, strings.NewReader(body))
@@ -91,13 +93,13 @@
 	return a
 }
 
-// ask sends a streamed request with the given question.
+// ask sends a streaming request with a fixed preamble and the given question.
 func (c *Cluster) ask(t *testing.T, node int, question string, tokens int) *answer {
 	t.Helper()
 	return c.askOn(t, node, strings.Repeat("preamble ", 20), question, tokens)
 }
 
-// askOn asks a question on a document.
+// askOn sends a streaming request with the given document and question.
 func (c *Cluster) askOn(t *testing.T, node int, document, question string, tokens int) *answer {
 	t.Helper()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"seed":1,"max_tokens":%d,"messages":[`+
@@ -123,8 +125,8 @@
 	return a
 }
 
-// isComplete tells whether the answer is one isComplete stream: all of one word, with
-// each index once and in order, and its end marker.
+// isComplete reports whether the answer is one complete stream: all tokens have the
+// same content word, each index occurs once and in order, and the end marker follows.
 func (a *answer) isComplete(tokens int) bool {
 	if a.status != http.StatusOK || !a.endMarker || len(a.tokens) != tokens {
 		return false
--- a/lab/cluster/capacity_test.go
+++ b/lab/cluster/capacity_test.go
@@ -9,9 +9,9 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// Runners tell how many requests they serve at once only some seconds after
-// the daemon has heard of them. Counted by the settings' guess for good, a
-// fleet of large runners would stand idle while callers are refused.
+// Runners report their slots only some seconds after the daemon has found them on the
+// platform's list. If the daemon kept the default of its settings, it would refuse
+// callers while large runners have free slots.
 func TestCapacityFollowsReportedSlots(t *testing.T) {
 	o := Options{Daemons: 1, Runners: 6, NoOrders: true}
 	withCluster(t, o, func(t *testing.T, c *Cluster) {
@@ -19,14 +19,14 @@
 		if a := c.ask(t, 0, "a question", 2); !a.isComplete(2) {
 			t.Fatalf("%s", a)
 		}
-		const each = 64 // of a stand-in
+		const each = 64 // slots of a stand-in
 		if got := c.usage(t, 0)[Model].Slots; got != 6*each {
-			t.Errorf("%d slots are counted, %d were told", got, 6*each)
+			t.Errorf("%d slots are counted, %d were reported", got, 6*each)
 		}
 	})
 }
 
-// usage reads what a node tells of its organisations' usage, by model.
+// usage returns the use of capacity that a node reports, by model.
 func (c *Cluster) usage(t *testing.T, node int) map[string]contract.UseReport {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+c.Nodes[node].adminAddress()+"/v1/organisations", nil)
--- a/lab/cluster/cluster.go
+++ b/lab/cluster/cluster.go
@@ -1,6 +1,6 @@
-// Package cluster runs whole daemons, put together as in production, in front
-// of stand-ins in memory, so that its tests bring about failures in virtual
-// time and give the same verdict on every run.
+// Package cluster runs complete daemons, assembled as in production, in front of
+// in-memory stand-ins. Its tests inject failures in virtual time, so that every run
+// has the same result.
 package cluster
 
 import (
@@ -29,7 +29,7 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// Names of the deployment.
+// Names used in the cluster's manifest, and an API key.
 const (
 	Model       = "codes"
 	Key         = "key-registre"
@@ -45,36 +45,38 @@
 	Services int
 	Prefill  time.Duration // per prompt token
 	Decode   time.Duration // per generated token
-	Slots    int           // requests at once of a runner; 0: the stand-in's default
-	NoOrders bool          // runners know no orders and name no weights
-	Fences   bool          // runners refuse old fencing numbers
+	Slots    int           // concurrent requests of a runner; 0: the stand-in's default
+	NoOrders bool          // runners execute no orders and report no weights
+	Fences   bool          // runners refuse outdated fencing tokens
 	Store    *standin.WeightStore
-	ListLag  time.Duration
-	Logs     *logging.Factory // nil: no lines
+	ListLag  time.Duration    // delay of changes in the platform's list
+	Logs     *logging.Factory // nil: logs are discarded
 	Token    string           // of the administration API; empty: "token"
-	// Flags are more settings of a node; nil: none.
+	// Flags returns further command-line flags of a node; nil: none.
 	Flags func(node int) []string
-	// KV describes the KV store; nil: there is none.
+	// KV describes the KV store; nil: no KV store.
 	KV              *standin.StoreOptions
-	PieceTokens     int  // of the manifest and of runners
-	CachePieces     int  // of one runner
+	PieceTokens     int  // in the manifest and in runners; 0: 10
+	CachePieces     int  // cache capacity of one runner
 	NoEvents        bool // daemons do not follow cache events
-	NoAnnouncements bool // daemons send each other no notices
-	// Crashes tells whether a request with the body ends the runner that runs it; nil:
-	// none does.
+	NoAnnouncements bool // daemons send each other no placement announcements
+	// Crashes reports whether a request with the given body crashes the runner that it
+	// reaches; nil: no request does.
 	Crashes func(body string) bool
-	// Limits are what runners name, in requests a second of all daemons; 0: nothing.
+	// Limits are the rate limits that runners announce, by the runner's index, in
+	// requests/s over all daemons. Runners without an entry announce none.
 	Limits map[int]float64
 }
 
-// Cluster is a running deployment. It belongs to one goroutine.
+// Cluster is a running deployment. Apart from its Client, it is not safe for
+// concurrent use.
 type Cluster struct {
 	Log      *plog.Log
 	VMs      *plog.VMs
 	Store    *standin.WeightStore
 	Runners  []*standin.OrderedRunner
 	Services []*standin.Service
-	KV       *standin.Store // nil: there is none
+	KV       *standin.Store // nil: no KV store
 	Nodes    []*Node
 	Client   *http.Client
 
@@ -84,24 +86,24 @@
 	endpoints       []fleet.Endpoint
 	servers         []*http.Server
 	transport       *http.Transport
-	crashes         atomic.Int64 // runners, by a request that ends them
+	crashes         atomic.Int64 // number of runner crashes by Options.Crashes
 	arrivalsMu      sync.Mutex
-	limitedArrivals []time.Time // when requests reached a runner with a limit
+	limitedArrivals []time.Time // times when requests reached a runner with a limit
 }
 
 // Node is one daemon.
 type Node struct {
 	ID      string
-	URL     string     // for callers
-	LogView *plog.View // to the log
+	URL     string     // base URL for callers
+	LogView *plog.View // the node's connection to the log
 	Daemon  *daemon.Daemon
-	Ended   chan error
+	Ended   chan error // receives the result of the daemon's Run
 
 	index  int
 	cancel context.CancelFunc
 }
 
-// New starts a deployment whose log is empty. Close must be called.
+// New starts a deployment with an empty log. The caller must Close it.
 func New(o Options) (*Cluster, error) {
 	if o.Store == nil {
 		o.Store = &standin.WeightStore{AtOnce: 2, Load: 20 * time.Second}
@@ -196,10 +198,11 @@
 	})
 }
 
-// restartDelay is the time until a runner that ended is back.
+// restartDelay is the time until a crashed runner restarts.
 const restartDelay = 2 * time.Second
 
-// withCrashes ends a runner that gets a request which ends it, and everything that it runs.
+// withCrashes wraps a runner's handler: a request selected by Options.Crashes crashes the
+// runner with all its requests. Connections are refused until it restarts.
 func (c *Cluster) withCrashes(i int, address string, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -219,7 +222,8 @@
 	})
 }
 
-// withLimit has a runner name a limit, and notes when requests reach it.
+// withLimit wraps a runner's handler: answers announce a rate limit, and the arrival of
+// each request is recorded.
 func (c *Cluster) withLimit(limit float64, h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != engine.PathLoad && r.URL.Path != engine.PathEvents {
@@ -232,7 +236,7 @@
 	})
 }
 
-// publishList puts endpoints and daemons on the platform's publishList.
+// publishList sets the platform's list to the current endpoints and daemons.
 func (c *Cluster) publishList() {
 	var daemons []ports.Daemon
 	for _, n := range c.Nodes {
@@ -246,7 +250,7 @@
 	c.VMs.Set(c.endpoints, daemons)
 }
 
-// MarkLeaving has the platform's list call an endpoint leaving.
+// MarkLeaving marks an endpoint as leaving in the platform's list.
 func (c *Cluster) MarkLeaving(id fleet.EndpointID) {
 	for i := range c.endpoints {
 		if c.endpoints[i].ID == id {
@@ -260,7 +264,7 @@
 func (n *Node) adminAddress() string { return fmt.Sprintf("10.9.0.%d:8081", n.index+1) }
 func (n *Node) peerAddress() string  { return fmt.Sprintf("10.9.0.%d:8082", n.index+1) }
 
-// Start starts a node, or starts it again after it has ended.
+// Start starts a node, or restarts it after it has ended.
 func (c *Cluster) Start(i int) error {
 	n := c.Nodes[i]
 	n.URL = "http://" + n.address()
@@ -307,7 +311,7 @@
 	return nil
 }
 
-// Kill ends a node at once, with whatever it has open, and waits for its end.
+// Kill ends a node without draining it and waits for its end.
 func (c *Cluster) Kill(i int) {
 	n := c.Nodes[i]
 	if n.cancel == nil {
@@ -315,13 +319,13 @@
 	}
 	n.cancel()
 	n.cancel = nil
-	// A caller's idle connection to the dead daemon would take its next request
-	// and break: the caller's own affair, and not what the tests are about.
+	// Otherwise the client would send its next request on an idle connection to the
+	// ended daemon and get an error, which the tests are not meant to cover.
 	defer c.transport.CloseIdleConnections()
-	<-n.Ended //nolint:errcheck // cut off, so its error tells nothing
+	<-n.Ended //nolint:errcheck // the daemon was cancelled, so any error is expected
 }
 
-// Close ends everything.
+// Close ends all nodes and stand-ins.
 func (c *Cluster) Close() {
 	for i := range c.Nodes {
 		c.Kill(i)
@@ -332,7 +336,7 @@
 	}
 }
 
-// Ready tells whether a node is ready.
+// Ready reports whether a node is ready.
 func (c *Cluster) Ready(i int) bool {
 	resp, err := c.Client.Get("http://" + c.Nodes[i].adminAddress() + "/readyz")
 	if err != nil {
@@ -342,12 +346,12 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// Publish proposes a manifest by a node's way to the log.
+// Publish publishes a manifest over a node's connection to the log.
 func (c *Cluster) Publish(ctx context.Context, i int, base ports.Offset, m manifest.Manifest) (logio.PublishResult, error) {
 	return logio.Publish(ctx, c.Nodes[i].LogView, logio.PublishRequest{Base: base, Manifest: m, Author: "test"})
 }
 
-// Manifest is a manifest that declares the given weight version.
+// Manifest returns a manifest that declares the given weight version.
 func (c *Cluster) Manifest(version string) manifest.Manifest {
 	sum := sha256.Sum256([]byte(Key))
 	return manifest.Manifest{
--- a/lab/cluster/crash_test.go
+++ b/lab/cluster/crash_test.go
@@ -9,8 +9,9 @@
 	"time"
 )
 
-// Guards against a request that ends runner after runner because its caller repeats it
-// at other daemons.
+// A caller repeats a request that crashes every runner it reaches at one daemon after
+// the other. The daemons must stop sending it to runners, and keep serving other
+// requests.
 func TestQuarantinesRepeatedCrashingRequest(t *testing.T) {
 	const deadly = "deadly question"
 	ends := func(body string) bool { return strings.Contains(body, deadly) }
@@ -35,16 +36,16 @@
 			}
 		}
 		time.Sleep(time.Second) // virtual
-		t.Logf("%d runners ended, %d of them after the settling time; %d others not served", c.crashes.Load(), c.crashes.Load()-before, unserved.Load())
+		t.Logf("%d runners crashed, %d of them after the settling time; %d other requests not served", c.crashes.Load(), c.crashes.Load()-before, unserved.Load())
 		if n := c.crashes.Load() - before; n > 3 {
-			t.Errorf("%d runners ended after the settling time", n)
+			t.Errorf("%d runners crashed after the settling time", n)
 		}
 		if n := unserved.Load(); n > 0 {
-			t.Errorf("%d others were not served", n)
+			t.Errorf("%d other requests were not served", n)
 		}
 		a := c.ask(t, 0, deadly, 5)
 		if a.status != http.StatusServiceUnavailable || a.outcome != "not_run" || a.header.Get("Retry-After") == "" {
-			t.Errorf("a repeat: %s", a)
+			t.Errorf("repeated request: %s", a)
 		}
 	})
 }
--- a/lab/cluster/ejection_test.go
+++ b/lab/cluster/ejection_test.go
@@ -8,10 +8,10 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// Every runner fails for a while, as when a bad request crashes each engine it
-// is tried at, and all work again. The daemon takes them for failing and would
-// let one request at a time find out; the callers that come at once must be
-// served meanwhile, not refused by a fleet that works.
+// Every runner fails for a while, for example because a bad request crashes each
+// runner that it is sent to, and then all recover. The daemon has ejected them and
+// would probe each with one request at a time. Concurrent callers must be served in the
+// meantime instead of being refused.
 func TestConcurrentRequestsAfterAllRunnersRecover(t *testing.T) {
 	withCluster(t, Options{Daemons: 1, Runners: 4}, func(t *testing.T, c *Cluster) {
 		for _, r := range c.Runners {
--- a/lab/cluster/event_benefit_test.go
+++ b/lab/cluster/event_benefit_test.go
@@ -16,22 +16,22 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// Without flags the test is short; docs/measurements/events.md gives those of
-// its figures.
+// The defaults keep the test short; docs/measurements/events.md lists the flags of its
+// measurement.
 var (
 	measuredSeeds = flag.Int("events.seeds", 1, "seeds of the measurement of cache events")
-	measuredTime  = flag.Duration("events.for", 12*time.Second, "virtual time that is measured")
-	allVariants   = flag.Bool("events.all", false, "measure events and notices alone as well")
+	measuredTime  = flag.Duration("events.for", 12*time.Second, "virtual time of the measurement")
+	allVariants   = flag.Bool("events.all", false, "also measure events and placement announcements separately")
 )
 
-// The demo's workload, spread over more documents and in virtual time.
+// Parameters of the workload, which is like the demo's but has more documents.
 const (
 	groupCount          = 8
 	groupPreambleTokens = 400 // tokens
 	groupDocumentTokens = 1600
 	requestRate         = 60.0 // requests/s
 	warmUpTime          = 5 * time.Second
-	documentsPerGroup   = 12 // of each group
+	documentsPerGroup   = 12 // of each group at a time
 )
 
 var eventOptions = Options{
@@ -39,7 +39,7 @@
 	Prefill: 125 * time.Microsecond, Decode: 2 * time.Millisecond,
 }
 
-// runStats is what one run gave.
+// runStats holds the results of one run.
 type runStats struct {
 	prompt, cached int     // tokens
 	bytes, events  float64 // per second and daemon
@@ -47,8 +47,8 @@
 	incomplete     int
 }
 
-// documentRequest returns the body of a request on a document that changes over time:
-// each group replaces one of its documents every two seconds.
+// documentRequest returns the body of a request on a document. The set of documents
+// changes over time: each group replaces one of them every two seconds.
 func documentRequest(r *rand.Rand, i int, at time.Duration) string {
 	group, slot := r.IntN(groupCount), r.IntN(documentsPerGroup)
 	age := (int(at/(2*time.Second)) + slot) / documentsPerGroup
@@ -59,7 +59,7 @@
 		Model, preamble, document, i)
 }
 
-// measure runs the workload and returns what came of it, without the warm-up.
+// measure runs the workload and returns the results without those of the warm-up.
 func measure(t *testing.T, o Options, seed uint64) (w runStats) {
 	withCluster(t, o, func(t *testing.T, c *Cluster) {
 		time.Sleep(time.Second) // virtual
@@ -90,7 +90,7 @@
 	return w
 }
 
-// addCounters adds or subtracts what has been counted until now.
+// addCounters adds the current counters multiplied by sign.
 func (w *runStats) addCounters(c *Cluster, sign int) {
 	for _, r := range c.Runners {
 		s := r.Stats()
@@ -119,8 +119,8 @@
 	return d.Events
 }
 
-// idealTokens returns the tokens that one runner which never forgets would compute of
-// the same requests after the warm-up.
+// idealTokens returns the prompt tokens of the same requests after the warm-up, and how
+// many of them a single runner that evicts nothing would compute.
 func idealTokens(seed uint64) (prompt, computed int) {
 	ideal := standin.NewRunner(standin.RunnerOptions{PieceTokens: eventOptions.PieceTokens, CachePieces: 1 << 20})
 	r := rand.New(rand.NewPCG(seed, seed))
@@ -145,13 +145,13 @@
 	noEvents, noAnnouncements bool
 }
 
-// The same requests with cache events and notices and without either, at
-// runners that evict within seconds. A daemon that believed events wrongly would
-// have more computed anew than one that gets none.
+// Compares the same requests with cache events and placement announcements and
+// without either, at runners that evict prefixes within seconds. If daemons applied
+// events wrongly, more tokens would be recomputed with them than without.
 func TestEventsImproveHitRate(t *testing.T) {
 	variants := []variant{{"both", false, false}, {"neither", true, true}}
 	if *allVariants {
-		variants = append(variants, variant{"events only", false, true}, variant{"notices only", true, false})
+		variants = append(variants, variant{"events only", false, true}, variant{"announce only", true, false})
 	}
 	for seed := range uint64(*measuredSeeds) {
 		prompt, computed := idealTokens(seed + 1)
@@ -163,7 +163,7 @@
 			var w runStats
 			t.Run(v.name, func(t *testing.T) { w = measure(t, o, seed+1) })
 			found = append(found, w)
-			t.Logf("%-13s hit rate %.1f%%, recomputed %6d tokens, %.0f B/s, %.1f events/s for each daemon, %d gaps, %d bad",
+			t.Logf("%-13s hit rate %.1f%%, recomputed %6d tokens, %.0f B/s, %.1f events/s for each daemon, %d gaps, %d incomplete",
 				v.name, 100*float64(w.cached)/float64(prompt-computed), w.prompt-w.cached-computed, w.bytes, w.events, w.gaps, w.incomplete)
 		}
 		both, neither := found[0], found[1]
--- a/lab/cluster/events_test.go
+++ b/lab/cluster/events_test.go
@@ -12,8 +12,8 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// cacheOptions is a cluster whose runners prefill as fast as the daemons assume and
-// hold two and a half documents.
+// cacheOptions describes a cluster whose runners prefill as fast as the daemons assume.
+// A runner's cache has space for two and a half documents.
 var cacheOptions = Options{
 	Daemons: 3, Runners: 6, Prefill: 125 * time.Microsecond, Decode: time.Millisecond,
 	PieceTokens: 1000, CachePieces: 150,
@@ -21,10 +21,10 @@
 
 const documentTokens = 60_000 // 7.5 s to prefill
 
-// fillerText is fillerText of about n tokens that no other name has.
+// fillerText returns a text of about n tokens that consists of the repeated name.
 func fillerText(name string, n int) string { return strings.Repeat(name+" ", n*4/(len(name)+1)) }
 
-// sendToRunner sends a prompt to a runner past the daemons and returns when its
+// sendToRunner sends a prompt to a runner, bypassing the daemons, and returns when the
 // answer has begun.
 func (c *Cluster) sendToRunner(t *testing.T, runner int, prompt string) {
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":1,"prompt":%q}`, Model, prompt)
@@ -42,7 +42,8 @@
 	_ = resp.Body.Close()
 }
 
-// cacheDocument asks about the document and returns the runner that then has it.
+// cacheDocument sends a request on the document and returns the index of the runner that
+// served it, which then has the document in its cache.
 func (c *Cluster) cacheDocument(t *testing.T, document string) int {
 	time.Sleep(time.Second) // virtual; until the daemons follow the events
 	before := c.requestCounts()
@@ -66,9 +67,10 @@
 	return n
 }
 
-// routesToBusyRunner gives the runner other work, of which three seconds are left when the
-// question comes; that is less than a document takes. It tells whether a question on the document goes there all
-// the same, as it should only if the document is in its cache.
+// routesToBusyRunner keeps the runner busy with another request, which takes three
+// more seconds when the question is sent; prefilling a document takes longer. It
+// reports whether the question on the document is still routed to the runner, which is
+// right only if the document is in its cache.
 func (c *Cluster) routesToBusyRunner(t *testing.T, runner int, document, question string) bool {
 	t.Helper()
 	done := make(chan struct{})
@@ -76,7 +78,7 @@
 		defer close(done)
 		c.sendToRunner(t, runner, fillerText("other-work-"+question, 60_000))
 	}()
-	time.Sleep(4500 * time.Millisecond) // virtual; a silent runner's load is read every 3 s
+	time.Sleep(4500 * time.Millisecond) // virtual; the load of a runner that sends no answers is read every 3 s
 	before := c.Runners[runner].Stats().Requests
 	if a := c.askOn(t, 1, document, question, 3); !a.isComplete(3) {
 		t.Fatalf("%s", a)
@@ -86,34 +88,34 @@
 	return back
 }
 
-// evictAll fills the runner's cache with something else.
+// evictAll evicts the runner's cache by filling it with another prompt.
 func (c *Cluster) evictAll(t *testing.T, runner int) {
 	c.sendToRunner(t, runner, fillerText("eviction", 160_000))
 }
 
-// A document was asked about a minute ago and is still cached, which only
-// events can tell so late; then it is evicted. Requests that still went there
-// would wait behind other work for a cache that is gone.
+// A document that was last used a minute ago is still cached. After that time only
+// cache events can confirm it. Then the document is evicted; requests that were still
+// routed to the runner would wait behind other requests without a cache hit.
 func TestEvictedPrefixIsNotUsed(t *testing.T) {
 	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
 		document := fillerText("document", documentTokens)
 		r := c.cacheDocument(t, document)
 		time.Sleep(time.Minute) // virtual
 		if !c.routesToBusyRunner(t, r, document, "cached") {
-			t.Error("the cached document was not found")
+			t.Error("the request was not routed to the cached document")
 		}
 		time.Sleep(10 * time.Second) // virtual
 		c.evictAll(t, r)
 		time.Sleep(time.Second) // virtual
 		if c.routesToBusyRunner(t, r, document, "evicted") {
-			t.Error("the request went to a cache that is gone")
+			t.Error("the request was routed to a runner that had evicted the document")
 		}
 	})
 }
 
-// The message that tells of the eviction is lost on the way, and the next one
-// shows the hole. What events said before must then count by its age alone, or
-// the daemon believes in the old cache for as long as the engine lives.
+// The message with the eviction is lost, and the next one shows the gap. The daemon
+// must then rate earlier events by their age alone. Otherwise it would consider the
+// document cached for as long as the runner's incarnation lasts.
 func TestLostEvictionEvent(t *testing.T) {
 	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
 		document := fillerText("document", documentTokens)
@@ -125,18 +127,18 @@
 			defer close(done)
 			c.evictAll(t, r)
 		}()
-		time.Sleep(5 * time.Second) // virtual; the stream stands all the time
+		time.Sleep(5 * time.Second) // virtual; the event stream stays open
 		c.Runners[r].SetEventFaults(standin.EventFaults{})
 		<-done
 		time.Sleep(time.Minute) // virtual
 		if c.routesToBusyRunner(t, r, document, "evicted") {
-			t.Error("the request went to a cache that is gone")
+			t.Error("the request was routed to a runner that had evicted the document")
 		}
 	})
 }
 
-// A third of all messages is lost and the others are late. Daemons must go on
-// giving whole answers, mostly from caches.
+// A third of all event messages is lost and the others are delayed. Answers must stay
+// complete, and most prompt tokens must be cached.
 func TestPlacementWithLossyEvents(t *testing.T) {
 	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
 		for i, r := range c.Runners {
@@ -161,8 +163,8 @@
 	})
 }
 
-// A runner crashes and is back empty under its address within a second. Its
-// requests before a minute ago say that it has the document.
+// A runner crashes and restarts empty under the same address within a second. By its
+// earlier requests it would still have the document.
 func TestCachedPrefixForgottenAfterRunnerRestart(t *testing.T) {
 	withCluster(t, cacheOptions, func(t *testing.T, c *Cluster) {
 		document := fillerText("document", documentTokens)
@@ -171,17 +173,17 @@
 		c.Runners[r].Runner.Crash()
 		time.Sleep(time.Second) // virtual
 		c.Runners[r].Restart()
-		// Until then it counts as the document's home, which holds prefixes that
-		// nobody has asked this daemon for.
+		// Until then the runner is the document's preferred endpoint, which is assumed
+		// to hold prefixes that this daemon was not asked for.
 		time.Sleep(20 * time.Second) // virtual
 		if c.routesToBusyRunner(t, r, document, "after the crash") {
-			t.Error("the request relied on the cache of the former life")
+			t.Error("the request relied on the cache of the former incarnation")
 		}
 	})
 }
 
-// The KV store goes down while a runner takes a document from it. The caller
-// must get the whole answer, and nobody may count what did not come.
+// The KV store fails while a runner imports a document from it. The caller must get
+// the complete answer, and tokens that were not delivered must not count as cached.
 func TestStoreFailureDuringImport(t *testing.T) {
 	for _, fault := range []standin.StoreFault{standin.StoreNoFault, standin.StoreDown, standin.StoreOverstates, standin.StoreHangs} {
 		t.Run(fmt.Sprint("fault ", fault), func(t *testing.T) {
@@ -203,7 +205,7 @@
 	}
 	got := make(chan *answer)
 	go func() { got <- c.askOn(t, 0, document, "after the crash", 3) }()
-	time.Sleep(500 * time.Millisecond) // virtual; a whole import takes 1.5 s
+	time.Sleep(500 * time.Millisecond) // virtual; a complete import takes 1.5 s
 	if fault == standin.StoreDown {
 		c.KV.SetFault(fault)
 	}
@@ -218,7 +220,7 @@
 	}
 	cached, _ := strconv.Atoi(a.header.Get(engine.HeaderCachedTokens))
 	if asked != 1 || imported != cached {
-		t.Errorf("%d imports, %d tokens imported, %d said to be cached", asked, imported, cached)
+		t.Errorf("%d imports, %d tokens imported, %d reported as cached", asked, imported, cached)
 	}
 	delivered := c.KV.Stats().Tokens
 	if whole := fault == standin.StoreNoFault; imported > delivered || whole != (imported >= documentTokens-cacheOptions.PieceTokens) {
--- a/lab/cluster/health_test.go
+++ b/lab/cluster/health_test.go
@@ -11,16 +11,16 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// injectRepeatedly has a runner fail its next requests.
+// injectRepeatedly injects a fault into each of a runner's next n requests.
 func injectRepeatedly(r *standin.OrderedRunner, n int, f standin.Fault) {
 	for range n {
 		r.InjectFaults(f)
 	}
 }
 
-// A runner's engine fails every request while its load report looks well. Each
-// request placed there costs its caller a second attempt, and prompts stick to
-// it; when it works again it should get its part back.
+// A runner fails every request while its load report looks healthy. Each request
+// placed on it costs a second attempt, and prompts keep preferring it. It must be
+// ejected, and get requests again after it has recovered.
 func TestEjectsAndReadmitsFailingRunner(t *testing.T) {
 	for name, f := range map[string]standin.Fault{
 		"before the first byte": {Kind: standin.FaultBeforeFirstByte},
@@ -34,22 +34,22 @@
 				got := receivedRequests(c.Runners[0])
 				t.Logf("%d of %d attempts went to the failing runner", got, asked)
 				if got > asked/10 {
-					t.Errorf("%d of %d requests were tried at the failing runner", got, asked)
+					t.Errorf("%d of %d requests were sent to the failing runner", got, asked)
 				}
 				c.Runners[0].ClearFaults()
 				c.askDuring(t, 20*time.Second, asked)
 				before := receivedRequests(c.Runners[0])
 				again := c.askDuring(t, 5*time.Second, 20*asked)
 				if got := receivedRequests(c.Runners[0]) - before; got == 0 {
-					t.Errorf("none of %d requests went to the runner that works again", again)
+					t.Errorf("none of %d requests went to the recovered runner", again)
 				}
 			})
 		})
 	}
 }
 
-// askDuring sends requests, each of another prompt, for the given time, and tells
-// how many. All must be answered whole.
+// askDuring sends requests with different prompts for the given time and returns their
+// number. It fails the test if an answer is not complete.
 func (c *Cluster) askDuring(t *testing.T, during time.Duration, first int) (asked int) {
 	t.Helper()
 	for began := time.Now(); time.Since(began) < during; asked++ {
@@ -61,9 +61,9 @@
 	return asked
 }
 
-// A runner's process is replaced under its address. The daemons that remember
-// its cache would take its answers for cached ones; what callers are told must
-// be what the runner says, and the answers stay whole.
+// A runner's process is replaced under the same address. Daemons still have locations
+// of prefixes in the old process's cache. The number of cached tokens in an answer
+// must be the one that the runner reports, and answers must stay complete.
 func TestReportedCachedTokensAfterRunnerRestart(t *testing.T) {
 	withCluster(t, Options{Daemons: 2, Runners: 1, Decode: time.Millisecond}, func(t *testing.T, c *Cluster) {
 		for node := range c.Nodes {
@@ -75,7 +75,7 @@
 		c.Runners[0].Restart()
 		a := c.ask(t, 0, "the same question", 5)
 		if n := cachedTokens(t, a); n != 0 || !a.isComplete(5) {
-			t.Errorf("%d tokens said to be cached by a new process: %s", n, a)
+			t.Errorf("%d tokens reported as cached by a new process: %s", n, a)
 		}
 		a = c.ask(t, 1, "the same question", 5)
 		if n := cachedTokens(t, a); n == 0 || !a.isComplete(5) {
@@ -84,7 +84,7 @@
 	})
 }
 
-// cachedTokens is how many tokens the answer says were cachedTokens.
+// cachedTokens returns the number of cached tokens that the answer reports.
 func cachedTokens(t *testing.T, a *answer) int {
 	t.Helper()
 	n, err := strconv.Atoi(a.header.Get(gateway.HeaderCachedTokens))
@@ -94,9 +94,9 @@
 	return n
 }
 
-// The platform's list of VMs is empty for five minutes and cannot be read for
-// five more. Taken at its word, every endpoint and every daemon would be gone
-// and nothing served.
+// The platform's list of VMs is empty for five minutes and unavailable for another
+// five. If the daemon took the empty list as correct, it would remove every endpoint
+// and every daemon and refuse all requests.
 func TestEmptyOrUnavailableVMList(t *testing.T) {
 	withCluster(t, Options{Daemons: 1, Runners: 2, Services: 1}, func(t *testing.T, c *Cluster) {
 		c.VMs.Set(nil, nil)
--- a/lab/cluster/keyed_test.go
+++ b/lab/cluster/keyed_test.go
@@ -13,11 +13,12 @@
 
 var bookingOptions = Options{Daemons: 3, Runners: 1, Services: 1}
 
-// serviceAddress is where the first service listens.
+// serviceAddress is the address of the first service.
 const serviceAddress = "10.0.2.1:8000"
 
-// keyAt is an idempotency key, a UUIDv7, of the given time. The library's own
-// keys never go back in time, and each test begins at the same virtual time.
+// keyAt returns an idempotency key, a UUIDv7 of the given time. The UUID library can't
+// be used: its timestamps never decrease, but each test begins at the same virtual
+// time.
 func keyAt(at time.Time, n byte) string {
 	ms := at.UnixMilli()
 	b := [16]byte{byte(ms >> 40), byte(ms >> 32), byte(ms >> 24), byte(ms >> 16), byte(ms >> 8), byte(ms), 0x70, 0, 0x80}
@@ -26,7 +27,8 @@
 	return fmt.Sprintf("%s-%s-%s-%s-%s", s[:8], s[8:12], s[12:16], s[16:20], s[20:])
 }
 
-// book sends a call that may not be repeated; an empty key is left out.
+// book sends a non-idempotent call with an idempotency key, or without one if key is
+// empty.
 func (c *Cluster) book(t *testing.T, node int, key, slot string) *answer {
 	t.Helper()
 	if key == "" {
@@ -35,14 +37,16 @@
 	return c.post(t, node, ServicePath+"slots", slot, gateway.HeaderIdempotencyKey, key)
 }
 
-// bookAsync books slot 7 and gives the answer when it is there.
+// bookAsync books slot 7 in the background and returns a channel that receives the
+// answer.
 func (c *Cluster) bookAsync(t *testing.T, node int, key string) <-chan *answer {
 	got := make(chan *answer, 1)
 	go func() { got <- c.book(t, node, key, "slot 7") }()
 	return got
 }
 
-// wantEffects fails the test if the calls had another number of effects.
+// wantEffects fails the test unless the calls to all services had the given number of
+// effects in total.
 func (c *Cluster) wantEffects(t *testing.T, want int) {
 	t.Helper()
 	got := 0
@@ -63,9 +67,9 @@
 	}
 }
 
-// A caller's client times out early and repeats its booking through the
-// balancer, which takes it to another daemon while the first is at work. The
-// slot would be booked twice, or the two answers would differ.
+// A client times out and repeats its booking through the load balancer, which sends it
+// to another daemon while the first one still handles the call. The slot must be
+// booked once, and both calls must get the same answer.
 func TestConcurrentCallsWithOneKey(t *testing.T) {
 	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		c.Services[0].Delay = 300 * time.Millisecond
@@ -80,15 +84,15 @@
 	})
 }
 
-// The log goes down when a booking is claimed and sent but its result is not
-// kept yet. The caller still gets its answer. One who repeats it elsewhere
-// during the outage is told "unknown" by a daemon that has read the claim, and
-// by one that has not that this repeat was not run; afterwards it gets the first
-// answer. Sent again, the slot would be booked twice.
+// The log fails after a booking was claimed and sent, and before its result is stored.
+// The caller still gets its answer. A repeat at another daemon during the outage gets
+// the outcome "unknown" if that daemon has read the claim, and otherwise "not run";
+// after the outage it gets the first answer. If the call were sent again, the slot
+// would be booked twice.
 func TestLogOutageBetweenClaimAndResult(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		read    time.Duration // that the other daemons have for the claim
+		read    time.Duration // time that the other daemons have to read the claim
 		status  int
 		outcome gateway.Outcome
 	}{
@@ -118,7 +122,7 @@
 	fresh := c.book(t, 2, keyAt(time.Now(), 2), "slot 8")
 	wantOutcome(t, fresh, http.StatusServiceUnavailable, gateway.OutcomeNotRun)
 	if fresh.header.Get("Retry-After") == "" {
-		t.Errorf("not told when to come back: %s", fresh)
+		t.Errorf("no Retry-After header: %s", fresh)
 	}
 	time.Sleep(30 * time.Second) // virtual
 	c.Log.SetOutage(false)
@@ -131,15 +135,15 @@
 	c.wantEffects(t, 1)
 }
 
-// A daemon's VM is lost right after it was granted a key, before it reached the
-// service. Nobody can know that it did not; the repeat at another daemon must
-// say so instead of running the call.
+// A daemon's VM is lost after its claim on a key was granted and before it reached the
+// service. Other daemons cannot know that the call was not sent, so that a repeat must
+// get the outcome "unknown" and must not run the call.
 func TestDaemonLostBetweenClaimAndSend(t *testing.T) {
 	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
-		c.network.Listen(serviceAddress) // nobody accepts
+		c.network.Listen(serviceAddress) // accepts no connections
 		key := keyAt(time.Now(), 1)
 		got := c.bookAsync(t, 0, key)
-		time.Sleep(300 * time.Millisecond) // virtual; it tries to connect for longer
+		time.Sleep(300 * time.Millisecond) // virtual; the timeout of connecting is longer
 		c.loseVM(0)
 		<-got
 		c.servers = append(c.servers, c.network.Serve(serviceAddress, c.Services[0]))
@@ -152,9 +156,8 @@
 	})
 }
 
-// A daemon's VM is lost while a service works on a call that it sent. The call
-// runs; were the repeat sent again by another daemon, or by the lost one after
-// its restart, it would run twice.
+// A daemon's VM is lost while a service handles a call that the daemon sent. The call
+// runs; if another daemon, or the restarted one, sent the repeat, it would run twice.
 func TestDaemonLostBetweenSendAndAnswer(t *testing.T) {
 	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		c.Services[0].Delay = 2 * time.Second
@@ -176,17 +179,17 @@
 	})
 }
 
-// loseVM ends a node as the loss of its VM does: nothing more gets to the log.
-// What its requests still wait for ends within the time that it sleeps.
+// loseVM ends a node like the loss of its VM: nothing more reaches the log. It then
+// sleeps for longer than the node's open requests can last.
 func (c *Cluster) loseVM(i int) {
 	c.Nodes[i].LogView.Disconnect()
 	c.Kill(i)
 	time.Sleep(10 * time.Second) // virtual
 }
 
-// A caller takes one key for two calls, or repeats a call after its key has
-// been forgotten. Run, the one would get an answer that is another call's and
-// the other might have a second effect.
+// A caller uses one key for two calls, or repeats a call after its key has expired. If
+// they were run, the former would get the answer of another call, and the latter could
+// have a second effect.
 func TestRejectsUnusableKeys(t *testing.T) {
 	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		key := keyAt(time.Now(), 1)
@@ -199,9 +202,9 @@
 	})
 }
 
-// A service books a slot and its connection breaks before the answer. The call
-// had no key, so it is not sent again, and the caller is told that it may have
-// run.
+// A service books a slot and the connection breaks before the answer. The call had no
+// idempotency key, so it must not be sent again, and the caller must get the outcome
+// "unknown".
 func TestCallWithoutKeyIsNotRetried(t *testing.T) {
 	two := bookingOptions
 	two.Services = 2
--- a/lab/cluster/limit_test.go
+++ b/lab/cluster/limit_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Guards against each daemon keeping to a runner's limit alone, or not at all, so that
-// the runner gets many times what it takes.
+// A runner announces a rate limit for the requests of all daemons. If each daemon
+// applied it separately, or not at all, the runner would get a multiple of the limit.
 func TestRunnerLimitAcrossDaemons(t *testing.T) {
 	const (
 		limit   = 3.0
@@ -39,12 +39,12 @@
 				most, count = max(most, i-first+1), count+1
 			}
 		}
-		t.Logf("at most %d in %v, allowed %.0f; %.1f a second of %g; %d not served", most, window, allowed, float64(count)/17, limit, unserved.Load())
+		t.Logf("at most %d requests in %v, allowed %.0f; %.1f requests/s, limit %g; %d not served", most, window, allowed, float64(count)/17, limit, unserved.Load())
 		if most > allowed {
 			t.Errorf("got %d requests in %v, allowed %.0f", most, window, allowed)
 		}
 		if float64(count)/17 < limit/2 {
-			t.Errorf("got %.1f a second of %g", float64(count)/17, limit)
+			t.Errorf("got %.1f requests/s, limit %g", float64(count)/17, limit)
 		}
 		if n := unserved.Load(); n > 0 {
 			t.Errorf("%d requests were not served", n)
--- a/lab/cluster/operators_test.go
+++ b/lab/cluster/operators_test.go
@@ -16,12 +16,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// adminClient is a node's administration API.
+// adminClient returns a client of a node's administration API.
 func (c *Cluster) adminClient(i int) *client.Client {
 	return &client.Client{BaseURL: "http://" + c.Nodes[i].adminAddress(), Token: c.o.Token, HTTP: c.Client}
 }
 
-// publishByAdmin publishes a weight version by a node's administration API.
+// publishByAdmin publishes a manifest with the given weight version over a node's
+// administration API.
 func (c *Cluster) publishByAdmin(t *testing.T, i int, base ports.Offset, version string) admin.Publication {
 	t.Helper()
 	text, err := manifest.Encode(c.Manifest(version))
@@ -35,9 +36,9 @@
 	return p
 }
 
-// Two operators make a change against the same manifest and publish at once, at
-// two daemons. Were both told "accepted", one change would be lost without
-// anybody's knowing; the second must be told whose came first.
+// Two operators change the same manifest and publish concurrently at two daemons. If
+// both were accepted, one change would be lost silently. The second must be refused,
+// with the offset of the manifest that was accepted.
 func TestConcurrentPublications(t *testing.T) {
 	withCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
 		c.Log.SetDelay(20 * time.Millisecond)
@@ -58,9 +59,10 @@
 	})
 }
 
-// The log takes a publication and its answer is lost. An operator who was told
-// that it failed would publish something else over it; told too much, rely on
-// what is not there. The daemon looks at the log and tells which.
+// The log appends a publication and the answer is lost. If the daemon reported a
+// failure, the operator would publish something else over it; if it reported success
+// without a check, the operator could rely on a manifest that does not exist. The
+// daemon must read the log to find out.
 func TestPublicationWithLostAnswer(t *testing.T) {
 	withCluster(t, Options{Daemons: 2, Runners: 2}, func(t *testing.T, c *Cluster) {
 		c.Log.LoseAnswers(1)
@@ -75,12 +77,12 @@
 		c.Log.SetOutage(false)
 		time.Sleep(5 * time.Second) // virtual
 		if p := c.publishByAdmin(t, 1, 2, "v3"); p.Outcome != admin.OutcomeAccepted {
-			t.Errorf("published again: %+v", p)
+			t.Errorf("after the outage: %+v", p)
 		}
 	})
 }
 
-// lockedBuffer takes the lines of several daemons.
+// lockedBuffer collects the log lines of several daemons.
 type lockedBuffer struct {
 	mu   sync.Mutex
 	text bytes.Buffer
@@ -98,11 +100,12 @@
 	return b.text.String()
 }
 
-// maxSecretScanBytes is far above what a cluster of this size may say of itself.
+// maxSecretScanBytes is the greatest size of a text that TestDumpAndLogsHoldNoSecrets
+// accepts. The texts of a cluster of this size are much smaller.
 const maxSecretScanBytes = 1 << 20
 
-// An operator sends a dump and the log lines to a colleague. An API key, the
-// administration token, a prompt or a call's body in them would be leaked.
+// Operators pass dumps, metrics and logs on. They must contain no API key, no
+// administration token, no idempotency key, no prompt and no body of a call.
 func TestDumpAndLogsHoldNoSecrets(t *testing.T) {
 	lines := &lockedBuffer{}
 	logs, err := logging.NewFactory(lines, "debug")
@@ -132,21 +135,21 @@
 			}
 			for _, secret := range []string{Key, prompt, body, key, "administration-secret", "wrong-key-of-a-caller", "preamble"} {
 				if strings.Contains(text, secret) {
-					t.Errorf("%s holds %q", name, secret)
+					t.Errorf("%s contains %q", name, secret)
 				}
 			}
 		}
 		if !strings.Contains(texts["log"], "Outcome of a request is unknown") {
-			t.Error("the log does not tell of the call whose answer was lost")
+			t.Error("the log has no line for the call whose answer was lost")
 		}
 	})
 }
 
-// metricLine is one sample of the page: name, labels, value.
+// metricLine matches a sample of the metrics page: name, labels and value.
 var metricLine = regexp.MustCompile(`^[a-zA-Z_:][a-zA-Z0-9_:]*(\{[a-zA-Z_][a-zA-Z0-9_]*="[^"]*"(,[a-zA-Z_][a-zA-Z0-9_]*="[^"]*")*,?\})? [-+0-9.eEInfNa]+$`)
 
-// A scraper reads the metrics page after traffic. A line that it cannot read
-// would cost it the whole page.
+// After traffic, every line of the metrics page must be valid: a scraper rejects the
+// whole page for a single malformed line.
 func TestMetricsPageFormat(t *testing.T) {
 	withCluster(t, bookingOptions, func(t *testing.T, c *Cluster) {
 		for i := range 5 {
--- a/lab/cluster/partition.go
+++ b/lab/cluster/partition.go
@@ -7,20 +7,22 @@
 	"sync"
 )
 
-// peerConnections are the connections that nodes have opened to each other.
+// peerConnections are the connections that nodes have opened, and the links that are
+// blocked.
 type peerConnections struct {
 	mu      sync.Mutex // guards what follows
 	blocked map[link]bool
 	open    map[link][]net.Conn
 }
 
-// link is from a node to an address.
+// link is the network link from a node to an address.
 type link struct {
 	from    int
 	address string
 }
 
-// dial opens a connection for a node, unless its way is cut.
+// dial returns a node's dial function. It fails while the link to the address is
+// blocked.
 func (c *Cluster) dial(from int) func(context.Context, string, string) (net.Conn, error) {
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
 		conn, err := c.network.DialContext(ctx, network, address)
@@ -36,7 +38,7 @@
 	defer w.mu.Unlock()
 	if w.blocked[by] {
 		_ = conn.Close()
-		return nil, fmt.Errorf("cluster: %s cannot be reached", by.address)
+		return nil, fmt.Errorf("cluster: the link to %s is blocked", by.address)
 	}
 	if w.open == nil {
 		w.open = map[link][]net.Conn{}
@@ -45,14 +47,14 @@
 	return conn, nil
 }
 
-// Partition breaks the connections between two nodes' peer addresses, and lets none
-// be opened until Join.
+// Partition closes the connections between two nodes' peer addresses and blocks new
+// ones until Heal.
 func (c *Cluster) Partition(i, j int) {
 	c.peerConns.setBlocked(link{i, c.Nodes[j].peerAddress()}, true)
 	c.peerConns.setBlocked(link{j, c.Nodes[i].peerAddress()}, true)
 }
 
-// Heal ends Part.
+// Heal unblocks the connections that Partition blocked.
 func (c *Cluster) Heal(i, j int) {
 	c.peerConns.setBlocked(link{i, c.Nodes[j].peerAddress()}, false)
 	c.peerConns.setBlocked(link{j, c.Nodes[i].peerAddress()}, false)
--- a/lab/cluster/partition_test.go
+++ b/lab/cluster/partition_test.go
@@ -8,10 +8,10 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// A zone is parted from the others and from the log for three minutes while three
-// manifests are published. Its daemon serves by the one that it has; once the
-// ways are open again it must have the newest within seconds, by its neighbours
-// if the log stays away, and never go back to an older one.
+// A zone is partitioned from the others and from the log for three minutes, while
+// three manifests are published. Its daemon must keep serving by its current manifest.
+// When the partition ends it must have the newest manifest within seconds, from its
+// neighbours if the log is still unreachable, and never return to an older one.
 func TestZonePartition(t *testing.T) {
 	for _, logBack := range []bool{true, false} {
 		t.Run(fmt.Sprintf("log back %v", logBack), func(t *testing.T) {
@@ -23,7 +23,7 @@
 }
 
 func (c *Cluster) checkZonePartition(t *testing.T, logBack bool) {
-	time.Sleep(2 * time.Second) // virtual; until the daemons have met
+	time.Sleep(2 * time.Second) // virtual; until the daemons have exchanged reports
 	c.Partition(0, 2)
 	c.Partition(1, 2)
 	c.Nodes[2].LogView.Disconnect()
@@ -36,7 +36,7 @@
 		}
 		time.Sleep(60 * time.Second) // virtual
 		if offset := c.Nodes[2].Daemon.Revision().Offset; offset != 1 {
-			t.Fatalf("the parted daemon has offset %d", offset)
+			t.Fatalf("the partitioned daemon has offset %d", offset)
 		}
 		for node := range c.Nodes {
 			if a := c.ask(t, node, fmt.Sprintf("question %d", n), 3); !a.isComplete(3) {
@@ -54,7 +54,7 @@
 		time.Sleep(100 * time.Millisecond) // virtual
 		for _, n := range c.Nodes {
 			if offset := n.Daemon.Revision().Offset; offset != 4 {
-				t.Fatalf("%s went back to offset %d", n.ID, offset)
+				t.Fatalf("%s returned to offset %d", n.ID, offset)
 			}
 		}
 	}
--- a/lab/cluster/race_test.go
+++ b/lab/cluster/race_test.go
@@ -8,12 +8,12 @@
 	"testing"
 )
 
-// TestMain runs the tests on one processor under the race detector. Go 1.26
-// crashes there ("SIGSEGV" in runtime.(*timer).modify) when two goroutines of a
-// synctest bubble start a timer at once whose time has passed, as in-memory
-// connections do with each read deadline: both use the bubble's one detector
-// context. On one processor they take turns, and races are still found, since
-// the detector goes by the order of synchronisation.
+// TestMain runs the tests on one processor under the race detector. With the detector,
+// Go 1.26 crashes ("SIGSEGV" in runtime.(*timer).modify) when two goroutines of a
+// synctest bubble concurrently start a timer whose time has passed, as in-memory
+// connections do for each read deadline: both use the bubble's single detector
+// context. On one processor they don't run in parallel. Races are still found, since
+// the detector relies on the order of synchronisation.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/lab/cluster/recovery_test.go
+++ b/lab/cluster/recovery_test.go
@@ -16,9 +16,9 @@
 
 var smallOptions = Options{Daemons: 3, Runners: 6, Services: 1, Prefill: 10 * time.Microsecond, Decode: 10 * time.Millisecond}
 
-// A daemon's VM is replaced while the platform's log is down. Its balancer
-// sends callers to the new daemon, who would be refused for as long as the
-// outage lasts if it could learn the manifest from the log only.
+// A daemon's VM is replaced while the platform's log is down, and the load balancer
+// sends callers to the new daemon. If it could get the manifest only from the log, it
+// would refuse them until the outage ends.
 func TestDaemonRestartDuringLogOutage(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		c.Kill(1)
@@ -33,9 +33,9 @@
 	})
 }
 
-// All daemons are restarted at once while the log is down, so that nobody is
-// left who knows the manifest. A caller must be told that nothing ran and when
-// to come back, and be served soon after the log is back.
+// All daemons are restarted at once while the log is down, so that none of them knows
+// the manifest. Callers must get the outcome "not run" and a Retry-After header, and
+// be served soon after the log is available again.
 func TestAllDaemonsRestartDuringLogOutage(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		for i := range c.Nodes {
@@ -49,14 +49,14 @@
 		}
 		time.Sleep(10 * time.Second) // virtual
 		for i := range c.Nodes {
-			a := c.ask(t, i, "while nobody knows", 5)
+			a := c.ask(t, i, "without a manifest", 5)
 			if a.outcome != gateway.OutcomeNotRun || a.header.Get("Retry-After") == "" {
 				t.Errorf("%s", a)
 			}
 		}
 		for i, r := range c.Runners {
 			if n := r.Stats().Requests; n != 0 {
-				t.Errorf("runner %d ran %d requests that were called not run", i, n)
+				t.Errorf("runner %d ran %d requests that were reported as not run", i, n)
 			}
 		}
 		c.Log.SetOutage(false)
@@ -69,8 +69,8 @@
 	})
 }
 
-// The way from one daemon to the log is cut while those of the others work.
-// Callers that meet it would be served by the old manifest for hours.
+// One daemon loses its connection to the log while the others reach it. If it did not
+// get the new manifest from its neighbours, it would serve by the old one for hours.
 func TestManifestFromNeighboursWithoutLog(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		c.Nodes[2].LogView.Disconnect()
@@ -90,9 +90,9 @@
 	})
 }
 
-// The weights of a model are replaced while callers ask. A load takes a runner
-// away for a while and too many at once slow down the store; a request that met
-// runners of both versions would get an answer that is neither's.
+// The weights of a model are replaced under traffic. A runner that loads is
+// unavailable, and too many concurrent loads slow the store down. A request attempted
+// at runners of both versions would get an answer mixed from both.
 func TestRolloutUnderTraffic(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
@@ -116,7 +116,7 @@
 		}
 	}
 	if most := c.Store.MaxConcurrentLoads(); most > 2 {
-		t.Errorf("%d loads at once, 2 are allowed", most)
+		t.Errorf("%d concurrent loads, want at most 2", most)
 	}
 	time.Sleep(5 * time.Second) // virtual
 	if a := c.ask(t, 0, "on the new weights", 5); !a.isComplete(5) {
@@ -134,9 +134,9 @@
 	return true
 }
 
-// An endpoint leaves while the platform's list is down, so that only its own
-// refusals tell of it. Requests that still went there would be refused and
-// tried again elsewhere, which callers notice as a late first token.
+// An endpoint starts to leave, in one case while the platform's list is unavailable,
+// so that only its own refusals show it. Requests that were still sent to it would be
+// refused and retried at other endpoints, which delays the first token.
 func TestLeavingEndpointGetsNoRequests(t *testing.T) {
 	for _, listDown := range []bool{false, true} {
 		t.Run(fmt.Sprintf("list down %v", listDown), func(t *testing.T) {
@@ -159,14 +159,15 @@
 	}
 }
 
-// receivedRequests is how many requests came to the runner, taken or not.
+// receivedRequests returns the number of requests that reached the runner, including
+// refused ones.
 func receivedRequests(r *standin.OrderedRunner) int {
 	s := r.Stats()
 	return s.Requests + s.Refused
 }
 
-// A zone is lost with its runners and its daemon while streams are open. Every
-// caller of the other daemons must still get a whole answer.
+// A zone is lost with its runners and its daemon while streams are open. Callers of
+// the other daemons must still get complete answers.
 func TestZoneLossKeepsOtherStreams(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		answers := make(chan *answer)
@@ -186,7 +187,8 @@
 	})
 }
 
-// A daemon is drained while it streams. The caller must get the rest.
+// A daemon is drained while it streams an answer. The caller must get the complete
+// answer.
 func TestDrainCompletesStreams(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		got := make(chan *answer)
@@ -207,16 +209,16 @@
 	})
 }
 
-// One daemon is cut from the log until records that it has not read have
-// expired. It keeps serving, and once the log is back it must be able to decide
-// again soon: an operator who publishes there would otherwise be turned away
-// for hours.
+// One daemon is disconnected from the log until records that it has not read have
+// expired. When it reaches the log again, it must soon be able to decide publications,
+// with the help of its neighbours. Otherwise it would refuse them for hours.
 func TestNeighboursCloseManifestGap(t *testing.T) {
 	withCluster(t, smallOptions, func(t *testing.T, c *Cluster) {
 		c.Nodes[2].LogView.Disconnect()
 		c.publish(t, 1, "v1b")
 		time.Sleep(5 * time.Second) // virtual
-		// One more record, refused by all, which the proof of v1b does not cover.
+		// One more record, which all daemons refuse and the checkpoint of v1b does not
+		// cover.
 		if _, err := c.Log.Append(t.Context(), ledger.StreamManifest, []byte("no manifest")); err != nil {
 			t.Fatal(err)
 		}
@@ -237,13 +239,14 @@
 	})
 }
 
-// decided tells whether a node's fold of manifests decides.
+// decided reports whether a node's state of the manifest stream is complete enough to
+// decide publications.
 func (c *Cluster) decided(t *testing.T, i int) bool {
 	t.Helper()
 	return strings.Contains(c.dump(t, i), `"decided":true`)
 }
 
-// dump is the whole state of a node.
+// dump returns a node's state as JSON.
 func (c *Cluster) dump(t *testing.T, i int) string {
 	t.Helper()
 	req, err := http.NewRequestWithContext(t.Context(), http.MethodGet, "http://"+c.Nodes[i].adminAddress()+"/dump", nil)
--- a/lab/cluster/rollout_test.go
+++ b/lab/cluster/rollout_test.go
@@ -13,9 +13,9 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// A daemon is replaced again and again while a rollout runs, and callers meet it
-// before it has heard any runner. Bound to the declared version, their requests
-// would be refused by every runner that has not loaded it yet.
+// A daemon is restarted repeatedly during a rollout, and gets requests before it has a
+// report of any runner. If it chose the declared version for them, every runner that
+// has not loaded that version yet would refuse them.
 func TestDaemonRestartsDuringRollout(t *testing.T) {
 	o := Options{Daemons: 3, Runners: 6, Decode: time.Millisecond, Store: &standin.WeightStore{AtOnce: 2, Load: 30 * time.Second}}
 	withCluster(t, o, func(t *testing.T, c *Cluster) {
@@ -43,9 +43,9 @@
 	})
 }
 
-// Two of nine daemons are cut off from the log when a manifest is accepted, and
-// one starts while the log is down. All must follow within five seconds by way
-// of their neighbours, or callers meet two configurations.
+// Two of nine daemons are disconnected from the log when a manifest is accepted, and
+// one starts while the log is down. All must get the manifest from their neighbours
+// within five seconds. Otherwise callers see two configurations.
 func TestManifestPropagation(t *testing.T) {
 	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
 		c.Nodes[3].LogView.Disconnect()
@@ -61,8 +61,8 @@
 	})
 }
 
-// waitInForce waits until the manifest at the offset is in force on each node,
-// for as long as is promised.
+// waitInForce waits until the manifest at the offset is in force on each node and
+// returns how long that took. It fails the test after 5 s, which is the guarantee.
 func (c *Cluster) waitInForce(t *testing.T, offset ports.Offset) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -77,10 +77,10 @@
 	return time.Since(began)
 }
 
-// One organisation of many is changed. A daemon that hears of it from a
-// neighbour reads the few hundred bytes from the log; were it to fetch the
-// neighbour's whole manifest, thousands of changes a day would take twenty times
-// the bytes that control may have.
+// One organisation of many is changed. A daemon that a neighbour notifies of the
+// change must read its few hundred bytes from the log. If it fetched the neighbour's
+// complete manifest, thousands of changes a day would take twenty times the bytes that
+// are allowed for control traffic.
 func TestReadsAnnouncedManifestFromLog(t *testing.T) {
 	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
 		time.Sleep(5 * time.Second) // virtual
@@ -96,7 +96,8 @@
 	})
 }
 
-// fetchedManifests counts the manifests that nodes have fetchedManifests from neighbours.
+// fetchedManifests returns the number of manifests that nodes have fetched from
+// neighbours.
 func (c *Cluster) fetchedManifests(t *testing.T) int {
 	t.Helper()
 	total := 0
@@ -106,8 +107,8 @@
 	return total
 }
 
-// sumCounters adds up the counters on a node's metrics page whose lines hold both
-// texts.
+// sumCounters returns the sum of the counters on a node's metrics page whose lines
+// contain both texts.
 func (c *Cluster) sumCounters(t *testing.T, i int, name, tag string) int {
 	t.Helper()
 	total := 0
@@ -124,7 +125,7 @@
 	return total
 }
 
-// metrics is a node's page for the scraper.
+// metrics returns a node's metrics page.
 func (c *Cluster) metrics(t *testing.T, i int) string {
 	t.Helper()
 	resp, err := c.Client.Get("http://" + c.Nodes[i].adminAddress() + "/metrics")
--- a/lab/cluster/shares_test.go
+++ b/lab/cluster/shares_test.go
@@ -14,28 +14,30 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// What the two organisations of these tests ask for.
+// Traffic of the two organisations.
 const (
 	otherKey        = "key-tsukushi"
 	promptTokens    = 500
 	trafficDuration = 5 * time.Second
-	maxQueueWait    = 2 * time.Second // longest wait of a standard request in a queue
+	maxQueueWait    = 2 * time.Second // of a standard request
 )
 
-// tenants are callers of two organisations with equal shares.
+// tenants counts the results of callers of two organisations with equal shares. The
+// keys of its maps are an API key and a priority, except in refusedIDs.
 type tenants struct {
 	c *Cluster
 
 	mu         sync.Mutex // guards what follows
 	served     map[string]int
 	refused    map[string]int
-	slowest    map[string]time.Duration // of those served
-	refusedIDs map[string]bool          // of those refused
+	slowest    map[string]time.Duration // latency of a served request
+	refusedIDs map[string]bool          // of refused requests
 	violations []string
 	running    sync.WaitGroup
 }
 
-// ask sends one prompt that no cache holds and books what became of it.
+// ask sends one prompt that is in no cache and counts the result. A refusal must come
+// within maxQueueWait, with the outcome "not run" and a Retry-After header.
 func (s *tenants) ask(t *testing.T, n int, key, priority string) {
 	began := time.Now()
 	body := fmt.Sprintf(`{"model":%q,"stream":true,"max_tokens":2,"messages":[{"role":"user","content":%q}]}`,
@@ -57,7 +59,8 @@
 	}
 }
 
-// sendEvery sends requests in even steps while the test lasts.
+// sendEvery sends requests in the background at a fixed interval for
+// trafficDuration.
 func (s *tenants) sendEvery(t *testing.T, step time.Duration, key string, priorities ...string) {
 	s.running.Go(func() {
 		for n := 0; time.Duration(n)*step < trafficDuration; n++ {
@@ -67,9 +70,9 @@
 	})
 }
 
-// One organisation asks for three times its share at every daemon. The other,
-// which keeps within its own, would be crowded out; the callers who are turned
-// away must learn at once that nothing ran, and when to come back.
+// One organisation sends three times its share, over all daemons. The other one stays
+// within its share and must be served with little delay. Refused callers must get the
+// outcome "not run" and a Retry-After header promptly.
 func TestFairSharesUnderOverload(t *testing.T) {
 	o := Options{Daemons: 3, Runners: 2, Slots: 6, Prefill: 6 * time.Second / 8000}
 	withCluster(t, o, func(t *testing.T, c *Cluster) {
@@ -85,7 +88,7 @@
 			t.Fatalf("%+v, %v", r, err)
 		}
 		c.waitInForce(t, 2)
-		time.Sleep(5 * time.Second) // virtual; until the daemons have heard each other
+		time.Sleep(5 * time.Second) // virtual; until the daemons have each other's reports
 		s := &tenants{c: c, refusedIDs: map[string]bool{}, served: map[string]int{}, refused: map[string]int{}, slowest: map[string]time.Duration{}}
 		// Two runners prefill 16,000 tokens a second, 16 prompts for each share.
 		s.sendEvery(t, time.Second/48, Key, "interactive", "standard")
@@ -112,7 +115,7 @@
 	}
 	first, later := s.served[Key+" interactive"], s.served[Key+" standard"]
 	if s.refused[Key+" interactive"]+s.refused[Key+" standard"] == 0 || first <= later {
-		t.Errorf("of the greedy organisation %d interactive and %d standard requests were served", first, later)
+		t.Errorf("of the organisation over its share, %d interactive and %d standard requests were served", first, later)
 	}
 	for _, r := range s.c.Runners {
 		for attempt := range r.Stats().Attempts {
--- a/lab/cluster/tls_test.go
+++ b/lab/cluster/tls_test.go
@@ -14,13 +14,13 @@
 	"time"
 )
 
-// authority signs the certificates of daemons.
+// authority is a certificate authority that signs the certificates of daemons.
 type authority struct {
 	key  *ecdsa.PrivateKey
 	cert *x509.Certificate
 }
 
-// virtualStart is when virtual time begins.
+// virtualStart is the time at which a synctest bubble begins.
 var virtualStart = time.Date(2000, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newAuthority(t *testing.T) *authority {
@@ -39,8 +39,8 @@
 	}}
 }
 
-// flags writes a daemon's certificate, key and authority, and names them in
-// settings.
+// flags writes a daemon's certificate, its key and the authority's certificate to
+// files, and returns the command-line flags that name them.
 func (a *authority) flags(t *testing.T) []string {
 	t.Helper()
 	dir := t.TempDir()
@@ -72,9 +72,9 @@
 	return []string{"-tls.peers-cert=" + cert, "-tls.peers-key=" + key, "-tls.peers-ca=" + ca}
 }
 
-// A process on the daemons' network has a certificate of another authority, or
-// none. It would learn the manifest, with its organisations, and push one of its
-// own; a daemon with the right certificate must be helped as before.
+// A process on the daemons' network has a certificate of another authority, or none.
+// It must not get the manifest, which names the organisations, nor be able to send one
+// of its own. A daemon with a trusted certificate must still get the manifest.
 func TestPeersRequireTrustedCertificate(t *testing.T) {
 	good, bad := newAuthority(t), newAuthority(t)
 	flags := [][]string{good.flags(t), good.flags(t), good.flags(t), bad.flags(t), nil}
@@ -86,7 +86,7 @@
 		}
 		defer c.Close()
 		for _, n := range c.Nodes[2:] {
-			n.LogView.Disconnect() // so that only neighbours can tell them
+			n.LogView.Disconnect() // so that they can get the manifest only from neighbours
 		}
 		c.publish(t, 0, "v1")
 		for i := range 3 {
@@ -95,7 +95,7 @@
 		time.Sleep(20 * time.Second) // virtual
 		for i, n := range c.Nodes[3:] {
 			if offset := n.Daemon.Revision().Offset; offset != 0 {
-				t.Errorf("daemon %d without the right certificate has the manifest at offset %d", i+4, offset)
+				t.Errorf("daemon %d without a trusted certificate has the manifest at offset %d", i+4, offset)
 			}
 		}
 	})
--- a/lab/demo/caller.go
+++ b/lab/demo/caller.go
@@ -17,22 +17,22 @@
 // prompt is one request of the demo's workload.
 type prompt struct {
 	organisation int
-	levels       []string // from the preamble to the question
-	seed         int      // makes its answer unlike any other's
+	levels       []string // messages, from the preamble to the question
+	seed         int      // makes its answer unique
 	tokens       int      // to generate
 }
 
-// reply is what the caller got.
+// reply is the answer that a caller received.
 type reply struct {
 	status     int
 	header     http.Header
 	tokens     []string
-	complete   bool // the end marker came
+	complete   bool // whether the end marker was received
 	firstToken time.Duration
 	body       string // of an error, or of a call to a plain service
 }
 
-// text joins the tokens.
+// text returns the concatenated tokens.
 func (r *reply) text() string { return strings.Join(r.tokens, "") }
 
 type chatMessage struct {
@@ -59,12 +59,12 @@
 	}
 	text, err := json.Marshal(b)
 	if err != nil {
-		panic(err) // strings and numbers always marshal
+		panic(err) // strings and numbers can always be encoded
 	}
 	return text
 }
 
-// sendPrompt sends the prompt and reads the stream to its end.
+// sendPrompt sends the prompt to a gateway and reads the answer to its end.
 func sendPrompt(ctx context.Context, baseURL string, p *prompt) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+"/v1/chat/completions", bytes.NewReader(p.body()))
 	if err != nil {
@@ -121,8 +121,8 @@
 	return lines.Err()
 }
 
-// book calls the plain service under an idempotency key; an empty key sends
-// none.
+// book calls the plain service with an idempotency key, or without one if key is
+// empty.
 func book(ctx context.Context, baseURL, key, slot string) (*reply, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, baseURL+world.ServicePath+"slots", strings.NewReader(slot))
 	if err != nil {
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo shows the whole system on stand-ins in one process: three
-// daemons in front of six runners, and what each promise comes to when
-// something fails. Every line it prints is computed from what the stand-ins
-// and the callers saw in that run.
+// Package demo runs the whole system on stand-ins in one process, with three daemons
+// in front of six runners, and checks its guarantees while it injects failures. All
+// results that it prints are computed from what the stand-ins and the callers
+// observed in that run.
 package demo
 
 import (
@@ -16,32 +16,32 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// ErrGuaranteeBroken says that a promise did not hold.
-var ErrGuaranteeBroken = errors.New("demo: a promise was broken")
+// ErrGuaranteeBroken is returned if a guarantee was not met.
+var ErrGuaranteeBroken = errors.New("demo: a guarantee was not met")
 
-// Options of the demo.
+// Options are the options of the demo.
 type Options struct {
 	Out      io.Writer // results
-	Progress io.Writer // what is being done; nil: nowhere
-	Requests int       // of the workload; 0: 320
+	Progress io.Writer // steps, as they begin; nil: discarded
+	Requests int       // of the workload; 0: defaultRequests
 }
 
-// Bounds of the demo.
+// Size and time limit of the demo.
 const (
 	defaultRequests = 320
 	timeout         = 2 * time.Minute
 	daemonCount     = 3
-	runnerTokens    = float64(time.Second) / float64(prefillPerTok) // tokens/s of a stand-in
+	runnerTokens    = float64(time.Second) / float64(prefillPerTok) // prefilled tokens/s of a stand-in
 )
 
-// Result is the outcome of one step.
+// Result is the outcome of one step, which checks a guarantee.
 type Result struct {
 	Name     string `json:"name"`
 	Held     bool   `json:"held"`
 	Observed string `json:"seen"`
 }
 
-// demoRun is one run of the demo.
+// demoRun is the state of one run.
 type demoRun struct {
 	o         Options
 	world     *world.World
@@ -51,7 +51,8 @@
 	results   []Result
 }
 
-// Run runs the demo. It returns ErrBroken when a promise did not hold.
+// Run runs the demo. It returns ErrGuaranteeBroken if a guarantee was not met, and
+// another error if a step could not be executed.
 func Run(ctx context.Context, o Options) error {
 	if o.Requests == 0 {
 		o.Requests = defaultRequests
@@ -112,7 +113,7 @@
 
 func (s *demoRun) report() error {
 	broken := 0
-	fmt.Fprintln(s.o.Out, "\nPromise by promise:")
+	fmt.Fprintln(s.o.Out, "\nResult of each guarantee:")
 	for _, p := range s.results {
 		verdict := "held  "
 		if !p.Held {
@@ -136,13 +137,13 @@
 	return urls
 }
 
-// table prints the figures of the workload beside the baseline's.
+// table prints the statistics of the workload next to those of the baseline.
 func (s *demoRun) table(ours, base *runStats) {
 	fmt.Fprintf(s.o.Out, "\n%d requests with nested shared prefixes over %d daemons, %d runners:\n", ours.requests, daemonCount, len(s.world.Runners))
 	fmt.Fprintf(s.o.Out, "  %-36s %12s %12s\n", "", "merlindock", "random")
 	row := func(name string, a, b any) { fmt.Fprintf(s.o.Out, "  %-36s %12v %12v\n", name, a, b) }
 	percent := func(x float64) string { return fmt.Sprintf("%.1f%%", 100*x) }
-	row("whole answers", ours.correct, base.correct)
+	row("complete answers", ours.correct, base.correct)
 	row("prefix hit rate", percent(ours.hitRate()), percent(base.hitRate()))
 	row("wasted recomputation, tokens", ours.wastedTokens(), base.wastedTokens())
 	for _, q := range []float64{0.50, 0.95, 0.99} {
--- a/lab/demo/steps.go
+++ b/lab/demo/steps.go
@@ -19,7 +19,7 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// publish puts the first manifest in force on all daemons.
+// publish publishes the first manifest and waits until all daemons are ready.
 func (s *demoRun) publish(ctx context.Context) (Result, error) {
 	p := Result{Name: "a manifest is in force everywhere within seconds"}
 	text, err := manifest.Encode(s.world.Manifest())
@@ -40,10 +40,10 @@
 	return p, nil
 }
 
-// compareWithBaseline sends the workload through the daemons, and then through a gateway
-// that places at random, on runners that were emptied.
+// compareWithBaseline sends the workload through the daemons, and then, after the
+// runners' caches were cleared, through a gateway that chooses runners at random.
 func (s *demoRun) compareWithBaseline(ctx context.Context) (Result, error) {
-	p := Result{Name: "each caller gets the whole answer to its own request"}
+	p := Result{Name: "each caller gets the complete answer to its own request"}
 	routed := runWorkload(ctx, s.world, s.urls(), s.prompts, s.reference)
 	s.restartRunners()
 	base, err := s.baseline(ctx)
@@ -53,7 +53,7 @@
 	s.restartRunners()
 	s.table(routed, base)
 	p.Held = routed.correct == routed.requests && routed.hitRate() > base.hitRate()
-	p.Observed = fmt.Sprintf("%d of %d right", routed.correct, routed.requests)
+	p.Observed = fmt.Sprintf("%d of %d correct", routed.correct, routed.requests)
 	return p, nil
 }
 
@@ -63,7 +63,8 @@
 	}
 }
 
-// randomPlacer is the baseline: it knows nothing of prefixes.
+// randomPlacer is the baseline: it chooses a runner at random, regardless of
+// prefixes.
 type randomPlacer struct{ w *world.World }
 
 // Place implements gateway.Placer.
@@ -88,7 +89,7 @@
 	return runWorkload(ctx, s.world, []string{srv.URL}, s.prompts, s.reference), nil
 }
 
-// longPrompt is a request whose answer takes long enough to be interrupted.
+// longPrompt returns a prompt whose answer takes long enough to be interrupted.
 func longPrompt(seed, tokens int) prompt {
 	return prompt{
 		seed:   seed,
@@ -102,7 +103,9 @@
 	longPromptSeed   = 100_000
 )
 
-// startStream asks in the background and returns once a runner generates.
+// startStream sends a prompt in the background. Once a runner has generated more than
+// answerTokens for it, startStream returns that runner and a channel that receives the
+// reply.
 func (s *demoRun) startStream(ctx context.Context, url string, p *prompt) (<-chan *reply, *standin.Runner, error) {
 	done := make(chan *reply, 1)
 	go func() {
@@ -137,7 +140,7 @@
 	return n
 }
 
-// isCompleteAnswer tells whether a reply is the isCompleteAnswer answer to the prompt.
+// isCompleteAnswer reports whether a reply is the complete answer to the prompt.
 func isCompleteAnswer(r *reply, p *prompt) bool {
 	return r.complete && r.text() == computeReference([]prompt{*p}).answers[0]
 }
@@ -157,10 +160,11 @@
 	return p, nil
 }
 
-// restartRunner counts on the runner that died: every request of the workload's
-// beginning is answered whole though what the daemons knew of it is void.
+// restartRunner sends the beginning of the workload, crashes and restarts a runner, and
+// sends the same requests again. All must be answered completely, although the prefix
+// locations that the daemons know for the runner are outdated.
 func (s *demoRun) restartRunner(ctx context.Context) (Result, error) {
-	p := Result{Name: "no request relies on the cache of a dead engine"}
+	p := Result{Name: "no request relies on the cache of a crashed runner"}
 	some := s.prompts[:len(s.prompts)/4]
 	runWorkload(ctx, s.world, s.urls(), some, s.reference)
 	s.world.Runners[0].Crash()
@@ -168,12 +172,12 @@
 	e := &referenceAnswers{answers: s.reference.answers, prefilled: s.reference.prefilled}
 	f := runWorkload(ctx, s.world, s.urls(), some, e)
 	p.Held = f.correct == f.requests
-	p.Observed = fmt.Sprintf("%d of %d right after a runner came back empty", f.correct, f.requests)
+	p.Observed = fmt.Sprintf("%d of %d correct after a runner restarted empty", f.correct, f.requests)
 	return p, nil
 }
 
 func (s *demoRun) restartDaemon(ctx context.Context) (Result, error) {
-	p := Result{Name: "a shutdown cuts nothing and a restarted router serves at once"}
+	p := Result{Name: "a shutdown cuts no stream, a restart serves at once"}
 	n := s.cluster.Nodes[1]
 	long := longPrompt(longPromptSeed+1, longAnswerTokens)
 	done, _, err := s.startStream(ctx, n.CallersURL, &long)
@@ -206,7 +210,7 @@
 
 func newKey() string { return uuid.Must(uuid.NewV7()).String() }
 
-// effects counts what the plain services did for one slot.
+// effects returns how often the plain services booked a slot.
 func (s *demoRun) effects(slot string) int {
 	n := 0
 	for _, svc := range s.world.Services {
@@ -232,7 +236,7 @@
 	return p, nil
 }
 
-// bookWhenReady asks again while the daemon says that nothing ran.
+// bookWhenReady repeats the call while the daemon answers that it was not run.
 func bookWhenReady(ctx context.Context, url, key, slot string) (*reply, error) {
 	ticker := time.NewTicker(50 * time.Millisecond)
 	defer ticker.Stop()
@@ -250,7 +254,7 @@
 }
 
 func (s *demoRun) bookWithoutLog(ctx context.Context) (Result, error) {
-	p := Result{Name: "a refusal that says \"not run\" is true"}
+	p := Result{Name: "a call refused as \"not run\" has no effect"}
 	s.world.Log.SetOutage(true)
 	slot := "slot 10:00"
 	r, err := book(ctx, s.cluster.Nodes[0].CallersURL, newKey(), slot)
@@ -265,11 +269,11 @@
 	return p, nil
 }
 
-// leaveDeadline is how soon a leaving endpoint must get no new work.
+// leaveDeadline is the time after which a leaving endpoint may get no more requests.
 const leaveDeadline = 3 * time.Second
 
 func (s *demoRun) markLeaving(ctx context.Context) (Result, error) {
-	p := Result{Name: "a leaving endpoint gets no new work after 3 s"}
+	p := Result{Name: "a leaving endpoint gets no new requests after 3 s"}
 	leaving := s.world.Runners[2]
 	s.world.MarkLeaving(s.world.Endpoints()[2].ID)
 	select {
@@ -281,7 +285,7 @@
 	f := runWorkload(ctx, s.world, s.urls(), s.prompts[:len(s.prompts)/4], s.reference)
 	got := leaving.Stats().Requests - before
 	p.Held = got == 0 && f.correct == f.requests
-	p.Observed = fmt.Sprintf("%d of %d requests went there", got, f.requests)
+	p.Observed = fmt.Sprintf("%d of %d requests went to it", got, f.requests)
 	return p, nil
 }
 
@@ -318,7 +322,7 @@
 	return p, nil
 }
 
-// countAccepted is how many accepted manifests a daemon lists.
+// countAccepted returns the number of accepted manifests in a daemon's history.
 func countAccepted(ctx context.Context, n *world.Node) (int, error) {
 	text, err := n.Admin().Get(ctx, "/v1/manifest/history")
 	if err != nil {
@@ -337,8 +341,8 @@
 	return accepted, nil
 }
 
-// changeSection doubles one organisation's share, as an operator would who has
-// read its section.
+// changeSection doubles one organisation's share by reading and replacing its
+// section, as an operator would.
 func (s *demoRun) changeSection(ctx context.Context) error {
 	c := s.cluster.Nodes[1].Admin()
 	id := string(world.Organisation(0))
--- a/lab/demo/workload.go
+++ b/lab/demo/workload.go
@@ -15,8 +15,8 @@
 	"github.com/merlindock/merlindock/lab/world"
 )
 
-// The demo's workload: preambles, documents below them and questions below
-// those, in tokens.
+// Parameters of the workload. Each prompt consists of an organisation's preamble, one
+// of its documents and a unique question.
 const (
 	organisations     = 8
 	documents         = 4 // of each organisation
@@ -31,13 +31,14 @@
 	workloadSeed      = 7
 )
 
-// fillerText is text of about n tokens that no other name has.
+// fillerText returns a text of about n tokens that consists of the repeated name.
 func fillerText(name string, n int) string {
 	word := name + " "
 	return strings.Repeat(word, n*standin.DefaultBytesPerToken/len(word)+1)
 }
 
-// workload makes prompts that share nested prefixes.
+// workload returns n prompts that share nested prefixes. They are the same in each
+// run.
 func workload(n int) []prompt {
 	r := rand.New(rand.NewPCG(workloadSeed, workloadSeed))
 	prompts := make([]prompt, n)
@@ -58,14 +59,14 @@
 	return prompts
 }
 
-// referenceAnswers is what a runner answers and what it takes at the least.
+// referenceAnswers holds the correct answers to the workload and the least number of
+// tokens that must be prefilled for it.
 type referenceAnswers struct {
 	answers   []string
-	prefilled int // by one runner that never forgets
+	prefilled int // by a single runner that evicts nothing
 }
 
-// computeReference asks a runner of its own, whose cache holds everything, so that the
-// demo knows each right answer and the least work.
+// computeReference sends the prompts to a separate runner whose cache evicts nothing.
 func computeReference(prompts []prompt) *referenceAnswers {
 	ideal := standin.NewRunner(standin.RunnerOptions{
 		WeightVersion: world.Version,
@@ -78,7 +79,7 @@
 		ideal.ServeHTTP(rec, httptest.NewRequest(http.MethodPost, "/v1/chat/completions", strings.NewReader(string(prompts[i].body()))))
 		r := &reply{}
 		if err := r.read(rec.Body, time.Now()); err != nil {
-			panic(err) // the stand-in writes what read reads
+			panic(err) // read can decode every answer of the stand-in
 		}
 		e.answers = append(e.answers, r.text())
 	}
@@ -87,22 +88,22 @@
 	return e
 }
 
-// runStats sum up a run of the workload.
+// runStats holds the statistics of a run of the workload.
 type runStats struct {
 	requests     int
-	correct      int // whole, in order, the caller's own, with its end marker
+	correct      int // complete answers to the caller's own request, with the end marker
 	promptTokens int // tokens
 	prefilled    int // tokens
-	minPrefilled int // tokens that had to be prefilled by anyone
+	minPrefilled int // tokens, see referenceAnswers.prefilled
 	firstToken   []time.Duration
 }
 
-// hitRate is the part of the tokens that could come from a cache which did.
+// hitRate returns the fraction of the cacheable prompt tokens that were cached.
 func (f *runStats) hitRate() float64 {
 	return float64(f.promptTokens-f.prefilled) / float64(f.promptTokens-f.minPrefilled)
 }
 
-// wastedTokens is the tokens prefilled beyond the least.
+// wastedTokens returns the number of tokens prefilled beyond minPrefilled.
 func (f *runStats) wastedTokens() int { return f.prefilled - f.minPrefilled }
 
 func (f *runStats) percentile(q float64) time.Duration {
@@ -113,7 +114,7 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// tokenTotals sums what the runners have done.
+// tokenTotals returns the sums of the runners' prompt tokens and cached tokens.
 func tokenTotals(runners []*standin.Runner) (prompt, cached int) {
 	for _, r := range runners {
 		s := r.Stats()
@@ -123,8 +124,7 @@
 	return prompt, cached
 }
 
-// runWorkload sends the workload from several callers at once, over the given URLs
-// in turn.
+// runWorkload sends the prompts from concurrent callers, to the given URLs in turn.
 func runWorkload(ctx context.Context, w *world.World, urls []string, prompts []prompt, e *referenceAnswers) *runStats {
 	f := &runStats{requests: len(prompts), minPrefilled: e.prefilled}
 	promptBefore, cachedBefore := tokenTotals(w.Runners)
--- a/lab/standin/orders_test.go
+++ b/lab/standin/orders_test.go
@@ -27,7 +27,7 @@
 				f.waitForVersion("v3")
 				f.checkNoneExecuted("v2")
 				if f.store.MaxConcurrentLoads() > 2 {
-					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
+					t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 				}
 			})
 		})
@@ -66,7 +66,7 @@
 				time.Sleep(6 * time.Minute)
 				f.waitForVersion("v3")
 				if f.store.MaxConcurrentLoads() > 3 {
-					t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
+					t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 				}
 				if late := first.lateAddress.Load().(string); fences != f.executedOnly(late, "v3") {
 					t.Errorf("runner with fences %v executed %v", fences, f.runners[late].ExecutedOrders())
@@ -96,7 +96,7 @@
 		f.setLeaving(first.lateAddress.Load().(string), false)
 		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() > 2 {
-			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
+			t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -110,9 +110,9 @@
 			f.startLeader()
 		}
 		f.publish("v2")
-		t.Logf("12 runners, 2 loads of %v at once: %v", loadTime, f.waitForVersion("v2"))
+		t.Logf("12 runners, 2 concurrent loads of %v: %v", loadTime, f.waitForVersion("v2"))
 		if f.store.MaxConcurrentLoads() != 2 {
-			t.Errorf("%d loads at once, want 2", f.store.MaxConcurrentLoads())
+			t.Errorf("%d concurrent loads, want 2", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -140,7 +140,7 @@
 		}
 		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() > 2 {
-			t.Errorf("%d loads at once", f.store.MaxConcurrentLoads())
+			t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 		}
 	})
 }
@@ -155,7 +155,7 @@
 		f.publish("v2")
 		f.waitForVersion("v2")
 		if f.store.MaxConcurrentLoads() != 1 {
-			t.Errorf("%d loads at once, want 1", f.store.MaxConcurrentLoads())
+			t.Errorf("%d concurrent loads, want 1", f.store.MaxConcurrentLoads())
 		}
 	})
 }
--- a/lab/world/cluster.go
+++ b/lab/world/cluster.go
@@ -50,9 +50,9 @@
 // StartCluster starts daemons on free ports and assigns them to the zones in turn.
 // The function adjust may change each daemon's settings, unless it is nil. The caller
 // must Close the cluster.
-func (w *World) StartCluster(daemons int, tuning func(*settings.Settings)) (*Cluster, error) {
+func (w *World) StartCluster(daemons int, adjust func(*settings.Settings)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{World: w, ctx: ctx, cancel: cancel, adjust: tuning}
+	c := &Cluster{World: w, ctx: ctx, cancel: cancel, adjust: adjust}
 	for i := range daemons {
 		n, err := openNode(fmt.Sprintf("daemon-%d", i+1))
 		if err != nil {
