--- a/lab/cluster/events_test.go
+++ b/lab/cluster/events_test.go
@@ -55,7 +55,7 @@
 			return i
 		}
 	}
-	t.Fatal("no runner took the request")
+	t.Fatal("no runner got the request")
 	return 0
 }
 
@@ -83,9 +83,9 @@
 	if a := c.askOn(t, 1, document, question, 3); !a.isComplete(3) {
 		t.Fatalf("%s", a)
 	}
-	back := c.Runners[runner].Stats().Requests > before
+	routed := c.Runners[runner].Stats().Requests > before
 	<-done
-	return back
+	return routed
 }
 
 // evictAll evicts the runner's cache by filling it with another prompt.
@@ -223,7 +223,7 @@
 		t.Errorf("%d imports, %d tokens imported, %d reported as cached", asked, imported, cached)
 	}
 	delivered := c.KV.Stats().Tokens
-	if whole := fault == standin.StoreNoFault; imported > delivered || whole != (imported >= documentTokens-cacheOptions.PieceTokens) {
+	if complete := fault == standin.StoreNoFault; imported > delivered || complete != (imported >= documentTokens-cacheOptions.PieceTokens) {
 		t.Errorf("%d tokens counted as imported, %d delivered", imported, delivered)
 	}
 }
--- a/lab/demo/demo.go
+++ b/lab/demo/demo.go
@@ -93,7 +93,7 @@
 		{"publish a manifest", s.publish},
 		{"send the workload and a baseline", s.compareWithBaseline},
 		{"kill a runner in mid-stream", s.killRunner},
-		{"bring the runner back empty", s.restartRunner},
+		{"restart the runner with an empty cache", s.restartRunner},
 		{"restart a daemon with a stream open and the log down", s.restartDaemon},
 		{"book a slot twice with one key", s.bookTwice},
 		{"book while the log is down", s.bookWithoutLog},
--- a/lab/standin/plog/plog_test.go
+++ b/lab/standin/plog/plog_test.go
@@ -74,11 +74,11 @@
 	if l.Counts().Appends != 1 {
 		t.Fatal("the append whose answer was lost had no effect")
 	}
-	gone, err := httplog.New(httplog.Options{BaseURL: "http://127.0.0.1:1"})
+	unreachable, err := httplog.New(httplog.Options{BaseURL: "http://127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := gone.Append(ctx, s, nil); !errors.Is(err, ports.ErrNotAppended) {
+	if _, err := unreachable.Append(ctx, s, nil); !errors.Is(err, ports.ErrNotAppended) {
 		t.Fatalf("no connection: %v", err)
 	}
 }
--- a/lab/standin/store.go
+++ b/lab/standin/store.go
@@ -181,8 +181,8 @@
 		return
 	}
 	fault, alive := s.state()
-	held := s.lookup(levels)
-	announced, deliver := held, held
+	available := s.lookup(levels)
+	announced, deliver := available, available
 	if fault == StoreOverstates {
 		announced, deliver = levels, levels[:len(levels)/2]
 	}
