--- a/lab/cluster/rollout_test.go
+++ b/lab/cluster/rollout_test.go
@@ -13,12 +13,12 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// A daemon is replaced again and again while a rollout runs, and callers meet it
-// before it has heard any runner. Bound to the declared version, their requests
-// would be refused by every runner that has not loaded it yet.
-func TestRestartsDuringARollout(t *testing.T) {
+// A daemon is restarted repeatedly during a rollout, and gets requests before it has a
+// report of any runner. If it chose the declared version for them, every runner that
+// has not loaded that version yet would refuse them.
+func TestDaemonRestartsDuringRollout(t *testing.T) {
 	o := Options{Daemons: 3, Runners: 6, Decode: time.Millisecond, Store: &standin.WeightStore{AtOnce: 2, Load: 30 * time.Second}}
-	inCluster(t, o, func(t *testing.T, c *Cluster) {
+	withCluster(t, o, func(t *testing.T, c *Cluster) {
 		c.publish(t, 1, "v2")
 		asked := 0
 		began := time.Now()
@@ -33,7 +33,7 @@
 			c.waitReady(t, 2, 5*time.Second)
 			for i := range 8 {
 				asked++
-				if a := c.ask(t, (2+i)%3, fmt.Sprintf("question %d", asked), 10); !a.whole(10) {
+				if a := c.ask(t, (2+i)%3, fmt.Sprintf("question %d", asked), 10); !a.isComplete(10) {
 					t.Fatalf("request %d, %v after the publication: %s", asked, time.Since(began), a)
 				}
 			}
@@ -43,13 +43,13 @@
 	})
 }
 
-// Two of nine daemons are cut off from the log when a manifest is accepted, and
-// one starts while the log is down. All must follow within five seconds by way
-// of their neighbours, or callers meet two configurations.
-func TestManifestInForceOnNineDaemons(t *testing.T) {
-	inCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
-		c.Nodes[3].Way.Disconnect()
-		c.Nodes[6].Way.Disconnect()
+// Two of nine daemons are disconnected from the log when a manifest is accepted, and
+// one starts while the log is down. All must get the manifest from their neighbours
+// within five seconds. Otherwise callers see two configurations.
+func TestManifestPropagation(t *testing.T) {
+	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
+		c.Nodes[3].LogView.Disconnect()
+		c.Nodes[6].LogView.Disconnect()
 		c.publish(t, 1, "v2")
 		t.Logf("in force on all after %v", c.waitInForce(t, 2))
 		c.Log.SetOutage(true)
@@ -61,8 +61,8 @@
 	})
 }
 
-// waitInForce waits until the manifest at the offset is in force on each node,
-// for as long as is promised.
+// waitInForce waits until the manifest at the offset is in force on each node and
+// returns how long that took. It fails the test after 5 s, which is the guarantee.
 func (c *Cluster) waitInForce(t *testing.T, offset ports.Offset) time.Duration {
 	t.Helper()
 	began := time.Now()
@@ -77,38 +77,39 @@
 	return time.Since(began)
 }
 
-// One organisation of many is changed. A daemon that hears of it from a
-// neighbour reads the few hundred bytes from the log; were it to fetch the
-// neighbour's whole manifest, thousands of changes a day would take twenty times
-// the bytes that control may have.
-func TestAnnouncedChangesAreReadFromTheLog(t *testing.T) {
-	inCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
+// One organisation of many is changed. A daemon that a neighbour notifies of the
+// change must read its few hundred bytes from the log. If it fetched the neighbour's
+// complete manifest, thousands of changes a day would take twenty times the bytes that
+// are allowed for control traffic.
+func TestReadsAnnouncedManifestFromLog(t *testing.T) {
+	withCluster(t, Options{Daemons: 9, Runners: 3}, func(t *testing.T, c *Cluster) {
 		time.Sleep(5 * time.Second) // virtual
-		before := c.fetched(t)
+		before := c.fetchedManifests(t)
 		for i := range 5 {
 			c.publish(t, ports.Offset(i+1), fmt.Sprintf("v%d", i+2))
 			t.Logf("in force on all after %v", c.waitInForce(t, ports.Offset(i+2)))
 			time.Sleep(5 * time.Second) // virtual
 		}
-		if n := c.fetched(t) - before; n > 0 {
+		if n := c.fetchedManifests(t) - before; n > 0 {
 			t.Errorf("%d manifests were fetched from neighbours while the log was up", n)
 		}
 	})
 }
 
-// fetched counts the manifests that nodes have fetched from neighbours.
-func (c *Cluster) fetched(t *testing.T) int {
+// fetchedManifests returns the number of manifests that nodes have fetched from
+// neighbours.
+func (c *Cluster) fetchedManifests(t *testing.T) int {
 	t.Helper()
 	total := 0
 	for i := range c.Nodes {
-		total += c.counted(t, i, "peer_events", "fetched")
+		total += c.sumCounters(t, i, "peer_events", "fetched")
 	}
 	return total
 }
 
-// counted adds up the counters on a node's metrics page whose lines hold both
-// texts.
-func (c *Cluster) counted(t *testing.T, i int, name, tag string) int {
+// sumCounters returns the sum of the counters on a node's metrics page whose lines
+// contain both texts.
+func (c *Cluster) sumCounters(t *testing.T, i int, name, tag string) int {
 	t.Helper()
 	total := 0
 	for line := range strings.Lines(c.metrics(t, i)) {
@@ -124,7 +125,7 @@
 	return total
 }
 
-// metrics is a node's page for the scraper.
+// metrics returns a node's metrics page.
 func (c *Cluster) metrics(t *testing.T, i int) string {
 	t.Helper()
 	resp, err := c.Client.Get("http://" + c.Nodes[i].adminAddress() + "/metrics")
--- a/lab/standin/faults.go
+++ b/lab/standin/faults.go
@@ -6,54 +6,55 @@
 	"strings"
 )
 
-// FaultKind names a fault that a stand-in brings about on command.
+// FaultKind is a kind of fault that a stand-in can inject.
 type FaultKind int
 
-// The faults.
+// Faults of runners and services.
 const (
-	FaultNone            FaultKind = iota
-	FaultBeforeFirstByte           // dies before the first byte of the answer
-	FaultMidStream                 // dies after Fault.After tokens
-	FaultBeforeEnd                 // dies after the last token, before the end marker
-	FaultSilentEnd                 // ends the stream cleanly without the end marker
-	FaultAfterRun                  // runs the request and drops the connection
-	FaultCrossed                   // answers with another attempt's id
-	FaultOtherWeights              // answers with another weight version
-	FaultMalformed                 // sends half an event after Fault.After tokens
-	FaultEndlessLine               // sends a line without an end after Fault.After tokens
-	FaultSkip                      // leaves out a token after Fault.After tokens
-	FaultError                     // reports an error in the stream after Fault.After tokens
-	FaultHang                      // sends nothing more after Fault.After tokens
-	FaultEndlessHeader             // sends a header without an end
-	FaultContentLength             // announces more than it sends
+	FaultNone               FaultKind = iota
+	FaultBeforeFirstByte              // drops the connection before the first byte of the answer
+	FaultMidStream                    // drops the connection after Fault.After tokens
+	FaultBeforeEnd                    // drops the connection after the last token, before the end marker
+	FaultMissingEndMarker             // ends the stream cleanly without the end marker
+	FaultAfterRun                     // runs the request and drops the connection
+	FaultWrongAttempt                 // answers with the ID of another attempt
+	FaultWrongWeightVersion           // answers with another weight version
+	FaultMalformed                    // sends half an event after Fault.After tokens
+	FaultEndlessLine                  // sends an unterminated line of maxEndlessBytes after Fault.After tokens
+	FaultSkippedToken                 // omits the token that follows Fault.After tokens
+	FaultError                        // reports an error in the stream after Fault.After tokens
+	FaultHang                         // sends nothing after Fault.After tokens and keeps the connection open
+	FaultEndlessHeader                // sends an unterminated header of maxEndlessBytes
+	FaultContentLength                // sends a body shorter than its Content-Length
 )
 
-// Fault is a fault for one request.
+// Fault is a fault injected into one request.
 type Fault struct {
 	Kind  FaultKind
-	After int // tokens sent before it
+	After int // tokens sent before the fault, for kinds that apply within a stream
 }
 
 const (
-	wrongLengthBytes = 1000
-	endlessBytes     = 8 << 20
+	excessContentLength = 1000
+	maxEndlessBytes     = 8 << 20
 )
 
-// Fail queues faults, one for each of the next requests.
-func (r *Runner) Fail(faults ...Fault) {
+// InjectFaults queues faults, one for each of the next requests.
+func (r *Runner) InjectFaults(faults ...Fault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, faults...)
 }
 
-// Mend takes the queued faults back.
-func (r *Runner) Mend() {
+// ClearFaults removes the queued faults.
+func (r *Runner) ClearFaults() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = nil
 }
 
-// takeFault returns the next request's fault. The caller holds mu.
+// takeFault removes the first queued fault and returns it; without one it returns
+// the zero Fault. The caller holds mu.
 func (r *Runner) takeFault() Fault {
 	if len(r.faults) == 0 {
 		return Fault{}
@@ -63,8 +64,9 @@
 	return f
 }
 
-// at tells whether the fault comes before the token of the given count.
-func (f Fault) at(sent int) bool {
+// dueAt reports whether the fault interrupts the stream after the given number of
+// tokens.
+func (f Fault) dueAt(sent int) bool {
 	switch f.Kind {
 	case FaultMidStream, FaultMalformed, FaultEndlessLine, FaultError, FaultHang:
 		return sent == f.After
@@ -73,27 +75,28 @@
 	}
 }
 
-// midStream brings the fault about before token i is sent. It does not return.
-func (j *job) midStream(i int) {
+// failMidStream interrupts the stream before token i is sent. It always panics with
+// http.ErrAbortHandler, which closes the connection.
+func (j *job) failMidStream(i int) {
 	switch j.fault.Kind {
 	case FaultMalformed:
 		token := j.appendToken(nil, i)
 		_, _ = j.w.Write(append(token[:len(token)/2], "\n\n"...))
 	case FaultEndlessLine:
-		endless(j.w, "data: {")
+		writeEndless(j.w, "data: {")
 	case FaultError:
 		_, _ = io.WriteString(j.w, "data: {\"error\":{\"message\":\"out of memory\"}}\n\n")
 	case FaultHang:
 		<-j.ctx.Done()
-		j.broken()
+		j.abort()
 	}
 	_ = http.NewResponseController(j.w).Flush()
 	panic(http.ErrAbortHandler)
 }
 
-// raw brings about faults that break the protocol below the header, and tells
-// whether it did.
-func (f Fault) raw(w http.ResponseWriter) bool {
+// writeRaw injects a fault that violates HTTP itself, which needs the raw
+// connection. It reports whether the fault was of such a kind.
+func (f Fault) writeRaw(w http.ResponseWriter) bool {
 	if f.Kind != FaultEndlessHeader {
 		return false
 	}
@@ -102,15 +105,15 @@
 		panic(http.ErrAbortHandler)
 	}
 	_, _ = buf.WriteString("HTTP/1.1 200 OK\r\n")
-	endless(buf, "X-Endless: ")
+	writeEndless(buf, "X-Endless: ")
 	_ = conn.Close()
 	return true
 }
 
-func endless(w io.Writer, prefix string) {
+func writeEndless(w io.Writer, prefix string) {
 	filler := strings.Repeat("x", 4<<10)
 	_, _ = io.WriteString(w, prefix)
-	for sent := 0; sent < endlessBytes; sent += len(filler) {
+	for sent := 0; sent < maxEndlessBytes; sent += len(filler) {
 		if _, err := io.WriteString(w, filler); err != nil {
 			return
 		}
--- a/lab/standin/orders.go
+++ b/lab/standin/orders.go
@@ -15,115 +15,118 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// WeightStore is a stand-in for the rate-limited store of weights, shared by
-// runners. Up to AtOnce loads go at full speed; with more of them, each one
-// slows in proportion. Beyond Refuse it takes no more.
+// WeightStore is a stand-in for the rate-limited store of weights that runners
+// share. Up to AtOnce concurrent loads take the time Load each; with more, a load
+// that begins takes longer in proportion to their number.
 type WeightStore struct {
 	AtOnce int
-	Refuse int // 0: never
+	Refuse int // concurrent loads from which on it refuses another; 0: no limit
 	Load   time.Duration
 
-	mu   sync.Mutex // guards what follows
-	open int
-	most int
+	mu           sync.Mutex // guards what follows
+	openLoads    int
+	maxOpenLoads int
 }
 
-// begin starts a load and returns how long it takes; false when it is refused.
-func (s *WeightStore) begin() (time.Duration, bool) {
+// beginLoad starts a load and returns how long it takes, or false if the load is
+// refused.
+func (s *WeightStore) beginLoad() (time.Duration, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.Refuse > 0 && s.open >= s.Refuse {
+	if s.Refuse > 0 && s.openLoads >= s.Refuse {
 		return 0, false
 	}
-	s.open++
-	s.most = max(s.most, s.open)
-	slower := max(1, float64(s.open)/float64(max(1, s.AtOnce)))
+	s.openLoads++
+	s.maxOpenLoads = max(s.maxOpenLoads, s.openLoads)
+	slower := max(1, float64(s.openLoads)/float64(max(1, s.AtOnce)))
 	return time.Duration(float64(s.Load) * slower), true
 }
 
-func (s *WeightStore) end() {
+func (s *WeightStore) endLoad() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open--
+	s.openLoads--
 }
 
-// Most is the most loads that were ever open at once.
-func (s *WeightStore) Most() int {
+// MaxConcurrentLoads returns the highest number of concurrent loads so far.
+func (s *WeightStore) MaxConcurrentLoads() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.most
+	return s.maxOpenLoads
 }
 
-// OrderOptions describe how a runner takes orders.
+// OrderOptions describe how a runner handles orders.
 type OrderOptions struct {
 	Store  *WeightStore
-	Fences bool            // refuses an old fencing number; otherwise ignores it
-	Models []rollout.Model // loaded at first
+	Fences bool            // whether it refuses orders with an outdated fencing token
+	Models []rollout.Model // loaded at the start
 }
 
-// loadingVersion is what a runner that loads serves: no request asks for it, so
-// that it refuses all with "not run".
+// loadingVersion is the weight version of a runner without loaded weights. No
+// request asks for it, so that the runner refuses all requests as not run.
 const loadingVersion = "(loading)"
 
-// OrderedRunner is a runner that takes orders besides requests. It locks its
-// own mu before the Runner's.
+// OrderedRunner is a runner that also executes rollout orders. Its own mu is
+// locked before the Runner's.
 type OrderedRunner struct {
 	*Runner
 	o OrderOptions
 
-	mu     sync.Mutex // guards what follows
-	status rollout.Status
-	fence  ports.Offset
-	timer  *time.Timer
-	taken  []rollout.Order
-	lose   int
-	fail   bool
-	served string // version that the Runner was told to serve
+	mu            sync.Mutex // guards what follows
+	status        rollout.Status
+	fence         ports.Offset
+	timer         *time.Timer
+	executed      []rollout.Order
+	answersToDrop int
+	failLoads     bool
+	servedVersion string // weight version last set in the Runner
 }
 
-// TakeOrders makes a runner take orders.
-func (r *Runner) TakeOrders(o OrderOptions) *OrderedRunner {
+// AcceptOrders returns a handler of both the runner's requests and of orders. It
+// replaces the runner's weight version by that of o.Models.
+func (r *Runner) AcceptOrders(o OrderOptions) *OrderedRunner {
 	e := &OrderedRunner{Runner: r, o: o}
 	e.status.Models = slices.Clone(o.Models)
 	e.serveLoaded()
 	return e
 }
 
-// LoseAnswers drops the connection after each of the next n orders, which take
-// effect all the same.
-func (e *OrderedRunner) LoseAnswers(n int) {
+// DropAnswers drops the connection instead of answering each of the next n
+// orders that are accepted; the orders still take effect.
+func (e *OrderedRunner) DropAnswers(n int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.lose = n
+	e.answersToDrop = n
 }
 
-// FailLoads makes all loads fail at their end, or succeed again.
+// FailLoads sets whether loads fail when they end.
 func (e *OrderedRunner) FailLoads(fail bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.fail = fail
+	e.failLoads = fail
 }
 
-// Taken returns the orders that took effect.
-func (e *OrderedRunner) Taken() []rollout.Order {
+// ExecutedOrders returns the accepted orders, oldest first.
+func (e *OrderedRunner) ExecutedOrders() []rollout.Order {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return slices.Clone(e.taken)
+	return slices.Clone(e.executed)
 }
 
-// Crash loses what is loaded and what is being loaded, see Runner.Crash.
+// Crash discards the loaded weights and a load in progress, and crashes the Runner.
 func (e *OrderedRunner) Crash() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.timer != nil && e.timer.Stop() {
-		e.o.Store.end()
+		e.o.Store.endLoad()
 	}
 	e.status = rollout.Status{}
 	e.serveLoaded()
 	e.Runner.Crash()
 }
 
-// Status returns what the runner has loaded and what it is doing.
+// Status returns the loaded weights, the load in progress and the result of the
+// last order. Its fencing token is 0 unless OrderOptions.Fences is set.
 func (e *OrderedRunner) Status() rollout.Status {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -168,7 +171,7 @@
 	}
 	fence, _ := strconv.ParseInt(req.Header.Get(engine.HeaderFence), 10, 64)
 	o.Fence = ports.Offset(fence)
-	status, lost := e.take(o)
+	status, lost := e.execute(o)
 	if lost {
 		panic(http.ErrAbortHandler)
 	}
@@ -181,9 +184,9 @@
 	w.WriteHeader(status)
 }
 
-// take carries an order out, and returns the answer's status and whether the
-// answer is lost.
-func (e *OrderedRunner) take(o rollout.Order) (status int, lost bool) {
+// execute starts an order unless it is refused, and returns the answer's HTTP status
+// and whether the connection is to be dropped instead.
+func (e *OrderedRunner) execute(o rollout.Order) (status int, lost bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.o.Fences && o.Fence < e.fence {
@@ -195,36 +198,37 @@
 	}
 	status = e.begin(o)
 	if status == http.StatusAccepted {
-		e.taken = append(e.taken, o)
-		lost = e.lose > 0
-		e.lose--
+		e.executed = append(e.executed, o)
+		lost = e.answersToDrop > 0
+		e.answersToDrop--
 	}
 	return status, lost
 }
 
-// begin starts what the order asks for. The caller holds mu.
+// begin starts a load, or executes any other order at once, and returns the
+// answer's HTTP status. The caller holds mu.
 func (e *OrderedRunner) begin(o rollout.Order) int {
 	switch o.Kind {
 	case rollout.KindLoad, rollout.KindLoadAdapter:
-		d, ok := e.o.Store.begin()
+		d, ok := e.o.Store.beginLoad()
 		if !ok {
 			return http.StatusTooManyRequests
 		}
 		e.status.Loading = &o
 		if o.Kind == rollout.KindLoad {
-			e.drop(o.Model)
+			e.removeModel(o.Model)
 		}
-		life := e.Incarnation()
+		incarnation := e.Incarnation()
 		e.timer = time.AfterFunc(d, func() {
-			e.o.Store.end()
+			e.o.Store.endLoad()
 			e.mu.Lock()
 			defer e.mu.Unlock()
-			if e.Incarnation() == life && e.status.Loading != nil {
-				e.loaded(o)
+			if e.Incarnation() == incarnation && e.status.Loading != nil {
+				e.finishLoad(o)
 			}
 		})
 	case rollout.KindUnload:
-		e.drop(o.Model)
+		e.removeModel(o.Model)
 	case rollout.KindRole:
 		e.status.Role = o.Role
 	case rollout.KindUnloadAdapter:
@@ -239,12 +243,12 @@
 	return http.StatusAccepted
 }
 
-// loaded ends a load. The caller holds mu.
-func (e *OrderedRunner) loaded(o rollout.Order) {
+// finishLoad records the result of a load. The caller holds mu.
+func (e *OrderedRunner) finishLoad(o rollout.Order) {
 	e.status.Loading = nil
-	e.status.Last = &rollout.Result{Order: o.ID, Done: !e.fail}
+	e.status.Last = &rollout.Result{Order: o.ID, Done: !e.failLoads}
 	switch {
-	case e.fail:
+	case e.failLoads:
 		e.status.Last.Detail = "no space left for weights"
 	case o.Kind == rollout.KindLoad:
 		e.status.Models = append(slices.Clone(e.status.Models), rollout.Model{ID: o.Model, Version: o.Version})
@@ -254,7 +258,7 @@
 	e.serveLoaded()
 }
 
-func (e *OrderedRunner) drop(model string) {
+func (e *OrderedRunner) removeModel(model string) {
 	e.status.Models = slices.DeleteFunc(slices.Clone(e.status.Models), func(m rollout.Model) bool { return m.ID == model })
 }
 
@@ -273,8 +277,9 @@
 	e.status.Models = models
 }
 
-// serveLoaded makes the runner serve the version that is loaded, or refuse
-// everything while none is, and report its weights. The caller holds mu.
+// serveLoaded sets the Runner's weight version to the loaded one, or to
+// loadingVersion if none is, and updates the weights in its load report. The
+// caller holds mu.
 func (e *OrderedRunner) serveLoaded() {
 	version := loadingVersion
 	var weights []fleet.Weights
@@ -286,16 +291,16 @@
 		weights = append(weights, fleet.Weights{Model: l.Model})
 	}
 	if len(weights) == 0 {
-		weights = []fleet.Weights{{}} // nothing is ready
+		weights = []fleet.Weights{{}} // reports that no weights are ready; an empty list reports nothing
 	}
 	e.setWeights(weights)
-	if version != e.served {
-		e.served = version
+	if version != e.servedVersion {
+		e.servedVersion = version
 		e.SetWeightVersion(version)
 	}
 }
 
-// setWeights makes the runner report weights in its load.
+// setWeights sets the weights in the runner's load report.
 func (r *Runner) setWeights(weights []fleet.Weights) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/lab/standin/orders_test.go
+++ b/lab/standin/orders_test.go
@@ -7,124 +7,125 @@
 	"time"
 )
 
-// The daemon that gives orders stops for minutes right before it writes one:
-// a garbage collection, or its VM is moved. Its lease lapses and another daemon
-// rolls out a newer manifest. When the first wakes up it still believes that it
-// holds the lease; the order that it was about to write must not leave.
-func TestPausedHolderWakesUp(t *testing.T) {
+// The rollout leader is suspended for minutes right before it sends an order, for
+// example by garbage collection or a migration of its VM. Its lease expires and
+// another daemon rolls out a newer manifest. When the first one resumes, it still
+// assumes that it holds the lease; it must not send the outdated order.
+func TestSuspendedLeaderSendsNoStaleOrder(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 12, fences)
-				first, _ := f.holder()
+				first, _ := f.startLeader()
 				time.Sleep(30 * time.Second)
 				first.pause(5*time.Minute, 0)
 				f.publish("v2")
 				time.Sleep(5 * time.Second)
 				f.publish("v3")
-				f.holder()
+				f.startLeader()
 				time.Sleep(6 * time.Minute)
-				f.wait("v3")
-				f.noneTaken("v2")
-				if f.store.Most() > 2 {
-					t.Errorf("%d loads at once", f.store.Most())
+				f.waitForVersion("v3")
+				f.checkNoneExecuted("v2")
+				if f.store.MaxConcurrentLoads() > 2 {
+					t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 				}
 			})
 		})
 	}
 }
 
-func (f *fleetOf) noneTaken(version string) {
+func (f *orderedFleet) checkNoneExecuted(version string) {
 	f.t.Helper()
 	for id, r := range f.runners {
-		for _, o := range r.Taken() {
+		for _, o := range r.ExecutedOrders() {
 			if o.Version == version {
-				f.t.Errorf("%s took an order for %s", id, version)
+				f.t.Errorf("%s executed an order for %s", id, version)
 			}
 		}
 	}
 }
 
-// The bytes of an order are on their way for minutes, longer than any timeout
-// allows for. An engine that knows fencing numbers refuses them. Another one
-// loads the older version; the present holder reads that back and puts it
-// right, one load beyond the limit at the most, and requests never run on the
-// wrong version, since they name theirs.
-func TestOrderArrivesAfterTheLeaseWentElsewhere(t *testing.T) {
+// The bytes of an order are delayed in the network for minutes, longer than any
+// timeout. A runner that checks fencing tokens refuses the order. One that does not
+// loads the outdated version; the current leader reads its status and corrects it,
+// with at most one load above the limit. Requests never run on the wrong version,
+// since they name theirs.
+func TestOrderDelayedBeyondLease(t *testing.T) {
 	for _, fences := range []bool{true, false} {
 		t.Run(fmt.Sprintf("fences %v", fences), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFleet(t, 12, fences)
-				first, stop := f.holder()
+				first, stop := f.startLeader()
 				time.Sleep(30 * time.Second)
 				first.pause(0, 5*time.Minute)
 				f.publish("v2")
 				time.Sleep(5 * time.Second)
 				stop()
 				f.publish("v3")
-				f.holder()
+				f.startLeader()
 				time.Sleep(6 * time.Minute)
-				f.wait("v3")
-				if f.store.Most() > 3 {
-					t.Errorf("%d loads at once", f.store.Most())
+				f.waitForVersion("v3")
+				if f.store.MaxConcurrentLoads() > 3 {
+					t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 				}
-				if late := first.late.Load().(string); fences != f.tookOnly(late, "v3") {
-					t.Errorf("runner that fences %v: took %v", fences, f.runners[late].Taken())
+				if late := first.lateAddress.Load().(string); fences != f.executedOnly(late, "v3") {
+					t.Errorf("runner with fences %v executed %v", fences, f.runners[late].ExecutedOrders())
 				}
 			})
 		})
 	}
 }
 
-// A daemon stops while its last order is still on its way to a runner, and gives
-// the lease up. The next holder, who thinks that this runner is leaving, must not
-// fill the loads of the fleet before that order has arrived or never will.
-func TestNextHolderWaitsOutTheLastOrder(t *testing.T) {
+// A leader stops and releases its lease while its last order is still in transit.
+// The next leader regards the runner that the order goes to as leaving. It must not
+// start as many loads as the limit allows before the order has arrived or can no
+// longer arrive.
+func TestNewLeaderWaitsForOrderInTransit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, false)
-		first := &path{f: f}
-		stop := f.give(first, held(1), held(1).run)
+		first := &leaderTransport{f: f}
+		stop := f.runLeader(first, fixedLease(1), fixedLease(1).run)
 		time.Sleep(30 * time.Second)
 		first.pause(0, 4*time.Second)
 		f.publish("v2")
 		time.Sleep(1500 * time.Millisecond)
 		stop()
-		f.leaving(first.late.Load().(string), true)
-		f.give(&path{f: f}, held(2), held(2).run)
+		f.setLeaving(first.lateAddress.Load().(string), true)
+		f.runLeader(&leaderTransport{f: f}, fixedLease(2), fixedLease(2).run)
 		time.Sleep(30 * time.Second)
-		f.leaving(first.late.Load().(string), false)
-		f.wait("v2")
-		if f.store.Most() > 2 {
-			t.Errorf("%d loads at once", f.store.Most())
+		f.setLeaving(first.lateAddress.Load().(string), false)
+		f.waitForVersion("v2")
+		if f.store.MaxConcurrentLoads() > 2 {
+			t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 		}
 	})
 }
 
-// Six daemons start at once and all want to give orders. If two did, the weight
-// store would see twice the loads that it bears.
-func TestManyDaemonsOneHolder(t *testing.T) {
+// Six daemons start at once and compete for the rollout lease. Two leaders would
+// start twice the number of loads that the weight store allows.
+func TestSingleLeaderAmongManyDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for range 6 {
-			f.holder()
+			f.startLeader()
 		}
 		f.publish("v2")
-		t.Logf("12 runners, 2 loads of %v at once: %v", loadTime, f.wait("v2"))
-		if f.store.Most() != 2 {
-			t.Errorf("%d loads at once, want 2", f.store.Most())
+		t.Logf("12 runners, 2 concurrent loads of %v: %v", loadTime, f.waitForVersion("v2"))
+		if f.store.MaxConcurrentLoads() != 2 {
+			t.Errorf("%d concurrent loads, want 2", f.store.MaxConcurrentLoads())
 		}
 	})
 }
 
-// Answers are lost after orders took effect, a runner crashes in mid-load and
-// comes back empty. The rollout ends, within the limit of loads.
-func TestRolloutWithLostAnswersAndACrash(t *testing.T) {
+// Answers are lost after orders took effect, and a runner crashes during a load and
+// restarts empty. The rollout must still end, within the limit of concurrent loads.
+func TestRolloutWithLostAnswersAndCrash(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for _, r := range f.runners {
-			r.LoseAnswers(1)
+			r.DropAnswers(1)
 		}
-		f.holder()
+		f.startLeader()
 		f.publish("v2")
 		crashed := false
 		for !crashed {
@@ -137,37 +138,38 @@
 				}
 			}
 		}
-		f.wait("v2")
-		if f.store.Most() > 2 {
-			t.Errorf("%d loads at once", f.store.Most())
+		f.waitForVersion("v2")
+		if f.store.MaxConcurrentLoads() > 2 {
+			t.Errorf("%d concurrent loads", f.store.MaxConcurrentLoads())
 		}
 	})
 }
 
-// Another user of the weight store takes its capacity, so that it refuses loads.
-// Orders wait as long as it asks for.
+// Another user of the weight store takes up its capacity, so that it refuses loads.
+// The leader must wait for the time that Retry-After states.
 func TestWeightStoreRefuses(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 4, true)
 		f.store.Refuse = 1
-		f.holder()
+		f.startLeader()
 		f.publish("v2")
-		f.wait("v2")
-		if f.store.Most() != 1 {
-			t.Errorf("%d loads at once, want 1", f.store.Most())
+		f.waitForVersion("v2")
+		if f.store.MaxConcurrentLoads() != 1 {
+			t.Errorf("%d concurrent loads, want 1", f.store.MaxConcurrentLoads())
 		}
 	})
 }
 
-// The weight store is down for ten minutes and each load that was begun fails. A
-// quarter of the runners at the most may wait for it; the rest serve on.
+// The weight store is down for ten minutes, so that each load fails at its end. At
+// most a quarter of the runners may be without weights meanwhile; the rest must
+// keep serving.
 func TestWeightStoreOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFleet(t, 12, true)
 		for _, r := range f.runners {
 			r.FailLoads(true)
 		}
-		f.holder()
+		f.startLeader()
 		time.Sleep(30 * time.Second)
 		f.publish("v2")
 		for range 60 {
@@ -183,6 +185,6 @@
 		for _, r := range f.runners {
 			r.FailLoads(false)
 		}
-		f.wait("v2")
+		f.waitForVersion("v2")
 	})
 }
--- a/lab/standin/plog/http.go
+++ b/lab/standin/plog/http.go
@@ -14,7 +14,8 @@
 	"github.com/merlindock/merlindock/ports/httplog"
 )
 
-// Handler serves the log and the list as docs/PLATFORM.md states.
+// Handler serves the log and the VM list by the HTTP protocol that docs/PLATFORM.md
+// specifies.
 func Handler(l *Log, v *VMs) http.Handler {
 	mux := http.NewServeMux()
 	records := httplog.PathStreams + "{stream}/records"
@@ -22,11 +23,11 @@
 	mux.HandleFunc("GET "+records, l.serveRead)
 	mux.HandleFunc("GET "+httplog.PathEndpoints, func(w http.ResponseWriter, r *http.Request) {
 		list, err := v.Endpoints(r.Context())
-		answerList(w, r, list, err)
+		writeList(w, r, list, err)
 	})
 	mux.HandleFunc("GET "+httplog.PathDaemons, func(w http.ResponseWriter, r *http.Request) {
 		list, err := v.Daemons(r.Context())
-		answerList(w, r, list, err)
+		writeList(w, r, list, err)
 	})
 	return mux
 }
@@ -39,7 +40,7 @@
 		return
 	}
 	offset, err := l.Append(r.Context(), ports.Stream(r.PathValue("stream")), body)
-	answer(w, httplog.AppendResult{Offset: offset}, err)
+	writeResult(w, httplog.AppendResult{Offset: offset}, err)
 }
 
 func (l *Log) serveRead(w http.ResponseWriter, r *http.Request) {
@@ -54,10 +55,10 @@
 		return
 	}
 	page, err := l.Read(r.Context(), ports.Stream(r.PathValue("stream")), ports.Offset(from), limit)
-	answer(w, page, err)
+	writeResult(w, page, err)
 }
 
-func answer(w http.ResponseWriter, v any, err error) {
+func writeResult(w http.ResponseWriter, v any, err error) {
 	var truncated *ports.TruncatedError
 	switch {
 	case err == nil:
@@ -72,12 +73,12 @@
 	}
 }
 
-// answerList answers with a tag of the list's content, and without the list
-// when the caller has it.
-func answerList(w http.ResponseWriter, r *http.Request, list any, err error) {
+// writeList answers with the list and an ETag of its content, or with status 304 if the
+// request's If-None-Match has that ETag.
+func writeList(w http.ResponseWriter, r *http.Request, list any, err error) {
 	text, marshalErr := json.Marshal(list)
 	if err != nil || marshalErr != nil {
-		answer(w, list, errors.Join(err, marshalErr))
+		writeResult(w, list, errors.Join(err, marshalErr))
 		return
 	}
 	tag := fmt.Sprintf(`"%x"`, xxhash.Sum64(text))
@@ -93,6 +94,6 @@
 func writeJSON(w http.ResponseWriter, code int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(code)
-	// A failed write means that the caller has gone, who will ask again.
+	// A write fails if the client has disconnected. It repeats its request.
 	_ = json.NewEncoder(w).Encode(v)
 }
--- a/lab/standin/plog/plog.go
+++ b/lab/standin/plog/plog.go
@@ -1,8 +1,8 @@
-// Package plog stands in for the platform: its append-only log and its list
-// of VMs, in process or behind HTTP, with every fault of the real ones on
-// command.
+// Package plog is a stand-in for the platform: its append-only log and its list of
+// VMs. They can be used in process or over HTTP, and can inject every fault of the
+// real ones.
 //
-// Lock order: each type has one mutex and calls nothing that locks while it
+// Lock order: each type has one mutex, and calls nothing that locks another while it
 // holds it.
 package plog
 
@@ -19,12 +19,12 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Defaults of the stand-in.
+// Defaults of Options, and limits of one read.
 const (
 	DefaultRetention      = 6 * time.Hour
 	DefaultAppendRate     = 300 // appends a second
 	DefaultMaxRecordBytes = 9 << 20
-	maxPage               = 1000 // records in one answer
+	maxPageRecords        = 1000 // records in the answer to one read
 	maxPageBytes          = 32 << 20
 )
 
@@ -34,7 +34,7 @@
 	Retention      time.Duration    // how long a record is kept
 	AppendRate     float64          // appends a second over all streams; negative: no limit
 	MaxRecordBytes int
-	KeepJournal    bool // keep what expires, for Journal
+	KeepJournal    bool // whether Journal also returns expired records
 }
 
 // Log is an in-memory ports.Log.
@@ -56,10 +56,10 @@
 
 func (s *stream) next() ports.Offset { return s.first + ports.Offset(len(s.records)) }
 
-// Counts tells what the log was asked.
+// Counts are the log's counters of calls, records and bytes.
 type Counts struct {
 	Appends     int `json:"appends"` // that took effect
-	Refused     int `json:"refused"` // certainly not appended
+	Refused     int `json:"refused"` // refused by the log without effect
 	Reads       int `json:"reads"`
 	BytesIn     int `json:"bytes_in"`
 	BytesOut    int `json:"bytes_out"`
@@ -89,14 +89,14 @@
 
 // Append implements ports.Log.
 func (l *Log) Append(ctx context.Context, name ports.Stream, data []byte) (ports.Offset, error) {
-	delay, err := l.beforeAppend(len(data))
+	delay, err := l.checkAppend(len(data))
 	if err != nil {
 		return 0, err
 	}
 	if err := pause.For(ctx, delay/2); err != nil {
 		return 0, fmt.Errorf("%w: %w", ports.ErrNotAppended, err)
 	}
-	if by, late := l.late(); late {
+	if by, late := l.takeLateAppend(); late {
 		data = append([]byte(nil), data...)
 		time.AfterFunc(by, func() { l.add(name, data) })
 		return 0, fmt.Errorf("%w: no answer", ports.ErrUnavailable)
@@ -111,7 +111,7 @@
 	return offset, nil
 }
 
-func (l *Log) beforeAppend(size int) (time.Duration, error) {
+func (l *Log) checkAppend(size int) (time.Duration, error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	now := l.opt.Now()
@@ -130,10 +130,10 @@
 	return l.faults.delay, nil
 }
 
-func (l *Log) late() (time.Duration, bool) {
+func (l *Log) takeLateAppend() (time.Duration, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.faults.late()
+	return l.faults.takeLateAppend()
 }
 
 func (l *Log) add(name ports.Stream, data []byte) (ports.Offset, bool) {
@@ -147,7 +147,7 @@
 	}
 	l.counts.Appends++
 	l.counts.BytesIn += len(data)
-	return r.Offset, l.faults.loseAnswer()
+	return r.Offset, l.faults.takeLostAnswer()
 }
 
 func (l *Log) stream(name ports.Stream) *stream {
@@ -200,7 +200,7 @@
 	limit += int(asked - from)
 	page := ports.Page{First: s.first, Next: s.next()}
 	bytes := 0
-	for o := from; o < s.next() && len(page.Records) < min(limit, maxPage) && bytes < maxPageBytes; o++ {
+	for o := from; o < s.next() && len(page.Records) < min(limit, maxPageRecords) && bytes < maxPageBytes; o++ {
 		r := s.records[o-s.first]
 		bytes += len(r.Data)
 		page.Records = append(page.Records, r)
@@ -217,15 +217,16 @@
 	return l.stream(name).next()
 }
 
-// Journal returns every record that a stream ever had, for a check of what
-// readers made of them. It is empty unless Options.KeepJournal is set.
+// Journal returns every record appended to a stream, including expired ones, so that
+// a test can check the state that readers derived from them. It is empty unless
+// Options.KeepJournal is set.
 func (l *Log) Journal(name ports.Stream) []ports.Record {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return append([]ports.Record(nil), l.stream(name).journal...)
 }
 
-// Counts returns what the log was asked so far.
+// Counts returns a copy of the log's counters.
 func (l *Log) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/lab/standin/plog/plog_test.go
+++ b/lab/standin/plog/plog_test.go
@@ -28,7 +28,7 @@
 	return c
 }
 
-func TestClientAndStandInAgree(t *testing.T) {
+func TestClientAgainstStandIn(t *testing.T) {
 	ctx := t.Context()
 	l, v := New(Options{AppendRate: -1}), NewVMs(nil, 0)
 	c := client(t, l, v)
@@ -55,9 +55,10 @@
 	}
 }
 
-func TestClientTellsNotAppendedFromUnknown(t *testing.T) {
-	// The log refuses an append, or takes it and loses the answer. A client
-	// that mixed the two up would tell callers "not run" of what is in the log.
+func TestClientDistinguishesNotAppendedFromUnknown(t *testing.T) {
+	// The log either refuses an append, or appends the record and loses the answer.
+	// A client that confused the two would report a call as not run although its
+	// record is in the log.
 	ctx := t.Context()
 	l := New(Options{AppendRate: -1})
 	c := client(t, l, NewVMs(nil, 0))
@@ -73,16 +74,16 @@
 	if l.Counts().Appends != 1 {
 		t.Fatal("the append whose answer was lost had no effect")
 	}
-	gone, err := httplog.New(httplog.Options{BaseURL: "http://127.0.0.1:1"})
+	unreachable, err := httplog.New(httplog.Options{BaseURL: "http://127.0.0.1:1"})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if _, err := gone.Append(ctx, s, nil); !errors.Is(err, ports.ErrNotAppended) {
+	if _, err := unreachable.Append(ctx, s, nil); !errors.Is(err, ports.ErrNotAppended) {
 		t.Fatalf("no connection: %v", err)
 	}
 }
 
-func TestFaultsOnCommand(t *testing.T) {
+func TestInjectedFaults(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := t.Context()
 		l := New(Options{Retention: time.Hour, AppendRate: 10})
--- a/lab/standin/plog/vms.go
+++ b/lab/standin/plog/vms.go
@@ -10,13 +10,13 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// VMs is an in-memory ports.VMList. Its answers lag by Lag.
+// VMs is an in-memory ports.VMList whose answers lag behind its changes.
 type VMs struct {
 	now func() time.Time
 	lag time.Duration
 
 	mu     sync.Mutex
-	down   bool
+	outage bool
 	states []vmState // oldest first
 }
 
@@ -26,10 +26,11 @@
 	daemons   []ports.Daemon
 }
 
-// maxVMStates bounds the changes that are remembered for the lag.
+// maxVMStates limits the number of list states that are kept for the lag.
 const maxVMStates = 1000
 
-// NewVMs returns an empty list that lags by the given time.
+// NewVMs returns an empty list whose answers lag by the given time. A nil clock
+// means time.Now.
 func NewVMs(now func() time.Time, lag time.Duration) *VMs {
 	if now == nil {
 		now = time.Now
@@ -37,7 +38,7 @@
 	return &VMs{now: now, lag: lag}
 }
 
-// Set replaces the list. Readers see it after the lag; the first list is seen
+// Set replaces the list. Readers see the new list after the lag, and the first one
 // at once.
 func (v *VMs) Set(endpoints []fleet.Endpoint, daemons []ports.Daemon) {
 	v.mu.Lock()
@@ -52,17 +53,18 @@
 	}
 }
 
-// SetOutage makes every call fail, or ends that.
+// SetOutage starts or ends an outage, during which every call returns
+// ports.ErrUnavailable.
 func (v *VMs) SetOutage(on bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.down = on
+	v.outage = on
 }
 
 func (v *VMs) current() (vmState, error) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	if v.down {
+	if v.outage {
 		return vmState{}, fmt.Errorf("%w: VM list", ports.ErrUnavailable)
 	}
 	seen := v.now().Add(-v.lag)
--- a/lab/standin/transfer.go
+++ b/lab/standin/transfer.go
@@ -11,42 +11,45 @@
 )
 
 const (
-	exportsAtOnce = 32 // of one runner; more are left out
-	exportLimit   = 5 * time.Second
-	// importLimit is the least time that an import may take. Beyond it, an
-	// import that takes longer than computing is given up.
-	importLimit  = 100 * time.Millisecond
-	maxLineBytes = 128
+	maxConcurrentExports = 32 // of one runner; further ones are skipped
+	exportTimeout        = 5 * time.Second
+	// minImportTimeout is the lower bound of an import's timeout. The timeout is
+	// otherwise the time that computing the tokens takes, since a slower import
+	// gains nothing.
+	minImportTimeout = 100 * time.Millisecond
+	maxLineBytes     = 128
 )
 
-// importPrefix fetches what the KV store has and counts it as cached. Whatever
-// the store does, the request goes on: what did not come is computed.
+// importPrefix imports the prompt's levels from the KV store and counts them as
+// cached. A failing store doesn't fail the request: tokens that were not delivered
+// are computed.
 func (j *job) importPrefix(todo int64) {
 	address := j.req.Header.Get(engine.HeaderImportFrom)
-	if j.r.o.Plain || address == "" || tokensOf(j.levels) <= j.cached {
+	if j.r.o.Plain || address == "" || totalTokens(j.levels) <= j.cached {
 		return
 	}
-	limit := max(importLimit, time.Duration(todo)*j.r.o.Prefill)
+	limit := max(minImportTimeout, time.Duration(todo)*j.r.o.Prefill)
 	ctx, cancel := context.WithTimeout(j.ctx, limit)
 	defer cancel()
 	got := j.fetch(ctx, address)
 	size := j.r.o.PieceTokens
-	whole := min(got, len(j.prompt)/j.r.o.BytesPerToken) / size * size
+	imported := min(got, len(j.prompt)/j.r.o.BytesPerToken) / size * size
 	r := j.r
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.stats.Imports++
-	if whole <= j.cached {
+	if imported <= j.cached {
 		r.stats.ImportsVain++
 		return
 	}
-	r.stats.ImportedTokens += whole - j.cached
-	r.stats.CachedTokens += whole - j.cached
-	j.cached = whole
+	r.stats.ImportedTokens += imported - j.cached
+	r.stats.CachedTokens += imported - j.cached
+	j.cached = imported
 }
 
-// fetch returns the tokens that came. Only levels that were asked for, in their
-// order and delivered whole, count; what the store announces does not.
+// fetch requests the prompt's levels from the KV store and returns the number of
+// tokens delivered. It counts only complete lines that match the requested levels
+// in order, not the number that the store announces.
 func (j *job) fetch(ctx context.Context, address string) int {
 	req, err := transferRequest(ctx, address, StorePathImport, j.levels)
 	if err != nil {
@@ -72,7 +75,8 @@
 	return tokens
 }
 
-// export gives the prompt's levels to the KV store, beside the request.
+// export sends the prompt's levels to the KV store in the background. It skips the
+// export if maxConcurrentExports are in progress.
 func (j *job) export() {
 	r := j.r
 	if r.o.Plain || r.o.Store == "" || len(j.levels) == 0 {
@@ -84,11 +88,11 @@
 		return
 	}
 	r.mu.Lock()
-	life := r.alive
+	alive := r.alive
 	r.mu.Unlock()
 	go func() {
 		defer func() { <-r.exports }()
-		ctx, cancel := context.WithTimeout(life, exportLimit)
+		ctx, cancel := context.WithTimeout(alive, exportTimeout)
 		defer cancel()
 		req, err := transferRequest(ctx, r.o.Store, StorePathExport, j.levels)
 		if err != nil {
--- a/lab/world/cluster.go
+++ b/lab/world/cluster.go
@@ -15,10 +15,11 @@
 	"github.com/merlindock/merlindock/settings"
 )
 
-// Token is the administration token of a cluster's daemons.
+// Token is the token of the daemons' administration API.
 const Token = "demo-admin-token"
 
-// Node is one daemon of a cluster, in this process and behind real sockets.
+// Node is one daemon of a cluster. It runs in this process and listens on TCP
+// sockets.
 type Node struct {
 	ID         string
 	CallersURL string
@@ -33,24 +34,25 @@
 // Admin returns a client of the node's administration API.
 func (n *Node) Admin() *client.Client { return &client.Client{BaseURL: n.AdminURL, Token: Token} }
 
-// Ended gives what the daemon's Run returned.
+// Ended returns a channel that receives the result of the daemon's Run once.
 func (n *Node) Ended() <-chan error { return n.ended }
 
-// Cluster is daemons in front of a World.
+// Cluster is a set of daemons in front of a World.
 type Cluster struct {
 	World *World
 	Nodes []*Node
 
 	ctx    context.Context
 	cancel context.CancelFunc
-	tuning func(*settings.Settings)
+	adjust func(*settings.Settings)
 }
 
-// StartCluster starts daemons on ports of their own, one zone after the other.
-// Tuning may change their settings; nil leaves them.
-func (w *World) StartCluster(daemons int, tuning func(*settings.Settings)) (*Cluster, error) {
+// StartCluster starts daemons on free ports and assigns them to the zones in turn.
+// The function adjust may change each daemon's settings, unless it is nil. The caller
+// must Close the cluster.
+func (w *World) StartCluster(daemons int, adjust func(*settings.Settings)) (*Cluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &Cluster{World: w, ctx: ctx, cancel: cancel, tuning: tuning}
+	c := &Cluster{World: w, ctx: ctx, cancel: cancel, adjust: adjust}
 	for i := range daemons {
 		n, err := openNode(fmt.Sprintf("daemon-%d", i+1))
 		if err != nil {
@@ -59,9 +61,9 @@
 		}
 		c.Nodes = append(c.Nodes, n)
 	}
-	c.list()
+	c.publishDaemons()
 	for i := range c.Nodes {
-		if err := c.run(i); err != nil {
+		if err := c.startNode(i); err != nil {
 			c.Close()
 			return nil, err
 		}
@@ -84,8 +86,8 @@
 	return n, nil
 }
 
-// list puts the nodes on the platform's list of daemons.
-func (c *Cluster) list() {
+// publishDaemons sets the platform's list of daemons to the nodes.
+func (c *Cluster) publishDaemons() {
 	var daemons []ports.Daemon
 	for i, n := range c.Nodes {
 		daemons = append(daemons, ports.Daemon{
@@ -98,7 +100,7 @@
 	c.World.SetDaemons(daemons)
 }
 
-func (c *Cluster) run(i int) error {
+func (c *Cluster) startNode(i int) error {
 	n := c.Nodes[i]
 	s, err := settings.Load(settings.Input{Args: []string{
 		"-daemon.id=" + n.ID,
@@ -114,18 +116,18 @@
 	if err != nil {
 		return err
 	}
-	if c.tuning != nil {
-		c.tuning(&s)
+	if c.adjust != nil {
+		c.adjust(&s)
 	}
-	plat, err := httplog.New(httplog.Options{BaseURL: c.World.PlatformURL, Timeout: s.Platform.Timeout})
+	platform, err := httplog.New(httplog.Options{BaseURL: c.World.PlatformURL, Timeout: s.Platform.Timeout})
 	if err != nil {
 		return err
 	}
 	n.Daemon, err = daemon.New(daemon.Options{
 		Settings:  s,
 		Token:     Token,
-		Log:       plat,
-		VMs:       plat,
+		Log:       platform,
+		VMs:       platform,
 		Logs:      logging.Discard(),
 		Listeners: n.listeners,
 	})
@@ -136,18 +138,19 @@
 	return nil
 }
 
-// Restart replaces an ended node by a new daemon of the same name.
+// Restart replaces a node whose daemon has ended by a new daemon with the same ID and
+// other ports.
 func (c *Cluster) Restart(i int) error {
 	n, err := openNode(c.Nodes[i].ID)
 	if err != nil {
 		return err
 	}
 	c.Nodes[i] = n
-	c.list()
-	return c.run(i)
+	c.publishDaemons()
+	return c.startNode(i)
 }
 
-// WaitReady waits until every node says that it is ready.
+// WaitReady waits until every node reports that it is ready.
 func (c *Cluster) WaitReady(ctx context.Context) error {
 	for _, n := range c.Nodes {
 		if err := n.WaitReady(ctx); err != nil {
@@ -157,12 +160,12 @@
 	return nil
 }
 
-// readyPoll is how often a node is asked whether it is ready.
-const readyPoll = 5 * time.Millisecond
+// readyPollInterval is the interval between WaitReady's requests.
+const readyPollInterval = 5 * time.Millisecond
 
-// WaitReady waits until the node says that it is ready.
+// WaitReady waits until the node reports that it is ready.
 func (n *Node) WaitReady(ctx context.Context) error {
-	ticker := time.NewTicker(readyPoll)
+	ticker := time.NewTicker(readyPollInterval)
 	defer ticker.Stop()
 	for {
 		_, err := n.Admin().Get(ctx, "/readyz")
@@ -177,12 +180,12 @@
 	}
 }
 
-// Close ends all daemons, cutting what is open.
+// Close ends all daemons without draining them, and waits for their end.
 func (c *Cluster) Close() {
 	c.cancel()
 	for _, n := range c.Nodes {
 		if n.Daemon != nil {
-			<-n.ended //nolint:errcheck // it was cut off, so its error tells nothing
+			<-n.ended //nolint:errcheck // the daemon was cancelled, so any error is expected
 		}
 	}
 }
--- a/lab/world/world.go
+++ b/lab/world/world.go
@@ -1,6 +1,6 @@
-// Package world runs stand-ins for a whole deployment on loopback: the
-// platform's log and list of VMs, model runners, a KV store and a plain
-// service. The demo, the load tool and the stand-in command build on it.
+// Package world runs stand-ins for a complete deployment on local ports: the
+// platform's log and list of VMs, model runners, a KV store and plain services. The
+// demo, the load tool and the stand-in command use it.
 package world
 
 import (
@@ -21,17 +21,17 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// Names of the stand-in deployment.
+// Names used in the manifest of the deployment.
 const (
-	Model       = "codes"
-	Version     = "v1"
-	ServicePath = "/receipts/"
-	classRunner = "runner"
-	classCount  = "counter"
-	classStore  = "store"
+	Model        = "codes"
+	Version      = "v1"
+	ServicePath  = "/receipts/"
+	classRunner  = "runner"
+	classCounter = "counter"
+	classStore   = "store"
 )
 
-// Zones of the stand-in deployment.
+// Zones are the availability zones of the deployment.
 var Zones = []fleet.ZoneID{"quebec-est-a", "quebec-est-b", "quebec-est-c"}
 
 // Options describe the deployment. Zero values take small defaults.
@@ -45,13 +45,13 @@
 	Decode        time.Duration // per generated token
 	AnswerTokens  int
 	PieceTokens   int
-	CachePieces   int           // of one runner
-	Slots         int           // requests that one runner generates at once
-	ListLag       time.Duration // of the platform's list
+	CachePieces   int           // cache capacity of one runner
+	Slots         int           // concurrent requests of one runner
+	ListLag       time.Duration // delay of changes in the platform's list
 	Store         standin.StoreOptions
 }
 
-// World is a running deployment without daemons.
+// World is a running deployment without daemons, see StartCluster.
 type World struct {
 	Log      *plog.Log
 	VMs      *plog.VMs
@@ -123,7 +123,7 @@
 			Store:         store,
 		})
 		w.Runners = append(w.Runners, r)
-		if err := w.endpoint(fmt.Sprintf("runner-%02d", i+1), classRunner, i, r); err != nil {
+		if err := w.startEndpoint(fmt.Sprintf("runner-%02d", i+1), classRunner, i, r); err != nil {
 			return err
 		}
 	}
@@ -131,24 +131,24 @@
 		id := fmt.Sprintf("counter-%02d", i+1)
 		s := standin.NewService(fleet.EndpointID(id))
 		w.Services = append(w.Services, s)
-		if err := w.endpoint(id, classCount, i, s); err != nil {
+		if err := w.startEndpoint(id, classCounter, i, s); err != nil {
 			return err
 		}
 	}
-	w.list("store-01", classStore, 0, store)
+	w.addEndpoint("store-01", classStore, 0, store)
 	return nil
 }
 
-func (w *World) endpoint(id, class string, i int, h http.Handler) error {
+func (w *World) startEndpoint(id, class string, i int, h http.Handler) error {
 	address, err := w.serve(0, h)
 	if err != nil {
 		return err
 	}
-	w.list(id, class, i, address)
+	w.addEndpoint(id, class, i, address)
 	return nil
 }
 
-func (w *World) list(id, class string, i int, address string) {
+func (w *World) addEndpoint(id, class string, i int, address string) {
 	w.endpoints = append(w.endpoints, fleet.Endpoint{
 		ID:      fleet.EndpointID(id),
 		VM:      fleet.VMID("vm-" + id),
@@ -177,17 +177,18 @@
 	return l.Addr().String(), nil
 }
 
-// Endpoints returns the endpoints as the platform lists them.
+// Endpoints returns the endpoints of the platform's list: runners, then services,
+// then the store.
 func (w *World) Endpoints() []fleet.Endpoint { return w.endpoints }
 
-// SetDaemons puts daemons on the platform's list.
+// SetDaemons sets the platform's list of daemons.
 func (w *World) SetDaemons(daemons []ports.Daemon) {
 	w.daemons = daemons
 	w.publishList()
 }
 
-// Leaving marks an endpoint as leaving on the platform's list.
-func (w *World) Leaving(id fleet.EndpointID) {
+// MarkLeaving marks an endpoint as leaving in the platform's list.
+func (w *World) MarkLeaving(id fleet.EndpointID) {
 	for i := range w.endpoints {
 		if w.endpoints[i].ID == id {
 			w.endpoints[i].State = fleet.VMLeaving
@@ -198,14 +199,14 @@
 
 func (w *World) publishList() { w.VMs.Set(append([]fleet.Endpoint(nil), w.endpoints...), w.daemons) }
 
-// Close ends all stand-ins.
+// Close stops all stand-ins.
 func (w *World) Close() {
 	for _, srv := range w.servers {
 		_ = srv.Close()
 	}
 }
 
-// Wait returns when ctx ends or a stand-in fails.
+// Wait returns nil when ctx ends, or an error when a stand-in's server fails.
 func (w *World) Wait(ctx context.Context) error {
 	select {
 	case <-ctx.Done():
@@ -215,15 +216,15 @@
 	}
 }
 
-// Key is the API key of the organisation with the given number, from 0.
-func Key(i int) string { return fmt.Sprintf("demo-key-%d", i+1) }
+// APIKey returns the API key of the organisation with the given index.
+func APIKey(i int) string { return fmt.Sprintf("demo-key-%d", i+1) }
 
-// Organisation is the name of the organisation with the given number.
+// Organisation returns the ID of the organisation with the given index.
 func Organisation(i int) contract.OrganisationID {
 	return contract.OrganisationID(fmt.Sprintf("org-%d", i+1))
 }
 
-// Manifest returns a manifest for the deployment.
+// Manifest returns a manifest that declares the deployment.
 func (w *World) Manifest() manifest.Manifest {
 	m := manifest.Manifest{
 		Rules: manifest.RulesVersion,
@@ -237,13 +238,13 @@
 		Models: []manifest.Model{{ID: Model, Version: Version}},
 		Classes: []manifest.Class{
 			{ID: classRunner, Kind: fleet.KindModel, Models: []string{Model}},
-			{ID: classCount, Kind: fleet.KindService},
+			{ID: classCounter, Kind: fleet.KindService},
 			{ID: classStore, Kind: fleet.KindStore},
 		},
 		Services: []manifest.Service{{
 			ID:         "receipts",
 			PathPrefix: ServicePath,
-			Class:      classCount,
+			Class:      classCounter,
 			Calls:      []manifest.Call{{Method: http.MethodGet, Path: "*", Idempotent: true}},
 		}},
 		Retention: manifest.Retention{
@@ -252,7 +253,7 @@
 		},
 	}
 	for i := range w.o.Organisations {
-		sum := sha256.Sum256([]byte(Key(i)))
+		sum := sha256.Sum256([]byte(APIKey(i)))
 		m.Organisations = append(m.Organisations, manifest.Organisation{
 			ID:         Organisation(i),
 			KeyHashes:  []string{hex.EncodeToString(sum[:])},
