--- a/lab/fairness/admitter.go
+++ b/lab/fairness/admitter.go
@@ -33,7 +33,7 @@
 }
 
 // Offer implements replay.Admitter.
-func (a *admitter) Offer(now time.Time, r replay.Ask) replay.Verdict {
+func (a *admitter) Offer(now time.Time, r replay.AdmissionRequest) replay.Verdict {
 	d := a.core.Offer(now, contract.Request{
 		ID: contract.RequestID(r.ID), Organisation: r.Organisation, Priority: r.Priority, Tokens: float64(r.Tokens),
 	})
@@ -51,8 +51,8 @@
 	return replay.Refused
 }
 
-// Started implements replay.Starter.
-func (a *admitter) Started(now time.Time, id uint64) {
+// FirstToken implements replay.FirstTokenObserver.
+func (a *admitter) FirstToken(now time.Time, id uint64) {
 	a.core.Started(now, contract.RequestID(id))
 }
 
--- a/lab/fairness/traces_test.go
+++ b/lab/fairness/traces_test.go
@@ -35,7 +35,7 @@
 
 func logTrace(b *testing.B, name string, o replay.Options) {
 	b.Helper()
-	o.Policy = replay.PolicyLearnt
+	o.Policy = replay.PolicyAllSources
 	o.Faults = []replay.FaultKind{replay.FaultOverload}
 	o.FaultAt = time.Second
 	r, err := replay.Run(o)
--- a/lab/replay/admit.go
+++ b/lab/replay/admit.go
@@ -16,8 +16,8 @@
 	Refused          // not run
 )
 
-// Ask is a request at a daemon's door.
-type Ask struct {
+// AdmissionRequest is a request at a daemon's door.
+type AdmissionRequest struct {
 	ID           uint64
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
@@ -28,32 +28,32 @@
 //
 // Offer is called when a request arrives. Finished is called when an admitted
 // one has ended, with the tokens that it really cost: those prefilled and
-// those generated. After each of these and every AdmitTick, Next is called
+// those generated. After each of these and every AdmitInterval, Next is called
 // until it reports false; it gives the fate of queued requests. Digest is sent
 // to the other daemons' Merge every DigestEvery, after DigestLag; nil is not
 // sent.
 type Admitter interface {
-	Offer(now time.Time, a Ask) Verdict
+	Offer(now time.Time, a AdmissionRequest) Verdict
 	Finished(now time.Time, id uint64, tokens int)
 	Next(now time.Time) (id uint64, v Verdict, ok bool)
 	Digest(now time.Time) any
 	Merge(now time.Time, from int, digest any)
 }
 
-// Starter is an Admitter that wants to know when the first token of an admitted
+// FirstTokenObserver is an Admitter that wants to know when the first token of an admitted
 // request has come.
-type Starter interface {
-	Started(now time.Time, id uint64)
+type FirstTokenObserver interface {
+	FirstToken(now time.Time, id uint64)
 }
 
-// AdmitTick is how often queued requests are looked at again when nothing else
+// AdmitInterval is how often queued requests are looked at again when nothing else
 // happens.
-const AdmitTick = 50 * time.Millisecond
+const AdmitInterval = 50 * time.Millisecond
 
 // openDoor admits everything.
 type openDoor struct{}
 
-func (openDoor) Offer(time.Time, Ask) Verdict                   { return Admitted }
+func (openDoor) Offer(time.Time, AdmissionRequest) Verdict      { return Admitted }
 func (openDoor) Finished(time.Time, uint64, int)                {}
 func (openDoor) Next(time.Time) (id uint64, v Verdict, ok bool) { return 0, Refused, false }
 func (openDoor) Digest(time.Time) any                           { return nil }
--- a/lab/replay/arrivals.go
+++ b/lab/replay/arrivals.go
@@ -43,7 +43,7 @@
 	if slices.Contains(b.o.Faults, FaultOverload) {
 		requests = b.overload(requests)
 	}
-	if slices.Contains(b.o.Faults, FaultHot) {
+	if slices.Contains(b.o.Faults, FaultHotPrefix) {
 		b.heat(requests)
 	}
 	return requests
@@ -107,7 +107,7 @@
 			b.clock.at(at, b.crash)
 		case FaultRestart:
 			b.clock.at(at, b.restart)
-		case FaultHot, FaultOverload:
+		case FaultHotPrefix, FaultOverload:
 		}
 	}
 }
@@ -125,7 +125,7 @@
 		victim.gone(j)
 		b.clock.after(b.delay(j.daemon, victim), func() { j.daemon.failed(j, victim) })
 	}
-	b.clock.after(b.o.DownFor, victim.back)
+	b.clock.after(b.o.Downtime, victim.back)
 }
 
 func (b *bench) restart() {
--- a/lab/replay/bench.go
+++ b/lab/replay/bench.go
@@ -140,10 +140,10 @@
 		b.clock.every(phase, b.o.EventEvery, func() { b.sendEvents(r) })
 	}
 	for _, d := range b.daemons {
-		b.clock.every(AdmitTick, AdmitTick, d.tick)
+		b.clock.every(AdmitInterval, AdmitInterval, d.tick)
 		phase := b.o.DigestEvery * time.Duration(d.index+1) / time.Duration(len(b.daemons))
 		b.clock.every(phase, b.o.DigestEvery, d.digest)
-		b.clock.every(phase, b.o.NoticeEvery, d.notify)
+		b.clock.every(phase, b.o.AnnounceEvery, d.notify)
 	}
 }
 
--- a/lab/replay/chooser.go
+++ b/lab/replay/chooser.go
@@ -30,7 +30,7 @@
 	switch d.b.o.Policy {
 	case PolicyOracle:
 		return &oracle{b: d.b, d: d}
-	case PolicyLearnt, PolicyAnswers, PolicyHomes:
+	case PolicyAllSources, PolicyAnswersOnly, PolicyLoadOnly:
 		return newViewChooser(d)
 	default:
 		return &baseChooser{c: baseline.New(baseline.Kind(d.b.o.Policy), d.b.o.Seed<<8+uint64(d.index), d.b.members())}
@@ -49,8 +49,8 @@
 		v: placement.NewView(placement.Options{
 			Zone: d.zone, Daemons: d.b.o.Daemons, PrefillRate: f.PrefillRate, ZoneDelay: d.b.o.ZoneDelay,
 		}),
-		learns:  d.b.o.Policy != PolicyHomes,
-		follows: d.b.o.Policy == PolicyLearnt,
+		learns:  d.b.o.Policy != PolicyLoadOnly,
+		follows: d.b.o.Policy == PolicyAllSources,
 	}
 	c.v.SetPool(poolName, d.b.members())
 	if f.StoreTokens > 0 {
--- a/lab/replay/daemon.go
+++ b/lab/replay/daemon.go
@@ -34,7 +34,7 @@
 }
 
 func (d *daemon) arrive(j *job) {
-	ask := Ask{ID: j.id, Organisation: j.org, Priority: j.priority, Tokens: j.tokens + j.output}
+	ask := AdmissionRequest{ID: j.id, Organisation: j.org, Priority: j.priority, Tokens: j.tokens + j.output}
 	d.b.m.offered(j)
 	switch d.admit.Offer(d.b.clock.now, ask) {
 	case Admitted:
@@ -97,7 +97,7 @@
 	if len(notices) == 0 {
 		return
 	}
-	d.b.clock.push(d.b.clock.now.Add(d.b.o.NoticeLag), func() {
+	d.b.clock.push(d.b.clock.now.Add(d.b.o.AnnounceLag), func() {
 		for _, peer := range d.b.daemons {
 			if peer != d {
 				peer.chooser.(*viewChooser).v.ReceiveAnnouncements(notices)
@@ -124,8 +124,8 @@
 	if !j.answered {
 		j.answered = true
 		d.b.m.firstToken(d.b, j)
-		if s, ok := d.admit.(Starter); ok {
-			s.Started(now, j.id)
+		if s, ok := d.admit.(FirstTokenObserver); ok {
+			s.FirstToken(now, j.id)
 			d.drain()
 		}
 	}
--- a/lab/replay/figures/figures.go
+++ b/lab/replay/figures/figures.go
@@ -16,18 +16,18 @@
 	"github.com/merlindock/merlindock/lab/trace"
 )
 
-// Load is one workload at one rate of requests.
-type Load struct {
+// Workload is one workload at one rate of requests.
+type Workload struct {
 	Name     string
 	Generate func(trace.Generate) *trace.Trace
 	Rate     float64 // requests/s
 }
 
-// Loads lists the loads of the comparison. The oracle's runners prefill or
+// Workloads lists the loads of the comparison. The oracle's runners prefill or
 // import for about half of the time in the first of each workload, and for
 // about 85% in the second.
-func Loads() []Load {
-	return []Load{
+func Workloads() []Workload {
+	return []Workload{
 		{Name: "Registre 35/s", Generate: trace.Registre, Rate: 35},
 		{Name: "Registre 52/s", Generate: trace.Registre, Rate: 52},
 		{Name: "Tsukushi 20/s", Generate: trace.Tsukushi, Rate: 20},
@@ -37,24 +37,24 @@
 
 // Row is the mean over the seeds of one policy under one load.
 type Row struct {
-	Load     string
-	Policy   replay.Policy
-	HitRate  float64
-	WorstHit float64 // least of HitRate over the oracle's
-	Wasted   float64
-	MostWast float64 // greatest of Wasted over the oracle's
-	Busy     float64
-	P50      float64 // first token of interactive requests, ms
-	P95      float64
-	P99      float64
-	Standard float64 // p99 of standard requests, ms
+	Workload      string
+	Policy        replay.Policy
+	HitRate       float64
+	MinHitRatio   float64 // least of HitRate over the oracle's
+	Wasted        float64
+	MaxWasteRatio float64 // greatest of Wasted over the oracle's
+	Utilisation   float64
+	P50           float64 // first token of interactive requests, ms
+	P95           float64
+	P99           float64
+	StandardP99   float64 // p99 of standard requests, ms
 }
 
 // Compare replays every load under every policy with the seeds 1 to seeds.
 func Compare(seeds int, duration time.Duration) ([]Row, error) {
 	policies := replay.Policies()
 	var rows []Row
-	for _, l := range Loads() {
+	for _, l := range Workloads() {
 		reports := make([][]replay.Report, len(policies))
 		var group errgroup.Group
 		group.SetLimit(max(1, runtime.GOMAXPROCS(0)/3))
@@ -80,20 +80,20 @@
 }
 
 // sum averages the reports of one policy and compares each with the oracle's.
-func sum(l Load, reports, oracle []replay.Report) Row {
-	row := Row{Load: l.Name, Policy: reports[0].Policy, WorstHit: 1e9}
+func sum(l Workload, reports, oracle []replay.Report) Row {
+	row := Row{Workload: l.Name, Policy: reports[0].Policy, MinHitRatio: 1e9}
 	n := float64(len(reports))
 	for i, r := range reports {
 		row.HitRate += r.HitRate / n
-		row.Wasted += r.Wasted / n
-		row.Busy += r.Utilisation / n
+		row.Wasted += r.WastedFraction / n
+		row.Utilisation += r.Utilisation / n
 		q := r.FirstToken[contract.PriorityInteractive.String()]
 		row.P50 += q.P50 / n
 		row.P95 += q.P95 / n
 		row.P99 += q.P99 / n
-		row.Standard += r.FirstToken[contract.PriorityStandard.String()].P99 / n
-		row.WorstHit = min(row.WorstHit, r.HitRate/oracle[i].HitRate)
-		row.MostWast = max(row.MostWast, r.Wasted/oracle[i].Wasted)
+		row.StandardP99 += r.FirstToken[contract.PriorityStandard.String()].P99 / n
+		row.MinHitRatio = min(row.MinHitRatio, r.HitRate/oracle[i].HitRate)
+		row.MaxWasteRatio = max(row.MaxWasteRatio, r.WastedFraction/oracle[i].WastedFraction)
 	}
 	return row
 }
@@ -108,7 +108,7 @@
 	}
 	for _, r := range rows {
 		_, err := fmt.Fprintf(t, "| %s\t| %s\t| %.4f\t| %.3f\t| %.4f\t| %.1f\t| %.2f\t| %.0f / %.0f / %.0f\t| %.0f\t|\n",
-			r.Load, r.Policy, r.HitRate, r.WorstHit, r.Wasted, r.MostWast, r.Busy, r.P50, r.P95, r.P99, r.Standard)
+			r.Workload, r.Policy, r.HitRate, r.MinHitRatio, r.Wasted, r.MaxWasteRatio, r.Utilisation, r.P50, r.P95, r.P99, r.StandardP99)
 		if err != nil {
 			return err
 		}
--- a/lab/replay/figures/plot.go
+++ b/lab/replay/figures/plot.go
@@ -68,7 +68,7 @@
 		p.Legend.Add(string(name), bars)
 	}
 	var names []string
-	for _, l := range Loads() {
+	for _, l := range Workloads() {
 		names = append(names, l.Name)
 	}
 	p.NominalX(names...)
--- a/lab/replay/options.go
+++ b/lab/replay/options.go
@@ -27,19 +27,19 @@
 const (
 	// PolicyOracle sees every cache and queue at once, with no delay.
 	PolicyOracle Policy = "oracle"
-	// PolicyLearnt is the product: placement.View fed by all it can get.
-	PolicyLearnt Policy = "learnt"
-	// PolicyAnswers is the product without cache events and notices, as at the
+	// PolicyAllSources is the product: placement.View fed by all it can get.
+	PolicyAllSources Policy = "learnt"
+	// PolicyAnswersOnly is the product without cache events and notices, as at the
 	// target's size.
-	PolicyAnswers Policy = "answers"
-	// PolicyHomes is the product told only of load: rendezvous hashing with
+	PolicyAnswersOnly Policy = "answers"
+	// PolicyLoadOnly is the product told only of load: rendezvous hashing with
 	// bounded waits.
-	PolicyHomes Policy = "homes"
+	PolicyLoadOnly Policy = "homes"
 )
 
 // Policies lists all policies, the oracle first and the baselines last.
 func Policies() []Policy {
-	all := []Policy{PolicyOracle, PolicyLearnt, PolicyAnswers, PolicyHomes}
+	all := []Policy{PolicyOracle, PolicyAllSources, PolicyAnswersOnly, PolicyLoadOnly}
 	for _, k := range baseline.Kinds() {
 		all = append(all, Policy(k))
 	}
@@ -51,14 +51,16 @@
 
 // The faults. Each comes at a third of the trace, or at FaultAt.
 const (
-	FaultCrash    FaultKind = "crash"    // one runner dies and returns empty
-	FaultRestart  FaultKind = "restart"  // all daemons restart and know nothing
-	FaultHot      FaultKind = "hot"      // a new prefix takes half of all requests
-	FaultOverload FaultKind = "overload" // the largest organisation sends three times its traffic
+	FaultCrash     FaultKind = "crash"    // one runner dies and returns empty
+	FaultRestart   FaultKind = "restart"  // all daemons restart and know nothing
+	FaultHotPrefix FaultKind = "hot"      // a new prefix takes half of all requests
+	FaultOverload  FaultKind = "overload" // the largest organisation sends three times its traffic
 )
 
 // Faults lists all faults.
-func Faults() []FaultKind { return []FaultKind{FaultCrash, FaultRestart, FaultHot, FaultOverload} }
+func Faults() []FaultKind {
+	return []FaultKind{FaultCrash, FaultRestart, FaultHotPrefix, FaultOverload}
+}
 
 // Errors of Run.
 var (
@@ -70,23 +72,23 @@
 // Options says what to replay. Zero fields take the defaults, or the trace's
 // values.
 type Options struct {
-	Trace   *trace.Trace
-	Policy  Policy
-	Daemons int
-	Seed    uint64  // of the balancer and of what is lost
-	Speed   float64 // how much faster than recorded requests arrive; default 1
-	Faults  []FaultKind
-	FaultAt time.Duration // default: a third of the trace
-	DownFor time.Duration // of the crashed runner
-
-	ReportEvery time.Duration // between two load reports of a runner
-	ReportLag   time.Duration
-	EventEvery  time.Duration // between two batches of cache events
-	EventLag    time.Duration
-	EventLoss   float64 // part of the batches that a daemon never gets
-	ZoneDelay   time.Duration
-	NoticeEvery time.Duration // between two batches of notices between daemons
-	NoticeLag   time.Duration
+	Trace    *trace.Trace
+	Policy   Policy
+	Daemons  int
+	Seed     uint64  // of the balancer and of what is lost
+	Speed    float64 // how much faster than recorded requests arrive; default 1
+	Faults   []FaultKind
+	FaultAt  time.Duration // default: a third of the trace
+	Downtime time.Duration // of the crashed runner
+
+	ReportEvery   time.Duration // between two load reports of a runner
+	ReportLag     time.Duration
+	EventEvery    time.Duration // between two batches of cache events
+	EventLag      time.Duration
+	EventLoss     float64 // part of the batches that a daemon never gets
+	ZoneDelay     time.Duration
+	AnnounceEvery time.Duration // between two batches of notices between daemons
+	AnnounceLag   time.Duration
 
 	NewAdmitter func(daemon int, h trace.Header) Admitter // nil: all are admitted
 	DigestEvery time.Duration
@@ -95,17 +97,17 @@
 
 // Defaults of Options.
 const (
-	DefaultReportEvery = 500 * time.Millisecond
-	DefaultReportLag   = 250 * time.Millisecond
-	DefaultEventEvery  = 200 * time.Millisecond
-	DefaultEventLag    = 300 * time.Millisecond
-	DefaultEventLoss   = 0.01
-	DefaultZoneDelay   = 1500 * time.Microsecond
-	DefaultNoticeEvery = 100 * time.Millisecond
-	DefaultNoticeLag   = 50 * time.Millisecond
-	DefaultDownFor     = 4 * time.Second
-	DefaultDigestEvery = time.Second
-	DefaultDigestLag   = 200 * time.Millisecond
+	DefaultReportEvery   = 500 * time.Millisecond
+	DefaultReportLag     = 250 * time.Millisecond
+	DefaultEventEvery    = 200 * time.Millisecond
+	DefaultEventLag      = 300 * time.Millisecond
+	DefaultEventLoss     = 0.01
+	DefaultZoneDelay     = 1500 * time.Microsecond
+	DefaultAnnounceEvery = 100 * time.Millisecond
+	DefaultAnnounceLag   = 50 * time.Millisecond
+	DefaultDowntime      = 4 * time.Second
+	DefaultDigestEvery   = time.Second
+	DefaultDigestLag     = 200 * time.Millisecond
 )
 
 // NoEventLoss is the EventLoss of a replay that loses no events, since 0 takes
@@ -128,15 +130,15 @@
 	setDefault(&o.Speed, 1)
 	last := o.Trace.Requests[len(o.Trace.Requests)-1].AtMS / o.Speed
 	setDefault(&o.FaultAt, milliseconds(last/3))
-	setDefault(&o.DownFor, DefaultDownFor)
+	setDefault(&o.Downtime, DefaultDowntime)
 	setDefault(&o.ReportEvery, DefaultReportEvery)
 	setDefault(&o.ReportLag, DefaultReportLag)
 	setDefault(&o.EventEvery, DefaultEventEvery)
 	setDefault(&o.EventLag, DefaultEventLag)
 	setDefault(&o.EventLoss, DefaultEventLoss)
 	setDefault(&o.ZoneDelay, DefaultZoneDelay)
-	setDefault(&o.NoticeEvery, DefaultNoticeEvery)
-	setDefault(&o.NoticeLag, DefaultNoticeLag)
+	setDefault(&o.AnnounceEvery, DefaultAnnounceEvery)
+	setDefault(&o.AnnounceLag, DefaultAnnounceLag)
 	setDefault(&o.DigestEvery, DefaultDigestEvery)
 	setDefault(&o.DigestLag, DefaultDigestLag)
 	return o, nil
--- a/lab/replay/outcomes_test.go
+++ b/lab/replay/outcomes_test.go
@@ -84,25 +84,25 @@
 	replay := func(p Policy) Report {
 		return run(t, Options{Trace: tr, Policy: p, Seed: seed, Speed: w.Speed, Faults: w.Faults})
 	}
-	learnt, oracle := replay(PolicyLearnt), replay(PolicyOracle)
-	t.Logf("seed %d: learnt %.4f %.4f, oracle %.4f %.4f, hot %+v settled %.0f s", seed, learnt.HitRate, learnt.Wasted,
-		oracle.HitRate, oracle.Wasted, learnt.HotFirstToken, learnt.HotSettled)
+	learnt, oracle := replay(PolicyAllSources), replay(PolicyOracle)
+	t.Logf("seed %d: learnt %.4f %.4f, oracle %.4f %.4f, hot %+v settled %.0f s", seed, learnt.HitRate, learnt.WastedFraction,
+		oracle.HitRate, oracle.WastedFraction, learnt.HotFirstToken, learnt.HotSettledSeconds)
 	if learnt.Answered != learnt.Requests {
 		t.Errorf("%d of %d requests answered", learnt.Answered, learnt.Requests)
 	}
-	if learnt.Relied != 0 {
-		t.Errorf("%d requests relied on a dead cache", learnt.Relied)
+	if learnt.ReliedOnLostCache != 0 {
+		t.Errorf("%d requests relied on a dead cache", learnt.ReliedOnLostCache)
 	}
 	atLeast(t, "hit rate", learnt.HitRate, w.HitOfOracle*oracle.HitRate)
 	if w.Waste > 0 {
-		atMost(t, "waste", learnt.Wasted, w.Waste)
+		atMost(t, "waste", learnt.WastedFraction, w.Waste)
 	}
 	if w.WasteOfOracle > 0 {
-		atMost(t, "waste", learnt.Wasted, w.WasteOfOracle*oracle.Wasted)
+		atMost(t, "waste", learnt.WastedFraction, w.WasteOfOracle*oracle.WastedFraction)
 	}
 	if w.WasteOfLeastLoaded > 0 {
 		least := replay(Policy(baseline.LeastLoaded))
-		atMost(t, "waste", learnt.Wasted, w.WasteOfLeastLoaded*least.Wasted)
+		atMost(t, "waste", learnt.WastedFraction, w.WasteOfLeastLoaded*least.WastedFraction)
 	}
 	if w.InteractiveOfOthers > 0 {
 		best := replay(Policy(baseline.Random)).FirstToken["interactive"].P99
@@ -115,7 +115,7 @@
 		atMost(t, "hot p95", learnt.HotFirstToken.P95, w.HotP95)
 	}
 	if w.HotSettled > 0 {
-		atMost(t, "hot settled", learnt.HotSettled, w.HotSettled)
+		atMost(t, "hot settled", learnt.HotSettledSeconds, w.HotSettled)
 	}
 }
 
@@ -142,11 +142,11 @@
 		tr := generate(g)
 		t.Run(tr.Header.Name, func(t *testing.T) {
 			t.Parallel()
-			learnt := run(t, Options{Trace: tr, Policy: PolicyLearnt, Seed: 1})
+			learnt := run(t, Options{Trace: tr, Policy: PolicyAllSources, Seed: 1})
 			oracle := run(t, Options{Trace: tr, Policy: PolicyOracle, Seed: 1})
-			t.Logf("learnt %.4f %.4f, oracle %.4f %.4f", learnt.HitRate, learnt.Wasted, oracle.HitRate, oracle.Wasted)
+			t.Logf("learnt %.4f %.4f, oracle %.4f %.4f", learnt.HitRate, learnt.WastedFraction, oracle.HitRate, oracle.WastedFraction)
 			atLeast(t, "hit rate", learnt.HitRate, 0.95*oracle.HitRate)
-			atMost(t, "waste", learnt.Wasted, 1.25*oracle.Wasted)
+			atMost(t, "waste", learnt.WastedFraction, 1.25*oracle.WastedFraction)
 		})
 	}
 }
@@ -158,7 +158,7 @@
 	for _, name := range []string{"registre", "tsukushi"} {
 		tr := readTrace(t, name+"-synthetic.jsonl")
 		const at = 10
-		o := Options{Trace: tr, Policy: PolicyLearnt, Seed: 1, FaultAt: at * time.Second}
+		o := Options{Trace: tr, Policy: PolicyAllSources, Seed: 1, FaultAt: at * time.Second}
 		calm := hitBetween(run(t, o).Timeline, at+10, at+20)
 		o.Faults = []FaultKind{FaultRestart}
 		after := hitBetween(run(t, o).Timeline, at+10, at+20)
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -27,9 +27,9 @@
 func TestRunRefusesWhatItDoesNotKnow(t *testing.T) {
 	tr := small(1)
 	for want, o := range map[error]Options{
-		ErrTrace:  {Policy: PolicyLearnt},
+		ErrTrace:  {Policy: PolicyAllSources},
 		ErrPolicy: {Trace: tr, Policy: "best"},
-		ErrFault:  {Trace: tr, Policy: PolicyLearnt, Faults: []FaultKind{"flood"}},
+		ErrFault:  {Trace: tr, Policy: PolicyAllSources, Faults: []FaultKind{"flood"}},
 	} {
 		if _, err := Run(o); !errors.Is(err, want) {
 			t.Errorf("Run: %v, want %v", err, want)
@@ -48,7 +48,7 @@
 }
 
 func TestSameOptionsSameReport(t *testing.T) {
-	o := Options{Trace: small(2), Policy: PolicyLearnt, Seed: 2, Faults: Faults()}
+	o := Options{Trace: small(2), Policy: PolicyAllSources, Seed: 2, Faults: Faults()}
 	if diff := cmp.Diff(run(t, o), run(t, o)); diff != "" {
 		t.Errorf("two replays differ:\n%s", diff)
 	}
--- a/lab/replay/report.go
+++ b/lab/replay/report.go
@@ -22,22 +22,22 @@
 	Refusals     map[string]int `json:"refusals"` // by outcome
 	PromptTokens int            `json:"prompt_tokens"`
 
-	HitRate     float64 `json:"hit_rate"`    // tokens reused / tokens that an earlier request had
-	Wasted      float64 `json:"wasted"`      // tokens prefilled that another live runner held / prompt tokens
-	Imported    float64 `json:"imported"`    // tokens taken from the KV store / prompt tokens
-	Utilisation float64 `json:"utilisation"` // part of the time that runners prefill
+	HitRate          float64 `json:"hit_rate"`    // tokens reused / tokens that an earlier request had
+	WastedFraction   float64 `json:"wasted"`      // tokens prefilled that another live runner held / prompt tokens
+	ImportedFraction float64 `json:"imported"`    // tokens taken from the KV store / prompt tokens
+	Utilisation      float64 `json:"utilisation"` // part of the time that runners prefill
 
 	FirstToken map[string]Quantiles `json:"first_token"` // by priority
 
 	ShareError    float64        `json:"share_error"` // greatest relative error against the fair share of the work done
 	Organisations []Organisation `json:"organisations"`
 
-	Notices    int     `json:"notices"`        // sent by all daemons, each to all others
-	Relied     int     `json:"relied_on_dead"` // began where the counted-on cache had died
-	Herd       float64 `json:"herd"`           // new tokens of the busiest runner / mean, from FaultAt for DownFor
-	Retried    int     `json:"retried"`        // requests sent once more after a failure
-	Moved      float64 `json:"moved"`          // part of those that the one runner with most of them got
-	HotSettled float64 `json:"hot_settled_s"`  // until p95 of the hot prefix meets the first-token limit
+	Announcements      int     `json:"notices"`        // sent by all daemons, each to all others
+	ReliedOnLostCache  int     `json:"relied_on_dead"` // began where the counted-on cache had died
+	CrashLoadSkew      float64 `json:"herd"`           // new tokens of the busiest runner / mean, from FaultAt for Downtime
+	Retried            int     `json:"retried"`        // requests sent once more after a failure
+	RetryConcentration float64 `json:"moved"`          // part of those that the one runner with most of them got
+	HotSettledSeconds  float64 `json:"hot_settled_s"`  // until p95 of the hot prefix meets the first-token limit
 	// HotFirstToken is of requests for the hot prefix, batch ones left out,
 	// that came 5 s after its appearance or later.
 	HotFirstToken Quantiles `json:"hot_first_token"`
@@ -127,7 +127,7 @@
 	if j.runner == m.crashed {
 		return
 	}
-	if at := b.clock.now.Sub(start) - b.o.FaultAt; at >= 0 && at < b.o.DownFor {
+	if at := b.clock.now.Sub(start) - b.o.FaultAt; at >= 0 && at < b.o.Downtime {
 		m.afterCrash[j.runner] += j.expected
 	}
 	if j.attempts > 1 {
@@ -174,8 +174,8 @@
 	r := Report{
 		Trace: b.o.Trace.Header.Name, Policy: b.o.Policy, Daemons: b.o.Daemons, Seed: b.o.Seed, Speed: b.o.Speed,
 		Faults: b.o.Faults, Requests: m.requests, Answered: m.answered, Refusals: m.outcomes,
-		PromptTokens: m.prompt, HitRate: ratio(m.reused, m.reusable), Wasted: ratio(m.wasted, m.prompt),
-		Imported: ratio(m.imported, m.prompt), Relied: m.relied, Notices: m.notices, FirstToken: map[string]Quantiles{},
+		PromptTokens: m.prompt, HitRate: ratio(m.reused, m.reusable), WastedFraction: ratio(m.wasted, m.prompt),
+		ImportedFraction: ratio(m.imported, m.prompt), ReliedOnLostCache: m.relied, Announcements: m.notices, FirstToken: map[string]Quantiles{},
 		Timeline: m.seconds,
 	}
 	if len(b.o.Faults) > 0 {
@@ -215,9 +215,9 @@
 
 func (m *meter) herd(b *bench, r *Report) {
 	total, most := totalAndMost(m.afterCrash)
-	r.Herd = ratio(most*len(b.runners), total)
+	r.CrashLoadSkew = ratio(most*len(b.runners), total)
 	total, most = totalAndMost(m.moved)
-	r.Retried, r.Moved = total, ratio(most, total)
+	r.Retried, r.RetryConcentration = total, ratio(most, total)
 }
 
 func totalAndMost(of map[*runner]int) (total, most int) {
@@ -245,7 +245,7 @@
 		}
 		if m.seconds[i].HotP95 > limit && good < settledSeconds {
 			good = 0
-			r.HotSettled = float64(i + 1 - at)
+			r.HotSettledSeconds = float64(i + 1 - at)
 		} else {
 			good++
 		}
--- a/lab/replay/table.go
+++ b/lab/replay/table.go
@@ -23,7 +23,7 @@
 			refused += n
 		}
 		_, err := fmt.Fprintf(t, "%s\t%d\t%d\t%.4f\t%.4f\t%.4f\t%.2f\t%s\t%s\t%.0f\t%d\t\n",
-			r.Policy, r.Seed, r.Answered, r.HitRate, r.Wasted, r.Imported, r.Utilisation,
+			r.Policy, r.Seed, r.Answered, r.HitRate, r.WastedFraction, r.ImportedFraction, r.Utilisation,
 			r.quantiles(contract.PriorityInteractive), r.quantiles(contract.PriorityStandard),
 			r.FirstToken[contract.PriorityBatch.String()].P99, refused)
 		if err != nil {
