--- a/lab/replay/admit.go
+++ b/lab/replay/admit.go
@@ -6,32 +6,32 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// Verdict is an Admitter's answer.
+// Verdict is an Admitter's decision about a request.
 type Verdict uint8
 
 // The verdicts.
 const (
 	Admitted Verdict = iota
-	Queued           // held at the daemon; Next will tell
-	Refused          // not run
+	Queued           // held at the daemon until Next decides
+	Refused          // rejected without being run
 )
 
-// AdmissionRequest is a request at a daemon's door.
+// AdmissionRequest describes a request to an Admitter.
 type AdmissionRequest struct {
 	ID           uint64
 	Organisation contract.OrganisationID
 	Priority     contract.Priority
-	Tokens       int // prompt and expected output
+	Tokens       int // prompt and output
 }
 
-// Admitter decides at one daemon which requests may go to the fleet.
+// Admitter decides at one daemon which requests are dispatched to the fleet.
 //
 // Offer is called when a request arrives. Finished is called when an admitted
-// one has ended, with the tokens that it really cost: those prefilled and
-// those generated. After each of these and every AdmitInterval, Next is called
-// until it reports false; it gives the fate of queued requests. Digest is sent
-// to the other daemons' Merge every DigestEvery, after DigestLag; nil is not
-// sent.
+// request ends, with its actual cost in tokens: those prefilled and those
+// generated. After each of these calls, and every AdmitInterval, Next is called
+// until ok is false; each call returns the decision on one queued request. The
+// result of Digest is passed to Merge of the other daemons every DigestEvery,
+// with a delay of DigestLag; a nil digest is not sent.
 type Admitter interface {
 	Offer(now time.Time, a AdmissionRequest) Verdict
 	Finished(now time.Time, id uint64, tokens int)
@@ -40,21 +40,21 @@
 	Merge(now time.Time, from int, digest any)
 }
 
-// FirstTokenObserver is an Admitter that wants to know when the first token of an admitted
-// request has come.
+// FirstTokenObserver is implemented by an Admitter that is notified when the
+// first token of an admitted request arrives.
 type FirstTokenObserver interface {
 	FirstToken(now time.Time, id uint64)
 }
 
-// AdmitInterval is how often queued requests are looked at again when nothing else
-// happens.
+// AdmitInterval is the period at which queued requests are reconsidered when no
+// request arrives or ends.
 const AdmitInterval = 50 * time.Millisecond
 
-// openDoor admits everything.
-type openDoor struct{}
+// admitAll is an Admitter that admits every request.
+type admitAll struct{}
 
-func (openDoor) Offer(time.Time, AdmissionRequest) Verdict      { return Admitted }
-func (openDoor) Finished(time.Time, uint64, int)                {}
-func (openDoor) Next(time.Time) (id uint64, v Verdict, ok bool) { return 0, Refused, false }
-func (openDoor) Digest(time.Time) any                           { return nil }
-func (openDoor) Merge(time.Time, int, any)                      {}
+func (admitAll) Offer(time.Time, AdmissionRequest) Verdict      { return Admitted }
+func (admitAll) Finished(time.Time, uint64, int)                {}
+func (admitAll) Next(time.Time) (id uint64, v Verdict, ok bool) { return 0, Refused, false }
+func (admitAll) Digest(time.Time) any                           { return nil }
+func (admitAll) Merge(time.Time, int, any)                      {}
--- a/lab/replay/bench.go
+++ b/lab/replay/bench.go
@@ -12,10 +12,10 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// maxAttempts bounds how often one request is sent.
+// maxAttempts is the number of times that a request is sent at most.
 const maxAttempts = 4
 
-// job is one request on its way.
+// job is the state of one request of a replay.
 type job struct {
 	id       uint64
 	org      contract.OrganisationID
@@ -26,66 +26,67 @@
 	arrived  time.Time
 	daemon   *daemon
 	hot      bool
-	reusable int // tokens that some earlier request had
-
-	attempts   int
-	avoid      []fleet.EndpointID
-	decision   placement.Decision
-	importFrom bool
-	answered   bool
-
-	runner    *runner
-	life      fleet.Incarnation
-	cached    int
-	left      int // tokens still to prefill
-	wasted    int // of those, held by another live runner
-	imported  int // tokens from the KV store
-	importing time.Duration
-	expected  int // what the oracle thinks is left
-}
-
-// before tells whether the job goes first in a runner's queue.
-func (j *job) before(k *job) bool {
+	reusable int // leading tokens that an earlier request had as well
+
+	attempts  int
+	avoid     []fleet.EndpointID
+	decision  placement.Decision
+	mayImport bool
+	answered  bool
+
+	runner      *runner
+	incarnation fleet.Incarnation
+	cached      int
+	remaining   int // tokens still to prefill
+	wasted      int // of remaining, cached at another live runner
+	imported    int // tokens from the KV store
+	importTime  time.Duration
+	predicted   int // tokens that the oracle expects to be prefilled
+}
+
+// precedes reports whether a runner serves j before k: by priority, then in the
+// order of arrival.
+func (j *job) precedes(k *job) bool {
 	if j.priority != k.priority {
 		return j.priority < k.priority
 	}
 	return j.id < k.id
 }
 
-// bench is one replay.
+// bench is the state of one replay.
 type bench struct {
-	o       Options
-	fleet   trace.Fleet
-	clock   clock
-	runners []*runner
-	byID    map[fleet.EndpointID]*runner
-	store   *store
-	daemons []*daemon
-	lost    *rand.Rand
-	seen    map[prefix.Key]struct{}
-	m       *meter
-}
-
-// Run replays a trace. It returns ErrTrace, ErrPolicy or ErrFault for options
-// that it cannot replay.
+	options   Options
+	fleet     trace.Fleet
+	clock     clock
+	runners   []*runner
+	byID      map[fleet.EndpointID]*runner
+	store     *store
+	daemons   []*daemon
+	eventLoss *rand.Rand
+	seenKeys  map[prefix.Key]struct{}
+	meter     *meter
+}
+
+// Run replays a trace and returns its report. The error is ErrTrace, ErrPolicy
+// or ErrFault if the options are not valid.
 func Run(o Options) (Report, error) {
 	o, err := o.withDefaults()
 	if err != nil {
 		return Report{}, err
 	}
 	b := newBench(o)
-	b.load()
-	b.periodic()
-	b.setFaults()
-	b.clock.runAll()
-	return b.m.report(b), nil
+	b.scheduleArrivals()
+	b.schedulePeriodic()
+	b.scheduleFaults()
+	b.clock.run()
+	return b.meter.report(b), nil
 }
 
 func newBench(o Options) *bench {
 	b := &bench{
-		o: o, fleet: o.Trace.Header.Fleet, clock: clock{now: start},
-		byID: map[fleet.EndpointID]*runner{}, lost: rand.New(rand.NewPCG(o.Seed, 3)),
-		seen: map[prefix.Key]struct{}{}, m: newMeter(),
+		options: o, fleet: o.Trace.Header.Fleet, clock: clock{now: startTime},
+		byID: map[fleet.EndpointID]*runner{}, eventLoss: rand.New(rand.NewPCG(o.Seed, 3)),
+		seenKeys: map[prefix.Key]struct{}{}, meter: newMeter(),
 	}
 	b.store = newStore(b)
 	for i := range b.fleet.Runners {
@@ -94,7 +95,7 @@
 		b.byID[r.id] = r
 	}
 	for i := range o.Daemons {
-		d := &daemon{b: b, index: i, zone: zoneName(i % b.fleet.Zones), held: map[uint64]*job{}}
+		d := &daemon{b: b, index: i, zone: zoneName(i % b.fleet.Zones), queued: map[uint64]*job{}}
 		d.start()
 		b.daemons = append(b.daemons, d)
 	}
@@ -103,7 +104,8 @@
 
 func zoneName(i int) fleet.ZoneID { return fleet.ZoneID(fmt.Sprintf("zone-%c", 'a'+i)) }
 
-// members is the platform's list, which names a runner that is down as well.
+// members returns the platform's list of endpoints, which includes runners that
+// are down.
 func (b *bench) members() []fleet.Endpoint {
 	var all []fleet.Endpoint
 	for _, r := range b.runners {
@@ -112,8 +114,8 @@
 	return all
 }
 
-// load sets the arrival of every request.
-func (b *bench) load() {
+// scheduleArrivals schedules the arrival of every request.
+func (b *bench) scheduleArrivals() {
 	for i, j := range b.jobs() {
 		j.id = uint64(i + 1)
 		b.clock.at(j.arrived, func() { b.arrive(j) })
@@ -122,28 +124,28 @@
 
 func (b *bench) arrive(j *job) {
 	for _, l := range j.levels {
-		if _, ok := b.seen[l.Key]; !ok {
+		if _, ok := b.seenKeys[l.Key]; !ok {
 			break
 		}
 		j.reusable = l.Tokens
 	}
 	for _, l := range j.levels {
-		b.seen[l.Key] = struct{}{}
+		b.seenKeys[l.Key] = struct{}{}
 	}
 	j.daemon.arrive(j)
 }
 
-func (b *bench) periodic() {
+func (b *bench) schedulePeriodic() {
 	for i, r := range b.runners {
-		phase := b.o.ReportEvery * time.Duration(i) / time.Duration(len(b.runners))
-		b.clock.every(phase, b.o.ReportEvery, func() { b.sendLoad(r) })
-		b.clock.every(phase, b.o.EventEvery, func() { b.sendEvents(r) })
+		phase := b.options.ReportEvery * time.Duration(i) / time.Duration(len(b.runners))
+		b.clock.every(phase, b.options.ReportEvery, func() { b.sendLoad(r) })
+		b.clock.every(phase, b.options.EventEvery, func() { b.sendEvents(r) })
 	}
 	for _, d := range b.daemons {
 		b.clock.every(AdmitInterval, AdmitInterval, d.tick)
-		phase := b.o.DigestEvery * time.Duration(d.index+1) / time.Duration(len(b.daemons))
-		b.clock.every(phase, b.o.DigestEvery, d.digest)
-		b.clock.every(phase, b.o.AnnounceEvery, d.notify)
+		phase := b.options.DigestEvery * time.Duration(d.index+1) / time.Duration(len(b.daemons))
+		b.clock.every(phase, b.options.DigestEvery, d.sendDigest)
+		b.clock.every(phase, b.options.AnnounceEvery, d.announce)
 	}
 }
 
@@ -152,7 +154,7 @@
 		return
 	}
 	l := r.load()
-	b.clock.push(b.clock.now.Add(b.o.ReportLag), func() {
+	b.clock.background(b.clock.now.Add(b.options.ReportLag), func() {
 		for _, d := range b.daemons {
 			d.loadReported(r.id, l)
 		}
@@ -160,46 +162,47 @@
 }
 
 func (b *bench) sendEvents(r *runner) {
-	batch, ok := r.flush()
+	batch, ok := r.takeEvents()
 	if !ok || r.down {
 		return
 	}
-	b.clock.push(b.clock.now.Add(b.o.EventLag), func() {
+	b.clock.background(b.clock.now.Add(b.options.EventLag), func() {
 		for _, d := range b.daemons {
-			if b.lost.Float64() >= b.o.EventLoss {
-				d.chooser.events(batch)
+			if b.eventLoss.Float64() >= b.options.EventLoss {
+				d.chooser.cacheEvents(batch)
 			}
 		}
 	})
 }
 
-// delay is the one-way delay between a daemon and a runner.
+// delay returns the one-way network delay between a daemon and a runner.
 func (b *bench) delay(d *daemon, r *runner) time.Duration {
 	if d.zone == r.zone {
 		return 0
 	}
-	return b.o.ZoneDelay
+	return b.options.ZoneDelay
 }
 
-// send gives a job to a runner.
+// send sends a job to a runner. If the runner is down, the failure reaches the
+// daemon after the network delay.
 func (b *bench) send(j *job, r *runner) {
 	j.attempts++
-	j.life = r.life
-	r.comes(j)
+	j.incarnation = r.incarnation
+	r.expect(j)
 	b.clock.after(b.delay(j.daemon, r), func() {
-		if !r.take(j) {
-			r.gone(j)
+		if !r.enqueue(j) {
+			r.unexpect(j)
 			b.clock.after(b.delay(j.daemon, r), func() { j.daemon.failed(j, r) })
 			return
 		}
-		b.m.began(b, j)
+		b.meter.reachedRunner(b, j)
 	})
 }
 
 func (b *bench) firstToken(j *job) {
 	l := j.runner.load()
 	r := j.runner
-	b.m.prefilled(j)
+	b.meter.prefilled(j)
 	b.clock.after(b.delay(j.daemon, r), func() { j.daemon.firstToken(j, r.id, l) })
 }
 
@@ -207,9 +210,9 @@
 	b.clock.after(b.delay(j.daemon, j.runner), func() { j.daemon.finished(j) })
 }
 
-// bestElsewhere is the number of levels that the best of the other live
-// runners holds.
-func (b *bench) bestElsewhere(j *job) int {
+// longestMatchElsewhere returns the greatest number of leading levels that any
+// other live runner has cached.
+func (b *bench) longestMatchElsewhere(j *job) int {
 	best := 0
 	for _, r := range b.runners {
 		if r != j.runner && !r.down {
@@ -219,11 +222,12 @@
 	return best
 }
 
-// retry places a job again after a failed attempt.
+// retry dispatches a job again after a failed attempt, avoiding the runner that
+// failed. After maxAttempts the job ends.
 func (b *bench) retry(j *job, r *runner) {
 	j.avoid = append(j.avoid, r.id)
 	if j.attempts >= maxAttempts {
-		b.m.outcome("attempts used up")
+		b.meter.refused("attempts used up")
 		j.daemon.ended(j, 0)
 		return
 	}
--- a/lab/replay/cache.go
+++ b/lab/replay/cache.go
@@ -6,13 +6,13 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// cache is a runner's or the store's block cache. It evicts what was used
-// least recently, and of one prompt the deepest piece first.
+// cache is the block cache of a runner or of the KV store. It evicts the least
+// recently used piece, and the deepest piece of a prompt first.
 type cache struct {
 	capacity int // tokens
 	used     int
 	index    map[prefix.Key]*list.Element
-	order    *list.List // front: used last
+	order    *list.List // front: most recently used
 	onChange func(k prefix.Key, stored bool)
 }
 
@@ -25,7 +25,8 @@
 	return &cache{capacity: capacity, index: map[prefix.Key]*list.Element{}, order: list.New(), onChange: onChange}
 }
 
-// match returns how many leading levels are cached, and does not touch them.
+// match returns how many leading levels are cached, without marking them as
+// used.
 func (c *cache) match(levels []prefix.Level) int {
 	for i := range levels {
 		if _, ok := c.index[levels[i].Key]; !ok {
@@ -44,7 +45,7 @@
 	}
 }
 
-// store puts all levels in, and evicts what no longer fits.
+// store adds all levels, and evicts pieces until the capacity is kept.
 func (c *cache) store(levels []prefix.Level) {
 	for i := len(levels) - 1; i >= 0; i-- {
 		k := levels[i].Key
@@ -52,7 +53,7 @@
 			c.order.MoveToFront(e)
 			continue
 		}
-		p := piece{key: k, tokens: levels[i].Tokens - tokensOf(levels, i)}
+		p := piece{key: k, tokens: levels[i].Tokens - prefixTokens(levels, i)}
 		c.index[k] = c.order.PushFront(p)
 		c.used += p.tokens
 		c.onChange(k, true)
@@ -73,8 +74,8 @@
 	c.order.Init()
 }
 
-// tokensOf is the length of the first n levels.
-func tokensOf(levels []prefix.Level, n int) int {
+// prefixTokens returns the number of tokens of the first n levels.
+func prefixTokens(levels []prefix.Level, n int) int {
 	if n == 0 {
 		return 0
 	}
--- a/lab/replay/chooser.go
+++ b/lab/replay/chooser.go
@@ -8,59 +8,59 @@
 	"github.com/merlindock/merlindock/placement/baseline"
 )
 
-// poolName is the one pool of a replay.
+// poolName names the only pool of a replay.
 const poolName = "runners"
 
-// storeID names the KV store.
+// storeID is the endpoint ID of the KV store.
 const storeID fleet.EndpointID = "store"
 
-// chooser is a policy at one daemon.
+// chooser applies a placement policy at one daemon.
 type chooser interface {
 	place(now time.Time, j *job) (placement.Decision, error)
 	answered(now time.Time, j *job, id fleet.EndpointID, l fleet.Load)
 	finished(now time.Time, j *job)
 	failed(now time.Time, j *job, id fleet.EndpointID)
-	load(id fleet.EndpointID, l fleet.Load)
-	events(batch placement.EventBatch)
-	gate(id fleet.EndpointID, g placement.Availability)
+	loadReported(id fleet.EndpointID, l fleet.Load)
+	cacheEvents(batch placement.EventBatch)
+	setAvailability(id fleet.EndpointID, g placement.Availability)
 	expire(now time.Time)
 }
 
 func newChooser(d *daemon) chooser {
-	switch d.b.o.Policy {
+	switch d.b.options.Policy {
 	case PolicyOracle:
 		return &oracle{b: d.b, d: d}
 	case PolicyAllSources, PolicyAnswersOnly, PolicyLoadOnly:
 		return newViewChooser(d)
 	default:
-		return &baseChooser{c: baseline.New(baseline.Kind(d.b.o.Policy), d.b.o.Seed<<8+uint64(d.index), d.b.members())}
+		return &baselineChooser{c: baseline.New(baseline.Kind(d.b.options.Policy), d.b.options.Seed<<8+uint64(d.index), d.b.members())}
 	}
 }
 
-// viewChooser is the product's own decision code.
+// viewChooser places requests with the daemon's own placement code.
 type viewChooser struct {
-	v               *placement.View
-	learns, follows bool
+	view                    *placement.View
+	usesAnswers, usesEvents bool
 }
 
 func newViewChooser(d *daemon) *viewChooser {
 	f := d.b.fleet
 	c := &viewChooser{
-		v: placement.NewView(placement.Options{
-			Zone: d.zone, Daemons: d.b.o.Daemons, PrefillRate: f.PrefillRate, ZoneDelay: d.b.o.ZoneDelay,
+		view: placement.NewView(placement.Options{
+			Zone: d.zone, Daemons: d.b.options.Daemons, PrefillRate: f.PrefillRate, ZoneDelay: d.b.options.ZoneDelay,
 		}),
-		learns:  d.b.o.Policy != PolicyLoadOnly,
-		follows: d.b.o.Policy == PolicyAllSources,
+		usesAnswers: d.b.options.Policy != PolicyLoadOnly,
+		usesEvents:  d.b.options.Policy == PolicyAllSources,
 	}
-	c.v.SetPool(poolName, d.b.members())
+	c.view.SetPool(poolName, d.b.members())
 	if f.StoreTokens > 0 {
-		c.v.SetStore(storeID)
+		c.view.SetStore(storeID)
 	}
 	return c
 }
 
 func (c *viewChooser) place(now time.Time, j *job) (placement.Decision, error) {
-	return c.v.Place(now, j.request())
+	return c.view.Place(now, j.request())
 }
 
 func (j *job) request() placement.Request {
@@ -71,46 +71,50 @@
 
 func (c *viewChooser) answered(now time.Time, j *job, id fleet.EndpointID, l fleet.Load) {
 	a := placement.Answer{ID: j.id, Endpoint: id, Incarnation: l.Incarnation, Load: &l}
-	if c.learns {
+	if c.usesAnswers {
 		a.CachedTokens, a.Levels = j.cached, j.levels
 	}
-	c.v.Answered(now, a)
+	c.view.Answered(now, a)
 }
 
-func (c *viewChooser) finished(now time.Time, j *job) { c.v.Finished(now, j.id) }
+func (c *viewChooser) finished(now time.Time, j *job) { c.view.Finished(now, j.id) }
 
 func (c *viewChooser) failed(now time.Time, j *job, id fleet.EndpointID) {
-	c.v.Failed(now, placement.Failure{ID: j.id, Endpoint: id, ConnectionLost: true})
+	c.view.Failed(now, placement.Failure{ID: j.id, Endpoint: id, ConnectionLost: true})
 }
 
-func (c *viewChooser) load(id fleet.EndpointID, l fleet.Load) { c.v.LoadReported(id, l) }
+func (c *viewChooser) loadReported(id fleet.EndpointID, l fleet.Load) { c.view.LoadReported(id, l) }
 
-func (c *viewChooser) events(batch placement.EventBatch) {
-	if c.follows {
-		c.v.CacheEvents(batch)
+func (c *viewChooser) cacheEvents(batch placement.EventBatch) {
+	if c.usesEvents {
+		c.view.CacheEvents(batch)
 	}
 }
 
-func (c *viewChooser) gate(id fleet.EndpointID, g placement.Availability) { c.v.SetAvailability(id, g) }
-func (c *viewChooser) expire(now time.Time)                               { c.v.Expire(now) }
+func (c *viewChooser) setAvailability(id fleet.EndpointID, g placement.Availability) {
+	c.view.SetAvailability(id, g)
+}
+func (c *viewChooser) expire(now time.Time) { c.view.Expire(now) }
 
-// baseChooser is one of the baselines. They learn nothing from answers but the
-// load.
-type baseChooser struct{ c *baseline.Chooser }
+// baselineChooser places requests with a baseline policy. Baselines use the
+// load that comes with an answer, and nothing else of it.
+type baselineChooser struct{ c *baseline.Chooser }
 
-func (c *baseChooser) place(now time.Time, j *job) (placement.Decision, error) {
+func (c *baselineChooser) place(now time.Time, j *job) (placement.Decision, error) {
 	id, err := c.c.Place(now, j.request())
 	return placement.Decision{Endpoint: id}, err
 }
 
-func (c *baseChooser) answered(_ time.Time, _ *job, id fleet.EndpointID, l fleet.Load) {
+func (c *baselineChooser) answered(_ time.Time, _ *job, id fleet.EndpointID, l fleet.Load) {
 	c.c.LoadReported(id, l)
 }
 
-func (c *baseChooser) load(id fleet.EndpointID, l fleet.Load) { c.c.LoadReported(id, l) }
+func (c *baselineChooser) loadReported(id fleet.EndpointID, l fleet.Load) { c.c.LoadReported(id, l) }
 
-func (c *baseChooser) gate(id fleet.EndpointID, g placement.Availability) { c.c.SetAvailability(id, g) }
-func (c *baseChooser) finished(time.Time, *job)                           {}
-func (c *baseChooser) failed(time.Time, *job, fleet.EndpointID)           {}
-func (c *baseChooser) events(placement.EventBatch)                        {}
-func (c *baseChooser) expire(time.Time)                                   {}
+func (c *baselineChooser) setAvailability(id fleet.EndpointID, g placement.Availability) {
+	c.c.SetAvailability(id, g)
+}
+func (c *baselineChooser) finished(time.Time, *job)                 {}
+func (c *baselineChooser) failed(time.Time, *job, fleet.EndpointID) {}
+func (c *baselineChooser) cacheEvents(placement.EventBatch)         {}
+func (c *baselineChooser) expire(time.Time)                         {}
--- a/lab/replay/clock.go
+++ b/lab/replay/clock.go
@@ -5,16 +5,16 @@
 	"time"
 )
 
-// start is the moment at which every replay begins.
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+// startTime is the virtual time at which every replay begins.
+var startTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// clock runs events in the order of their time, and in the order in which they
-// were set where times are equal.
+// clock runs events in virtual time, in the order of their time. Events of the
+// same time run in the order in which they were scheduled.
 type clock struct {
-	now    time.Time
-	events eventHeap
-	seq    uint64
-	work   int // events that are not periodic
+	now     time.Time
+	events  eventHeap
+	seq     uint64
+	pending int // scheduled events that keep the replay running
 }
 
 type event struct {
@@ -23,36 +23,37 @@
 	run func()
 }
 
-// at sets an event that the replay waits for.
+// at schedules an event that keeps the replay running until it has run.
 func (c *clock) at(t time.Time, run func()) {
-	c.work++
-	c.push(t, func() {
-		c.work--
+	c.pending++
+	c.background(t, func() {
+		c.pending--
 		run()
 	})
 }
 
 func (c *clock) after(d time.Duration, run func()) { c.at(c.now.Add(d), run) }
 
-// every repeats an event until nothing else is left to happen.
+// every runs an event periodically while other events are pending.
 func (c *clock) every(first, period time.Duration, run func()) {
 	var again func()
 	again = func() {
 		run()
-		if c.work > 0 {
-			c.push(c.now.Add(period), again)
+		if c.pending > 0 {
+			c.background(c.now.Add(period), again)
 		}
 	}
-	c.push(c.now.Add(first), again)
+	c.background(c.now.Add(first), again)
 }
 
-func (c *clock) push(t time.Time, run func()) {
+// background schedules an event that does not keep the replay running.
+func (c *clock) background(t time.Time, run func()) {
 	c.seq++
 	heap.Push(&c.events, event{at: t, seq: c.seq, run: run})
 }
 
-func (c *clock) runAll() {
-	for len(c.events) > 0 && c.work > 0 {
+func (c *clock) run() {
+	for len(c.events) > 0 && c.pending > 0 {
 		e := heap.Pop(&c.events).(event)
 		c.now = e.at
 		e.run()
--- a/lab/replay/daemon.go
+++ b/lab/replay/daemon.go
@@ -7,62 +7,62 @@
 	"github.com/merlindock/merlindock/placement"
 )
 
-// daemon is one router: an admitter and a chooser with a view of its own.
+// daemon is one router, with its own admitter and chooser.
 type daemon struct {
 	b       *bench
 	index   int
 	zone    fleet.ZoneID
 	admit   Admitter
 	chooser chooser
-	held    map[uint64]*job // queued by the admitter
+	queued  map[uint64]*job // queued by the admitter
 	ejected map[fleet.EndpointID]time.Time
 }
 
-// start gives the daemon an empty state, as after a restart. Requests in
-// flight go on, as in a graceful one.
+// start resets the daemon to an empty state, as after a restart. Requests in
+// flight continue, as in a graceful restart; queued ones are refused.
 func (d *daemon) start() {
-	d.admit = openDoor{}
-	if d.b.o.NewAdmitter != nil {
-		d.admit = d.b.o.NewAdmitter(d.index, d.b.o.Trace.Header)
+	d.admit = admitAll{}
+	if d.b.options.NewAdmitter != nil {
+		d.admit = d.b.options.NewAdmitter(d.index, d.b.options.Trace.Header)
 	}
 	d.chooser = newChooser(d)
 	d.ejected = map[fleet.EndpointID]time.Time{}
-	for _, j := range d.held {
-		d.b.m.outcome("refused: restart")
-		delete(d.held, j.id)
+	for _, j := range d.queued {
+		d.b.meter.refused("refused: restart")
+		delete(d.queued, j.id)
 	}
 }
 
 func (d *daemon) arrive(j *job) {
-	ask := AdmissionRequest{ID: j.id, Organisation: j.org, Priority: j.priority, Tokens: j.tokens + j.output}
-	d.b.m.offered(j)
-	switch d.admit.Offer(d.b.clock.now, ask) {
+	request := AdmissionRequest{ID: j.id, Organisation: j.org, Priority: j.priority, Tokens: j.tokens + j.output}
+	d.b.meter.offered(j)
+	switch d.admit.Offer(d.b.clock.now, request) {
 	case Admitted:
 		d.dispatch(j)
 	case Queued:
-		d.held[j.id] = j
+		d.queued[j.id] = j
 	case Refused:
-		d.b.m.outcome("refused: share")
+		d.b.meter.refused("refused: share")
 	}
 	d.drain()
 }
 
-// drain asks the admitter for the fate of what it holds.
+// drain dispatches or refuses queued requests as the admitter decides.
 func (d *daemon) drain() {
 	for {
 		id, v, ok := d.admit.Next(d.b.clock.now)
 		if !ok {
 			return
 		}
-		j := d.held[id]
+		j := d.queued[id]
 		if j == nil {
 			continue
 		}
-		delete(d.held, id)
+		delete(d.queued, id)
 		if v == Admitted {
 			d.dispatch(j)
 		} else {
-			d.b.m.outcome("refused: waited")
+			d.b.meter.refused("refused: waited")
 		}
 	}
 }
@@ -72,12 +72,12 @@
 	d.drain()
 }
 
-func (d *daemon) digest() {
+func (d *daemon) sendDigest() {
 	msg := d.admit.Digest(d.b.clock.now)
 	if msg == nil {
 		return
 	}
-	d.b.clock.push(d.b.clock.now.Add(d.b.o.DigestLag), func() {
+	d.b.clock.background(d.b.clock.now.Add(d.b.options.DigestLag), func() {
 		for _, peer := range d.b.daemons {
 			if peer != d {
 				peer.admit.Merge(d.b.clock.now, d.index, msg)
@@ -86,21 +86,22 @@
 	})
 }
 
-// notify sends the other daemons the notices of what was placed cold.
-func (d *daemon) notify() {
+// announce sends the placement announcements of cold prefixes to the other
+// daemons.
+func (d *daemon) announce() {
 	c, ok := d.chooser.(*viewChooser)
-	if !ok || !c.follows {
+	if !ok || !c.usesEvents {
 		return
 	}
-	notices := c.v.TakeAnnouncements(nil)
-	d.b.m.notices += len(notices)
-	if len(notices) == 0 {
+	announcements := c.view.TakeAnnouncements(nil)
+	d.b.meter.announcements += len(announcements)
+	if len(announcements) == 0 {
 		return
 	}
-	d.b.clock.push(d.b.clock.now.Add(d.b.o.AnnounceLag), func() {
+	d.b.clock.background(d.b.clock.now.Add(d.b.options.AnnounceLag), func() {
 		for _, peer := range d.b.daemons {
 			if peer != d {
-				peer.chooser.(*viewChooser).v.ReceiveAnnouncements(notices)
+				peer.chooser.(*viewChooser).view.ReceiveAnnouncements(announcements)
 			}
 		}
 	})
@@ -109,12 +110,12 @@
 func (d *daemon) dispatch(j *job) {
 	decision, err := d.chooser.place(d.b.clock.now, j)
 	if err != nil {
-		d.b.m.outcome("refused: no endpoint")
+		d.b.meter.refused("refused: no endpoint")
 		d.ended(j, 0)
 		return
 	}
 	j.decision = decision
-	j.importFrom = decision.ImportFrom != ""
+	j.mayImport = decision.ImportFrom != ""
 	d.b.send(j, d.b.byID[decision.Endpoint])
 }
 
@@ -123,7 +124,7 @@
 	d.chooser.answered(now, j, id, l)
 	if !j.answered {
 		j.answered = true
-		d.b.m.firstToken(d.b, j)
+		d.b.meter.firstToken(d.b, j)
 		if s, ok := d.admit.(FirstTokenObserver); ok {
 			s.FirstToken(now, j.id)
 			d.drain()
@@ -133,22 +134,22 @@
 
 func (d *daemon) finished(j *job) {
 	d.chooser.finished(d.b.clock.now, j)
-	d.b.m.finished(j)
+	d.b.meter.finished(j)
 	d.ended(j, j.tokens-j.cached+j.output)
 }
 
-// ended tells the admitter what a request cost.
+// ended reports the cost of a finished request to the admitter.
 func (d *daemon) ended(j *job, tokens int) {
 	d.admit.Finished(d.b.clock.now, j.id, tokens)
 	d.drain()
 }
 
-// failed takes a refused or lost connection, ejects the runner until it is
-// heard of again, and places the job elsewhere.
+// failed handles a refused or lost connection: it ejects the runner until a
+// later load report of it arrives, and retries the job at another runner.
 func (d *daemon) failed(j *job, r *runner) {
 	now := d.b.clock.now
 	d.chooser.failed(now, j, r.id)
-	d.chooser.gate(r.id, placement.Ejected)
+	d.chooser.setAvailability(r.id, placement.Ejected)
 	d.ejected[r.id] = now
 	d.b.retry(j, r)
 }
@@ -156,7 +157,7 @@
 func (d *daemon) loadReported(id fleet.EndpointID, l fleet.Load) {
 	if since, ok := d.ejected[id]; ok && l.At.After(since) {
 		delete(d.ejected, id)
-		d.chooser.gate(id, placement.Available)
+		d.chooser.setAvailability(id, placement.Available)
 	}
-	d.chooser.load(id, l)
+	d.chooser.loadReported(id, l)
 }
--- a/lab/replay/figures/figures.go
+++ b/lab/replay/figures/figures.go
@@ -1,5 +1,5 @@
-// Package figures replays generated traces under every policy and sums the
-// reports up as a table and as plots.
+// Package figures replays generated traces under every policy and summarises
+// the reports as a table and as plots.
 package figures
 
 import (
@@ -16,16 +16,16 @@
 	"github.com/merlindock/merlindock/lab/trace"
 )
 
-// Workload is one workload at one rate of requests.
+// Workload is a generated trace at one rate of requests.
 type Workload struct {
 	Name     string
 	Generate func(trace.Generate) *trace.Trace
 	Rate     float64 // requests/s
 }
 
-// Workloads lists the loads of the comparison. The oracle's runners prefill or
-// import for about half of the time in the first of each workload, and for
-// about 85% in the second.
+// Workloads lists the workloads of the comparison: for each trace, one rate at
+// which the oracle's runners prefill or import for about half of the time, and
+// one at which they do so for about 85% of it.
 func Workloads() []Workload {
 	return []Workload{
 		{Name: "Registre 35/s", Generate: trace.Registre, Rate: 35},
@@ -35,14 +35,15 @@
 	}
 }
 
-// Row is the mean over the seeds of one policy under one load.
+// Row holds the figures of one policy under one workload: means over the seeds,
+// unless stated otherwise.
 type Row struct {
 	Workload      string
 	Policy        replay.Policy
 	HitRate       float64
-	MinHitRatio   float64 // least of HitRate over the oracle's
+	MinHitRatio   float64 // least ratio of HitRate to the oracle's, over the seeds
 	Wasted        float64
-	MaxWasteRatio float64 // greatest of Wasted over the oracle's
+	MaxWasteRatio float64 // greatest ratio of Wasted to the oracle's, over the seeds
 	Utilisation   float64
 	P50           float64 // first token of interactive requests, ms
 	P95           float64
@@ -50,7 +51,8 @@
 	StandardP99   float64 // p99 of standard requests, ms
 }
 
-// Compare replays every load under every policy with the seeds 1 to seeds.
+// Compare replays every workload under every policy with the seeds 1 to seeds,
+// and returns one row for each pair.
 func Compare(seeds int, duration time.Duration) ([]Row, error) {
 	policies := replay.Policies()
 	var rows []Row
@@ -73,14 +75,15 @@
 			return nil, err
 		}
 		for i := range policies {
-			rows = append(rows, sum(l, reports[i], reports[0]))
+			rows = append(rows, summarise(l, reports[i], reports[0]))
 		}
 	}
 	return rows, nil
 }
 
-// sum averages the reports of one policy and compares each with the oracle's.
-func sum(l Workload, reports, oracle []replay.Report) Row {
+// summarise averages the reports of one policy and compares each with the
+// oracle's report of the same seed.
+func summarise(l Workload, reports, oracle []replay.Report) Row {
 	row := Row{Workload: l.Name, Policy: reports[0].Policy, MinHitRatio: 1e9}
 	n := float64(len(reports))
 	for i, r := range reports {
--- a/lab/replay/figures/plot.go
+++ b/lab/replay/figures/plot.go
@@ -14,24 +14,25 @@
 	"github.com/merlindock/merlindock/lab/replay"
 )
 
-// Size of a plot.
+// Dimensions and colours of a plot.
 const (
 	width    = 24 * vg.Centimeter
 	height   = 11 * vg.Centimeter
 	barWidth = 9 // points
-	// oracleGrey sets the oracle apart from what can be built.
+	// oracleGrey distinguishes the oracle from the policies that can be deployed.
 	oracleGrey = 0x90
 )
 
-// PlotHitRate draws the hit rate of every policy under every load into a file
-// whose ending gives the format.
+// PlotHitRate draws the hit rate of every policy under every workload into a
+// file. The extension of its name selects the format.
 func PlotHitRate(rows []Row, file string) error {
 	return draw(rows, file, "Prefix hit rate by policy", "tokens reused / reusable", false,
 		func(r Row) float64 { return r.HitRate })
 }
 
-// PlotFirstToken draws the 99th percentile of interactive requests' first
-// token in the same way, on a logarithmic scale.
+// PlotFirstToken draws the 99th percentile of the time to the first token of
+// interactive requests, on a logarithmic scale, into a file whose extension
+// selects the format.
 func PlotFirstToken(rows []Row, file string) error {
 	return draw(rows, file, "First token of interactive requests, p99, by policy", "seconds", true,
 		func(r Row) float64 { return r.P99 / 1000 })
@@ -79,8 +80,8 @@
 	return p.Save(width, height, file)
 }
 
-// logScale is a logarithmic axis that puts the foot of a bar, which is at
-// zero, at the bottom.
+// logScale is a logarithmic axis that maps the base of a bar, which is zero, to
+// the lower end of the axis.
 type logScale struct{}
 
 func (logScale) Normalize(low, high, x float64) float64 {
--- a/lab/replay/options.go
+++ b/lab/replay/options.go
@@ -1,13 +1,12 @@
 // Package replay drives the decision packages in virtual time with recorded
-// traffic, against small runner fakes.
+// traffic, against simple fakes of runners.
 //
 // Each daemon has its own view and sees only the requests that the balancer
-// gives it. Runners have a block cache that evicts the least recently used,
-// a prefill rate, batch slots and a queue by priority; their load reports and
-// cache events come late and some events are lost. Between daemon and runner
-// there is a fixed delay and nothing else: this is not a simulator of a
-// cluster. A replay is a function of its options; the same options give the
-// same report.
+// sends to it. A runner has a block cache with LRU eviction, a prefill rate,
+// batch slots and a priority queue; its load reports and cache events are
+// delayed, and some batches of events are lost. The network between a daemon
+// and a runner is a fixed delay; nothing else of a cluster is simulated. A
+// replay is deterministic: the same options give the same report.
 package replay
 
 import (
@@ -20,20 +19,21 @@
 	"github.com/merlindock/merlindock/placement/baseline"
 )
 
-// Policy names a way of placing requests.
+// Policy names a placement policy.
 type Policy string
 
-// The policies besides the baselines.
+// Policies other than the baselines.
 const (
-	// PolicyOracle sees every cache and queue at once, with no delay.
+	// PolicyOracle knows every cache and queue without delay or loss.
 	PolicyOracle Policy = "oracle"
-	// PolicyAllSources is the product: placement.View fed by all it can get.
+	// PolicyAllSources is placement.View with load reports, answers, cache events
+	// and placement announcements.
 	PolicyAllSources Policy = "learnt"
-	// PolicyAnswersOnly is the product without cache events and notices, as at the
-	// target's size.
+	// PolicyAnswersOnly is placement.View without cache events and placement
+	// announcements, as daemons run in a fleet of the target's size.
 	PolicyAnswersOnly Policy = "answers"
-	// PolicyLoadOnly is the product told only of load: rendezvous hashing with
-	// bounded waits.
+	// PolicyLoadOnly is placement.View with load reports only, which makes it
+	// rendezvous hashing with bounded waits.
 	PolicyLoadOnly Policy = "homes"
 )
 
@@ -49,12 +49,13 @@
 // FaultKind names a fault.
 type FaultKind string
 
-// The faults. Each comes at a third of the trace, or at FaultAt.
+// Kinds of faults. A fault occurs at FaultAt, by default after a third of the
+// trace.
 const (
-	FaultCrash     FaultKind = "crash"    // one runner dies and returns empty
-	FaultRestart   FaultKind = "restart"  // all daemons restart and know nothing
-	FaultHotPrefix FaultKind = "hot"      // a new prefix takes half of all requests
-	FaultOverload  FaultKind = "overload" // the largest organisation sends three times its traffic
+	FaultCrash     FaultKind = "crash"    // the busiest runner dies and restarts with an empty cache
+	FaultRestart   FaultKind = "restart"  // all daemons restart with empty state
+	FaultHotPrefix FaultKind = "hot"      // half of all requests ask for one new prefix
+	FaultOverload  FaultKind = "overload" // the largest organisation triples its traffic
 )
 
 // Faults lists all faults.
@@ -69,28 +70,28 @@
 	ErrTrace  = errors.New("replay: the trace has no requests")
 )
 
-// Options says what to replay. Zero fields take the defaults, or the trace's
-// values.
+// Options configure a replay. A zero field takes its default, or the value of
+// the trace.
 type Options struct {
 	Trace    *trace.Trace
 	Policy   Policy
 	Daemons  int
-	Seed     uint64  // of the balancer and of what is lost
-	Speed    float64 // how much faster than recorded requests arrive; default 1
+	Seed     uint64  // of the balancer's choices and of lost events
+	Speed    float64 // factor by which requests arrive faster than recorded; default 1
 	Faults   []FaultKind
 	FaultAt  time.Duration // default: a third of the trace
 	Downtime time.Duration // of the crashed runner
 
-	ReportEvery   time.Duration // between two load reports of a runner
+	ReportEvery   time.Duration // interval of a runner's load reports
 	ReportLag     time.Duration
-	EventEvery    time.Duration // between two batches of cache events
+	EventEvery    time.Duration // interval of a runner's batches of cache events
 	EventLag      time.Duration
-	EventLoss     float64 // part of the batches that a daemon never gets
+	EventLoss     float64 // fraction of the batches that do not reach a daemon
 	ZoneDelay     time.Duration
-	AnnounceEvery time.Duration // between two batches of notices between daemons
+	AnnounceEvery time.Duration // interval of placement announcements between daemons
 	AnnounceLag   time.Duration
 
-	NewAdmitter func(daemon int, h trace.Header) Admitter // nil: all are admitted
+	NewAdmitter func(daemon int, h trace.Header) Admitter // nil: every request is admitted
 	DigestEvery time.Duration
 	DigestLag   time.Duration
 }
@@ -110,7 +111,7 @@
 	DefaultDigestLag     = 200 * time.Millisecond
 )
 
-// NoEventLoss is the EventLoss of a replay that loses no events, since 0 takes
+// NoEventLoss is the value of EventLoss for a replay without loss; 0 selects
 // the default.
 const NoEventLoss = -1
 
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -10,8 +10,8 @@
 	"github.com/merlindock/merlindock/lab/trace"
 )
 
-// small is a Tsukushi trace of 20 seconds at half load.
-func small(seed uint64) *trace.Trace {
+// shortTrace returns a Tsukushi trace of 20 seconds at half load.
+func shortTrace(seed uint64) *trace.Trace {
 	return trace.Tsukushi(trace.Generate{Seed: seed, Duration: 20 * time.Second, Rate: 16})
 }
 
@@ -24,8 +24,8 @@
 	return r
 }
 
-func TestRunRefusesWhatItDoesNotKnow(t *testing.T) {
-	tr := small(1)
+func TestRunRefusesInvalidOptions(t *testing.T) {
+	tr := shortTrace(1)
 	for want, o := range map[error]Options{
 		ErrTrace:  {Policy: PolicyAllSources},
 		ErrPolicy: {Trace: tr, Policy: "best"},
@@ -37,8 +37,8 @@
 	}
 }
 
-func TestEveryRequestIsAnsweredOnceByEveryPolicy(t *testing.T) {
-	tr := small(1)
+func TestPoliciesAnswerEveryRequest(t *testing.T) {
+	tr := shortTrace(1)
 	for _, p := range Policies() {
 		r := run(t, Options{Trace: tr, Policy: p, Seed: 1})
 		if r.Answered != len(tr.Requests) || len(r.Refusals) != 0 {
@@ -47,8 +47,8 @@
 	}
 }
 
-func TestSameOptionsSameReport(t *testing.T) {
-	o := Options{Trace: small(2), Policy: PolicyAllSources, Seed: 2, Faults: Faults()}
+func TestReplayIsDeterministic(t *testing.T) {
+	o := Options{Trace: shortTrace(2), Policy: PolicyAllSources, Seed: 2, Faults: Faults()}
 	if diff := cmp.Diff(run(t, o), run(t, o)); diff != "" {
 		t.Errorf("two replays differ:\n%s", diff)
 	}
--- a/lab/replay/report.go
+++ b/lab/replay/report.go
@@ -19,32 +19,32 @@
 
 	Requests     int            `json:"requests"`
 	Answered     int            `json:"answered"`
-	Refusals     map[string]int `json:"refusals"` // by outcome
+	Refusals     map[string]int `json:"refusals"` // requests that were not answered, by reason
 	PromptTokens int            `json:"prompt_tokens"`
 
-	HitRate          float64 `json:"hit_rate"`    // tokens reused / tokens that an earlier request had
-	WastedFraction   float64 `json:"wasted"`      // tokens prefilled that another live runner held / prompt tokens
-	ImportedFraction float64 `json:"imported"`    // tokens taken from the KV store / prompt tokens
-	Utilisation      float64 `json:"utilisation"` // part of the time that runners prefill
+	HitRate          float64 `json:"hit_rate"`    // reused tokens / tokens that an earlier request had
+	WastedFraction   float64 `json:"wasted"`      // prefilled tokens that another live runner had cached / prompt tokens
+	ImportedFraction float64 `json:"imported"`    // tokens imported from the KV store / prompt tokens
+	Utilisation      float64 `json:"utilisation"` // fraction of the time in which runners prefill or import
 
 	FirstToken map[string]Quantiles `json:"first_token"` // by priority
 
-	ShareError    float64        `json:"share_error"` // greatest relative error against the fair share of the work done
+	ShareError    float64        `json:"share_error"` // largest relative deviation from the fair share of the work done
 	Organisations []Organisation `json:"organisations"`
 
-	Announcements      int     `json:"notices"`        // sent by all daemons, each to all others
-	ReliedOnLostCache  int     `json:"relied_on_dead"` // began where the counted-on cache had died
-	CrashLoadSkew      float64 `json:"herd"`           // new tokens of the busiest runner / mean, from FaultAt for Downtime
-	Retried            int     `json:"retried"`        // requests sent once more after a failure
-	RetryConcentration float64 `json:"moved"`          // part of those that the one runner with most of them got
-	HotSettledSeconds  float64 `json:"hot_settled_s"`  // until p95 of the hot prefix meets the first-token limit
-	// HotFirstToken is of requests for the hot prefix, batch ones left out,
-	// that came 5 s after its appearance or later.
+	Announcements      int     `json:"notices"`        // by all daemons, each to all others
+	ReliedOnLostCache  int     `json:"relied_on_dead"` // requests placed for a cache that was lost with the runner's incarnation
+	CrashLoadSkew      float64 `json:"herd"`           // tokens sent to the most loaded runner / mean, during Downtime after FaultAt
+	Retried            int     `json:"retried"`        // attempts after a failure
+	RetryConcentration float64 `json:"moved"`          // fraction of Retried at the runner with most of them
+	HotSettledSeconds  float64 `json:"hot_settled_s"`  // seconds from the fault until p95 of the hot prefix stays within firstTokenLimit
+	// HotFirstToken covers the requests for the hot prefix, except batch, that
+	// arrive hotSettleSeconds or more after the fault.
 	HotFirstToken Quantiles `json:"hot_first_token"`
 	Timeline      []Second  `json:"timeline,omitempty"`
 }
 
-// Quantiles of a time, in milliseconds.
+// Quantiles of a duration, in milliseconds.
 type Quantiles struct {
 	Count int     `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -52,16 +52,17 @@
 	P99   float64 `json:"p99_ms"`
 }
 
-// Organisation is the work of one customer in tokens prefilled and generated.
+// Organisation is the work of one organisation in tokens.
 type Organisation struct {
 	ID      contract.OrganisationID `json:"id"`
 	Share   float64                 `json:"share"`
-	Offered int                     `json:"offered"` // prompt and output tokens asked for
-	Done    int                     `json:"done"`    // prompt and output tokens answered
+	Offered int                     `json:"offered"` // prompt and output tokens of all requests
+	Done    int                     `json:"done"`    // prompt and output tokens of answered requests
 	Spent   int                     `json:"spent"`   // tokens prefilled and generated
 }
 
-// Second is one second of a replay, by arrival.
+// Second holds the tokens of the requests that arrived in one second of a
+// replay.
 type Second struct {
 	Reusable    int     `json:"reusable"`
 	Reused      int     `json:"reused"`
@@ -70,68 +71,68 @@
 	HotP95      float64 `json:"hot_p95_ms,omitempty"`
 }
 
-// firstTokenLimit is the target's time to the first token.
+// firstTokenLimit is the target for the time to the first token.
 const firstTokenLimit = 980 * time.Millisecond
 
-// How the spread of a hot prefix is judged, in seconds.
+// Parameters for judging how fast a hot prefix is spread over the runners.
 const (
-	hotSettle      = 5
-	settledSeconds = 2
+	hotSettleSeconds  = 5 // after the fault, not counted in HotFirstToken
+	settledRunSeconds = 2 // seconds in a row that must meet firstTokenLimit
 )
 
-// meter gathers the figures of a replay.
+// meter collects the figures of a replay.
 type meter struct {
-	requests, answered         int
-	prompt, reusable, reused   int
-	wasted, imported, relied   int
-	notices                    int
-	outcomes                   map[string]int
-	first                      [contract.PriorityCount][]time.Duration
-	offeredBy, doneBy, spentBy map[contract.OrganisationID]int
-	seconds                    []Second
-	hot                        [][]time.Duration
-	crashed                    *runner
-	afterCrash                 map[*runner]int
-	moved                      map[*runner]int
+	requests, answered             int
+	prompt, reusable, reused       int
+	wasted, imported, reliedOnLost int
+	announcements                  int
+	outcomes                       map[string]int
+	firstTokens                    [contract.PriorityCount][]time.Duration
+	offeredBy, doneBy, spentBy     map[contract.OrganisationID]int
+	seconds                        []Second
+	hotFirstTokens                 [][]time.Duration
+	crashed                        *runner
+	tokensAfterCrash               map[*runner]int
+	retries                        map[*runner]int
 }
 
 func newMeter() *meter {
 	return &meter{
 		outcomes:  map[string]int{},
 		offeredBy: map[contract.OrganisationID]int{}, doneBy: map[contract.OrganisationID]int{},
-		spentBy: map[contract.OrganisationID]int{}, afterCrash: map[*runner]int{}, moved: map[*runner]int{},
+		spentBy: map[contract.OrganisationID]int{}, tokensAfterCrash: map[*runner]int{}, retries: map[*runner]int{},
 	}
 }
 
-func (m *meter) outcome(name string) { m.outcomes[name]++ }
+func (m *meter) refused(name string) { m.outcomes[name]++ }
 
 func (m *meter) offered(j *job) {
 	m.requests++
 	m.offeredBy[j.org] += j.tokens + j.output
 }
 
-func (m *meter) second(j *job) int {
-	i := int(j.arrived.Sub(start) / time.Second)
+func (m *meter) secondOf(j *job) int {
+	i := int(j.arrived.Sub(startTime) / time.Second)
 	for len(m.seconds) <= i {
 		m.seconds = append(m.seconds, Second{})
-		m.hot = append(m.hot, nil)
+		m.hotFirstTokens = append(m.hotFirstTokens, nil)
 	}
 	return i
 }
 
-// began is called when a job has reached a runner.
-func (m *meter) began(b *bench, j *job) {
-	if d := j.decision; d.Incarnation != 0 && d.Incarnation != j.runner.life && d.ExpectedCached > 0 {
-		m.relied++
+// reachedRunner records a job that has arrived at a live runner.
+func (m *meter) reachedRunner(b *bench, j *job) {
+	if d := j.decision; d.Incarnation != 0 && d.Incarnation != j.runner.incarnation && d.ExpectedCached > 0 {
+		m.reliedOnLost++
 	}
 	if j.runner == m.crashed {
 		return
 	}
-	if at := b.clock.now.Sub(start) - b.o.FaultAt; at >= 0 && at < b.o.Downtime {
-		m.afterCrash[j.runner] += j.expected
+	if at := b.clock.now.Sub(startTime) - b.options.FaultAt; at >= 0 && at < b.options.Downtime {
+		m.tokensAfterCrash[j.runner] += j.predicted
 	}
 	if j.attempts > 1 {
-		m.moved[j.runner]++
+		m.retries[j.runner]++
 	}
 }
 
@@ -139,7 +140,7 @@
 	if j.answered {
 		return
 	}
-	i := m.second(j)
+	i := m.secondOf(j)
 	reused := min(j.cached, j.reusable)
 	m.prompt += j.tokens
 	m.reusable += j.reusable
@@ -157,10 +158,10 @@
 
 func (m *meter) firstToken(b *bench, j *job) {
 	d := b.clock.now.Sub(j.arrived)
-	m.first[j.priority] = append(m.first[j.priority], d)
+	m.firstTokens[j.priority] = append(m.firstTokens[j.priority], d)
 	if j.hot && j.priority != contract.PriorityBatch {
-		i := m.second(j)
-		m.hot[i] = append(m.hot[i], d)
+		i := m.secondOf(j)
+		m.hotFirstTokens[i] = append(m.hotFirstTokens[i], d)
 	}
 }
 
@@ -172,28 +173,28 @@
 
 func (m *meter) report(b *bench) Report {
 	r := Report{
-		Trace: b.o.Trace.Header.Name, Policy: b.o.Policy, Daemons: b.o.Daemons, Seed: b.o.Seed, Speed: b.o.Speed,
-		Faults: b.o.Faults, Requests: m.requests, Answered: m.answered, Refusals: m.outcomes,
+		Trace: b.options.Trace.Header.Name, Policy: b.options.Policy, Daemons: b.options.Daemons, Seed: b.options.Seed, Speed: b.options.Speed,
+		Faults: b.options.Faults, Requests: m.requests, Answered: m.answered, Refusals: m.outcomes,
 		PromptTokens: m.prompt, HitRate: ratio(m.reused, m.reusable), WastedFraction: ratio(m.wasted, m.prompt),
-		ImportedFraction: ratio(m.imported, m.prompt), ReliedOnLostCache: m.relied, Announcements: m.notices, FirstToken: map[string]Quantiles{},
+		ImportedFraction: ratio(m.imported, m.prompt), ReliedOnLostCache: m.reliedOnLost, Announcements: m.announcements, FirstToken: map[string]Quantiles{},
 		Timeline: m.seconds,
 	}
-	if len(b.o.Faults) > 0 {
-		r.FaultSecond = b.o.FaultAt.Seconds()
+	if len(b.options.Faults) > 0 {
+		r.FaultSecond = b.options.FaultAt.Seconds()
 	}
 	for p := range contract.PriorityCount {
-		if len(m.first[p]) > 0 {
-			r.FirstToken[p.String()] = quantiles(m.first[p])
+		if len(m.firstTokens[p]) > 0 {
+			r.FirstToken[p.String()] = quantiles(m.firstTokens[p])
 		}
 	}
 	var busy time.Duration
 	for _, q := range b.runners {
-		busy += q.busyFor
+		busy += q.busyTime
 	}
-	r.Utilisation = busy.Seconds() / (b.clock.now.Sub(start).Seconds() * float64(len(b.runners)))
-	m.shares(b, &r)
-	m.herd(b, &r)
-	m.settled(b, &r)
+	r.Utilisation = busy.Seconds() / (b.clock.now.Sub(startTime).Seconds() * float64(len(b.runners)))
+	m.reportShares(b, &r)
+	m.reportCrashLoad(b, &r)
+	m.reportHotPrefix(b, &r)
 	return r
 }
 
@@ -213,10 +214,10 @@
 	return Quantiles{Count: len(sorted), P50: at(0.50), P95: at(0.95), P99: at(0.99)}
 }
 
-func (m *meter) herd(b *bench, r *Report) {
-	total, most := totalAndMost(m.afterCrash)
+func (m *meter) reportCrashLoad(b *bench, r *Report) {
+	total, most := totalAndMost(m.tokensAfterCrash)
 	r.CrashLoadSkew = ratio(most*len(b.runners), total)
-	total, most = totalAndMost(m.moved)
+	total, most = totalAndMost(m.retries)
 	r.Retried, r.RetryConcentration = total, ratio(most, total)
 }
 
@@ -228,22 +229,22 @@
 	return total, most
 }
 
-// settled finds the first two seconds in a row in which the hot prefix meets
-// the limit, and the quantiles of what comes hotSettle after its appearance.
-func (m *meter) settled(b *bench, r *Report) {
-	at := int(b.o.FaultAt.Seconds())
+// reportHotPrefix sets HotSettledSeconds from the first settledRunSeconds in a
+// row in which the hot prefix meets firstTokenLimit, and HotFirstToken.
+func (m *meter) reportHotPrefix(b *bench, r *Report) {
+	at := int(b.options.FaultAt.Seconds())
 	limit := float64(firstTokenLimit / time.Millisecond)
 	var later []time.Duration
 	good := 0
 	for i := range m.seconds {
-		if len(m.hot[i]) == 0 {
+		if len(m.hotFirstTokens[i]) == 0 {
 			continue
 		}
-		m.seconds[i].HotP95 = quantiles(m.hot[i]).P95
-		if i >= at+hotSettle {
-			later = append(later, m.hot[i]...)
+		m.seconds[i].HotP95 = quantiles(m.hotFirstTokens[i]).P95
+		if i >= at+hotSettleSeconds {
+			later = append(later, m.hotFirstTokens[i]...)
 		}
-		if m.seconds[i].HotP95 > limit && good < settledSeconds {
+		if m.seconds[i].HotP95 > limit && good < settledRunSeconds {
 			good = 0
 			r.HotSettledSeconds = float64(i + 1 - at)
 		} else {
--- a/lab/replay/runner.go
+++ b/lab/replay/runner.go
@@ -10,40 +10,40 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// chunkTokens is how much of a prompt a runner prefills before it looks again
-// for something more urgent.
+// chunkTokens is the number of tokens that a runner prefills before it checks
+// for a more urgent job.
 const chunkTokens = 1000
 
-// runner is the fake of one model engine.
+// runner is a fake of one model engine.
 type runner struct {
-	b    *bench
-	id   fleet.EndpointID
-	zone fleet.ZoneID
-	life fleet.Incarnation
-	down bool
-
-	cache   *cache
-	waiting []*job // not begun
-	active  []*job // begun, prefill not finished
-	decodes []*job
-	busy    bool
+	b           *bench
+	id          fleet.EndpointID
+	zone        fleet.ZoneID
+	incarnation fleet.Incarnation
+	down        bool
+
+	cache    *cache
+	waiting  []*job // not started
+	active   []*job // prefill started and not finished
+	decoding []*job
+	busy     bool
 
 	events []placement.Event
 	seq    uint64
 
-	busyFor time.Duration
+	busyTime time.Duration
 
-	queue   []*job // sent here and not prefilled, for the oracle
-	expects map[prefix.Key]int
+	outstanding  []*job // sent here and not yet prefilled; read by the oracle
+	expectedKeys map[prefix.Key]int
 }
 
 func newRunner(b *bench, id fleet.EndpointID, zone fleet.ZoneID) *runner {
-	r := &runner{b: b, id: id, zone: zone, life: 1, seq: 1, expects: map[prefix.Key]int{}}
-	r.cache = newCache(b.fleet.CacheTokens, r.changed)
+	r := &runner{b: b, id: id, zone: zone, incarnation: 1, seq: 1, expectedKeys: map[prefix.Key]int{}}
+	r.cache = newCache(b.fleet.CacheTokens, r.recordEvent)
 	return r
 }
 
-func (r *runner) changed(k prefix.Key, stored bool) {
+func (r *runner) recordEvent(k prefix.Key, stored bool) {
 	kind := placement.EventRemoved
 	if stored {
 		kind = placement.EventStored
@@ -51,19 +51,19 @@
 	r.events = append(r.events, placement.Event{Kind: kind, Key: k})
 }
 
-// take queues a job that has just arrived. It returns false when the runner is
+// enqueue adds an arriving job to the queue. It returns false if the runner is
 // down.
-func (r *runner) take(j *job) bool {
+func (r *runner) enqueue(j *job) bool {
 	if r.down {
 		return false
 	}
-	j.runner, j.life = r, r.life
+	j.runner, j.incarnation = r, r.incarnation
 	r.waiting = append(r.waiting, j)
 	r.step()
 	return true
 }
 
-// step begins the next chunk, if the runner is idle and has work.
+// step starts prefilling the next chunk if the runner is idle and has a job.
 func (r *runner) step() {
 	if r.busy || r.down {
 		return
@@ -73,82 +73,83 @@
 		return
 	}
 	r.busy = true
-	n := min(j.left, chunkTokens)
+	n := min(j.remaining, chunkTokens)
 	d := seconds(float64(n) / r.b.fleet.PrefillRate)
-	if j.importing > 0 {
-		d += j.importing
-		j.importing = 0
+	if j.importTime > 0 {
+		d += j.importTime
+		j.importTime = 0
 	}
-	r.busyFor += d
-	life := r.life
+	r.busyTime += d
+	incarnation := r.incarnation
 	r.b.clock.after(d, func() {
-		if r.life != life || r.down {
+		if r.incarnation != incarnation || r.down {
 			return
 		}
 		r.busy = false
-		j.left -= n
-		j.expected = j.left
-		if j.left == 0 {
+		j.remaining -= n
+		j.predicted = j.remaining
+		if j.remaining == 0 {
 			r.firstToken(j)
 		}
 		r.step()
 	})
 }
 
-// next returns the most urgent job, begun if there is a slot for it.
+// next returns the most urgent job that can be prefilled. A waiting job is
+// started if it is more urgent than the active ones and a slot is free.
 func (r *runner) next() *job {
-	best := first(r.active)
-	if len(r.active)+len(r.decodes) < r.b.fleet.Slots {
-		if w := first(r.waiting); w != nil && (best == nil || w.before(best)) {
-			r.begin(w)
+	best := mostUrgent(r.active)
+	if len(r.active)+len(r.decoding) < r.b.fleet.Slots {
+		if w := mostUrgent(r.waiting); w != nil && (best == nil || w.precedes(best)) {
+			r.startPrefill(w)
 			return w
 		}
 	}
 	return best
 }
 
-func first(jobs []*job) *job {
+func mostUrgent(jobs []*job) *job {
 	var best *job
 	for _, j := range jobs {
-		if best == nil || j.before(best) {
+		if best == nil || j.precedes(best) {
 			best = j
 		}
 	}
 	return best
 }
 
-func (r *runner) begin(j *job) {
+func (r *runner) startPrefill(j *job) {
 	r.waiting = remove(r.waiting, j)
 	r.active = append(r.active, j)
 	n := r.cache.match(j.levels)
 	r.cache.touch(j.levels, n)
-	j.cached = tokensOf(j.levels, n)
-	if m := r.b.store.held(j); j.importFrom && m > n {
-		j.imported = tokensOf(j.levels, m) - j.cached
-		j.importing = r.b.store.transfer(r.b.clock.now, j.imported)
+	j.cached = prefixTokens(j.levels, n)
+	if m := r.b.store.match(j); j.mayImport && m > n {
+		j.imported = prefixTokens(j.levels, m) - j.cached
+		j.importTime = r.b.store.transfer(r.b.clock.now, j.imported)
 		j.cached += j.imported
 	}
-	// The last token is always computed, to have something to generate from.
+	// The last token is always computed, since generation starts from its output.
 	j.cached = min(j.cached, j.tokens-1)
-	j.left = j.tokens - j.cached
-	j.wasted = max(0, tokensOf(j.levels, r.b.bestElsewhere(j))-j.cached)
-	j.wasted = min(j.wasted, j.left)
-	j.expected = j.left
+	j.remaining = j.tokens - j.cached
+	j.wasted = max(0, prefixTokens(j.levels, r.b.longestMatchElsewhere(j))-j.cached)
+	j.wasted = min(j.wasted, j.remaining)
+	j.predicted = j.remaining
 }
 
 func (r *runner) firstToken(j *job) {
 	r.active = remove(r.active, j)
-	r.gone(j)
+	r.unexpect(j)
 	r.cache.store(j.levels)
 	r.b.store.export(j)
-	r.decodes = append(r.decodes, j)
+	r.decoding = append(r.decoding, j)
 	r.b.firstToken(j)
-	life := r.life
+	incarnation := r.incarnation
 	r.b.clock.after(milliseconds(r.b.fleet.TokenMS*float64(j.output)), func() {
-		if r.life != life || r.down {
+		if r.incarnation != incarnation || r.down {
 			return
 		}
-		r.decodes = remove(r.decodes, j)
+		r.decoding = remove(r.decoding, j)
 		r.b.finished(j)
 		r.step()
 	})
@@ -159,54 +160,55 @@
 	return slices.Delete(jobs, i, i+1)
 }
 
-// load is what the runner reports of itself now.
+// load returns the runner's current load report.
 func (r *runner) load() fleet.Load {
 	l := fleet.Load{
-		At: r.b.clock.now, Incarnation: r.life, Running: len(r.active) + len(r.decodes),
+		At: r.b.clock.now, Incarnation: r.incarnation, Running: len(r.active) + len(r.decoding),
 		Waiting: len(r.waiting), Slots: r.b.fleet.Slots, CachedBlocks: len(r.cache.index),
 	}
 	for _, j := range r.active {
-		count(&l, j.priority, j.left)
+		addWaiting(&l, j.priority, j.remaining)
 	}
 	for _, j := range r.waiting {
-		count(&l, j.priority, j.tokens-tokensOf(j.levels, r.cache.match(j.levels)))
+		addWaiting(&l, j.priority, j.tokens-prefixTokens(j.levels, r.cache.match(j.levels)))
 	}
 	return l
 }
 
-// count adds queued tokens of one priority to those that it and all less
-// urgent ones wait for.
-func count(l *fleet.Load, p contract.Priority, tokens int) {
+// addWaiting adds queued tokens of one priority to the load, and to the tokens
+// ahead of a request of the same or a less urgent priority.
+func addWaiting(l *fleet.Load, p contract.Priority, tokens int) {
 	l.WaitingTokens += tokens
 	for i := int(p); i < len(l.TokensAhead); i++ {
 		l.TokensAhead[i] += tokens
 	}
 }
 
-// flush returns the events since the last flush.
-func (r *runner) flush() (placement.EventBatch, bool) {
+// takeEvents returns the cache events since the last call, and false if there
+// are none.
+func (r *runner) takeEvents() (placement.EventBatch, bool) {
 	if len(r.events) == 0 {
 		return placement.EventBatch{}, false
 	}
 	batch := placement.EventBatch{
-		Endpoint: r.id, Incarnation: r.life, Seq: r.seq, At: r.b.clock.now, Events: r.events,
+		Endpoint: r.id, Incarnation: r.incarnation, Seq: r.seq, At: r.b.clock.now, Events: r.events,
 	}
 	r.seq += uint64(len(r.events))
 	r.events = nil
 	return batch, true
 }
 
-// crash ends everything that runs here and empties the cache.
+// crash stops the runner, empties its cache and returns the jobs that it lost.
 func (r *runner) crash() []*job {
-	lost := slices.Concat(r.waiting, r.active, r.decodes)
-	r.waiting, r.active, r.decodes = nil, nil, nil
+	lost := slices.Concat(r.waiting, r.active, r.decoding)
+	r.waiting, r.active, r.decoding = nil, nil, nil
 	r.busy, r.down = false, true
 	r.events, r.seq = nil, 1
 	r.cache.clear()
 	return lost
 }
 
-func (r *runner) back() {
-	r.life++
+func (r *runner) restart() {
+	r.incarnation++
 	r.down = false
 }
--- a/lab/replay/shares.go
+++ b/lab/replay/shares.go
@@ -2,10 +2,11 @@
 
 import "math"
 
-// shares compares what each organisation got with what its contract gives it.
-func (m *meter) shares(b *bench, r *Report) {
+// reportShares compares the work done for each organisation with its fair share
+// by contract.
+func (m *meter) reportShares(b *bench, r *Report) {
 	done := 0.0
-	for _, o := range b.o.Trace.Header.Organisations {
+	for _, o := range b.options.Trace.Header.Organisations {
 		r.Organisations = append(r.Organisations, Organisation{
 			ID: o.ID, Share: o.Share, Offered: m.offeredBy[o.ID], Done: m.doneBy[o.ID], Spent: m.spentBy[o.ID],
 		})
@@ -19,8 +20,9 @@
 	}
 }
 
-// fairShares divides the work that was done by the contract: nobody gets more
-// than offered, and what one leaves unused is lent to the others by share.
+// fairShares divides the work that was done by the contract's shares. No
+// organisation gets more than it offered; what it leaves unused is divided
+// among the others by share.
 func fairShares(orgs []Organisation, work float64) []float64 {
 	fair := make([]float64, len(orgs))
 	for range orgs {
--- a/lab/replay/store.go
+++ b/lab/replay/store.go
@@ -7,15 +7,16 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// exportDelay is how long after its computation a prefix is in the KV store.
+// exportDelay is the time from the computation of a prefix until it is in the
+// KV store.
 const exportDelay = 500 * time.Millisecond
 
-// store is the fake of the KV store: slower than a runner's own cache, larger,
-// and one link that all imports share.
+// store is a fake of the KV store: larger and slower than a runner's own cache,
+// with one link that all imports share.
 type store struct {
-	b     *bench
-	cache *cache // nil: there is none
-	free  time.Time
+	b          *bench
+	cache      *cache // nil if the fleet has no KV store
+	linkFreeAt time.Time
 }
 
 func newStore(b *bench) *store {
@@ -26,20 +27,21 @@
 	return s
 }
 
-func (s *store) held(j *job) int {
+func (s *store) match(j *job) int {
 	if s.cache == nil {
 		return 0
 	}
 	return s.cache.match(j.levels)
 }
 
-// transfer returns how long an import takes that begins now.
+// transfer reserves the link for an import that begins now, and returns the
+// time until it is complete.
 func (s *store) transfer(now time.Time, tokens int) time.Duration {
-	if s.free.Before(now) {
-		s.free = now
+	if s.linkFreeAt.Before(now) {
+		s.linkFreeAt = now
 	}
-	s.free = s.free.Add(seconds(float64(tokens) / placement.DefaultImportRate))
-	return s.free.Sub(now) + placement.DefaultImportLatency
+	s.linkFreeAt = s.linkFreeAt.Add(seconds(float64(tokens) / placement.DefaultImportRate))
+	return s.linkFreeAt.Sub(now) + placement.DefaultImportLatency
 }
 
 func (s *store) export(j *job) {
--- a/lab/replay/table.go
+++ b/lab/replay/table.go
@@ -8,7 +8,7 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// WriteTable writes reports side by side, one line each.
+// WriteTable writes the reports as a table with one line for each.
 func WriteTable(w io.Writer, reports []Report) error {
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	_, err := fmt.Fprint(t, "policy\tseed\tanswered\thit rate\twasted\timported\tbusy\t"+
