--- a/lab/fairness/fairness_test.go
+++ b/lab/fairness/fairness_test.go
@@ -25,11 +25,11 @@
 
 func checkShares(t *testing.T, r *Result) {
 	t.Helper()
-	if worst := r.Worst(); worst > 0.05 {
+	if worst := r.MaxShortfall(); worst > 0.05 {
 		t.Errorf("an organisation got %.1f%% less than its contract", 100*worst)
 	}
-	if r.Behind != 0 {
-		t.Errorf("%d batch requests passed a waiting phone", r.Behind)
+	if r.PriorityInversions != 0 {
+		t.Errorf("%d batch requests passed a waiting phone", r.PriorityInversions)
 	}
 	if p99 := r.FirstToken(contract.PriorityInteractive, 0.99); p99 > 980*time.Millisecond {
 		t.Errorf("p99 of phones' first token %v", p99)
@@ -41,7 +41,7 @@
 func TestCutOffDaemonKeepsLoadBounded(t *testing.T) {
 	t.Parallel()
 	s := faulty(1)
-	s.Cut = 4
+	s.IsolatedDaemon = 4
 	if load := Run(s).PeakLoad; load > 1.2 {
 		t.Errorf("requests over slots rose to %.2f", load)
 	}
@@ -52,7 +52,7 @@
 func TestDeadDaemonsPartIsUsed(t *testing.T) {
 	t.Parallel()
 	s := faulty(1)
-	s.Dead = 4
+	s.CrashedDaemon = 4
 	windows := Run(s).Windows
 	before, after := windows[1].Served, windows[4].Served
 	if after < 0.93*before {
@@ -65,11 +65,11 @@
 	t.Parallel()
 	const back = 40 * time.Second
 	for seed := uint64(1); seed <= seeds; seed++ {
-		r := Run(Lent(PolicyContract, seed, back))
-		if part := r.Part(0, back, back+5*time.Second, 10*time.Second); part < 0.98 {
+		r := Run(LentShare(PolicyContract, seed, back))
+		if part := r.AdmittedFraction(0, back, back+5*time.Second, 10*time.Second); part < 0.98 {
 			t.Errorf("seed %d: of what it asked in the first 5 s it was given %.2f within 10 s", seed, part)
 		}
-		if part := r.Part(0, back, back+time.Second, 2*time.Second); part < 0.8 {
+		if part := r.AdmittedFraction(0, back, back+time.Second, 2*time.Second); part < 0.8 {
 			t.Errorf("seed %d: of what it asked in the first second it was given %.2f within 2 s", seed, part)
 		}
 	}
@@ -78,7 +78,7 @@
 func TestRunsRepeat(t *testing.T) {
 	t.Parallel()
 	s := Skewed(PolicyContract, 3)
-	s.Length, s.Tail = 60*time.Second, 10*time.Second
+	s.Length, s.CoolDown = 60*time.Second, 10*time.Second
 	if a, b := Run(s), Run(s); !reflect.DeepEqual(a.Organisations, b.Organisations) {
 		t.Error("two runs of one scenario differ")
 	}
--- a/lab/fairness/figures_test.go
+++ b/lab/fairness/figures_test.go
@@ -21,12 +21,12 @@
 func overSeeds(scenario func(seed uint64) Scenario) (s summary) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		r := Run(scenario(seed))
-		s.worst = max(s.worst, r.Worst())
+		s.worst = max(s.worst, r.MaxShortfall())
 		s.rate += r.Served / seeds
 		s.load = max(s.load, r.PeakLoad)
 		s.p50 = max(s.p50, r.FirstToken(contract.PriorityInteractive, 0.5))
 		s.p99 = max(s.p99, r.FirstToken(contract.PriorityInteractive, 0.99))
-		s.behind += r.Behind
+		s.behind += r.PriorityInversions
 		for _, n := range r.Refusals {
 			s.refused += float64(n) / float64(r.Offered) / seeds
 		}
@@ -110,9 +110,9 @@
 	for b.Loop() {
 		for name, set := range map[string]func(*Scenario){
 			"none":                  func(*Scenario) {},
-			"dead":                  func(s *Scenario) { s.Dead = 4 },
-			"cut off":               func(s *Scenario) { s.Cut = 4 },
-			"cut off, counted dead": func(s *Scenario) { s.Cut, s.CountDead = 4, true },
+			"dead":                  func(s *Scenario) { s.CrashedDaemon = 4 },
+			"cut off":               func(s *Scenario) { s.IsolatedDaemon = 4 },
+			"cut off, counted dead": func(s *Scenario) { s.IsolatedDaemon, s.ExpelSilentPeers = 4, true },
 		} {
 			var windows []Window
 			for seed := uint64(1); seed <= seeds; seed++ {
@@ -121,7 +121,7 @@
 				windows = addWindows(windows, Run(s).Windows)
 			}
 			for _, w := range windows {
-				b.Logf("%-21s from %4v: %6.0f tokens/s, largest shortfall %5.1f%%, peak load %.2f", name, w.From, w.Served, 100*w.Worst, w.PeakLoad)
+				b.Logf("%-21s from %4v: %6.0f tokens/s, largest shortfall %5.1f%%, peak load %.2f", name, w.From, w.Served, 100*w.MaxShortfall, w.PeakLoad)
 			}
 		}
 	}
@@ -142,7 +142,7 @@
 	for i, w := range more {
 		sum[i].From = w.From
 		sum[i].Served += w.Served / seeds
-		sum[i].Worst += w.Worst / seeds
+		sum[i].MaxShortfall += w.MaxShortfall / seeds
 		sum[i].PeakLoad = max(sum[i].PeakLoad, w.PeakLoad)
 	}
 	return sum
@@ -155,11 +155,11 @@
 	const back = 40 * time.Second
 	for b.Loop() {
 		for seed := uint64(1); seed <= seeds; seed++ {
-			r := Run(Lent(PolicyContract, seed, back))
+			r := Run(LentShare(PolicyContract, seed, back))
 			for _, span := range [][2]time.Duration{{0, 1}, {1, 2}, {2, 5}, {5, 10}, {10, 40}} {
 				from, to := back+span[0]*time.Second, back+span[1]*time.Second
 				b.Logf("seed %d, offered %2d to %2d s after the return: %.2f within 2 s, %.2f within 10 s", seed, span[0], span[1],
-					r.Part(0, from, to, 2*time.Second), r.Part(0, from, to, 10*time.Second))
+					r.AdmittedFraction(0, from, to, 2*time.Second), r.AdmittedFraction(0, from, to, 10*time.Second))
 			}
 		}
 	}
--- a/lab/fairness/gates.go
+++ b/lab/fairness/gates.go
@@ -6,33 +6,34 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// Gate is the admission of one daemon, the real one or a baseline.
-type Gate interface {
+// Admission decides at one daemon which requests are dispatched. It is
+// implemented by contract.Admission and by the baselines of this file.
+type Admission interface {
 	Offer(now time.Time, r contract.Request) contract.Decision
 	Next(now time.Time, out []contract.Outcome) []contract.Outcome
 	Finish(now time.Time, id contract.RequestID, actualTokens float64) bool
 }
 
-// Open admits everything at once and leaves the queues to the engines.
-type Open struct{}
+// AdmitAll admits every request at once, so that requests queue at the engines.
+type AdmitAll struct{}
 
 // Offer admits the request.
-func (Open) Offer(time.Time, contract.Request) contract.Decision {
+func (AdmitAll) Offer(time.Time, contract.Request) contract.Decision {
 	return contract.Decision{Verdict: contract.Admitted}
 }
 
 // Next has nothing to tell.
-func (Open) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
+func (AdmitAll) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
 
 // Finish does nothing.
-func (Open) Finish(time.Time, contract.RequestID, float64) bool { return true }
+func (AdmitAll) Finish(time.Time, contract.RequestID, float64) bool { return true }
 
 // FIFO is one queue for everybody before a fixed number of places.
 type FIFO struct {
-	Slots   int
-	Queue   int
-	queue   []contract.RequestID
-	running int
+	Slots    int
+	MaxQueue int
+	queue    []contract.RequestID
+	running  int
 }
 
 // Offer admits, queues or, with a full queue, refuses.
@@ -41,7 +42,7 @@
 		f.running++
 		return contract.Decision{Verdict: contract.Admitted}
 	}
-	if len(f.queue) >= f.Queue {
+	if len(f.queue) >= f.MaxQueue {
 		return contract.Decision{Reason: contract.NoCapacity, RetryAfter: time.Second}
 	}
 	f.queue = append(f.queue, r.ID)
@@ -64,9 +65,10 @@
 	return true
 }
 
-// Static gives each organisation a fixed rate at each daemon, its share over
-// the number of daemons, as a token bucket; nothing is lent.
-type Static struct {
+// StaticRates limits each organisation at each daemon with a token bucket whose
+// rate is the organisation's share divided by the number of daemons. Unused
+// shares are not lent.
+type StaticRates struct {
 	Rates   map[contract.OrganisationID]float64 // tokens a second
 	Burst   float64                             // seconds of a rate
 	buckets map[contract.OrganisationID]*bucket
@@ -78,7 +80,7 @@
 }
 
 // Offer admits while the organisation's bucket is above zero.
-func (s *Static) Offer(now time.Time, r contract.Request) contract.Decision {
+func (s *StaticRates) Offer(now time.Time, r contract.Request) contract.Decision {
 	rate := s.Rates[r.Organisation]
 	if s.buckets == nil {
 		s.buckets = map[contract.OrganisationID]*bucket{}
@@ -98,7 +100,7 @@
 }
 
 // Next has nothing to tell.
-func (s *Static) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
+func (s *StaticRates) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
 
 // Finish does nothing.
-func (s *Static) Finish(time.Time, contract.RequestID, float64) bool { return true }
+func (s *StaticRates) Finish(time.Time, contract.RequestID, float64) bool { return true }
--- a/lab/fairness/result.go
+++ b/lab/fairness/result.go
@@ -30,25 +30,25 @@
 
 // Window is the shares over a part of the run.
 type Window struct {
-	From     time.Duration
-	Served   float64 // tokens a second
-	Worst    float64 // largest shortfall
-	PeakLoad float64 // of the endpoints, requests over slots
+	From         time.Duration
+	Served       float64 // tokens a second
+	MaxShortfall float64 // largest shortfall
+	PeakLoad     float64 // of the endpoints, requests over slots
 
 	served, offered []float64
 }
 
 // Result is what a run showed.
 type Result struct {
-	Organisations []OrganisationResult
-	Windows       []Window
-	Served        float64 // tokens a second
-	FirstTokens   [contract.PriorityCount][]time.Duration
-	Refusals      map[contract.Reason]int
-	Offered       int // requests, each counted once
-	Behind        int // batch requests admitted while an interactive one waited there
-	DigestBytes   int
-	PeakLoad      float64 // of the endpoints, requests over slots
+	Organisations      []OrganisationResult
+	Windows            []Window
+	Served             float64 // tokens a second
+	FirstTokens        [contract.PriorityCount][]time.Duration
+	Refusals           map[contract.Reason]int
+	Offered            int // requests, each counted once
+	PriorityInversions int // batch requests admitted while an interactive one waited there
+	DigestBytes        int
+	PeakLoad           float64 // of the endpoints, requests over slots
 
 	s     *Scenario
 	calls []Call
@@ -100,7 +100,7 @@
 // measured. It is followed to its end, so that what waits when the time ends
 // isn't taken for work that was refused.
 func (r *Result) counts(t *task) bool {
-	return t.offered >= r.s.WarmUp && t.offered < r.s.Length-r.s.Tail
+	return t.offered >= r.s.WarmUp && t.offered < r.s.Length-r.s.CoolDown
 }
 
 func (r *Result) served(t *task) {
@@ -120,7 +120,7 @@
 
 func (r *Result) passed(now time.Duration, phones int) {
 	if now >= r.s.WarmUp && phones > 0 {
-		r.Behind++
+		r.PriorityInversions++
 	}
 }
 
@@ -145,14 +145,14 @@
 		r.Organisations[i].Entitled = entitled[i]
 		total += served[i]
 	}
-	r.Served = total / (r.s.Length - r.s.WarmUp - r.s.Tail).Seconds()
+	r.Served = total / (r.s.Length - r.s.WarmUp - r.s.CoolDown).Seconds()
 	for i := range r.Windows {
 		w := &r.Windows[i]
 		given := r.entitled(w.offered, w.served)
 		for j := range given {
 			w.Served += w.served[j] / r.s.Window.Seconds()
 			if given[j] > 0 {
-				w.Worst = max(w.Worst, 1-w.served[j]/given[j])
+				w.MaxShortfall = max(w.MaxShortfall, 1-w.served[j]/given[j])
 			}
 		}
 	}
@@ -199,8 +199,8 @@
 	return given
 }
 
-// Worst is the largest shortfall of any organisation.
-func (r *Result) Worst() float64 {
+// MaxShortfall returns the largest shortfall of any organisation.
+func (r *Result) MaxShortfall() float64 {
 	worst := 0.0
 	for i := range r.Organisations {
 		worst = max(worst, r.Organisations[i].Shortfall())
@@ -216,10 +216,10 @@
 	Tokens       float64
 }
 
-// Part is the work of an organisation that was admitted no later than within
-// after it was first offered, of all it first offered between two times. It
-// needs a Window.
-func (r *Result) Part(organisation int, from, to, within time.Duration) float64 {
+// AdmittedFraction returns the fraction of an organisation's work, of the
+// requests first offered between two times, that was admitted within a duration
+// of its first offer. It needs a Scenario with a Window.
+func (r *Result) AdmittedFraction(organisation int, from, to, within time.Duration) float64 {
 	offered, given := 0.0, 0.0
 	for _, c := range r.calls {
 		if c.Organisation != organisation || c.Offered < from || c.Offered >= to {
@@ -247,11 +247,11 @@
 func (r *Result) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%-9s seed %d: worst share -%.1f%%, %.0f tokens/s, phone first token p50 %v p99 %v, batch p50 %v, behind batch %d, load %.2f, refused",
-		r.s.Policy, r.s.Seed, 100*r.Worst(), r.Served,
+		r.s.Policy, r.s.Seed, 100*r.MaxShortfall(), r.Served,
 		r.FirstToken(contract.PriorityInteractive, 0.5).Round(time.Millisecond),
 		r.FirstToken(contract.PriorityInteractive, 0.99).Round(time.Millisecond),
 		r.FirstToken(contract.PriorityBatch, 0.5).Round(time.Millisecond),
-		r.Behind, r.PeakLoad)
+		r.PriorityInversions, r.PeakLoad)
 	for _, reason := range []contract.Reason{contract.OverShare, contract.NoCapacity, contract.TooLate} {
 		fmt.Fprintf(&b, " %s %d", reason, r.Refusals[reason])
 	}
--- a/lab/fairness/scenario.go
+++ b/lab/fairness/scenario.go
@@ -13,15 +13,15 @@
 
 // The policies.
 const (
-	PolicyContract Policy = "contract" // the real one
-	PolicyNoPeers  Policy = "no_peers" // the real one, without digests
-	PolicyOpen     Policy = "open"
-	PolicyFIFO     Policy = "fifo"
-	PolicyStatic   Policy = "static"
+	PolicyContract  Policy = "contract" // the real one
+	PolicyNoDigests Policy = "no_peers" // the real one, without digests
+	PolicyOpen      Policy = "open"
+	PolicyFIFO      Policy = "fifo"
+	PolicyStatic    Policy = "static"
 )
 
 // Policies lists all, the real one first.
-var Policies = []Policy{PolicyContract, PolicyNoPeers, PolicyOpen, PolicyFIFO, PolicyStatic}
+var Policies = []Policy{PolicyContract, PolicyNoDigests, PolicyOpen, PolicyFIFO, PolicyStatic}
 
 // Flow is the demand of one organisation at one priority.
 type Flow struct {
@@ -50,16 +50,16 @@
 	Organisations []Organisation
 	Length        time.Duration
 	WarmUp        time.Duration // requests first offered before it aren't counted
-	Tail          time.Duration // nor are those in the last part of the run
-
-	DigestEvery time.Duration
-	DigestLoss  float64
-	Dead        int           // daemon that dies, with callers going to the others; -1: none
-	Cut         int           // daemon that is cut off from the others; -1: none
-	FaultAt     time.Duration // of Dead and Cut
-	CountDead   bool          // trial: each daemon takes silent peers for dead
-	Returns     int           // times that a refused caller comes back after Retry-After
-	Window      time.Duration // of the figures over time; 0: none
+	CoolDown      time.Duration // nor are those in the last part of the run
+
+	DigestEvery      time.Duration
+	DigestLoss       float64
+	CrashedDaemon    int           // daemon that dies, with callers going to the others; -1: none
+	IsolatedDaemon   int           // daemon that is cut off from the others; -1: none
+	FaultAt          time.Duration // of CrashedDaemon and IsolatedDaemon
+	ExpelSilentPeers bool          // trial: each daemon takes silent peers for dead
+	MaxRetries       int           // times that a refused caller comes back after Retry-After
+	Window           time.Duration // of the figures over time; 0: none
 }
 
 // Constant is a rate that stays.
@@ -96,8 +96,8 @@
 	s := Scenario{
 		Policy: policy, Seed: seed, Daemons: 9, Rate: capacity,
 		Engines: EngineOptions{Count: 9, Slots: 16, Prefill: 9000, Decode: 40},
-		Length:  240 * time.Second, WarmUp: 20 * time.Second, Tail: 30 * time.Second, DigestEvery: time.Second,
-		Dead: -1, Cut: -1, Returns: 1,
+		Length:  240 * time.Second, WarmUp: 20 * time.Second, CoolDown: 30 * time.Second, DigestEvery: time.Second,
+		CrashedDaemon: -1, IsolatedDaemon: -1, MaxRetries: 1,
 	}
 	shares := []float64{0.30, 0.20, 0.15, 0.10, 0.10, 0.05, 0.05, 0.05}
 	for i, share := range shares {
@@ -128,9 +128,9 @@
 	return s
 }
 
-// Lent is a fleet that all but the largest organisation fill beyond their
+// LentShare is a fleet that all but the largest organisation fill beyond their
 // shares, until that one's callers come back at the given time.
-func Lent(policy Policy, seed uint64, back time.Duration) Scenario {
+func LentShare(policy Policy, seed uint64, back time.Duration) Scenario {
 	s := Tsukushi(policy, seed)
 	s.Length = back + 60*time.Second
 	s.Window = time.Second
--- a/lab/fairness/world.go
+++ b/lab/fairness/world.go
@@ -20,7 +20,7 @@
 
 // daemon is one daemon of the run.
 type daemon struct {
-	gate    Gate
+	gate    Admission
 	core    *contract.Admission // nil for a baseline
 	waiting map[contract.RequestID]*task
 	phones  int // waiting interactive requests
@@ -77,15 +77,15 @@
 	slots := w.s.Engines.Count * w.s.Engines.Slots
 	switch w.s.Policy {
 	case PolicyOpen:
-		d.gate = Open{}
+		d.gate = AdmitAll{}
 	case PolicyFIFO:
-		d.gate = &FIFO{Slots: slots / w.s.Daemons, Queue: 64}
+		d.gate = &FIFO{Slots: slots / w.s.Daemons, MaxQueue: 64}
 	case PolicyStatic:
 		rates := map[contract.OrganisationID]float64{}
 		for _, o := range w.s.Organisations {
 			rates[o.ID] = o.Share * w.s.Rate / float64(w.s.Daemons)
 		}
-		d.gate = &Static{Rates: rates, Burst: 2}
+		d.gate = &StaticRates{Rates: rates, Burst: 2}
 	default:
 		d.core = contract.NewAdmission(contract.Options{
 			Daemon: daemonID(i), Incarnation: 1, Rand: rand.New(rand.NewPCG(w.s.Seed, uint64(i))),
@@ -125,19 +125,19 @@
 }
 
 func (w *world) fault(now time.Duration) {
-	if w.s.Dead < 0 || now < w.s.FaultAt || w.daemons[w.s.Dead].dead {
+	if w.s.CrashedDaemon < 0 || now < w.s.FaultAt || w.daemons[w.s.CrashedDaemon].dead {
 		return
 	}
-	d := w.daemons[w.s.Dead]
+	d := w.daemons[w.s.CrashedDaemon]
 	d.dead = true
 	d.waiting = map[contract.RequestID]*task{}
 	for _, e := range w.engines {
-		e.running = without(e.running, w.s.Dead)
+		e.running = without(e.running, w.s.CrashedDaemon)
 		for p := range e.waiting {
-			e.waiting[p] = without(e.waiting[p], w.s.Dead)
+			e.waiting[p] = without(e.waiting[p], w.s.CrashedDaemon)
 		}
 	}
-	d.gate = Open{}
+	d.gate = AdmitAll{}
 	d.core = nil
 }
 
@@ -165,10 +165,10 @@
 			}
 		}
 	}
-	if w.s.CountDead && w.s.Cut >= 0 && now == w.s.FaultAt+contract.DefaultSilentAfter {
+	if w.s.ExpelSilentPeers && w.s.IsolatedDaemon >= 0 && now == w.s.FaultAt+contract.DefaultSilentAfter {
 		for i, d := range w.daemons {
 			live := w.s.Daemons - 1
-			if i == w.s.Cut {
+			if i == w.s.IsolatedDaemon {
 				live = 1
 			}
 			d.core.SetDaemonCount(at(now), live)
@@ -216,7 +216,7 @@
 }
 
 func (w *world) cutBetween(now time.Duration, i, j int) bool {
-	return w.s.Cut >= 0 && now >= w.s.FaultAt && (i == w.s.Cut || j == w.s.Cut)
+	return w.s.IsolatedDaemon >= 0 && now >= w.s.FaultAt && (i == w.s.IsolatedDaemon || j == w.s.IsolatedDaemon)
 }
 
 // callers makes the requests of this tick.
@@ -294,7 +294,7 @@
 func (w *world) comeBack(now time.Duration, t *task, after time.Duration) {
 	tries := w.tries[t.id]
 	delete(w.tries, t.id)
-	if tries < w.s.Returns {
+	if tries < w.s.MaxRetries {
 		w.back = append(w.back, callback{at: now + after, task: *t, tries: tries + 1})
 	}
 }
