--- a/lab/fairness/admitter.go
+++ b/lab/fairness/admitter.go
@@ -9,15 +9,15 @@
 	"github.com/merlindock/merlindock/lab/trace"
 )
 
-// admitter is the real admission at one daemon of a replay.
+// admitter adapts contract.Admission to replay.Admitter.
 type admitter struct {
-	core *contract.Admission
-	out  []contract.Outcome
-	next int
+	core    *contract.Admission
+	out     []contract.Outcome
+	nextOut int
 }
 
-// NewAdmitter returns the admission of a daemon for replay.Options, set up as
-// the daemon itself does it.
+// NewAdmitter returns the admission of one daemon for replay.Options, configured
+// as in the daemon itself.
 func NewAdmitter(daemon int, h trace.Header) replay.Admitter {
 	a := &admitter{core: contract.NewAdmission(contract.Options{
 		Daemon: daemonID(daemon), Incarnation: 1, Rand: rand.New(rand.NewPCG(1, uint64(daemon))),
@@ -63,15 +63,15 @@
 
 // Next implements replay.Admitter.
 func (a *admitter) Next(now time.Time) (id uint64, v replay.Verdict, ok bool) {
-	if a.next >= len(a.out) {
+	if a.nextOut >= len(a.out) {
 		a.out = a.core.Next(now, a.out[:0])
-		a.next = 0
+		a.nextOut = 0
 	}
-	if a.next >= len(a.out) {
+	if a.nextOut >= len(a.out) {
 		return 0, replay.Refused, false
 	}
-	o := a.out[a.next]
-	a.next++
+	o := a.out[a.nextOut]
+	a.nextOut++
 	return uint64(o.ID), verdictOf(o.Decision), true
 }
 
--- a/lab/fairness/engine.go
+++ b/lab/fairness/engine.go
@@ -1,9 +1,9 @@
-// Package fairness drives the admission of many daemons in virtual time in
-// front of small fakes of model engines, and measures whether organisations get
-// their shares and whether people wait behind batch work.
+// Package fairness runs the admission of many daemons in virtual time against
+// simple fakes of model engines. It measures whether organisations get their
+// shares, and whether interactive requests wait behind batch requests.
 //
-// There is no network model: digests between daemons come after a fixed delay
-// or not at all.
+// There is no network model: digests between daemons arrive after a fixed delay
+// or are lost.
 package fairness
 
 import (
@@ -12,31 +12,32 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// EngineOptions describe the engines, all alike.
+// EngineOptions describe the engines of a scenario, which are all equal.
 type EngineOptions struct {
 	Count   int
-	Slots   int     // requests in a batch
-	Prefill float64 // tokens a second of one engine
-	Decode  float64 // tokens a second of one stream
+	Slots   int     // requests that one engine runs at a time
+	Prefill float64 // tokens per second of one engine
+	Decode  float64 // tokens per second of one request
 }
 
-// task is one request at an engine.
+// task is the state of one request.
 type task struct {
-	id       contract.RequestID
-	daemon   int
-	org      int
-	priority contract.Priority
-	offered  time.Duration // the first time
-	arrived  time.Duration // at the daemon
-	prefill  float64       // left
-	decode   float64       // left
-	tokens   float64       // in all
-	first    time.Duration // first token; 0 before
-	call     int           // in the result's list
+	id         contract.RequestID
+	daemon     int
+	org        int
+	priority   contract.Priority
+	offered    time.Duration // first offer, before any retry
+	arrived    time.Duration // current attempt, at the daemon
+	prefill    float64       // remaining tokens
+	decode     float64       // remaining tokens
+	tokens     float64       // total
+	firstToken time.Duration // time of the first token; 0 before it
+	call       int           // index in Result.calls
 }
 
-// fakeEngine batches continuously: requests take a slot, the more urgent ones
-// first, prefill one after the other by priority, and then decode together.
+// fakeEngine is a fake engine with continuous batching. Requests take slots in
+// the order of priority, are prefilled one after the other in that order, and
+// decode concurrently.
 type fakeEngine struct {
 	opts    EngineOptions
 	waiting [contract.PriorityCount][]*task
@@ -45,9 +46,9 @@
 	prefilling []*task
 }
 
-func (e *fakeEngine) add(t *task) { e.waiting[t.priority] = append(e.waiting[t.priority], t) }
+func (e *fakeEngine) enqueue(t *task) { e.waiting[t.priority] = append(e.waiting[t.priority], t) }
 
-func (e *fakeEngine) load() int {
+func (e *fakeEngine) requests() int {
 	n := len(e.running)
 	for _, q := range e.waiting {
 		n += len(q)
@@ -55,16 +56,16 @@
 	return n
 }
 
-// step runs the engine for the span and appends the tasks that ended.
+// step runs the engine for span and appends the tasks that finished to done.
 func (e *fakeEngine) step(now, span time.Duration, done []*task) []*task {
-	e.fill()
+	e.fillSlots()
 	e.prefill(e.opts.Prefill * span.Seconds())
 	decoded := e.opts.Decode * span.Seconds()
-	rest := e.running[:0]
+	unfinished := e.running[:0]
 	for _, t := range e.running {
 		if t.prefill <= 0 {
-			if t.first == 0 {
-				t.first = now + span
+			if t.firstToken == 0 {
+				t.firstToken = now + span
 			}
 			t.decode -= decoded
 		}
@@ -72,13 +73,13 @@
 			done = append(done, t)
 			continue
 		}
-		rest = append(rest, t)
+		unfinished = append(unfinished, t)
 	}
-	e.running = rest
+	e.running = unfinished
 	return done
 }
 
-func (e *fakeEngine) fill() {
+func (e *fakeEngine) fillSlots() {
 	for p := range e.waiting {
 		for len(e.waiting[p]) > 0 && len(e.running) < e.opts.Slots {
 			e.running = append(e.running, e.waiting[p][0])
@@ -99,9 +100,9 @@
 			if t.priority != p || budget <= 0 {
 				continue
 			}
-			part := min(t.prefill, budget)
-			t.prefill -= part
-			budget -= part
+			tokens := min(t.prefill, budget)
+			t.prefill -= tokens
+			budget -= tokens
 		}
 	}
 }
--- a/lab/fairness/figures_test.go
+++ b/lab/fairness/figures_test.go
@@ -10,23 +10,24 @@
 
 const seeds = 5
 
-// summary is the worst of a figure over the seeds, or its mean.
+// summary aggregates results over the seeds: rate and refused are means,
+// inversions is a sum, and the others are maxima.
 type summary struct {
-	worst, rate, load float64
-	p50, p99          time.Duration
-	behind            int
-	refused           float64
+	maxShortfall, rate, load float64
+	p50, p99                 time.Duration
+	inversions               int
+	refused                  float64
 }
 
 func overSeeds(scenario func(seed uint64) Scenario) (s summary) {
 	for seed := uint64(1); seed <= seeds; seed++ {
 		r := Run(scenario(seed))
-		s.worst = max(s.worst, r.MaxShortfall())
+		s.maxShortfall = max(s.maxShortfall, r.MaxShortfall())
 		s.rate += r.Served / seeds
 		s.load = max(s.load, r.PeakLoad)
 		s.p50 = max(s.p50, r.FirstToken(contract.PriorityInteractive, 0.5))
 		s.p99 = max(s.p99, r.FirstToken(contract.PriorityInteractive, 0.99))
-		s.behind += r.PriorityInversions
+		s.inversions += r.PriorityInversions
 		for _, n := range r.Refusals {
 			s.refused += float64(n) / float64(r.Offered) / seeds
 		}
@@ -35,12 +36,13 @@
 }
 
 func (s summary) String() string {
-	return fmt.Sprintf("worst shortfall %5.1f%%  %6.0f tokens/s  phone first token p50 %7v p99 %7v  behind batch %5d  peak load %5.2f  refusals per request %.2f",
-		100*s.worst, s.rate, s.p50, s.p99, s.behind, s.load, s.refused)
+	return fmt.Sprintf("max shortfall %5.1f%%  %6.0f tokens/s  interactive first token p50 %7v p99 %7v  priority inversions %5d  peak load %5.2f  refusals per request %.2f",
+		100*s.maxShortfall, s.rate, s.p50, s.p99, s.inversions, s.load, s.refused)
 }
 
-// BenchmarkOverload prints the table of all policies under the overload, with
-// callers that come evenly and unevenly. Run it with -benchtime 1x.
+// BenchmarkOverload prints the figures of all policies under the overload, with
+// requests spread evenly and unevenly over the daemons. Run it with -benchtime
+// 1x.
 func BenchmarkOverload(b *testing.B) {
 	for b.Loop() {
 		for _, policy := range Policies {
@@ -58,18 +60,19 @@
 	}
 }
 
-// BenchmarkEstimates prints what a wrong estimate of the fleet's rate does, and
-// an overload by everybody, of which one asks for three times its share.
+// BenchmarkEstimates prints the effect of a wrong estimate of the fleet's rate,
+// and of an overload by all organisations, of which one asks for three times its
+// share.
 func BenchmarkEstimates(b *testing.B) {
 	for b.Loop() {
 		for _, factor := range []float64{0.6, 0.8, 1, 1.2, 1.5} {
-			b.Logf("told %.1f of the rate  %v", factor, overSeeds(func(seed uint64) Scenario {
+			b.Logf("configured %.1f of the rate  %v", factor, overSeeds(func(seed uint64) Scenario {
 				s := Tsukushi(PolicyContract, seed)
 				s.Rate *= factor
 				return s
 			}))
 		}
-		b.Logf("all ask for more      %v", overSeeds(func(seed uint64) Scenario {
+		b.Logf("all exceed their shares     %v", overSeeds(func(seed uint64) Scenario {
 			s := Tsukushi(PolicyContract, seed)
 			for i := range s.Organisations {
 				for f := range s.Organisations[i].Flows {
@@ -84,7 +87,8 @@
 	}
 }
 
-// BenchmarkDigests prints what lost and rare digests do to the shares.
+// BenchmarkDigests prints the effect of digest loss and of longer digest
+// intervals on the shares.
 func BenchmarkDigests(b *testing.B) {
 	for b.Loop() {
 		for _, loss := range []float64{0, 0.3, 0.9, 1} {
@@ -104,8 +108,8 @@
 	}
 }
 
-// BenchmarkFaults prints the shares over time when a daemon dies or is cut off
-// at 60 s.
+// BenchmarkFaults prints the shares over time when a daemon crashes or is
+// isolated at 60 s.
 func BenchmarkFaults(b *testing.B) {
 	for b.Loop() {
 		for name, set := range map[string]func(*Scenario){
@@ -116,7 +120,7 @@
 		} {
 			var windows []Window
 			for seed := uint64(1); seed <= seeds; seed++ {
-				s := faulty(seed)
+				s := faultScenario(seed)
 				set(&s)
 				windows = addWindows(windows, Run(s).Windows)
 			}
@@ -127,7 +131,7 @@
 	}
 }
 
-func faulty(seed uint64) Scenario {
+func faultScenario(seed uint64) Scenario {
 	s := Tsukushi(PolicyContract, seed)
 	s.Window = 30 * time.Second
 	s.FaultAt = 60 * time.Second
@@ -148,10 +152,10 @@
 	return sum
 }
 
-// BenchmarkLent prints how fast a lent share comes back: the part of the work
-// first offered in a span after the return that was admitted within 2 s and
-// within 10 s.
-func BenchmarkLent(b *testing.B) {
+// BenchmarkLentShare prints how fast a lent share is returned: the fraction of
+// the work first offered in a period after the return of the organisation's
+// traffic that was admitted within 2 s and within 10 s.
+func BenchmarkLentShare(b *testing.B) {
 	const back = 40 * time.Second
 	for b.Loop() {
 		for seed := uint64(1); seed <= seeds; seed++ {
--- a/lab/fairness/gates.go
+++ b/lab/fairness/gates.go
@@ -22,13 +22,14 @@
 	return contract.Decision{Verdict: contract.Admitted}
 }
 
-// Next has nothing to tell.
+// Next returns out unchanged, since no request is queued.
 func (AdmitAll) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
 
 // Finish does nothing.
 func (AdmitAll) Finish(time.Time, contract.RequestID, float64) bool { return true }
 
-// FIFO is one queue for everybody before a fixed number of places.
+// FIFO admits a fixed number of requests at a time and holds the others in one
+// queue for all organisations.
 type FIFO struct {
 	Slots    int
 	MaxQueue int
@@ -36,7 +37,8 @@
 	running  int
 }
 
-// Offer admits, queues or, with a full queue, refuses.
+// Offer admits the request while a slot is free, queues it otherwise, and
+// refuses it if the queue is full.
 func (f *FIFO) Offer(_ time.Time, r contract.Request) contract.Decision {
 	if f.running < f.Slots {
 		f.running++
@@ -49,7 +51,7 @@
 	return contract.Decision{Verdict: contract.Queued}
 }
 
-// Next admits in the order of arrival.
+// Next admits queued requests in the order of arrival while slots are free.
 func (f *FIFO) Next(_ time.Time, out []contract.Outcome) []contract.Outcome {
 	for f.running < f.Slots && len(f.queue) > 0 {
 		out = append(out, contract.Outcome{ID: f.queue[0], Decision: contract.Decision{Verdict: contract.Admitted}})
@@ -59,7 +61,7 @@
 	return out
 }
 
-// Finish frees a place.
+// Finish frees a slot.
 func (f *FIFO) Finish(time.Time, contract.RequestID, float64) bool {
 	f.running--
 	return true
@@ -69,8 +71,8 @@
 // rate is the organisation's share divided by the number of daemons. Unused
 // shares are not lent.
 type StaticRates struct {
-	Rates   map[contract.OrganisationID]float64 // tokens a second
-	Burst   float64                             // seconds of a rate
+	Rates   map[contract.OrganisationID]float64 // tokens per second
+	Burst   float64                             // capacity of a bucket, in seconds of its rate
 	buckets map[contract.OrganisationID]*bucket
 }
 
@@ -79,7 +81,8 @@
 	at    time.Time
 }
 
-// Offer admits while the organisation's bucket is above zero.
+// Offer admits the request if the level of the organisation's bucket is above
+// zero. The level may fall below zero by one request.
 func (s *StaticRates) Offer(now time.Time, r contract.Request) contract.Decision {
 	rate := s.Rates[r.Organisation]
 	if s.buckets == nil {
@@ -99,7 +102,7 @@
 	return contract.Decision{Verdict: contract.Admitted}
 }
 
-// Next has nothing to tell.
+// Next returns out unchanged, since no request is queued.
 func (s *StaticRates) Next(_ time.Time, out []contract.Outcome) []contract.Outcome { return out }
 
 // Finish does nothing.
--- a/lab/fairness/result.go
+++ b/lab/fairness/result.go
@@ -9,18 +9,18 @@
 	"github.com/merlindock/merlindock/contract"
 )
 
-// OrganisationResult is what one organisation got, in tokens over the time that
-// is measured.
+// OrganisationResult holds the tokens of one organisation's requests that were
+// first offered in the measured period.
 type OrganisationResult struct {
 	ID       contract.OrganisationID
 	Offered  float64
 	Served   float64
-	Entitled float64 // by the contract, of all that was served
+	Entitled float64 // fair share of all served tokens
 	Refused  int
 }
 
-// Shortfall is the part of what it was entitled to that it didn't get; below
-// zero when it got more.
+// Shortfall returns the fraction of the entitled tokens that were not served. It
+// is negative if more were served.
 func (o *OrganisationResult) Shortfall() float64 {
 	if o.Entitled <= 0 {
 		return 0
@@ -28,34 +28,34 @@
 	return 1 - o.Served/o.Entitled
 }
 
-// Window is the shares over a part of the run.
+// Window holds the figures of one period of the run.
 type Window struct {
 	From         time.Duration
-	Served       float64 // tokens a second
-	MaxShortfall float64 // largest shortfall
-	PeakLoad     float64 // of the endpoints, requests over slots
+	Served       float64 // tokens per second
+	MaxShortfall float64 // of any organisation
+	PeakLoad     float64 // of the engines, requests / slots
 
 	served, offered []float64
 }
 
-// Result is what a run showed.
+// Result holds the figures of a run.
 type Result struct {
 	Organisations      []OrganisationResult
 	Windows            []Window
-	Served             float64 // tokens a second
+	Served             float64 // tokens per second
 	FirstTokens        [contract.PriorityCount][]time.Duration
 	Refusals           map[contract.Reason]int
-	Offered            int // requests, each counted once
-	PriorityInversions int // batch requests admitted while an interactive one waited there
-	DigestBytes        int
-	PeakLoad           float64 // of the endpoints, requests over slots
+	Offered            int     // requests, not counting retries
+	PriorityInversions int     // batch requests admitted while an interactive one waited at the same daemon
+	DigestBytes        int     // size of the largest digest
+	PeakLoad           float64 // of the engines, requests / slots
 
-	s     *Scenario
-	calls []Call
+	scenario *Scenario
+	calls    []Call
 }
 
 func newResult(s *Scenario) *Result {
-	r := &Result{s: s, Refusals: map[contract.Reason]int{}}
+	r := &Result{scenario: s, Refusals: map[contract.Reason]int{}}
 	for _, o := range s.Organisations {
 		r.Organisations = append(r.Organisations, OrganisationResult{ID: o.ID})
 	}
@@ -72,7 +72,7 @@
 	if len(r.Windows) == 0 {
 		return nil
 	}
-	return &r.Windows[min(int(now/r.s.Window), len(r.Windows)-1)]
+	return &r.Windows[min(int(now/r.scenario.Window), len(r.Windows)-1)]
 }
 
 func (r *Result) offered(now time.Duration, t *task) {
@@ -81,14 +81,14 @@
 		t.call = len(r.calls)
 		r.calls = append(r.calls, Call{Organisation: t.org, Offered: now, Admitted: -1, Tokens: t.tokens})
 	}
-	if r.counts(t) {
+	if r.measured(t) {
 		r.Organisations[t.org].Offered += t.tokens
 		r.Offered++
 	}
 }
 
-// admitted counts work when it is admitted, since what an engine does later is
-// no longer admission's choice.
+// admitted adds a request's tokens to the window of its admission. What the
+// engine does afterwards does not depend on admission.
 func (r *Result) admitted(now time.Duration, t *task) {
 	if w := r.window(now); w != nil {
 		w.served[t.org] += t.tokens
@@ -96,41 +96,41 @@
 	}
 }
 
-// counts reports whether the request was first offered in the time that is
-// measured. It is followed to its end, so that what waits when the time ends
-// isn't taken for work that was refused.
-func (r *Result) counts(t *task) bool {
-	return t.offered >= r.s.WarmUp && t.offered < r.s.Length-r.s.CoolDown
+// measured reports whether the request was first offered in the measured
+// period. Such a request counts also if it finishes later, so that requests
+// waiting at the end of the period are not taken for refused ones.
+func (r *Result) measured(t *task) bool {
+	return t.offered >= r.scenario.WarmUp && t.offered < r.scenario.Length-r.scenario.CoolDown
 }
 
 func (r *Result) served(t *task) {
-	if !r.counts(t) {
+	if !r.measured(t) {
 		return
 	}
 	r.Organisations[t.org].Served += t.tokens
-	r.FirstTokens[t.priority] = append(r.FirstTokens[t.priority], t.first-t.arrived)
+	r.FirstTokens[t.priority] = append(r.FirstTokens[t.priority], t.firstToken-t.arrived)
 }
 
 func (r *Result) refused(t *task, reason contract.Reason) {
-	if r.counts(t) {
+	if r.measured(t) {
 		r.Refusals[reason]++
 		r.Organisations[t.org].Refused++
 	}
 }
 
-func (r *Result) passed(now time.Duration, phones int) {
-	if now >= r.s.WarmUp && phones > 0 {
+func (r *Result) batchAdmitted(now time.Duration, waitingInteractive int) {
+	if now >= r.scenario.WarmUp && waitingInteractive > 0 {
 		r.PriorityInversions++
 	}
 }
 
-func (r *Result) load(now time.Duration, requests int) {
-	part := float64(requests) / float64(r.s.Engines.Count*r.s.Engines.Slots)
-	if now >= r.s.WarmUp {
-		r.PeakLoad = max(r.PeakLoad, part)
+func (r *Result) recordLoad(now time.Duration, requests int) {
+	relative := float64(requests) / float64(r.scenario.Engines.Count*r.scenario.Engines.Slots)
+	if now >= r.scenario.WarmUp {
+		r.PeakLoad = max(r.PeakLoad, relative)
 	}
 	if w := r.window(now); w != nil {
-		w.PeakLoad = max(w.PeakLoad, part)
+		w.PeakLoad = max(w.PeakLoad, relative)
 	}
 }
 
@@ -139,33 +139,33 @@
 	for i, o := range r.Organisations {
 		offered[i], served[i] = o.Offered, o.Served
 	}
-	entitled := r.entitled(offered, served)
+	entitled := r.entitlements(offered, served)
 	total := 0.0
 	for i := range r.Organisations {
 		r.Organisations[i].Entitled = entitled[i]
 		total += served[i]
 	}
-	r.Served = total / (r.s.Length - r.s.WarmUp - r.s.CoolDown).Seconds()
+	r.Served = total / (r.scenario.Length - r.scenario.WarmUp - r.scenario.CoolDown).Seconds()
 	for i := range r.Windows {
 		w := &r.Windows[i]
-		given := r.entitled(w.offered, w.served)
-		for j := range given {
-			w.Served += w.served[j] / r.s.Window.Seconds()
-			if given[j] > 0 {
-				w.MaxShortfall = max(w.MaxShortfall, 1-w.served[j]/given[j])
+		entitled := r.entitlements(w.offered, w.served)
+		for j := range entitled {
+			w.Served += w.served[j] / r.scenario.Window.Seconds()
+			if entitled[j] > 0 {
+				w.MaxShortfall = max(w.MaxShortfall, 1-w.served[j]/entitled[j])
 			}
 		}
 	}
 }
 
-// entitled divides all that was served by weighted max-min fairness over what
-// was offered.
-func (r *Result) entitled(offered, served []float64) []float64 {
-	left := 0.0
+// entitlements divides the served tokens by weighted max-min fairness: each
+// organisation gets at most what it offered, and the rest by share.
+func (r *Result) entitlements(offered, served []float64) []float64 {
+	remaining := 0.0
 	for _, v := range served {
-		left += v
+		remaining += v
 	}
-	given := make([]float64, len(offered))
+	entitled := make([]float64, len(offered))
 	open := map[int]bool{}
 	for i := range offered {
 		open[i] = true
@@ -174,14 +174,14 @@
 		weights := 0.0
 		for i := range offered {
 			if open[i] {
-				weights += r.s.Organisations[i].Share
+				weights += r.scenario.Organisations[i].Share
 			}
 		}
-		level, settled := left/weights, false
+		level, settled := remaining/weights, false
 		for i := range offered {
-			if open[i] && offered[i] <= level*r.s.Organisations[i].Share {
-				given[i] = offered[i]
-				left -= offered[i]
+			if open[i] && offered[i] <= level*r.scenario.Organisations[i].Share {
+				entitled[i] = offered[i]
+				remaining -= offered[i]
 				delete(open, i)
 				settled = true
 			}
@@ -191,12 +191,12 @@
 		}
 		for i := range offered {
 			if open[i] {
-				given[i] = level * r.s.Organisations[i].Share
+				entitled[i] = level * r.scenario.Organisations[i].Share
 			}
 		}
 		break
 	}
-	return given
+	return entitled
 }
 
 // MaxShortfall returns the largest shortfall of any organisation.
@@ -208,11 +208,11 @@
 	return worst
 }
 
-// Call is one request, followed over all its tries.
+// Call is one request with all its attempts.
 type Call struct {
 	Organisation int
-	Offered      time.Duration // the first time
-	Admitted     time.Duration // below zero: never
+	Offered      time.Duration // first attempt
+	Admitted     time.Duration // negative if never admitted
 	Tokens       float64
 }
 
@@ -220,34 +220,35 @@
 // requests first offered between two times, that was admitted within a duration
 // of its first offer. It needs a Scenario with a Window.
 func (r *Result) AdmittedFraction(organisation int, from, to, within time.Duration) float64 {
-	offered, given := 0.0, 0.0
+	offered, admitted := 0.0, 0.0
 	for _, c := range r.calls {
 		if c.Organisation != organisation || c.Offered < from || c.Offered >= to {
 			continue
 		}
 		offered += c.Tokens
 		if c.Admitted >= 0 && c.Admitted-c.Offered <= within {
-			given += c.Tokens
+			admitted += c.Tokens
 		}
 	}
-	return given / offered
+	return admitted / offered
 }
 
-// FirstToken is a percentile, from 0 to 1, of the time to the first token.
-func (r *Result) FirstToken(p contract.Priority, part float64) time.Duration {
+// FirstToken returns a percentile, given from 0 to 1, of the time from the
+// arrival at the daemon to the first token; 0 if there are no requests.
+func (r *Result) FirstToken(p contract.Priority, percentile float64) time.Duration {
 	times := slices.Clone(r.FirstTokens[p])
 	if len(times) == 0 {
 		return 0
 	}
 	slices.Sort(times)
-	return times[min(int(part*float64(len(times))), len(times)-1)]
+	return times[min(int(percentile*float64(len(times))), len(times)-1)]
 }
 
-// String is one line of a table.
+// String returns the result as one line of a table.
 func (r *Result) String() string {
 	var b strings.Builder
-	fmt.Fprintf(&b, "%-9s seed %d: worst share -%.1f%%, %.0f tokens/s, phone first token p50 %v p99 %v, batch p50 %v, behind batch %d, load %.2f, refused",
-		r.s.Policy, r.s.Seed, 100*r.MaxShortfall(), r.Served,
+	fmt.Fprintf(&b, "%-9s seed %d: max shortfall %.1f%%, %.0f tokens/s, interactive first token p50 %v p99 %v, batch p50 %v, priority inversions %d, load %.2f, refused",
+		r.scenario.Policy, r.scenario.Seed, 100*r.MaxShortfall(), r.Served,
 		r.FirstToken(contract.PriorityInteractive, 0.5).Round(time.Millisecond),
 		r.FirstToken(contract.PriorityInteractive, 0.99).Round(time.Millisecond),
 		r.FirstToken(contract.PriorityBatch, 0.5).Round(time.Millisecond),
--- a/lab/fairness/world.go
+++ b/lab/fairness/world.go
@@ -9,320 +9,323 @@
 )
 
 const (
-	tick        = 10 * time.Millisecond
-	loadEvery   = 500 * time.Millisecond // reports of the endpoints
-	digestDelay = 50 * time.Millisecond
+	tick         = 10 * time.Millisecond
+	loadInterval = 500 * time.Millisecond // of the engines' load reports
+	digestDelay  = 50 * time.Millisecond
 )
 
 var epoch = time.Date(2026, 3, 1, 8, 0, 0, 0, time.UTC)
 
-func at(d time.Duration) time.Time { return epoch.Add(d) }
+func wallTime(d time.Duration) time.Time { return epoch.Add(d) }
 
-// daemon is one daemon of the run.
+// daemon is the state of one daemon.
 type daemon struct {
-	gate    Admission
-	core    *contract.Admission // nil for a baseline
-	waiting map[contract.RequestID]*task
-	phones  int // waiting interactive requests
-	dead    bool
+	admission          Admission
+	core               *contract.Admission // nil for a baseline
+	waiting            map[contract.RequestID]*task
+	waitingInteractive int // number of interactive requests in waiting
+	dead               bool
 }
 
-// callback is a refused caller that comes again.
-type callback struct {
-	at    time.Duration
-	task  task
-	tries int
+// retry is a refused request that is offered again later.
+type retry struct {
+	at       time.Duration
+	task     task
+	attempts int
 }
 
-type letter struct {
+// digestMessage is a digest on its way between two daemons.
+type digestMessage struct {
 	at       time.Duration
 	from, to int
 	digest   contract.Digest
 }
 
-// world is one run in progress.
-type world struct {
-	s       Scenario
-	rng     *rand.Rand
-	daemons []*daemon
-	engines []*fakeEngine
-	next    contract.RequestID
-	tries   map[contract.RequestID]int
-	back    []callback
-	letters []letter
-	result  *Result
-	done    []*task
-	out     []contract.Outcome
+// simulation is the state of a run.
+type simulation struct {
+	scenario  Scenario
+	rng       *rand.Rand
+	daemons   []*daemon
+	engines   []*fakeEngine
+	next      contract.RequestID
+	attempts  map[contract.RequestID]int
+	retries   []retry
+	inTransit []digestMessage
+	result    *Result
+	done      []*task
+	out       []contract.Outcome
 }
 
-// Run carries the scenario out. The same scenario gives the same result.
+// Run simulates the scenario and returns its figures. It is deterministic: the
+// same scenario gives the same result.
 func Run(s Scenario) *Result {
-	w := &world{s: s, rng: rand.New(rand.NewPCG(s.Seed, 17)), tries: map[contract.RequestID]int{}}
-	w.result = newResult(&w.s)
+	sim := &simulation{scenario: s, rng: rand.New(rand.NewPCG(s.Seed, 17)), attempts: map[contract.RequestID]int{}}
+	sim.result = newResult(&sim.scenario)
 	for range s.Engines.Count {
-		w.engines = append(w.engines, &fakeEngine{opts: s.Engines})
+		sim.engines = append(sim.engines, &fakeEngine{opts: s.Engines})
 	}
 	for i := range s.Daemons {
-		w.daemons = append(w.daemons, w.newDaemon(i))
+		sim.daemons = append(sim.daemons, sim.newDaemon(i))
 	}
 	for now := time.Duration(0); now < s.Length; now += tick {
-		w.step(now)
+		sim.step(now)
 	}
-	w.result.finish()
-	return w.result
+	sim.result.finish()
+	return sim.result
 }
 
-func (w *world) newDaemon(i int) *daemon {
+func (sim *simulation) newDaemon(i int) *daemon {
 	d := &daemon{waiting: map[contract.RequestID]*task{}}
-	slots := w.s.Engines.Count * w.s.Engines.Slots
-	switch w.s.Policy {
+	slots := sim.scenario.Engines.Count * sim.scenario.Engines.Slots
+	switch sim.scenario.Policy {
 	case PolicyOpen:
-		d.gate = AdmitAll{}
+		d.admission = AdmitAll{}
 	case PolicyFIFO:
-		d.gate = &FIFO{Slots: slots / w.s.Daemons, MaxQueue: 64}
+		d.admission = &FIFO{Slots: slots / sim.scenario.Daemons, MaxQueue: 64}
 	case PolicyStatic:
 		rates := map[contract.OrganisationID]float64{}
-		for _, o := range w.s.Organisations {
-			rates[o.ID] = o.Share * w.s.Rate / float64(w.s.Daemons)
+		for _, o := range sim.scenario.Organisations {
+			rates[o.ID] = o.Share * sim.scenario.Rate / float64(sim.scenario.Daemons)
 		}
-		d.gate = &StaticRates{Rates: rates, Burst: 2}
+		d.admission = &StaticRates{Rates: rates, Burst: 2}
 	default:
 		d.core = contract.NewAdmission(contract.Options{
-			Daemon: daemonID(i), Incarnation: 1, Rand: rand.New(rand.NewPCG(w.s.Seed, uint64(i))),
+			Daemon: daemonID(i), Incarnation: 1, Rand: rand.New(rand.NewPCG(sim.scenario.Seed, uint64(i))),
 		})
 		var shares []contract.Share
-		for _, o := range w.s.Organisations {
+		for _, o := range sim.scenario.Organisations {
 			shares = append(shares, contract.Share{Organisation: o.ID, Weight: o.Share})
 		}
 		d.core.SetContract(epoch, shares)
-		d.core.SetCapacity(epoch, w.s.Rate, slots)
-		d.core.SetDaemonCount(epoch, w.s.Daemons)
-		d.gate = d.core
+		d.core.SetCapacity(epoch, sim.scenario.Rate, slots)
+		d.core.SetDaemonCount(epoch, sim.scenario.Daemons)
+		d.admission = d.core
 	}
 	return d
 }
 
 func daemonID(i int) contract.DaemonID { return contract.DaemonID(fmt.Sprintf("daemon-%d", i)) }
 
-func (w *world) step(now time.Duration) {
-	w.fault(now)
-	w.control(now)
-	w.callers(now)
-	w.done = w.done[:0]
-	for _, e := range w.engines {
-		w.done = e.step(now, tick, w.done)
+func (sim *simulation) step(now time.Duration) {
+	sim.crashDaemon(now)
+	sim.deliverReports(now)
+	sim.generateRequests(now)
+	sim.done = sim.done[:0]
+	for _, e := range sim.engines {
+		sim.done = e.step(now, tick, sim.done)
 	}
-	for _, t := range w.done {
-		w.result.served(t)
-		w.daemons[t.daemon].gate.Finish(at(now+tick), t.id, t.tokens)
+	for _, t := range sim.done {
+		sim.result.served(t)
+		sim.daemons[t.daemon].admission.Finish(wallTime(now+tick), t.id, t.tokens)
 	}
-	for i, d := range w.daemons {
-		w.out = d.gate.Next(at(now+tick), w.out[:0])
-		for _, o := range w.out {
-			w.outcome(now, i, o)
+	for i, d := range sim.daemons {
+		sim.out = d.admission.Next(wallTime(now+tick), sim.out[:0])
+		for _, o := range sim.out {
+			sim.applyOutcome(now, i, o)
 		}
 	}
 }
 
-func (w *world) fault(now time.Duration) {
-	if w.s.CrashedDaemon < 0 || now < w.s.FaultAt || w.daemons[w.s.CrashedDaemon].dead {
+func (sim *simulation) crashDaemon(now time.Duration) {
+	if sim.scenario.CrashedDaemon < 0 || now < sim.scenario.FaultAt || sim.daemons[sim.scenario.CrashedDaemon].dead {
 		return
 	}
-	d := w.daemons[w.s.CrashedDaemon]
+	d := sim.daemons[sim.scenario.CrashedDaemon]
 	d.dead = true
 	d.waiting = map[contract.RequestID]*task{}
-	for _, e := range w.engines {
-		e.running = without(e.running, w.s.CrashedDaemon)
+	for _, e := range sim.engines {
+		e.running = withoutDaemon(e.running, sim.scenario.CrashedDaemon)
 		for p := range e.waiting {
-			e.waiting[p] = without(e.waiting[p], w.s.CrashedDaemon)
+			e.waiting[p] = withoutDaemon(e.waiting[p], sim.scenario.CrashedDaemon)
 		}
 	}
-	d.gate = AdmitAll{}
+	d.admission = AdmitAll{}
 	d.core = nil
 }
 
-func without(tasks []*task, daemon int) []*task {
-	rest := tasks[:0]
+func withoutDaemon(tasks []*task, daemon int) []*task {
+	kept := tasks[:0]
 	for _, t := range tasks {
 		if t.daemon != daemon {
-			rest = append(rest, t)
+			kept = append(kept, t)
 		}
 	}
-	return rest
+	return kept
 }
 
-// control brings the endpoints' load reports and the daemons' digests.
-func (w *world) control(now time.Duration) {
-	if now%loadEvery == 0 {
+// deliverReports delivers the engines' load reports and the daemons' digests
+// that are due.
+func (sim *simulation) deliverReports(now time.Duration) {
+	if now%loadInterval == 0 {
 		load := 0
-		for _, e := range w.engines {
-			load += e.load()
+		for _, e := range sim.engines {
+			load += e.requests()
 		}
-		w.result.load(now, load)
-		for _, d := range w.daemons {
+		sim.result.recordLoad(now, load)
+		for _, d := range sim.daemons {
 			if d.core != nil {
-				d.core.SetLoad(at(now), load, w.s.Engines.Count*w.s.Engines.Slots)
+				d.core.SetLoad(wallTime(now), load, sim.scenario.Engines.Count*sim.scenario.Engines.Slots)
 			}
 		}
 	}
-	if w.s.ExpelSilentPeers && w.s.IsolatedDaemon >= 0 && now == w.s.FaultAt+contract.DefaultSilentAfter {
-		for i, d := range w.daemons {
-			live := w.s.Daemons - 1
-			if i == w.s.IsolatedDaemon {
+	if sim.scenario.ExpelSilentPeers && sim.scenario.IsolatedDaemon >= 0 && now == sim.scenario.FaultAt+contract.DefaultSilentAfter {
+		for i, d := range sim.daemons {
+			live := sim.scenario.Daemons - 1
+			if i == sim.scenario.IsolatedDaemon {
 				live = 1
 			}
-			d.core.SetDaemonCount(at(now), live)
+			d.core.SetDaemonCount(wallTime(now), live)
 		}
 	}
-	if w.s.Policy == PolicyContract {
-		w.digests(now)
+	if sim.scenario.Policy == PolicyContract {
+		sim.exchangeDigests(now)
 	}
 }
 
-func (w *world) digests(now time.Duration) {
-	for i, d := range w.daemons {
-		// Each daemon sends at its own moment of the period.
-		moment := w.s.DigestEvery * time.Duration(i) / time.Duration(w.s.Daemons) / tick * tick
-		if d.core == nil || now%w.s.DigestEvery != moment {
+func (sim *simulation) exchangeDigests(now time.Duration) {
+	for i, d := range sim.daemons {
+		// The daemons send in turn, spread over the interval.
+		moment := sim.scenario.DigestEvery * time.Duration(i) / time.Duration(sim.scenario.Daemons) / tick * tick
+		if d.core == nil || now%sim.scenario.DigestEvery != moment {
 			continue
 		}
-		digest := d.core.Digest(at(now), false)
+		digest := d.core.Digest(wallTime(now), false)
 		wire, err := digest.AppendBinary(nil)
 		if err != nil {
 			continue
 		}
-		w.result.DigestBytes = max(w.result.DigestBytes, len(wire))
+		sim.result.DigestBytes = max(sim.result.DigestBytes, len(wire))
 		parsed, err := contract.ParseDigest(wire)
 		if err != nil {
 			continue
 		}
-		for j := range w.daemons {
-			if j != i && w.rng.Float64() >= w.s.DigestLoss && !w.cutBetween(now, i, j) {
-				w.letters = append(w.letters, letter{at: now + digestDelay, from: i, to: j, digest: parsed})
+		for j := range sim.daemons {
+			if j != i && sim.rng.Float64() >= sim.scenario.DigestLoss && !sim.disconnected(now, i, j) {
+				sim.inTransit = append(sim.inTransit, digestMessage{at: now + digestDelay, from: i, to: j, digest: parsed})
 			}
 		}
 	}
-	rest := w.letters[:0]
-	for _, l := range w.letters {
+	pending := sim.inTransit[:0]
+	for _, l := range sim.inTransit {
 		if l.at > now {
-			rest = append(rest, l)
+			pending = append(pending, l)
 			continue
 		}
-		if d := w.daemons[l.to]; d.core != nil {
-			d.core.MergeDigest(at(now), daemonID(l.from), l.digest)
+		if d := sim.daemons[l.to]; d.core != nil {
+			d.core.MergeDigest(wallTime(now), daemonID(l.from), l.digest)
 		}
 	}
-	w.letters = rest
+	sim.inTransit = pending
 }
 
-func (w *world) cutBetween(now time.Duration, i, j int) bool {
-	return w.s.IsolatedDaemon >= 0 && now >= w.s.FaultAt && (i == w.s.IsolatedDaemon || j == w.s.IsolatedDaemon)
+func (sim *simulation) disconnected(now time.Duration, i, j int) bool {
+	return sim.scenario.IsolatedDaemon >= 0 && now >= sim.scenario.FaultAt && (i == sim.scenario.IsolatedDaemon || j == sim.scenario.IsolatedDaemon)
 }
 
-// callers makes the requests of this tick.
-func (w *world) callers(now time.Duration) {
-	for i := range w.s.Organisations {
-		o := &w.s.Organisations[i]
+// generateRequests offers the new requests and the due retries of this tick.
+func (sim *simulation) generateRequests(now time.Duration) {
+	for i := range sim.scenario.Organisations {
+		o := &sim.scenario.Organisations[i]
 		for f := range o.Flows {
 			flow := &o.Flows[f]
 			for expect := flow.Rate(now) * tick.Seconds(); expect > 0; expect-- {
-				if w.rng.Float64() < expect {
-					w.offer(now, task{org: i, priority: flow.Priority, prefill: size(w.rng, flow.Prefill), decode: size(w.rng, flow.Decode)}, 0)
+				if sim.rng.Float64() < expect {
+					sim.offer(now, task{org: i, priority: flow.Priority, prefill: drawTokens(sim.rng, flow.Prefill), decode: drawTokens(sim.rng, flow.Decode)}, 0)
 				}
 			}
 		}
 	}
-	rest := w.back[:0]
-	due := []callback{}
-	for _, b := range w.back {
+	pending := sim.retries[:0]
+	due := []retry{}
+	for _, b := range sim.retries {
 		if b.at > now {
-			rest = append(rest, b)
+			pending = append(pending, b)
 		} else {
 			due = append(due, b)
 		}
 	}
-	w.back = rest
+	sim.retries = pending
 	for _, b := range due {
-		w.offer(now, b.task, b.tries)
+		sim.offer(now, b.task, b.attempts)
 	}
 }
 
-func (w *world) offer(now time.Duration, t task, tries int) {
-	w.next++
-	t.id = w.next
-	t.daemon = w.chooseDaemon(t.org)
+func (sim *simulation) offer(now time.Duration, t task, attempts int) {
+	sim.next++
+	t.id = sim.next
+	t.daemon = sim.chooseDaemon(t.org)
 	t.arrived = now
 	t.tokens = t.prefill + t.decode
-	if tries == 0 {
+	if attempts == 0 {
 		t.offered = now
-		w.result.offered(now, &t)
+		sim.result.offered(now, &t)
 	}
-	w.tries[t.id] = tries
-	d := w.daemons[t.daemon]
-	decision := d.gate.Offer(at(now), contract.Request{
-		ID: t.id, Organisation: w.s.Organisations[t.org].ID, Priority: t.priority, Tokens: t.tokens,
+	sim.attempts[t.id] = attempts
+	d := sim.daemons[t.daemon]
+	decision := d.admission.Offer(wallTime(now), contract.Request{
+		ID: t.id, Organisation: sim.scenario.Organisations[t.org].ID, Priority: t.priority, Tokens: t.tokens,
 	})
 	d.waiting[t.id] = &t
 	if t.priority == contract.PriorityInteractive {
-		d.phones++
+		d.waitingInteractive++
 	}
-	w.outcome(now, t.daemon, contract.Outcome{ID: t.id, Decision: decision})
+	sim.applyOutcome(now, t.daemon, contract.Outcome{ID: t.id, Decision: decision})
 }
 
-func (w *world) outcome(now time.Duration, daemon int, o contract.Outcome) {
-	d := w.daemons[daemon]
+func (sim *simulation) applyOutcome(now time.Duration, daemon int, o contract.Outcome) {
+	d := sim.daemons[daemon]
 	t := d.waiting[o.ID]
 	if t == nil || o.Verdict == contract.Queued {
 		return
 	}
 	delete(d.waiting, o.ID)
 	if t.priority == contract.PriorityInteractive {
-		d.phones--
+		d.waitingInteractive--
 	}
 	if o.Verdict == contract.Refused {
-		w.result.refused(t, o.Reason)
-		w.comeBack(now, t, o.RetryAfter)
+		sim.result.refused(t, o.Reason)
+		sim.scheduleRetry(now, t, o.RetryAfter)
 		return
 	}
-	if t.priority == contract.PriorityBatch && d.phones > 0 {
-		w.result.passed(now, d.phones)
+	if t.priority == contract.PriorityBatch && d.waitingInteractive > 0 {
+		sim.result.batchAdmitted(now, d.waitingInteractive)
 	}
-	w.result.admitted(now, t)
-	w.place(t)
+	sim.result.admitted(now, t)
+	sim.place(t)
 }
 
-func (w *world) comeBack(now time.Duration, t *task, after time.Duration) {
-	tries := w.tries[t.id]
-	delete(w.tries, t.id)
-	if tries < w.s.MaxRetries {
-		w.back = append(w.back, callback{at: now + after, task: *t, tries: tries + 1})
+func (sim *simulation) scheduleRetry(now time.Duration, t *task, after time.Duration) {
+	attempts := sim.attempts[t.id]
+	delete(sim.attempts, t.id)
+	if attempts < sim.scenario.MaxRetries {
+		sim.retries = append(sim.retries, retry{at: now + after, task: *t, attempts: attempts + 1})
 	}
 }
 
-// place takes the less loaded of two engines.
-func (w *world) place(t *task) {
-	delete(w.tries, t.id)
-	a := w.engines[w.rng.IntN(len(w.engines))]
-	if b := w.engines[w.rng.IntN(len(w.engines))]; b.load() < a.load() {
+// place sends the task to the less loaded of two random engines.
+func (sim *simulation) place(t *task) {
+	delete(sim.attempts, t.id)
+	a := sim.engines[sim.rng.IntN(len(sim.engines))]
+	if b := sim.engines[sim.rng.IntN(len(sim.engines))]; b.requests() < a.requests() {
 		a = b
 	}
-	a.add(t)
+	a.enqueue(t)
 }
 
-func (w *world) chooseDaemon(org int) int {
-	spread := w.s.Organisations[org].Spread
+func (sim *simulation) chooseDaemon(org int) int {
+	spread := sim.scenario.Organisations[org].Spread
 	for {
-		i := w.rng.IntN(len(w.daemons))
+		i := sim.rng.IntN(len(sim.daemons))
 		if len(spread) > 0 {
-			i = pick(w.rng, spread)
+			i = pickWeighted(sim.rng, spread)
 		}
-		if !w.daemons[i].dead {
+		if !sim.daemons[i].dead {
 			return i
 		}
 	}
 }
 
-func pick(rng *rand.Rand, weights []float64) int {
+func pickWeighted(rng *rand.Rand, weights []float64) int {
 	sum := 0.0
 	for _, v := range weights {
 		sum += v
