--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -9,8 +9,8 @@
 
 func TestFitFindsALine(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{10, 100, 1000}, func(size int) float64 { return 5 + 3*float64(size) })
-	if math.Abs(s.Each-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
-		t.Errorf("each %g, base %g", s.Each, s.Base)
+	if math.Abs(s.PerUnit-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
+		t.Errorf("each %g, base %g", s.PerUnit, s.Base)
 	}
 }
 
@@ -24,11 +24,11 @@
 }
 
 // fixedBook has slopes with known values, so that the sums can be checked.
-func fixedBook(each float64) *Book {
-	b := &Book{slopes: map[string]Slope{}}
+func fixedBook(each float64) *SlopeSet {
+	b := &SlopeSet{slopes: map[string]Slope{}}
 	for _, m := range Measurements() {
-		b.slopes[m.Key] = Slope{Name: m.Key, Each: each, Points: []Point{{Size: 1}}}
-		b.Order = append(b.Order, m.Key)
+		b.slopes[m.Key] = Slope{Name: m.Key, PerUnit: each, Points: []Point{{Size: 1}}}
+		b.Keys = append(b.Keys, m.Key)
 	}
 	return b
 }
@@ -36,7 +36,7 @@
 func TestSumsFollowFromSlopes(t *testing.T) {
 	b := fixedBook(100)
 	for _, r := range b.Rows() {
-		if r.What == "membership and health" && r.Value(Target) != 460_000 {
+		if r.Name == "membership and health" && r.Value(Target) != 460_000 {
 			t.Errorf("got %g", r.Value(Target))
 		}
 	}
@@ -49,19 +49,19 @@
 	rows := b.Rows()
 	over := 0
 	for i := range rows {
-		if rows[i].Over(Target) {
+		if rows[i].ExceedsLimit(Target) {
 			over++
 		}
 	}
-	breaks := Breaks(rows, Registre, Target)
+	breaks := LimitCrossings(rows, Registre, Target)
 	if over == 0 || len(breaks) < over {
 		t.Errorf("%d rows over, %d listed", over, len(breaks))
 	}
 	var page bytes.Buffer
 	b.WriteTables(&page)
 	for _, x := range breaks {
-		if !strings.Contains(page.String(), x.Row.What) {
-			t.Errorf("page lacks %s", x.Row.What)
+		if !strings.Contains(page.String(), x.Row.Name) {
+			t.Errorf("page lacks %s", x.Row.Name)
 		}
 	}
 }
--- a/lab/capacity/page.go
+++ b/lab/capacity/page.go
@@ -8,21 +8,21 @@
 
 // WriteTables writes the slopes, the sums at three sizes, what breaks first and
 // the bad days, as Markdown.
-func (b *Book) WriteTables(w io.Writer) {
+func (b *SlopeSet) WriteTables(w io.Writer) {
 	b.writeSlopes(w)
 	rows := b.Rows()
 	writeRows(w, rows)
-	writeBreaks(w, Breaks(rows, Registre, Target))
+	writeBreaks(w, LimitCrossings(rows, Registre, Target))
 	b.writeBadDays(w)
 }
 
-func (b *Book) writeSlopes(w io.Writer) {
+func (b *SlopeSet) writeSlopes(w io.Writer) {
 	fmt.Fprint(w, "## Slopes\n\n| what | for each | adds | at 0 | unit | measured at | spread |\n|---|---|---|---|---|---|---|\n")
-	for _, key := range b.Order {
+	for _, key := range b.Keys {
 		s := b.Slope(key)
 		first, last := s.Points[0].Size, s.Points[len(s.Points)-1].Size
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s to %s | %s |\n", s.Name, s.Size,
-			short(s.Each), short(s.Base), s.Unit, short(first), short(last), spread(&s))
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s to %s | %s |\n", s.Name, s.SizeName,
+			short(s.PerUnit), short(s.Base), s.Unit, short(first), short(last), spread(&s))
 	}
 }
 
@@ -40,30 +40,30 @@
 	for i := range rows {
 		r := &rows[i]
 		target := short(r.Value(Target))
-		if r.Over(Target) {
+		if r.ExceedsLimit(Target) {
 			target = "**" + target + "**"
 		}
 		limit := "–"
 		if r.Limit > 0 {
 			limit = short(r.Limit)
 		}
-		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Role, r.What, r.Unit,
+		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s | %s | %s | %s |\n", r.Role, r.Name, r.Unit,
 			short(r.Value(Registre)), short(r.Value(Tsukushi)), target, limit, r.Status, r.Mechanism)
 	}
 }
 
-func writeBreaks(w io.Writer, breaks []Break) {
+func writeBreaks(w io.Writer, breaks []LimitCrossing) {
 	fmt.Fprint(w, "\n## What breaks first\n\nFrom Registre's sizes to the target's, every size growing by the same part of its way:\n\n| row | passes its limit at | what changes there |\n|---|---|---|\n")
 	for _, x := range breaks {
 		fmt.Fprintf(w, "| %s: %s | %.0f daemons, %.0f endpoints, %.0f organisations | %s |\n",
-			x.Row.Role, x.Row.What, x.Sizes.Daemons, x.Sizes.Endpoints, x.Sizes.Organisations, x.Row.Mechanism)
+			x.Row.Role, x.Row.Name, x.Sizes.Daemons, x.Sizes.Endpoints, x.Sizes.Organisations, x.Row.Mechanism)
 	}
 }
 
-func (b *Book) writeBadDays(w io.Writer) {
+func (b *SlopeSet) writeBadDays(w io.Writer) {
 	fmt.Fprint(w, "\n## Bad days at the target\n\n| day | brings | bounded by |\n|---|---|---|\n")
-	for _, d := range b.BadDays(Target) {
-		fmt.Fprintf(w, "| %s | %s | %s |\n", d.What, d.Brings, d.Bound)
+	for _, d := range b.Failures(Target) {
+		fmt.Fprintf(w, "| %s | %s | %s |\n", d.Event, d.Effect, d.Mitigation)
 	}
 }
 
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -12,7 +12,7 @@
 	CacheEvents   float64 // a second, over all runners
 	Organisations float64
 	Models        float64
-	Changes       float64 // of configuration a day
+	ConfigChanges float64 // of configuration a day
 	VMChanges     float64 // VMs that fail or are replaced a day
 	Zones         float64
 }
@@ -22,15 +22,15 @@
 var (
 	Registre = Sizes{
 		Name: "Registre", Daemons: 9, Endpoints: 22, Requests: 35, Tokens: 7000, CacheEvents: 18000,
-		Organisations: 8, Models: 2, Changes: 20, VMChanges: 10, Zones: 3,
+		Organisations: 8, Models: 2, ConfigChanges: 20, VMChanges: 10, Zones: 3,
 	}
 	Tsukushi = Sizes{
 		Name: "Tsukushi", Daemons: 9, Endpoints: 13, Requests: 20, Tokens: 4000, CacheEvents: 9000,
-		Organisations: 8, Models: 2, Changes: 20, VMChanges: 10, Zones: 3,
+		Organisations: 8, Models: 2, ConfigChanges: 20, VMChanges: 10, Zones: 3,
 	}
 	Target = Sizes{
 		Name: "target", Daemons: 1100, Endpoints: 4600, Requests: 68_000, Tokens: 17e6, CacheEvents: 4.6e6,
-		Organisations: 11_000, Models: 30, Changes: 3000, VMChanges: 1050, Zones: 5,
+		Organisations: 11_000, Models: 30, ConfigChanges: 3000, VMChanges: 1050, Zones: 5,
 	}
 )
 
@@ -46,7 +46,7 @@
 		CacheEvents:   grow(a.CacheEvents, b.CacheEvents),
 		Organisations: grow(a.Organisations, b.Organisations),
 		Models:        grow(a.Models, b.Models),
-		Changes:       grow(a.Changes, b.Changes),
+		ConfigChanges: grow(a.ConfigChanges, b.ConfigChanges),
 		VMChanges:     grow(a.VMChanges, b.VMChanges),
 		Zones:         grow(a.Zones, b.Zones),
 	}
--- a/lab/capacity/slope.go
+++ b/lab/capacity/slope.go
@@ -24,13 +24,13 @@
 
 // Slope is how a cost grows with a size: value = Base + Each × size.
 type Slope struct {
-	Name   string  `json:"name"`
-	Size   string  `json:"size"`   // what the size counts
-	Unit   string  `json:"unit"`   // of the value
-	Each   float64 `json:"each"`   // added by one more
-	Base   float64 `json:"base"`   // at size 0
-	Spread float64 `json:"spread"` // the greatest of the points
-	Points []Point `json:"points"`
+	Name     string  `json:"name"`
+	SizeName string  `json:"size"`   // what the size counts
+	Unit     string  `json:"unit"`   // of the value
+	PerUnit  float64 `json:"each"`   // added by one more
+	Base     float64 `json:"base"`   // at size 0
+	Spread   float64 `json:"spread"` // the greatest of the points
+	Points   []Point `json:"points"`
 }
 
 // At is the value at the given size: between two points, on the line that joins
@@ -43,7 +43,7 @@
 			return a.Value + (b.Value-a.Value)*(size-a.Size)/(b.Size-a.Size)
 		}
 	}
-	return max(s.Base+s.Each*size, 0)
+	return max(s.Base+s.PerUnit*size, 0)
 }
 
 // measure takes a point at each size and fits a line through them. The
@@ -58,7 +58,7 @@
 }
 
 func measureTimes(times int, name, size, unit string, sizes []int, one func(size int) float64) Slope {
-	s := Slope{Name: name, Size: size, Unit: unit}
+	s := Slope{Name: name, SizeName: size, Unit: unit}
 	for _, n := range sizes {
 		var values []float64
 		for range times {
@@ -93,8 +93,8 @@
 		s.Base = wy / w
 		return
 	}
-	s.Each = (w*wxy - wx*wy) / det
-	s.Base = (wy - s.Each*wx) / w
+	s.PerUnit = (w*wxy - wx*wy) / det
+	s.Base = (wy - s.PerUnit*wx) / w
 }
 
 // nanoseconds times f, which does its work n times.
