--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -7,14 +7,14 @@
 	"testing"
 )
 
-func TestFitFindsALine(t *testing.T) {
+func TestFitFindsLine(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{10, 100, 1000}, func(size int) float64 { return 5 + 3*float64(size) })
 	if math.Abs(s.PerUnit-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
 		t.Errorf("each %g, base %g", s.PerUnit, s.Base)
 	}
 }
 
-func TestCostsBetweenPointsAreTheirOwn(t *testing.T) {
+func TestSlopeInterpolatesBetweenPoints(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{1, 10, 100}, func(size int) float64 {
 		return map[int]float64{1: 400, 10: 220, 100: 200}[size]
 	})
@@ -23,8 +23,9 @@
 	}
 }
 
-// fixedBook has slopes with known values, so that the sums can be checked.
-func fixedBook(each float64) *SlopeSet {
+// fixedSlopes returns slopes with a known cost per unit, so that the rows can be
+// checked.
+func fixedSlopes(each float64) *SlopeSet {
 	b := &SlopeSet{slopes: map[string]Slope{}}
 	for _, m := range Measurements() {
 		b.slopes[m.Key] = Slope{Name: m.Key, PerUnit: each, Points: []Point{{Size: 1}}}
@@ -33,8 +34,8 @@
 	return b
 }
 
-func TestSumsFollowFromSlopes(t *testing.T) {
-	b := fixedBook(100)
+func TestRowsFollowFromSlopes(t *testing.T) {
+	b := fixedSlopes(100)
 	for _, r := range b.Rows() {
 		if r.Name == "membership and health" && r.Value(Target) != 460_000 {
 			t.Errorf("got %g", r.Value(Target))
@@ -42,10 +43,11 @@
 	}
 }
 
-// A page that leaves out the row that breaks would be read as if all were
-// well. Every row over its limit at the target must be listed with its size.
-func TestEveryRowOverItsLimitIsListed(t *testing.T) {
-	b := fixedBook(100)
+// A row over its limit that is missing from the tables would hide a bottleneck.
+// Every row over its limit at the target must be listed with the sizes at which
+// it exceeds it.
+func TestTablesListRowsOverLimit(t *testing.T) {
+	b := fixedSlopes(100)
 	rows := b.Rows()
 	over := 0
 	for i := range rows {
@@ -55,13 +57,13 @@
 	}
 	breaks := LimitCrossings(rows, Registre, Target)
 	if over == 0 || len(breaks) < over {
-		t.Errorf("%d rows over, %d listed", over, len(breaks))
+		t.Errorf("%d rows exceed their limits, %d listed", over, len(breaks))
 	}
 	var page bytes.Buffer
 	b.WriteTables(&page)
 	for _, x := range breaks {
 		if !strings.Contains(page.String(), x.Row.Name) {
-			t.Errorf("page lacks %s", x.Row.Name)
+			t.Errorf("tables lack the row %q", x.Row.Name)
 		}
 	}
 }
--- a/lab/capacity/fixtures.go
+++ b/lab/capacity/fixtures.go
@@ -14,7 +14,7 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// epoch is the time that measurements with a clock of their own begin at.
+// epoch is the start of measurements in virtual time.
 var epoch = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
 const zones = 5
@@ -53,8 +53,8 @@
 	return list
 }
 
-// manifestOf is a manifest with n organisations.
-func manifestOf(n int) manifest.Manifest {
+// newManifest returns a valid manifest with n organisations.
+func newManifest(n int) manifest.Manifest {
 	m := manifest.Manifest{
 		Rules:   manifest.RulesVersion,
 		Name:    "capacity",
@@ -79,11 +79,11 @@
 	return m
 }
 
-// levels are the prefix levels of a prompt like those of the brief: a
-// preamble, a document of several pieces and a question.
-func levels(c *prefix.Splitter, org, document, question int) []prefix.Level {
+// promptLevels returns the prefix levels of a typical prompt: a preamble, a
+// document of several pieces and a question.
+func promptLevels(c *prefix.Splitter, org, document, question int) []prefix.Level {
 	c.Reset(prefix.Seed{Organisation: organisation(org), Model: "codes", Version: "v1"})
-	for _, part := range []struct {
+	for _, segment := range []struct {
 		name   string
 		tokens int
 	}{
@@ -91,14 +91,14 @@
 		{fmt.Sprintf("document %d %d", org, document), 9000},
 		{fmt.Sprintf("question %d", question), 100},
 	} {
-		c.Write(text(part.name, part.tokens*prefix.DefaultBytesPerToken))
+		c.Write(paddedText(segment.name, segment.tokens*prefix.DefaultBytesPerToken))
 		c.EndMessage()
 	}
 	return append([]prefix.Level(nil), c.Levels()...)
 }
 
-// text is n bytes that begin with the name.
-func text(name string, n int) []byte {
+// paddedText returns n bytes that begin with the name.
+func paddedText(name string, n int) []byte {
 	b := make([]byte, n)
 	copy(b, name)
 	return b
--- a/lab/capacity/parts.go
+++ b/lab/capacity/parts.go
@@ -16,7 +16,7 @@
 	"github.com/merlindock/merlindock/prefix"
 )
 
-// Sizes that slopes are measured at, from today's to the target's.
+// Sizes at which slopes are measured, from current deployments to the target.
 var (
 	endpointSizes     = []int{18, 500, 4600}
 	organisationSizes = []int{8, 1000, 11_000}
@@ -25,7 +25,8 @@
 	promptSizes       = []int{4 << 10, 32 << 10, 256 << 10}
 )
 
-// must stops a measurement whose fixture is wrong: a fault of this package.
+// must returns v and panics on an error, which can only be caused by a wrong
+// fixture of this package.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -33,10 +34,10 @@
 	return v
 }
 
-func cutPrompt() Slope {
-	return measure("cut a prompt into keys", "bytes of prompt", "ns", promptSizes, func(size int) float64 {
+func splitPrompt() Slope {
+	return measure("split a prompt into prefix keys", "bytes of prompt", "ns", promptSizes, func(size int) float64 {
 		c := prefix.NewSplitter(prefix.Options{})
-		b := text("prompt", size)
+		b := paddedText("prompt", size)
 		return nanoseconds(func(n int) {
 			for range n {
 				c.Reset(prefix.Seed{Organisation: "o", Model: "m", Version: "v"})
@@ -47,15 +48,16 @@
 	})
 }
 
-// viewOf is a view with n endpoints.
-func viewOf(n int) *placement.View {
+// newView returns a placement view with n endpoints.
+func newView(n int) *placement.View {
 	v := placement.NewView(placement.Options{Zone: zone(0), Daemons: 9})
 	v.SetPool("codes", endpoints(n))
 	return v
 }
 
-// placeOne places a request, has it answered and ended.
-func placeOne(v *placement.View, now time.Time, id uint64, l []prefix.Level) {
+// placeAndFinish places a request and reports its answer and its end to the
+// view.
+func placeAndFinish(v *placement.View, now time.Time, id uint64, l []prefix.Level) {
 	tokens := l[len(l)-1].Tokens
 	d := must(v.Place(now, placement.Request{ID: id, Pool: "codes", Levels: l, Tokens: tokens, Priority: contract.PriorityStandard}))
 	v.Answered(now, placement.Answer{ID: id, Endpoint: d.Endpoint, Incarnation: 1, CachedTokens: tokens / 2, Levels: l})
@@ -63,12 +65,12 @@
 }
 
 func place() Slope {
-	return measure("place, answer and end a request", "endpoints", "ns", endpointSizes, func(size int) float64 {
-		v := viewOf(size)
+	return measure("place, answer and finish a request", "endpoints", "ns", endpointSizes, func(size int) float64 {
+		v := newView(size)
 		c := prefix.NewSplitter(prefix.Options{})
 		var prompts [][]prefix.Level
 		for i := range 512 {
-			prompts = append(prompts, levels(c, i%64, i%8, i))
+			prompts = append(prompts, promptLevels(c, i%64, i%8, i))
 		}
 		id := uint64(0)
 		now := epoch
@@ -76,7 +78,7 @@
 			for range n {
 				id++
 				now = now.Add(time.Millisecond)
-				placeOne(v, now, id, prompts[id%uint64(len(prompts))])
+				placeAndFinish(v, now, id, prompts[id%uint64(len(prompts))])
 			}
 		})
 	})
@@ -84,7 +86,7 @@
 
 func placementEndpointBytes() Slope {
 	return measure("placement state", "endpoints", "bytes", endpointSizes, func(size int) float64 {
-		return heapBytes(func() any { return viewOf(size) })
+		return heapBytes(func() any { return newView(size) })
 	})
 }
 
@@ -95,14 +97,14 @@
 			v := placement.NewView(placement.Options{Zone: zone(0), Daemons: 9, MaxPrefixes: size})
 			v.SetPool("codes", endpoints(18))
 			for i := range 2 * size / 6 {
-				placeOne(v, epoch, uint64(i+1), levels(c, i%8, i, i))
+				placeAndFinish(v, epoch, uint64(i+1), promptLevels(c, i%8, i, i))
 			}
 			return v
 		})
 	})
 }
 
-func admissionOf(n int) *contract.Admission {
+func newAdmission(n int) *contract.Admission {
 	a := contract.NewAdmission(contract.Options{Daemon: "d", Incarnation: 1})
 	shares := make([]contract.Share, n)
 	for i := range shares {
@@ -113,7 +115,7 @@
 	return a
 }
 
-// activate has every organisation run one request at the admission.
+// activate offers one request of every organisation to the admission.
 func activate(a *contract.Admission, n int) {
 	for i := range n {
 		a.Offer(epoch, contract.Request{ID: contract.RequestID(i + 1), Organisation: organisation(i), Tokens: 100})
@@ -122,7 +124,7 @@
 
 func admit() Slope {
 	return measure("admit and finish a request", "organisations", "ns", organisationSizes, func(size int) float64 {
-		a := admissionOf(size)
+		a := newAdmission(size)
 		ids := make([]contract.OrganisationID, size)
 		for i := range ids {
 			ids[i] = organisation(i)
@@ -143,7 +145,7 @@
 func admissionBytes() Slope {
 	return measure("admission state, all active", "organisations", "bytes", organisationSizes, func(size int) float64 {
 		return heapBytes(func() any {
-			a := admissionOf(size)
+			a := newAdmission(size)
 			activate(a, size)
 			return a
 		})
@@ -152,13 +154,13 @@
 
 func admissionIdleBytes() Slope {
 	return measure("admission state, all idle", "organisations", "bytes", organisationSizes, func(size int) float64 {
-		return heapBytes(func() any { return admissionOf(size) })
+		return heapBytes(func() any { return newAdmission(size) })
 	})
 }
 
 func useDigestBytes() Slope {
 	return measure("digest of organisations' use", "active organisations, 64 at most", "bytes", []int{1, 8, 32}, func(size int) float64 {
-		a := admissionOf(size)
+		a := newAdmission(size)
 		activate(a, size)
 		d := a.Digest(epoch.Add(time.Second), false)
 		return float64(len(must(d.AppendBinary(nil))))
@@ -166,7 +168,7 @@
 }
 
 func manifestRecord(n int) []byte {
-	m := manifestOf(n)
+	m := newManifest(n)
 	text := must(manifest.Encode(m))
 	return must(ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.DigestOfText(text), Manifest: text}))
 }
@@ -177,8 +179,8 @@
 	})
 }
 
-func foldManifest() Slope {
-	return measure("fold a manifest record", "organisations", "ns", organisationSizes, func(size int) float64 {
+func applyManifest() Slope {
+	return measure("apply a manifest record", "organisations", "ns", organisationSizes, func(size int) float64 {
 		record := manifestRecord(size)
 		return nanoseconds(func(n int) {
 			for range n {
@@ -195,21 +197,21 @@
 func indexBytes() Slope {
 	return measure("manifest in force and its index", "organisations", "bytes", organisationSizes, func(size int) float64 {
 		return heapBytes(func() any {
-			m := manifestOf(size)
+			m := newManifest(size)
 			return []any{&m, must(catalog.New(&m))}
 		})
 	})
 }
 
-func membershipOf(n int) *fleet.Membership {
+func newMembership(n int) *fleet.Membership {
 	m := fleet.NewMembership(fleet.MembershipOptions{})
 	m.SetList(epoch, endpoints(n))
 	return m
 }
 
-func membershipList() Slope {
-	return measure("take an unchanged list of VMs", "endpoints", "ns", endpointSizes, func(size int) float64 {
-		m := membershipOf(size)
+func setMembershipList() Slope {
+	return measure("apply an unchanged list of VMs", "endpoints", "ns", endpointSizes, func(size int) float64 {
+		m := newMembership(size)
 		list := endpoints(size)
 		now := epoch
 		return nanoseconds(func(n int) {
@@ -221,9 +223,9 @@
 	})
 }
 
-func membershipUsable() Slope {
-	return measure("work out the usable endpoints", "endpoints", "ns", endpointSizes, func(size int) float64 {
-		m := membershipOf(size)
+func usableEndpoints() Slope {
+	return measure("determine the usable endpoints", "endpoints", "ns", endpointSizes, func(size int) float64 {
+		m := newMembership(size)
 		var kept []fleet.Member
 		return nanoseconds(func(n int) {
 			for range n {
@@ -238,7 +240,7 @@
 		return heapBytes(func() any {
 			h := health.New(health.Options{})
 			h.Sync(epoch, endpoints(size))
-			return []any{membershipOf(size), h}
+			return []any{newMembership(size), h}
 		})
 	})
 }
@@ -260,18 +262,18 @@
 	})
 }
 
-// Measurement makes one slope.
+// Measurement measures one slope.
 type Measurement struct {
-	Key string // by which the sums refer to it
+	Key string // of the slope, in a SlopeSet
 	Run func() Slope
 }
 
-// Measurements lists all slopes of the parts.
+// Measurements lists the measurements of all components.
 func Measurements() []Measurement {
 	claims := claimRuns{}
 	control := controlRuns{}
 	return []Measurement{
-		{keyCut, cutPrompt},
+		{keySplit, splitPrompt},
 		{keyPlace, place},
 		{keyPlacementEndpoint, placementEndpointBytes},
 		{keyPlacementPrefix, placementPrefixBytes},
@@ -280,16 +282,16 @@
 		{keyAdmissionIdle, admissionIdleBytes},
 		{keyUseDigest, useDigestBytes},
 		{keyManifestRecord, manifestBytes},
-		{keyFold, foldManifest},
+		{keyApplyManifest, applyManifest},
 		{keyIndexBytes, indexBytes},
-		{keyListTake, membershipList},
-		{keyUsable, membershipUsable},
+		{keySetList, setMembershipList},
+		{keyUsable, usableEndpoints},
 		{keyMembershipBytes, membershipBytes},
 		{keyListBytes, listBytes},
 		{keyNeighbours, chooseNeighbours},
 		{keyDigest, digestBytes},
 		{keySection, sectionBytes},
-		{keySectionFold, sectionFold},
+		{keyApplySection, applySection},
 		{keyPoll, pollBytes},
 		{keyPlan, planOrders},
 		{keyControl, control.bytes},
@@ -297,19 +299,19 @@
 		{keyClaims, claims.perSecond},
 		{keyClaimBytes, claims.bytes},
 		{keyProbe, probeBytes},
-		{keyRosterTick, rosterTick},
+		{keyRosterTick, rosterRefresh},
 		{keyRosterChange, rosterChange},
 		{keyRosterBytes, rosterBytes},
 		{keyFeedBytes, feedBytes},
 		{keyFeedTime, feedTime},
 		{keyFeedState, feedState},
-		{keyReaders, readersSet},
+		{keyReaders, setReaders},
 	}
 }
 
 // Keys of the slopes.
 const (
-	keyCut               = "cut"
+	keySplit             = "cut"
 	keyPlace             = "place"
 	keyPlacementEndpoint = "placement-endpoint"
 	keyPlacementPrefix   = "placement-prefix"
@@ -318,16 +320,16 @@
 	keyAdmissionIdle     = "admission-idle"
 	keyUseDigest         = "use-digest"
 	keyManifestRecord    = "manifest-record"
-	keyFold              = "fold"
+	keyApplyManifest     = "fold"
 	keyIndexBytes        = "index-bytes"
-	keyListTake          = "list-take"
+	keySetList           = "list-take"
 	keyUsable            = "usable"
 	keyMembershipBytes   = "membership-bytes"
 	keyListBytes         = "list-bytes"
 	keyNeighbours        = "neighbours"
 	keyDigest            = "digest"
 	keySection           = "section"
-	keySectionFold       = "section-fold"
+	keyApplySection      = "section-fold"
 	keyPoll              = "poll"
 	keyPlan              = "plan"
 	keyControl           = "control"
--- a/lab/capacity/shells.go
+++ b/lab/capacity/shells.go
@@ -13,18 +13,18 @@
 	bench "github.com/merlindock/merlindock/lab/measure"
 )
 
-// Bounds of the measurements that run whole shells in real time.
+// Parameters of the measurements that run complete components in real time.
 const (
 	controlInterval = 2 * time.Second // peers.interval
 	controlWindow   = 10 * time.Second
-	claimsFor       = 2 * time.Second
-	claimsWarm      = time.Second
-	logRate         = 300 // appends a second, as the brief's "several hundred"
+	claimsDuration  = 2 * time.Second
+	claimsWarmUp    = time.Second
+	logRate         = 300 // appends per second; the log is specified for "several hundred"
 	claimWorkers    = 400
 )
 
 func digestBytes() Slope {
-	return measure("digest between daemons", "endpoints in the news, 64 at most", "bytes", []int{1, 8, 64}, func(size int) float64 {
+	return measure("digest between daemons", "endpoints reported, 64 at most", "bytes", []int{1, 8, 64}, func(size int) float64 {
 		return float64(bench.DigestBytes(size, 8))
 	})
 }
@@ -36,8 +36,8 @@
 	})
 }
 
-func sectionFold() Slope {
-	return measure("fold one organisation's change", "organisations", "ns", organisationSizes, func(size int) float64 {
+func applySection() Slope {
+	return measure("apply one organisation's change", "organisations", "ns", organisationSizes, func(size int) float64 {
 		fold, _, err := bench.SectionFold(size)
 		must(fold, err)
 		return nanoseconds(func(n int) {
@@ -66,8 +66,8 @@
 	})
 }
 
-// controlRuns keeps the runs of idle daemons that exchange digests over real
-// gRPC, since two slopes come from each.
+// controlRuns caches the runs of idle daemons that exchange digests over real
+// gRPC, by number of daemons. Two slopes are measured with each run.
 type controlRuns map[int]bench.ControlCost
 
 func (c controlRuns) at(daemons int) bench.ControlCost {
@@ -76,7 +76,7 @@
 	}
 	c[daemons] = must(bench.Control(bench.ControlOptions{
 		Daemons:       daemons,
-		Zones:         zonesOf(daemons),
+		Zones:         zoneCount(daemons),
 		Interval:      controlInterval,
 		Window:        controlWindow,
 		Evidence:      2,
@@ -85,9 +85,9 @@
 	return c[daemons]
 }
 
-// zonesOf is the number of zones of a deployment: three today, five at the
-// target.
-func zonesOf(daemons int) int {
+// zoneCount returns the number of zones of a deployment: three for the size of
+// the current ones, five for larger ones, as at the target.
+func zoneCount(daemons int) int {
 	if daemons <= 9 {
 		return 3
 	}
@@ -108,7 +108,8 @@
 	})
 }
 
-// claimRuns keeps the runs of keyed calls, since two slopes come from each.
+// claimRuns caches the runs of calls with idempotency keys, by batch size. Two
+// slopes are measured with each run.
 type claimRuns map[int]bench.ClaimResult
 
 func (c claimRuns) at(batch int) bench.ClaimResult {
@@ -121,8 +122,8 @@
 		AppendRate: logRate,
 		LogDelay:   2 * time.Millisecond,
 		Workers:    claimWorkers,
-		Warm:       claimsWarm,
-		For:        claimsFor,
+		Warm:       claimsWarmUp,
+		For:        claimsDuration,
 	}))
 	return c[batch]
 }
@@ -141,10 +142,10 @@
 	})
 }
 
-// probeBytes is what asking one endpoint for its load puts on the wire, both
-// ways, over a connection that is kept.
+// probeBytes measures the bytes of one load request to an endpoint, in both
+// directions over a persistent connection.
 func probeBytes() Slope {
-	return measureOnce("asking an endpoint for its load", "endpoints", "bytes", []int{1}, func(int) float64 {
+	return measureOnce("load request to an endpoint", "endpoints", "bytes", []int{1}, func(int) float64 {
 		server := httptest.NewServer(standin.NewRunner(standin.RunnerOptions{ID: "runner-00001"}))
 		defer server.Close()
 		var wire atomic.Int64
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -2,23 +2,23 @@
 
 import "math"
 
-// Sizes describe a deployment.
+// Sizes describe a deployment. Rates are totals over all daemons or runners.
 type Sizes struct {
 	Name          string
 	Daemons       float64
 	Endpoints     float64 // runners, services and stores
-	Requests      float64 // a second, over all daemons
-	Tokens        float64 // generated a second, over all daemons
-	CacheEvents   float64 // a second, over all runners
+	Requests      float64 // per second
+	Tokens        float64 // generated per second
+	CacheEvents   float64 // per second
 	Organisations float64
 	Models        float64
-	ConfigChanges float64 // of configuration a day
-	VMChanges     float64 // VMs that fail or are replaced a day
+	ConfigChanges float64 // changes of the configuration per day
+	VMChanges     float64 // VMs that fail or are replaced per day
 	Zones         float64
 }
 
-// Deployments of today and the target of the users' letter. Where the users
-// give no figure, docs/CAPACITY.md says what was taken.
+// Current deployments, and the target that the users have set. Assumptions,
+// where the users give no figure, are listed in docs/CAPACITY.md.
 var (
 	Registre = Sizes{
 		Name: "Registre", Daemons: 9, Endpoints: 22, Requests: 35, Tokens: 7000, CacheEvents: 18000,
@@ -34,8 +34,9 @@
 	}
 )
 
-// between grows every size by the same part of its way, on a scale of factors.
-func between(a, b Sizes, part float64) Sizes {
+// interpolate returns the sizes at a fraction of the growth from a to b, from 0
+// to 1. Sizes grow geometrically.
+func interpolate(a, b Sizes, part float64) Sizes {
 	grow := func(x, y float64) float64 { return x * math.Pow(y/x, part) }
 	return Sizes{
 		Name:          "between",
@@ -52,34 +53,34 @@
 	}
 }
 
-// Intervals that the sums use: the defaults of the settings.
+// Constants of the rows. Intervals and bounds are the defaults of the settings.
 const (
-	day           = 86_400.0 // seconds
-	leaseSeconds  = 3.0      // between reads of the lease stream
-	pollSeconds   = 1.0      // between reads of the manifest stream
-	listSeconds   = 2.0      // between reads of the list of VMs
-	claimsPoll    = 2.0      // between reads of an idle claim stream
-	prefixesKept  = 200_000  // routing.prefixes
-	eventBytes    = 62       // of one cache event on the wire, docs/measurements/events.md
-	listsRead     = 2        // endpoints and daemons
-	promptBytes   = 40_000   // about 10,000 tokens
-	tickBase      = 0.2      // seconds, of the fleet's upkeep
-	tickEach      = 0.000_25 // seconds, for each endpoint
-	ordersTick    = 1.0      // seconds
-	loadSeconds   = 3.0      // routing.load-interval
-	probesEach    = 2        // in a second
-	wireExpansion = 4.0 / 3  // of records, which are read as base64
+	day                    = 86_400.0 // seconds
+	leaseSeconds           = 3.0      // between reads of the lease stream
+	pollSeconds            = 1.0      // between reads of the manifest stream
+	listSeconds            = 2.0      // between reads of the list of VMs
+	claimsPollSeconds      = 2.0      // between reads of an idle claim stream
+	maxPrefixes            = 200_000  // default of routing.prefixes
+	cacheEventBytes        = 62       // size of one cache event on the wire, see docs/measurements/events.md
+	listCount              = 2        // the lists of endpoints and of daemons
+	promptBytes            = 40_000   // about 10,000 tokens
+	refreshBaseSeconds     = 0.2      // base of the interval at which the membership is refreshed
+	refreshEndpointSeconds = 0.000_25 // added to that interval for each endpoint
+	ordersTickSeconds      = 1.0      // between rounds of planning orders
+	loadSeconds            = 3.0      // default of routing.load-interval
+	maxProbesPerSecond     = 2        // load requests of one daemon to silent endpoints
+	wireExpansion          = 4.0 / 3  // of records, which are base64 on the wire
 )
 
-// Limits for one daemon's control, and for the log.
+// Limits of one daemon's control plane and of the log, and assumptions.
 const (
-	limitCore      = 0.016
-	limitMemory    = 256 << 20
-	limitBytes     = 3 << 10
-	limitAppends   = 300
-	limitChange    = 10 // seconds
-	noLimit        = 0
-	claimPart      = 0.001 // of all requests, as keyed calls; an assumption
-	gbit           = 125e6 // bytes/s
-	herdReadWithin = 10.0  // seconds
+	limitCore          = 0.016
+	limitMemory        = 256 << 20
+	limitBytes         = 3 << 10
+	limitAppends       = 300
+	limitChangeSeconds = 10
+	noLimit            = 0
+	keyedFraction      = 0.001 // of requests with an idempotency key; an assumption
+	gbitBytes          = 125e6 // bytes/s
+	restartReadSeconds = 10.0
 )
--- a/lab/capacity/slope.go
+++ b/lab/capacity/slope.go
@@ -1,5 +1,6 @@
-// Package capacity measures what each part of the system costs as its sizes
-// grow, and works out from the slopes what each role needs at a given size.
+// Package capacity measures how the cost of each component grows with the size
+// of a deployment, and computes from these slopes the resources that each role
+// needs at a given size.
 package capacity
 
 import (
@@ -8,34 +9,34 @@
 	"time"
 )
 
-// repeats is how often each point is measured; the least is kept, since
-// everything else that runs on the machine only adds.
+// repeats is the number of measurements of each point. The least value is kept,
+// since other load on the machine can only increase it.
 const repeats = 3
 
-// minRun is how long one timing goes on at the least.
-const minRun = 20 * time.Millisecond
+// minTiming is the minimum duration of one timing.
+const minTiming = 20 * time.Millisecond
 
-// Point is one measurement.
+// Point is the cost at one size.
 type Point struct {
 	Size   float64 `json:"size"`
 	Value  float64 `json:"value"`
-	Spread float64 `json:"spread"` // greatest over least of the repeats, less 1
+	Spread float64 `json:"spread"` // greatest / least value of the repeats, minus 1
 }
 
-// Slope is how a cost grows with a size: value = Base + Each × size.
+// Slope describes how a cost grows with a size: value = Base + PerUnit × size.
 type Slope struct {
 	Name     string  `json:"name"`
-	SizeName string  `json:"size"`   // what the size counts
+	SizeName string  `json:"size"`   // what is counted by the size
 	Unit     string  `json:"unit"`   // of the value
-	PerUnit  float64 `json:"each"`   // added by one more
-	Base     float64 `json:"base"`   // at size 0
-	Spread   float64 `json:"spread"` // the greatest of the points
+	PerUnit  float64 `json:"each"`   // cost of one more
+	Base     float64 `json:"base"`   // cost at size 0
+	Spread   float64 `json:"spread"` // greatest spread of the points
 	Points   []Point `json:"points"`
 }
 
-// At is the value at the given size: between two points, on the line that joins
-// them, and outside on the fitted one. A line fitted through noise can cross
-// zero; a cost cannot.
+// At returns the cost at a size. It is interpolated between two measured points
+// and taken from the fitted line outside of them. The result is never negative,
+// although a line fitted through noisy points can be.
 func (s *Slope) At(size float64) float64 {
 	for i := 1; i < len(s.Points); i++ {
 		a, b := s.Points[i-1], s.Points[i]
@@ -46,13 +47,13 @@
 	return max(s.Base+s.PerUnit*size, 0)
 }
 
-// measure takes a point at each size and fits a line through them. The
-// function returns the value of one repeat.
+// measure measures a point at each size with repeats, and fits a line through
+// the points. The function one returns the value of one repeat.
 func measure(name, size, unit string, sizes []int, one func(size int) float64) Slope {
 	return measureTimes(repeats, name, size, unit, sizes, one)
 }
 
-// measureOnce is measure without repeats, for what takes seconds.
+// measureOnce is measure without repeats, for measurements that take seconds.
 func measureOnce(name, size, unit string, sizes []int, one func(size int) float64) Slope {
 	return measureTimes(1, name, size, unit, sizes, one)
 }
@@ -76,8 +77,9 @@
 	return s
 }
 
-// fit is the least-squares line, weighted by 1/size² so that the small sizes
-// of today count as much as the large ones.
+// fit sets Base and PerUnit to the least-squares line. Points are weighted by
+// 1/size², so that the small sizes of current deployments count as much as the
+// large ones.
 func (s *Slope) fit() {
 	var w, wx, wy, wxx, wxy float64
 	for _, p := range s.Points {
@@ -97,19 +99,20 @@
 	s.Base = (wy - s.PerUnit*wx) / w
 }
 
-// nanoseconds times f, which does its work n times.
+// nanoseconds returns the time of one iteration of f, which runs n iterations.
 func nanoseconds(f func(n int)) float64 {
 	for n := 1; ; n *= 2 {
 		began := time.Now()
 		f(n)
 		took := time.Since(began)
-		if took >= minRun {
+		if took >= minTiming {
 			return float64(took.Nanoseconds()) / float64(n)
 		}
 	}
 }
 
-// heapBytes is what the value that make returns keeps on the heap.
+// heapBytes returns the heap memory that is retained by the value that build
+// returns.
 func heapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
