--- a/lab/history/claims_test.go
+++ b/lab/history/claims_test.go
@@ -21,15 +21,15 @@
 	t       *testing.T
 	log     *plog.Log
 	rec     *Recorder
-	service *Counter
-	desks   []*Desk
+	service *ReceiptService
+	desks   []*Dispatcher
 	opened  uint64
 	calls   int
 }
 
 func newWorld(t *testing.T, daemons int) *world {
 	w := &world{t: t, log: plog.New(plog.Options{Retention: Retention}), rec: NewRecorder()}
-	w.service = NewCounter(w.rec, 20*time.Millisecond)
+	w.service = NewReceiptService(w.rec, 20*time.Millisecond)
 	for range daemons {
 		w.desks = append(w.desks, w.open())
 	}
@@ -37,11 +37,11 @@
 	return w
 }
 
-func (w *world) open() *Desk { return w.openWith(ledger.Layout{}) }
+func (w *world) open() *Dispatcher { return w.openWith(ledger.Layout{}) }
 
-func (w *world) openWith(l ledger.Layout) *Desk {
+func (w *world) openWith(l ledger.Layout) *Dispatcher {
 	w.opened++
-	d, err := Open(w.t.Context(), DeskOptions{Log: w.log, Service: w.service, Record: w.rec, Owner: "entry", Seed: w.opened, Layout: l})
+	d, err := StartDispatcher(w.t.Context(), DispatcherOptions{Log: w.log, Service: w.service, Record: w.rec, Owner: "entry", Seed: w.opened, Layout: l})
 	if err != nil {
 		w.t.Fatal(err)
 	}
@@ -67,7 +67,7 @@
 
 func (w *world) check() {
 	w.t.Helper()
-	if !holds(atMostOnce, Truths(w.rec.Events(), w.rec.Now()+time.Second)) {
+	if !holds(atMostOnce, AppendNotRunChecks(w.rec.Events(), w.rec.Now()+time.Second)) {
 		w.t.Fatal("the history breaks the promise")
 	}
 	for _, d := range w.desks {
@@ -82,7 +82,7 @@
 	// requests carry the same answer.
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 3)
-		key := Key(time.Now(), 1)
+		key := NewKey(time.Now(), 1)
 		w.want(0, key, CallAnswered, 1)
 		w.want(1, key, CallAnswered, 1)
 		w.restart(2)
@@ -127,7 +127,7 @@
 			w.want(1, key, CallAnswered, 1)
 		}},
 		{"the log goes down between the call and its result", func(w *world, key string) {
-			w.service.Slow(time.Second)
+			w.service.SetWorkTime(time.Second)
 			time.AfterFunc(time.Second, func() { w.log.OutageFor(time.Minute) })
 			w.want(0, key, CallAnswered, 1)
 			w.want(1, key, CallUnknown, 1)
@@ -143,7 +143,7 @@
 			w.want(0, key, CallUnknown, 0)
 		}},
 		{"the daemon dies between send and result", func(w *world, key string) {
-			w.desks[0].CrashAt(CrashBeforeKeep)
+			w.desks[0].CrashAt(CrashBeforeComplete)
 			w.want(0, key, CallUnknown, 1)
 			w.want(1, key, CallUnknown, 1)
 		}},
@@ -155,14 +155,14 @@
 		{"records expire under a slow reader", func(w *world, _ string) {
 			w.desks[1].Log.Disconnect()
 			time.Sleep(Retention + time.Minute)
-			key := Key(time.Now(), 2)
+			key := NewKey(time.Now(), 2)
 			w.want(0, key, CallAnswered, 1)
 			w.log.TruncateAll()
 			w.desks[1].Log.Reconnect()
 			time.Sleep(3 * time.Second)
 			w.want(1, key, CallNotRun, 1) // cannot know whether it ran
 			time.Sleep(6 * time.Minute)
-			w.want(1, Key(time.Now(), 3), CallAnswered, 2)
+			w.want(1, NewKey(time.Now(), 3), CallAnswered, 2)
 		}},
 		{"all daemons restart at once", func(w *world, key string) {
 			w.want(0, key, CallAnswered, 1)
@@ -180,7 +180,7 @@
 		}},
 		{"the key is older than the window", func(w *world, key string) {
 			w.want(0, key, CallAnswered, 1)
-			time.Sleep(Window + 6*time.Minute)
+			time.Sleep(ClaimWindow + 6*time.Minute)
 			w.want(1, key, CallNotRun, 1)
 		}},
 		{"the answer is lost while the log is slow", func(w *world, key string) {
@@ -196,7 +196,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				w := newWorld(t, 3)
-				tt.run(w, Key(time.Now(), 1))
+				tt.run(w, NewKey(time.Now(), 1))
 				w.check()
 			})
 		})
@@ -229,7 +229,7 @@
 	for range 10 {
 		w.fault(r)
 		w.fault(r)
-		key := Key(time.Now(), int(r.Int32N(1e6)))
+		key := NewKey(time.Now(), int(r.Int32N(1e6)))
 		for client := range 4 {
 			w.calls++
 			call, desk := w.calls, r.IntN(len(w.desks))
@@ -265,7 +265,7 @@
 	case 5:
 		w.desks[d].CrashAt(CrashBeforeSend)
 	case 6:
-		w.desks[d].CrashAt(CrashBeforeKeep)
+		w.desks[d].CrashAt(CrashBeforeComplete)
 	case 7:
 		w.service.LoseAnswers(1)
 	case 8:
@@ -293,15 +293,15 @@
 	// and the keys of that time are too old.
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
-		w.want(0, Key(time.Now(), 1), CallAnswered, 1)
-		w.desks = append(w.desks, w.openWith(ledger.Layout{Partitions: 3, Window: manifest.Duration(Window)}))
+		w.want(0, NewKey(time.Now(), 1), CallAnswered, 1)
+		w.desks = append(w.desks, w.openWith(ledger.Layout{Partitions: 3, Window: manifest.Duration(ClaimWindow)}))
 		time.Sleep(2 * time.Second)
 		for i := range w.desks {
-			w.want(i, Key(time.Now(), 2), CallNotRun, 1)
+			w.want(i, NewKey(time.Now(), 2), CallNotRun, 1)
 		}
 		w.desks[2].Kill()
-		time.Sleep(Window + 10*time.Minute)
-		w.want(0, Key(time.Now(), 3), CallAnswered, 2)
+		time.Sleep(ClaimWindow + 10*time.Minute)
+		w.want(0, NewKey(time.Now(), 3), CallAnswered, 2)
 		w.check()
 	})
 }
@@ -311,14 +311,14 @@
 	// other. Receipts issued before are found by all of them.
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 2)
-		old, fresh := Key(time.Now(), 1), Key(time.Now().Add(time.Minute), 2)
+		old, fresh := NewKey(time.Now(), 1), NewKey(time.Now().Add(time.Minute), 2)
 		w.want(0, old, CallAnswered, 1)
-		w.desks = append(w.desks, w.openWith(ledger.Layout{Partitions: 2, Window: manifest.Duration(2 * Window)}))
+		w.desks = append(w.desks, w.openWith(ledger.Layout{Partitions: 2, Window: manifest.Duration(2 * ClaimWindow)}))
 		time.Sleep(2 * time.Second)
 		w.want(2, old, CallAnswered, 1)
 		w.want(2, fresh, CallAnswered, 2)
 		w.want(0, fresh, CallAnswered, 2)
-		time.Sleep(Window + 6*time.Minute)
+		time.Sleep(ClaimWindow + 6*time.Minute)
 		w.want(0, old, CallNotRun, 2)
 		w.want(2, old, CallAnswered, 2)
 		w.check()
@@ -330,7 +330,7 @@
 
 func (h hasty) Claim(ctx context.Context, r claims.Request) claims.Answer {
 	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: ledger.HashID(r.Key), Request: &r.Digest}
-	data, _ := ledger.Encode(1, &ledger.ClaimBatch{Layout: ledger.Layout{Partitions: 1, Window: manifest.Duration(Window)}, Ops: []ledger.ClaimOp{op}})
+	data, _ := ledger.Encode(1, &ledger.ClaimBatch{Layout: ledger.Layout{Partitions: 1, Window: manifest.Duration(ClaimWindow)}, Ops: []ledger.ClaimOp{op}})
 	if _, err := h.log.Append(ctx, ledger.ClaimStream(0), data); err != nil {
 		return claims.Answer{Outcome: claims.Refused}
 	}
@@ -343,13 +343,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, 0)
 		for range 2 {
-			d, _ := Open(t.Context(), DeskOptions{Log: w.log, Service: w.service, Record: w.rec, Claimer: func(c *plog.Cut) Claimer { return hasty{c} }})
+			d, _ := StartDispatcher(t.Context(), DispatcherOptions{Log: w.log, Service: w.service, Record: w.rec, Claimer: func(c *plog.Cut) Claimer { return hasty{c} }})
 			w.desks = append(w.desks, d)
 		}
-		key := Key(time.Now(), 1)
+		key := NewKey(time.Now(), 1)
 		w.call(0, key)
 		w.call(1, key)
-		if holds(atMostOnce, Truths(w.rec.Events(), w.rec.Now()+time.Second)) {
+		if holds(atMostOnce, AppendNotRunChecks(w.rec.Events(), w.rec.Now()+time.Second)) {
 			t.Fatal("two receipts for one key passed the checker")
 		}
 	})
--- a/lab/history/counter.go
+++ b/lab/history/counter.go
@@ -10,9 +10,9 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// Counter is a plain service whose calls may not be repeated: it issues a
+// ReceiptService is a plain service whose calls may not be repeated: it issues a
 // numbered receipt for each call that reaches it, whatever was asked before.
-type Counter struct {
+type ReceiptService struct {
 	rec *Recorder
 
 	mu         sync.Mutex
@@ -23,40 +23,40 @@
 
 var errAnswerLost = errors.New("history: connection lost after the call was sent")
 
-// NewCounter returns a service that takes the given time for each call.
-func NewCounter(rec *Recorder, work time.Duration) *Counter {
-	return &Counter{rec: rec, work: work}
+// NewReceiptService returns a service that takes the given time for each call.
+func NewReceiptService(rec *Recorder, work time.Duration) *ReceiptService {
+	return &ReceiptService{rec: rec, work: work}
 }
 
 // LoseAnswers makes the next n calls run and lose their answers.
-func (c *Counter) LoseAnswers(n int) {
+func (c *ReceiptService) LoseAnswers(n int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.loseAnswer = n
 }
 
-// Slow changes how long the service takes for each half of a call.
-func (c *Counter) Slow(work time.Duration) {
+// SetWorkTime changes how long the service takes for each half of a call.
+func (c *ReceiptService) SetWorkTime(work time.Duration) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.work = work
 }
 
-func (c *Counter) takes() time.Duration {
+func (c *ReceiptService) takes() time.Duration {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.work
 }
 
 // Issued is the number of receipts.
-func (c *Counter) Issued() int {
+func (c *ReceiptService) Issued() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.issued
 }
 
 // Run issues a receipt.
-func (c *Counter) Run(ctx context.Context, call int, key string) (string, error) {
+func (c *ReceiptService) Run(ctx context.Context, call int, key string) (string, error) {
 	start := c.rec.Now()
 	if err := pause.For(ctx, c.takes()); err != nil {
 		return "", err
@@ -69,7 +69,7 @@
 	return receipt, pause.For(ctx, c.takes())
 }
 
-func (c *Counter) issue() (string, bool) {
+func (c *ReceiptService) issue() (string, bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.issued++
--- a/lab/history/desk.go
+++ b/lab/history/desk.go
@@ -14,8 +14,8 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// Window is the claim window of the runs.
-const Window = 20 * time.Minute
+// ClaimWindow is the claim window of the runs.
+const ClaimWindow = 20 * time.Minute
 
 // Claimer is what a daemon uses to claim a key. Runs use claims.Service, and
 // tests of the checker a faulty one.
@@ -23,50 +23,50 @@
 	Claim(ctx context.Context, r claims.Request) claims.Answer
 }
 
-// Crash says at which point a daemon dies in its next call.
-type Crash int32
+// CrashPoint says at which point a daemon dies in its next call.
+type CrashPoint int32
 
 // The points.
 const (
-	CrashNever      Crash = iota
-	CrashBeforeSend       // after the claim, before the call is sent
-	CrashBeforeKeep       // after the call ran, before its result is kept
+	CrashNever          CrashPoint = iota
+	CrashBeforeSend                // after the claim, before the call is sent
+	CrashBeforeComplete            // after the call ran, before its result is kept
 )
 
-// Desk is one daemon's part in keyed calls: it claims, sends and keeps.
-type Desk struct {
+// Dispatcher is one daemon's part in keyed calls: it claims, sends and keeps.
+type Dispatcher struct {
 	Log *plog.Cut
 
 	rec     *Recorder
-	service *Counter
+	service *ReceiptService
 	claimer Claimer
 	crash   atomic.Int32
 	ctx     context.Context // of the daemon's life
 	kill    context.CancelFunc
 }
 
-// DeskOptions of a Desk.
-type DeskOptions struct {
+// DispatcherOptions of a Dispatcher.
+type DispatcherOptions struct {
 	Log     *plog.Log
-	Service *Counter
+	Service *ReceiptService
 	Record  *Recorder
 	Owner   string
 	Seed    uint64
-	Layout  ledger.Layout // zero: two partitions and Window
+	Layout  ledger.Layout // zero: two partitions and ClaimWindow
 	// Claimer replaces the real one when given.
 	Claimer func(*plog.Cut) Claimer
 }
 
-// Open starts a daemon.
-func Open(ctx context.Context, o DeskOptions) (*Desk, error) {
-	d := &Desk{Log: o.Log.View(), rec: o.Record, service: o.Service}
+// StartDispatcher starts a daemon.
+func StartDispatcher(ctx context.Context, o DispatcherOptions) (*Dispatcher, error) {
+	d := &Dispatcher{Log: o.Log.View(), rec: o.Record, service: o.Service}
 	d.ctx, d.kill = context.WithCancel(ctx)
 	if o.Claimer != nil {
 		d.claimer = o.Claimer(d.Log)
 		return d, nil
 	}
 	if o.Layout == (ledger.Layout{}) {
-		o.Layout = ledger.Layout{Partitions: 2, Window: manifest.Duration(Window)}
+		o.Layout = ledger.Layout{Partitions: 2, Window: manifest.Duration(ClaimWindow)}
 	}
 	s, err := claims.New(claims.Options{Log: d.Log, Owner: o.Owner, Seed: o.Seed, Layout: o.Layout})
 	if err != nil {
@@ -78,20 +78,20 @@
 }
 
 // CrashAt makes the daemon die at a point of the next call.
-func (d *Desk) CrashAt(c Crash) { d.crash.Store(int32(c)) }
+func (d *Dispatcher) CrashAt(c CrashPoint) { d.crash.Store(int32(c)) }
 
 // Kill ends the daemon at once.
-func (d *Desk) Kill() { d.kill() }
+func (d *Dispatcher) Kill() { d.kill() }
 
 // Call is a caller's request with a key, as the gateway handles it.
-func (d *Desk) Call(client, call int, key string) CallOutcome {
+func (d *Dispatcher) Call(client, call int, key string) CallOutcome {
 	start := d.rec.Now()
 	out := d.serve(call, key)
 	d.rec.Add(client, start, keyed{kind: callEvent, key: key, call: call}, out)
 	return out.outcome
 }
 
-func (d *Desk) serve(call int, key string) callOutput {
+func (d *Dispatcher) serve(call int, key string) callOutput {
 	request := claims.Request{Organisation: "registre", Service: "counter", Key: key, Digest: claims.RequestDigest("POST", "/receipt", []byte(key))}
 	a := d.claimer.Claim(d.ctx, request)
 	if d.ctx.Err() != nil {
@@ -109,12 +109,12 @@
 	}
 }
 
-func (d *Desk) send(call int, key string, g *claims.Grant) callOutput {
+func (d *Dispatcher) send(call int, key string, g *claims.Grant) callOutput {
 	if d.dies(CrashBeforeSend) {
 		return callOutput{outcome: CallUnknown}
 	}
 	receipt, err := d.service.Run(d.ctx, call, key)
-	if err != nil || d.dies(CrashBeforeKeep) {
+	if err != nil || d.dies(CrashBeforeComplete) {
 		return callOutput{outcome: CallUnknown}
 	}
 	ctx, cancel := context.WithTimeout(d.ctx, time.Second)
@@ -128,7 +128,7 @@
 	return callOutput{outcome: CallAnswered, result: receipt}
 }
 
-func (d *Desk) dies(at Crash) bool {
+func (d *Dispatcher) dies(at CrashPoint) bool {
 	if !d.crash.CompareAndSwap(int32(at), int32(CrashNever)) {
 		return false
 	}
@@ -136,8 +136,8 @@
 	return true
 }
 
-// Key returns a UUIDv7 of the given time, the n-th of a run.
-func Key(at time.Time, n int) string {
+// NewKey returns a UUIDv7 of the given time, the n-th of a run.
+func NewKey(at time.Time, n int) string {
 	var id uuid.UUID
 	ms := at.UnixMilli()
 	for i := range 6 {
@@ -148,9 +148,9 @@
 	return id.String()
 }
 
-// Truths adds to a history what the service knows of the calls that were told
+// AppendNotRunChecks adds to a history what the service knows of the calls that were told
 // "not run".
-func Truths(events []Event, end time.Duration) []Event {
+func AppendNotRunChecks(events []Event, end time.Duration) []Event {
 	all := append([]Event(nil), events...)
 	for _, e := range events {
 		in, _ := e.Input.(keyed)
--- a/lab/history/follower.go
+++ b/lab/history/follower.go
@@ -28,8 +28,8 @@
 	kill      context.CancelFunc
 }
 
-// Follow starts a daemon.
-func Follow(ctx context.Context, log *plog.Log, name string, seed uint64) *Follower {
+// StartFollower starts a daemon.
+func StartFollower(ctx context.Context, log *plog.Log, name string, seed uint64) *Follower {
 	ctx, cancel := context.WithCancel(ctx)
 	f := &Follower{Name: name, Log: log.View(), kill: cancel}
 	f.manifests = logio.NewManifests(logio.ManifestsOptions{Log: f.Log, Seed: seed, Poll: followerPoll})
@@ -46,8 +46,8 @@
 	return v.Revision.Offset
 }
 
-// Hear takes a neighbour's proof over.
-func (f *Follower) Hear(from *Follower) error {
+// AdoptFrom takes a neighbour's proof over.
+func (f *Follower) AdoptFrom(from *Follower) error {
 	c, ok := from.manifests.Proof()
 	if !ok {
 		return nil
@@ -60,14 +60,14 @@
 	start := rec.Now()
 	ctx, cancel := context.WithTimeout(ctx, logio.PublishTimeout)
 	defer cancel()
-	r, err := f.manifests.Publish(ctx, base, Sample(loads), "")
+	r, err := f.manifests.Publish(ctx, base, SampleManifest(loads), "")
 	rec.Add(client, start, published{base: base, digest: r.Digest}, publishedOutput{outcome: r.Outcome, accepted: r.Offset})
 	return r, err
 }
 
-// Judge folds the whole journal of a log as a reader would that never missed
+// ReplayJournal folds the whole journal of a log as a reader would that never missed
 // a record, and returns what was accepted by digest, and the last revision.
-func Judge(journal []ports.Record) (accepted map[manifest.Digest]ports.Offset, last ledger.Revision) {
+func ReplayJournal(journal []ports.Record) (accepted map[manifest.Digest]ports.Offset, last ledger.Revision) {
 	s := ledger.NewState(ledger.Options{})
 	accepted = make(map[manifest.Digest]ports.Offset)
 	for _, r := range journal {
--- a/lab/history/manifests_test.go
+++ b/lab/history/manifests_test.go
@@ -49,7 +49,7 @@
 
 func (s *site) follow() *Follower {
 	s.opened++
-	return Follow(s.ctx, s.log, fmt.Sprintf("daemon-%d", s.opened), s.opened)
+	return StartFollower(s.ctx, s.log, fmt.Sprintf("daemon-%d", s.opened), s.opened)
 }
 
 func (s *site) every(d time.Duration, do func()) {
@@ -69,7 +69,7 @@
 	for i, f := range all {
 		for _, step := range []int{1, 2} {
 			// A neighbour that is behind is refused, which is no fault.
-			_ = f.Hear(all[(i+step)%len(all)])
+			_ = f.AdoptFrom(all[(i+step)%len(all)])
 		}
 	}
 }
@@ -113,7 +113,7 @@
 func (s *site) check() {
 	s.t.Helper()
 	time.Sleep(inForceWithin)
-	accepted, last := Judge(s.log.Journal(ledger.StreamManifest))
+	accepted, last := ReplayJournal(s.log.Journal(ledger.StreamManifest))
 	s.inForce(last.Offset)
 	events := s.rec.Events()
 	if !holds(register, settled(events, accepted, s.rec.Now())) {
@@ -284,7 +284,7 @@
 
 func (f *lastWins) publish(t *testing.T, base ports.Offset, loads int) publishedOutput {
 	t.Helper()
-	text, _ := manifest.Encode(Sample(loads))
+	text, _ := manifest.Encode(SampleManifest(loads))
 	data, _ := ledger.Encode(1, &ledger.ManifestRecord{Base: base, Digest: manifest.DigestOfText(text), Manifest: text})
 	own, err := f.log.Append(t.Context(), ledger.StreamManifest, data)
 	if err != nil {
--- a/lab/history/publish_test.go
+++ b/lab/history/publish_test.go
@@ -18,7 +18,7 @@
 	t.Helper()
 	ctx, cancel := context.WithTimeout(t.Context(), logio.PublishTimeout)
 	defer cancel()
-	r, err := logio.Publish(ctx, log, logio.PublishRequest{Base: base, Manifest: Sample(loads)})
+	r, err := logio.Publish(ctx, log, logio.PublishRequest{Base: base, Manifest: SampleManifest(loads)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,7 +102,7 @@
 		b := logio.NewManifests(logio.ManifestsOptions{Log: log, Seed: 2, Poll: time.Second})
 		go func() { _ = a.Run(ctx) }()
 		go func() { _ = b.Run(ctx) }()
-		if _, err := a.Publish(ctx, 0, SampleOf(1, 500), ""); err != nil {
+		if _, err := a.Publish(ctx, 0, SampleManifestWith(1, 500), ""); err != nil {
 			t.Fatal(err)
 		}
 		before := log.Counts().BytesIn
--- a/lab/history/sample.go
+++ b/lab/history/sample.go
@@ -12,11 +12,11 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// Sample is a small valid manifest; loads tells one from another.
-func Sample(loads int) manifest.Manifest { return SampleOf(loads, 1) }
+// SampleManifest is a small valid manifest; loads tells one from another.
+func SampleManifest(loads int) manifest.Manifest { return SampleManifestWith(loads, 1) }
 
-// SampleOf is Sample with a number of organisations.
-func SampleOf(loads, organisations int) manifest.Manifest {
+// SampleManifestWith is SampleManifest with a number of organisations.
+func SampleManifestWith(loads, organisations int) manifest.Manifest {
 	m := manifest.Manifest{
 		Rules: manifest.RulesVersion, Name: "quebec-est",
 		Fleet: manifest.Fleet{
@@ -26,7 +26,7 @@
 		Models:  []manifest.Model{{ID: "plan-reader", Version: "v1"}},
 		Classes: []manifest.Class{{ID: "runner", Kind: fleet.KindModel, Models: []string{"plan-reader"}}},
 		Retention: manifest.Retention{
-			ClaimWindow: manifest.Duration(Window), LogRecords: manifest.Duration(Retention),
+			ClaimWindow: manifest.Duration(ClaimWindow), LogRecords: manifest.Duration(Retention),
 		},
 	}
 	for i := range organisations {
@@ -36,7 +36,7 @@
 }
 
 // Retention is how long the log keeps records in the runs.
-const Retention = 3 * Window
+const Retention = 3 * ClaimWindow
 
 func organisation(i int) manifest.Organisation {
 	return manifest.Organisation{
--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -20,7 +20,7 @@
 
 // ManifestText is the canonical text of a manifest with so many organisations.
 func ManifestText(organisations int) ([]byte, error) {
-	return manifest.Encode(history.SampleOf(3, organisations))
+	return manifest.Encode(history.SampleManifestWith(3, organisations))
 }
 
 // ManifestRecord is the log record that proposes such a manifest first.
