--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -10,7 +10,7 @@
 func TestFitFindsLine(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{10, 100, 1000}, func(size int) float64 { return 5 + 3*float64(size) })
 	if math.Abs(s.PerUnit-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
-		t.Errorf("each %g, base %g", s.PerUnit, s.Base)
+		t.Errorf("per unit %g, base %g", s.PerUnit, s.Base)
 	}
 }
 
@@ -19,26 +19,26 @@
 		return map[int]float64{1: 400, 10: 220, 100: 200}[size]
 	})
 	if s.At(100) != 200 || s.At(55) != 210 || s.At(1e6) < 0 {
-		t.Errorf("at 100: %g, at 55: %g, far off: %g", s.At(100), s.At(55), s.At(1e6))
+		t.Errorf("at 100: %g, at 55: %g, at 1e6: %g", s.At(100), s.At(55), s.At(1e6))
 	}
 }
 
 // fixedSlopes returns slopes with a known cost per unit, so that the rows can be
 // checked.
 func fixedSlopes(each float64) *SlopeSet {
-	b := &SlopeSet{slopes: map[string]Slope{}}
+	set := &SlopeSet{slopes: map[string]Slope{}}
 	for _, m := range Measurements() {
-		b.slopes[m.Key] = Slope{Name: m.Key, PerUnit: each, Points: []Point{{Size: 1}}}
-		b.Keys = append(b.Keys, m.Key)
+		set.slopes[m.Key] = Slope{Name: m.Key, PerUnit: each, Points: []Point{{Size: 1}}}
+		set.Keys = append(set.Keys, m.Key)
 	}
-	return b
+	return set
 }
 
 func TestRowsFollowFromSlopes(t *testing.T) {
-	b := fixedSlopes(100)
-	for _, r := range b.Rows() {
+	set := fixedSlopes(100)
+	for _, r := range set.Rows() {
 		if r.Name == "membership and health" && r.Value(Target) != 460_000 {
-			t.Errorf("got %g", r.Value(Target))
+			t.Errorf("membership and health at the target = %g, want 460000", r.Value(Target))
 		}
 	}
 }
@@ -47,21 +47,21 @@
 // Every row over its limit at the target must be listed with the sizes at which
 // it exceeds it.
 func TestTablesListRowsOverLimit(t *testing.T) {
-	b := fixedSlopes(100)
-	rows := b.Rows()
+	set := fixedSlopes(100)
+	rows := set.Rows()
 	over := 0
 	for i := range rows {
 		if rows[i].ExceedsLimit(Target) {
 			over++
 		}
 	}
-	breaks := LimitCrossings(rows, Registre, Target)
-	if over == 0 || len(breaks) < over {
-		t.Errorf("%d rows exceed their limits, %d listed", over, len(breaks))
+	crossings := LimitCrossings(rows, Registre, Target)
+	if over == 0 || len(crossings) < over {
+		t.Errorf("%d rows exceed their limits, %d listed", over, len(crossings))
 	}
 	var page bytes.Buffer
-	b.WriteTables(&page)
-	for _, x := range breaks {
+	set.WriteTables(&page)
+	for _, x := range crossings {
 		if !strings.Contains(page.String(), x.Row.Name) {
 			t.Errorf("tables lack the row %q", x.Row.Name)
 		}
--- a/lab/capacity/realtime.go
+++ b/lab/capacity/realtime.go
@@ -10,7 +10,7 @@
 	"github.com/merlindock/merlindock/engine"
 	"github.com/merlindock/merlindock/lab/standin"
 
-	bench "github.com/merlindock/merlindock/lab/measure"
+	labmeasure "github.com/merlindock/merlindock/lab/measure"
 )
 
 // Parameters of the measurements that run complete components in real time.
@@ -25,20 +25,20 @@
 
 func digestBytes() Slope {
 	return measure("digest between daemons", "endpoints reported, 64 at most", "bytes", []int{1, 8, 64}, func(size int) float64 {
-		return float64(bench.DigestBytes(size, 8))
+		return float64(labmeasure.DigestBytes(size, 8))
 	})
 }
 
 func sectionBytes() Slope {
 	return measure("record of one organisation's change", "organisations", "bytes", organisationSizes, func(size int) float64 {
-		_, bytes, err := bench.SectionFold(size)
+		_, bytes, err := labmeasure.SectionFold(size)
 		return float64(must(bytes, err))
 	})
 }
 
 func applySection() Slope {
 	return measure("apply one organisation's change", "organisations", "ns", organisationSizes, func(size int) float64 {
-		fold, _, err := bench.SectionFold(size)
+		fold, _, err := labmeasure.SectionFold(size)
 		must(fold, err)
 		return nanoseconds(func(n int) {
 			for range n {
@@ -50,14 +50,14 @@
 
 func pollBytes() Slope {
 	return measure("one read of the log", "bytes of the record", "bytes", []int{1, 1000, 100_000}, func(size int) float64 {
-		_, one, err := bench.PollBytes(size)
+		_, one, err := labmeasure.PollBytes(size)
 		return float64(must(one, err))
 	})
 }
 
 func planOrders() Slope {
 	return measure("plan one round of orders", "endpoints", "ns", endpointSizes, func(size int) float64 {
-		plan := bench.PlanOnce(size)
+		plan := labmeasure.PlanOnce(size)
 		return nanoseconds(func(n int) {
 			for range n {
 				plan()
@@ -68,13 +68,13 @@
 
 // controlRuns caches the runs of idle daemons that exchange digests over real
 // gRPC, by number of daemons. Two slopes are measured with each run.
-type controlRuns map[int]bench.ControlCost
+type controlRuns map[int]labmeasure.ControlCost
 
-func (c controlRuns) at(daemons int) bench.ControlCost {
+func (c controlRuns) at(daemons int) labmeasure.ControlCost {
 	if r, done := c[daemons]; done {
 		return r
 	}
-	c[daemons] = must(bench.Control(bench.ControlOptions{
+	c[daemons] = must(labmeasure.Control(labmeasure.ControlOptions{
 		Daemons:       daemons,
 		Zones:         zoneCount(daemons),
 		Interval:      controlInterval,
@@ -110,13 +110,13 @@
 
 // claimRuns caches the runs of calls with idempotency keys, by batch size. Two
 // slopes are measured with each run.
-type claimRuns map[int]bench.ClaimResult
+type claimRuns map[int]labmeasure.ClaimResult
 
-func (c claimRuns) at(batch int) bench.ClaimResult {
+func (c claimRuns) at(batch int) labmeasure.ClaimResult {
 	if r, done := c[batch]; done {
 		return r
 	}
-	c[batch] = must(bench.Claims(context.Background(), bench.ClaimOptions{
+	c[batch] = must(labmeasure.Claims(context.Background(), labmeasure.ClaimOptions{
 		Daemons:    3,
 		BatchItems: batch,
 		AppendRate: logRate,
@@ -149,7 +149,7 @@
 		server := httptest.NewServer(standin.NewRunner(standin.RunnerOptions{ID: "runner-00001"}))
 		defer server.Close()
 		var wire atomic.Int64
-		client := engine.New(engine.Options{DialContext: bench.CountingDial(&wire)})
+		client := engine.New(engine.Options{DialContext: labmeasure.CountingDial(&wire)})
 		defer client.CloseIdle()
 		probe := func() {
 			ans := must(client.Send(context.Background(), &engine.Attempt{
--- a/lab/capacity/sizes.go
+++ b/lab/capacity/sizes.go
@@ -36,8 +36,8 @@
 
 // interpolate returns the sizes at a fraction of the growth from a to b, from 0
 // to 1. Sizes grow geometrically.
-func interpolate(a, b Sizes, part float64) Sizes {
-	grow := func(x, y float64) float64 { return x * math.Pow(y/x, part) }
+func interpolate(a, b Sizes, fraction float64) Sizes {
+	grow := func(x, y float64) float64 { return x * math.Pow(y/x, fraction) }
 	return Sizes{
 		Name:          "between",
 		Daemons:       grow(a.Daemons, b.Daemons),
--- a/lab/capacity/sums.go
+++ b/lab/capacity/sums.go
@@ -43,25 +43,25 @@
 // Measure measures all slopes. It calls progress before each measurement, with
 // its key, its number and the number of all.
 func Measure(progress func(name string, i, n int)) *SlopeSet {
-	b := &SlopeSet{slopes: map[string]Slope{}}
+	set := &SlopeSet{slopes: map[string]Slope{}}
 	all := Measurements()
 	for i, m := range all {
 		progress(m.Key, i+1, len(all))
-		b.slopes[m.Key] = m.Run()
-		b.Keys = append(b.Keys, m.Key)
+		set.slopes[m.Key] = m.Run()
+		set.Keys = append(set.Keys, m.Key)
 	}
-	return b
+	return set
 }
 
 // Slope returns the slope with the given key.
-func (b *SlopeSet) Slope(key string) Slope {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	return b.slopes[key]
+func (set *SlopeSet) Slope(key string) Slope {
+	set.mu.Lock()
+	defer set.mu.Unlock()
+	return set.slopes[key]
 }
 
-func (b *SlopeSet) at(key string, size float64) float64 {
-	s := b.Slope(key)
+func (set *SlopeSet) at(key string, size float64) float64 {
+	s := set.Slope(key)
 	return s.At(size)
 }
 
@@ -69,30 +69,30 @@
 
 // Rows returns all rows. Values are those of the present code with default
 // settings; Mechanism names what bounds the row at the target's size.
-func (b *SlopeSet) Rows() []Row {
-	rows := append(b.routerRows(), b.neighbourRows()...)
-	rows = append(rows, b.manifestRows()...)
-	rows = append(rows, b.membershipRows()...)
-	rows = append(rows, b.logRows()...)
-	return append(rows, b.orderRows()...)
+func (set *SlopeSet) Rows() []Row {
+	rows := append(set.routerRows(), set.neighbourRows()...)
+	rows = append(rows, set.manifestRows()...)
+	rows = append(rows, set.membershipRows()...)
+	rows = append(rows, set.logRows()...)
+	return append(rows, set.orderRows()...)
 }
 
-func (b *SlopeSet) routerRows() []Row {
+func (set *SlopeSet) routerRows() []Row {
 	perDaemon := func(s Sizes) float64 { return s.Requests / s.Daemons }
 	return []Row{
 		{"router", "requests", "1/s", noLimit, Derived, "the balancer spreads them; any daemon serves any", perDaemon},
 		{"router", "deciding on requests", "share of a core", noLimit, Derived, "keys computed outside locks, tables rebuilt when members change", func(s Sizes) float64 {
-			each := b.at(keySplit, promptBytes) + b.at(keyPlace, s.Endpoints) + b.at(keyAdmit, s.Organisations)
+			each := set.at(keySplit, promptBytes) + set.at(keyPlace, s.Endpoints) + set.at(keyAdmit, s.Organisations)
 			return perDaemon(s) * each * secondsPerNanosecond
 		}},
 		{"router", "remembered prefixes", "bytes", limitMemory, Measured, "routing.prefixes bounds the table; rendezvous hashing does not need it", func(Sizes) float64 {
-			return b.at(keyPlacementPrefix, maxPrefixes)
+			return set.at(keyPlacementPrefix, maxPrefixes)
 		}},
 		{"router", "endpoints in placement, all pools", "bytes", limitMemory, Derived, "one row per endpoint; a pool for each model and version", func(s Sizes) float64 {
-			return b.at(keyPlacementEndpoint, s.Endpoints)
+			return set.at(keyPlacementEndpoint, s.Endpoints)
 		}},
 		{"router", "organisations in admission, idle in all pools", "bytes", limitMemory, Derived, "an idle organisation keeps its weight only; one table of weights for all pools would support more models", func(s Sizes) float64 {
-			return b.at(keyAdmissionIdle, s.Organisations) * s.Models
+			return set.at(keyAdmissionIdle, s.Organisations) * s.Models
 		}},
 		{"router", "following every cache event", "bytes/s", limitBytes, Derived, "up to routing.event-endpoints runners only; above, placement by hash and by locations observed in answers", func(s Sizes) float64 {
 			return s.CacheEvents * cacheEventBytes
@@ -100,61 +100,61 @@
 	}
 }
 
-func (b *SlopeSet) neighbourRows() []Row {
+func (set *SlopeSet) neighbourRows() []Row {
 	return []Row{
 		{"neighbour", "digests sent", "bytes/s", limitBytes, Measured, "at most ten neighbours; the interval follows from the digest's size", func(s Sizes) float64 {
-			return b.at(keyControl, min(s.Daemons, 100))
+			return set.at(keyControl, min(s.Daemons, 100))
 		}},
 		{"neighbour", "processor for digests", "share of a core", limitCore, Measured, "the same", func(s Sizes) float64 {
-			return b.at(keyControlTime, min(s.Daemons, 100))
+			return set.at(keyControlTime, min(s.Daemons, 100))
 		}},
 		{"neighbour", "choosing neighbours, once a second", "share of a core", limitCore, Measured, "computed from the list, without messages", func(s Sizes) float64 {
-			return b.at(keyNeighbours, s.Daemons) * secondsPerNanosecond
+			return set.at(keyNeighbours, s.Daemons) * secondsPerNanosecond
 		}},
 	}
 }
 
-func (b *SlopeSet) manifestRows() []Row {
+func (set *SlopeSet) manifestRows() []Row {
 	return []Row{
 		{"daemon", "manifest and index", "bytes", limitMemory, Measured, "one copy, replaced in one step", func(s Sizes) float64 {
-			return b.at(keyIndexBytes, s.Organisations)
+			return set.at(keyIndexBytes, s.Organisations)
 		}},
 		{"daemon", "reading complete manifests", "bytes/s", limitBytes, Derived, "changes are published as sections, see the next row", func(s Sizes) float64 {
-			return b.at(keyPoll, b.at(keyManifestRecord, s.Organisations)) * s.ConfigChanges / day
+			return set.at(keyPoll, set.at(keyManifestRecord, s.Organisations)) * s.ConfigChanges / day
 		}},
 		{"daemon", "reading changes as sections", "bytes/s", limitBytes, Derived, "a record for one organisation, model, class or service", func(s Sizes) float64 {
-			return b.at(keyPoll, b.at(keySection, s.Organisations)) * s.ConfigChanges / day
+			return set.at(keyPoll, set.at(keySection, s.Organisations)) * s.ConfigChanges / day
 		}},
 		{"daemon", "applying complete manifests", "share of a core", limitCore, Derived, "decoded and validated once per change", func(s Sizes) float64 {
-			return b.at(keyApplyManifest, s.Organisations) * secondsPerNanosecond * s.ConfigChanges / day
+			return set.at(keyApplyManifest, s.Organisations) * secondsPerNanosecond * s.ConfigChanges / day
 		}},
 		{"daemon", "applying changes as sections", "share of a core", limitCore, Derived, "the complete manifest is validated after each", func(s Sizes) float64 {
-			return b.at(keyApplySection, s.Organisations) * secondsPerNanosecond * s.ConfigChanges / day
+			return set.at(keyApplySection, s.Organisations) * secondsPerNanosecond * s.ConfigChanges / day
 		}},
 		{"daemon", "reading the idle log", "bytes/s", limitBytes, Derived, "the manifest stream every second, the lease stream every 3 s; neighbours announce a change at once", func(Sizes) float64 {
-			return b.idleLog()
+			return set.idleLog()
 		}},
 		{"daemon", "reading an idle claim stream", "bytes/s", limitBytes, Derived, "every 2 s for each partition followed; a claim reads at once", func(Sizes) float64 {
-			return b.at(keyPoll, 0) / claimsPollSeconds
+			return set.at(keyPoll, 0) / claimsPollSeconds
 		}},
 	}
 }
 
-func (b *SlopeSet) membershipRows() []Row {
+func (set *SlopeSet) membershipRows() []Row {
 	return []Row{
 		{"daemon", "membership and health", "bytes", limitMemory, Measured, "one row per endpoint", func(s Sizes) float64 {
-			return b.at(keyMembershipBytes, s.Endpoints)
+			return set.at(keyMembershipBytes, s.Endpoints)
 		}},
 		{"daemon", "refreshing the membership", "share of a core", limitCore, Derived, "the interval grows with the fleet", func(s Sizes) float64 {
-			return 3 * b.at(keyUsable, s.Endpoints) * secondsPerNanosecond / (refreshBaseSeconds + refreshEndpointSeconds*s.Endpoints)
+			return 3 * set.at(keyUsable, s.Endpoints) * secondsPerNanosecond / (refreshBaseSeconds + refreshEndpointSeconds*s.Endpoints)
 		}},
-		{"platform list", "read by one daemon every 2 s", "bytes/s", limitBytes, NotImplemented, "an unchanged list costs an idle read, by its tag; at the target changes must be read by section or forwarded by neighbours", b.listBytes},
+		{"platform list", "read by one daemon every 2 s", "bytes/s", limitBytes, NotImplemented, "an unchanged list costs an idle read, by its tag; at the target changes must be read by section or forwarded by neighbours", set.listBytes},
 		{"platform list", "read by all daemons", "bytes/s", gbitBytes, NotImplemented, "the same", func(s Sizes) float64 {
-			return s.Daemons * b.listBytes(s)
+			return s.Daemons * set.listBytes(s)
 		}},
-		{"daemon", "load requests to silent endpoints", "bytes/s", limitBytes, Derived, "endpoints report their load in each answer; at most two are asked per second; daemons ask different ones and report those that leave", b.probeBytes},
+		{"daemon", "load requests to silent endpoints", "bytes/s", limitBytes, Derived, "endpoints report their load in each answer; at most two are asked per second; daemons ask different ones and report those that leave", set.probeBytes},
 		{"daemon", "control traffic in total, both directions, without callers and events", "bytes/s", limitBytes, Derived, "digests, log, claims, list, loads, changes as sections", func(s Sizes) float64 {
-			return b.controlBytes(s)
+			return set.controlBytes(s)
 		}},
 	}
 }
@@ -162,60 +162,60 @@
 // listBytes returns the bytes per second of reading the platform's lists at one
 // daemon: an idle read of each list per interval, and the complete list after a
 // change.
-func (b *SlopeSet) listBytes(s Sizes) float64 {
-	whole := b.at(keyListBytes, s.Endpoints) + b.at(keyListBytes, s.Daemons)
-	return listCount*b.at(keyPoll, 0)/listSeconds + whole*s.VMChanges/day
+func (set *SlopeSet) listBytes(s Sizes) float64 {
+	whole := set.at(keyListBytes, s.Endpoints) + set.at(keyListBytes, s.Daemons)
+	return listCount*set.at(keyPoll, 0)/listSeconds + whole*s.VMChanges/day
 }
 
 // idleLog returns the bytes per second of reading the manifest stream and the
 // lease stream when there are no new records.
-func (b *SlopeSet) idleLog() float64 {
-	return b.at(keyPoll, 0)/pollSeconds + b.at(keyPoll, 0)/leaseSeconds
+func (set *SlopeSet) idleLog() float64 {
+	return set.at(keyPoll, 0)/pollSeconds + set.at(keyPoll, 0)/leaseSeconds
 }
 
-func (b *SlopeSet) controlBytes(s Sizes) float64 {
-	digests := 2 * b.at(keyControl, min(s.Daemons, 100)) // sent and received
-	idle := b.idleLog() + b.at(keyPoll, 0)/claimsPollSeconds
-	changes := b.at(keyPoll, b.at(keySection, s.Organisations)) * s.ConfigChanges / day
-	return digests + idle + changes + b.listBytes(s) + b.probeBytes(s)
+func (set *SlopeSet) controlBytes(s Sizes) float64 {
+	digests := 2 * set.at(keyControl, min(s.Daemons, 100)) // sent, and as much received
+	idle := set.idleLog() + set.at(keyPoll, 0)/claimsPollSeconds
+	changes := set.at(keyPoll, set.at(keySection, s.Organisations)) * s.ConfigChanges / day
+	return digests + idle + changes + set.listBytes(s) + set.probeBytes(s)
 }
 
 // probeBytes returns the bytes per second of load requests at one daemon when no
 // answers report the load.
-func (b *SlopeSet) probeBytes(s Sizes) float64 {
-	return b.at(keyProbe, 1) * min(s.Endpoints/loadSeconds, maxProbesPerSecond)
+func (set *SlopeSet) probeBytes(s Sizes) float64 {
+	return set.at(keyProbe, 1) * min(s.Endpoints/loadSeconds, maxProbesPerSecond)
 }
 
-func (b *SlopeSet) logRows() []Row {
+func (set *SlopeSet) logRows() []Row {
 	return []Row{
 		{"log", "appends of manifests and leases", "1/s", limitAppends, Derived, "one record per change, a lease renewed every 5 s", func(s Sizes) float64 {
 			return s.ConfigChanges/day + 1.0/5
 		}},
 		{"log", "keyed calls at capacity, 100 per append", "1/s", noLimit, Measured, "claims and results of many calls share an append", func(Sizes) float64 {
-			return b.at(keyClaims, 100)
+			return set.at(keyClaims, 100)
 		}},
 		{"log", "keyed calls, if 1 request in 1,000 has a key", "1/s", noLimit, Derived, "the users give no figure", func(s Sizes) float64 {
 			return s.Requests * keyedFraction
 		}},
 		{"daemon", "reading all keyed calls of one partition", "bytes/s", limitBytes, NotImplemented, "at the target a daemon must follow few partitions and forward calls of the others to a neighbour that follows them", func(s Sizes) float64 {
-			return s.Requests * keyedFraction * b.at(keyClaimBytes, 100) * wireExpansion
+			return s.Requests * keyedFraction * set.at(keyClaimBytes, 100) * wireExpansion
 		}},
 		{"log", "reads by all daemons, idle", "1/s", noLimit, Derived, "three streams; a longer poll interval at the target", func(s Sizes) float64 {
 			return s.Daemons * (1/pollSeconds + 1/leaseSeconds + 1/claimsPollSeconds)
 		}},
 		{"log", "one complete manifest to all daemons", "bytes", noLimit, Derived, "sections; neighbours forward the complete manifest", func(s Sizes) float64 {
-			return s.Daemons * b.at(keyPoll, b.at(keyManifestRecord, s.Organisations))
+			return s.Daemons * set.at(keyPoll, set.at(keyManifestRecord, s.Organisations))
 		}},
 	}
 }
 
-func (b *SlopeSet) orderRows() []Row {
+func (set *SlopeSet) orderRows() []Row {
 	return []Row{
 		{"rollout leader", "planning, once a second, on one daemon", "share of a core", limitCore, Measured, "one lease; the planner reads statuses in turn", func(s Sizes) float64 {
-			return b.at(keyPlan, s.Endpoints) * secondsPerNanosecond / ordersTickSeconds
+			return set.at(keyPlan, s.Endpoints) * secondsPerNanosecond / ordersTickSeconds
 		}},
 		{"administration API", "status of endpoints, one answer", "bytes", noLimit, Derived, "bounded at 10,000 endpoints and 1,000 organisations", func(s Sizes) float64 {
-			return 4 * b.at(keyListBytes, s.Endpoints)
+			return 4 * set.at(keyListBytes, s.Endpoints)
 		}},
 	}
 }
@@ -256,21 +256,21 @@
 }
 
 // Failures returns the effects of failures at the given sizes.
-func (b *SlopeSet) Failures(s Sizes) []Failure {
-	record := b.at(keyPoll, b.at(keyManifestRecord, s.Organisations))
-	list := b.at(keyListBytes, s.Endpoints)
-	plan := b.at(keyPlan, s.Endpoints)
+func (set *SlopeSet) Failures(s Sizes) []Failure {
+	record := set.at(keyPoll, set.at(keyManifestRecord, s.Organisations))
+	list := set.at(keyListBytes, s.Endpoints)
+	plan := set.at(keyPlan, s.Endpoints)
 	return []Failure{
 		{
 			"a zone is lost",
 			fmt.Sprintf("%.0f endpoints and %.0f daemons at once; each remaining daemon applies one list (%.1f ms) and rebuilds its pools; %.0f requests/s are spread over %.0f daemons",
-				s.Endpoints/s.Zones, s.Daemons/s.Zones, b.at(keySetList, s.Endpoints)/1e6, s.Requests, s.Daemons*(1-1/s.Zones)),
+				s.Endpoints/s.Zones, s.Daemons/s.Zones, set.at(keySetList, s.Endpoints)/1e6, s.Requests, s.Daemons*(1-1/s.Zones)),
 			"retry budget of a tenth of the traffic; admission refuses the rest at once; rings of neighbours connect every two zones, so that the others stay connected",
 		},
 		{
 			"regions partitioned for an hour",
 			fmt.Sprintf("%.0f changes are published meanwhile; the isolated region serves with the manifest it has and refuses keyed calls as not run", s.ConfigChanges/24),
-			fmt.Sprintf("afterwards each daemon reads %.0f sections, %.1f kB, or one checkpoint from a neighbour", s.ConfigChanges/24, s.ConfigChanges/24*b.at(keyPoll, b.at(keySection, s.Organisations))/1000),
+			fmt.Sprintf("afterwards each daemon reads %.0f sections, %.1f kB, or one checkpoint from a neighbour", s.ConfigChanges/24, s.ConfigChanges/24*set.at(keyPoll, set.at(keySection, s.Organisations))/1000),
 		},
 		{
 			"950 VMs replaced and 100 failed in a day",
--- a/lab/capacity/tables.go
+++ b/lab/capacity/tables.go
@@ -8,18 +8,18 @@
 
 // WriteTables writes Markdown tables of the slopes, of the rows at three sizes,
 // of the limits that are exceeded first, and of the failures.
-func (b *SlopeSet) WriteTables(w io.Writer) {
-	b.writeSlopes(w)
-	rows := b.Rows()
+func (set *SlopeSet) WriteTables(w io.Writer) {
+	set.writeSlopes(w)
+	rows := set.Rows()
 	writeRows(w, rows)
 	writeCrossings(w, LimitCrossings(rows, Registre, Target))
-	b.writeFailures(w)
+	set.writeFailures(w)
 }
 
-func (b *SlopeSet) writeSlopes(w io.Writer) {
+func (set *SlopeSet) writeSlopes(w io.Writer) {
 	fmt.Fprint(w, "## Slopes\n\n| what | size | per unit | at 0 | unit | measured at | spread |\n|---|---|---|---|---|---|---|\n")
-	for _, key := range b.Keys {
-		s := b.Slope(key)
+	for _, key := range set.Keys {
+		s := set.Slope(key)
 		first, last := s.Points[0].Size, s.Points[len(s.Points)-1].Size
 		fmt.Fprintf(w, "| %s | %s | %s | %s | %s | %s to %s | %s |\n", s.Name, s.SizeName,
 			formatNumber(s.PerUnit), formatNumber(s.Base), s.Unit, formatNumber(first), formatNumber(last), formatSpread(&s))
@@ -60,9 +60,9 @@
 	}
 }
 
-func (b *SlopeSet) writeFailures(w io.Writer) {
+func (set *SlopeSet) writeFailures(w io.Writer) {
 	fmt.Fprint(w, "\n## Failures at the target\n\n| failure | effect | bounded by |\n|---|---|---|\n")
-	for _, d := range b.Failures(Target) {
+	for _, d := range set.Failures(Target) {
 		fmt.Fprintf(w, "| %s | %s | %s |\n", d.Event, d.Effect, d.Mitigation)
 	}
 }
--- a/lab/fairness/fairness_test.go
+++ b/lab/fairness/fairness_test.go
@@ -45,7 +45,7 @@
 	s := faultScenario(1)
 	s.IsolatedDaemon = 4
 	if load := Run(s).PeakLoad; load > 1.2 {
-		t.Errorf("requests over slots rose to %.2f", load)
+		t.Errorf("peak load %.2f requests per slot, want at most 1.2", load)
 	}
 }
 
@@ -69,11 +69,11 @@
 	const back = 40 * time.Second
 	for seed := uint64(1); seed <= seeds; seed++ {
 		r := Run(LentShare(PolicyContract, seed, back))
-		if part := r.AdmittedFraction(0, back, back+5*time.Second, 10*time.Second); part < 0.98 {
-			t.Errorf("seed %d: %.2f of the work offered in the first 5 s admitted within 10 s, want at least 0.98", seed, part)
+		if fraction := r.AdmittedFraction(0, back, back+5*time.Second, 10*time.Second); fraction < 0.98 {
+			t.Errorf("seed %d: %.2f of the work offered in the first 5 s admitted within 10 s, want at least 0.98", seed, fraction)
 		}
-		if part := r.AdmittedFraction(0, back, back+time.Second, 2*time.Second); part < 0.8 {
-			t.Errorf("seed %d: %.2f of the work offered in the first second admitted within 2 s, want at least 0.8", seed, part)
+		if fraction := r.AdmittedFraction(0, back, back+time.Second, 2*time.Second); fraction < 0.8 {
+			t.Errorf("seed %d: %.2f of the work offered in the first second admitted within 2 s, want at least 0.8", seed, fraction)
 		}
 	}
 }
--- a/lab/fairness/result.go
+++ b/lab/fairness/result.go
@@ -166,23 +166,23 @@
 		remaining += v
 	}
 	entitled := make([]float64, len(offered))
-	open := map[int]bool{}
+	unsettled := map[int]bool{}
 	for i := range offered {
-		open[i] = true
+		unsettled[i] = true
 	}
-	for len(open) > 0 {
+	for len(unsettled) > 0 {
 		weights := 0.0
 		for i := range offered {
-			if open[i] {
+			if unsettled[i] {
 				weights += r.scenario.Organisations[i].Share
 			}
 		}
 		level, settled := remaining/weights, false
 		for i := range offered {
-			if open[i] && offered[i] <= level*r.scenario.Organisations[i].Share {
+			if unsettled[i] && offered[i] <= level*r.scenario.Organisations[i].Share {
 				entitled[i] = offered[i]
 				remaining -= offered[i]
-				delete(open, i)
+				delete(unsettled, i)
 				settled = true
 			}
 		}
@@ -190,7 +190,7 @@
 			continue
 		}
 		for i := range offered {
-			if open[i] {
+			if unsettled[i] {
 				entitled[i] = level * r.scenario.Organisations[i].Share
 			}
 		}
--- a/lab/fairness/simulation.go
+++ b/lab/fairness/simulation.go
@@ -24,7 +24,7 @@
 	core               *contract.Admission // nil for a baseline
 	waiting            map[contract.RequestID]*task
 	waitingInteractive int // number of interactive requests in waiting
-	dead               bool
+	crashed            bool
 }
 
 // retry is a refused request that is offered again later.
@@ -127,11 +127,11 @@
 }
 
 func (sim *simulation) crashDaemon(now time.Duration) {
-	if sim.scenario.CrashedDaemon < 0 || now < sim.scenario.FaultAt || sim.daemons[sim.scenario.CrashedDaemon].dead {
+	if sim.scenario.CrashedDaemon < 0 || now < sim.scenario.FaultAt || sim.daemons[sim.scenario.CrashedDaemon].crashed {
 		return
 	}
 	d := sim.daemons[sim.scenario.CrashedDaemon]
-	d.dead = true
+	d.crashed = true
 	d.waiting = map[contract.RequestID]*task{}
 	for _, e := range sim.engines {
 		e.running = withoutDaemon(e.running, sim.scenario.CrashedDaemon)
@@ -319,7 +319,7 @@
 		if len(spread) > 0 {
 			i = pickWeighted(sim.rng, spread)
 		}
-		if !sim.daemons[i].dead {
+		if !sim.daemons[i].crashed {
 			return i
 		}
 	}
--- a/lab/history/claims_test.go
+++ b/lab/history/claims_test.go
@@ -330,10 +330,10 @@
 // without reading it back.
 type earlySender struct{ log *plog.Cut }
 
-func (h earlySender) Claim(ctx context.Context, r claims.Request) claims.Answer {
+func (s earlySender) Claim(ctx context.Context, r claims.Request) claims.Answer {
 	op := ledger.ClaimOp{Verb: ledger.VerbClaim, Scope: ledger.HashID(r.Key), Request: &r.Digest}
 	data, _ := ledger.Encode(1, &ledger.ClaimBatch{Layout: ledger.Layout{Partitions: 1, Window: manifest.Duration(ClaimWindow)}, Ops: []ledger.ClaimOp{op}})
-	if _, err := h.log.Append(ctx, ledger.ClaimStream(0), data); err != nil {
+	if _, err := s.log.Append(ctx, ledger.ClaimStream(0), data); err != nil {
 		return claims.Answer{Outcome: claims.Refused}
 	}
 	return claims.Answer{Outcome: claims.Granted}
--- a/lab/history/manifests_test.go
+++ b/lab/history/manifests_test.go
@@ -143,7 +143,7 @@
 			}
 			both.Wait()
 			if (results[0].Outcome == logio.PublishAccepted) == (results[1].Outcome == logio.PublishAccepted) {
-				mt.t.Fatalf("result %+v and %+v", results[0], results[1])
+				mt.t.Fatalf("results %+v and %+v, want one accepted", results[0], results[1])
 			}
 		}},
 		{"the answer to the append is lost", func(mt *manifestTest) {
--- a/lab/history/publish_test.go
+++ b/lab/history/publish_test.go
@@ -44,10 +44,10 @@
 		log.SetOutage(false)
 
 		// The log appends the record, and then the connection to the log is lost.
-		cut := log.View()
+		disconnected := log.View()
 		log.LoseAnswers(1)
 		done := make(chan logio.PublishResult)
-		go func() { done <- publish(t, &disconnectAfterAppend{cut}, 2, 5) }()
+		go func() { done <- publish(t, &disconnectAfterAppend{disconnected}, 2, 5) }()
 		check(<-done, logio.PublishUnknown, 0, 0)
 		check(publish(t, log, 2, 5), logio.PublishAccepted, log.Head(ledger.StreamManifest)-1, 0)
 	})
--- a/lab/replay/oracle.go
+++ b/lab/replay/oracle.go
@@ -23,10 +23,10 @@
 }
 
 func (o *oracle) place(now time.Time, j *job) (placement.Decision, error) {
-	most := 0
+	longest := 0
 	for _, r := range o.b.runners {
 		if !r.down {
-			most = max(most, r.predictedMatch(j.levels))
+			longest = max(longest, r.predictedMatch(j.levels))
 		}
 	}
 	var best *runner
@@ -36,9 +36,9 @@
 		if r.down {
 			continue
 		}
-		here := r.predictedMatch(j.levels)
-		first, imports := o.prefillTime(j, here)
-		waste := float64(prefixTokens(j.levels, most)-prefixTokens(j.levels, here)) / o.b.fleet.PrefillRate
+		matched := r.predictedMatch(j.levels)
+		first, imports := o.prefillTime(j, matched)
+		waste := float64(prefixTokens(j.levels, longest)-prefixTokens(j.levels, matched)) / o.b.fleet.PrefillRate
 		if imports {
 			waste = 0
 		}
@@ -47,7 +47,7 @@
 			continue
 		}
 		best, bestCost = r, cost
-		d = placement.Decision{Endpoint: r.id, Incarnation: r.incarnation, ExpectedCached: prefixTokens(j.levels, here)}
+		d = placement.Decision{Endpoint: r.id, Incarnation: r.incarnation, ExpectedCached: prefixTokens(j.levels, matched)}
 		if imports {
 			d.ImportFrom = storeID
 		}
@@ -61,14 +61,14 @@
 // prefillTime returns the time in seconds that a runner with the given number
 // of cached levels needs for the rest of the prompt, and whether importing from
 // the KV store is faster than computing.
-func (o *oracle) prefillTime(j *job, here int) (float64, bool) {
+func (o *oracle) prefillTime(j *job, matched int) (float64, bool) {
 	rate := o.b.fleet.PrefillRate
-	missing := float64(j.tokens-prefixTokens(j.levels, here)) / rate
+	missing := float64(j.tokens-prefixTokens(j.levels, matched)) / rate
 	m := o.b.store.match(j)
-	if m <= here {
+	if m <= matched {
 		return missing, false
 	}
-	gain := float64(prefixTokens(j.levels, m) - prefixTokens(j.levels, here))
+	gain := float64(prefixTokens(j.levels, m) - prefixTokens(j.levels, matched))
 	queue := max(0, o.b.store.linkFreeAt.Sub(o.b.clock.now).Seconds())
 	imported := missing - gain/rate + queue + placement.DefaultImportLatency.Seconds() + gain/placement.DefaultImportRate
 	return min(missing, imported), imported < missing
--- a/lab/replay/replay_test.go
+++ b/lab/replay/replay_test.go
@@ -50,6 +50,6 @@
 func TestReplayIsDeterministic(t *testing.T) {
 	o := Options{Trace: shortTrace(2), Policy: PolicyAllSources, Seed: 2, Faults: Faults()}
 	if diff := cmp.Diff(run(t, o), run(t, o)); diff != "" {
-		t.Errorf("two replays differ:\n%s", diff)
+		t.Errorf("reports of two replays differ:\n%s", diff)
 	}
 }
--- a/lab/replay/report.go
+++ b/lab/replay/report.go
@@ -221,8 +221,8 @@
 	r.Retried, r.RetryConcentration = total, ratio(most, total)
 }
 
-func totalAndMost(of map[*runner]int) (total, most int) {
-	for _, n := range of {
+func totalAndMost(counts map[*runner]int) (total, most int) {
+	for _, n := range counts {
 		total += n
 		most = max(most, n)
 	}
--- a/lab/replay/shares.go
+++ b/lab/replay/shares.go
@@ -26,24 +26,24 @@
 func fairShares(orgs []Organisation, work float64) []float64 {
 	fair := make([]float64, len(orgs))
 	for range orgs {
-		open := 0.0
+		openShares := 0.0
 		for i, o := range orgs {
 			if fair[i] < float64(o.Offered) {
-				open += o.Share
+				openShares += o.Share
 			}
 		}
-		if open == 0 || work < 1 {
+		if openShares == 0 || work < 1 {
 			break
 		}
-		given := 0.0
+		assigned := 0.0
 		for i, o := range orgs {
 			if fair[i] < float64(o.Offered) {
-				more := min(work*o.Share/open, float64(o.Offered)-fair[i])
+				more := min(work*o.Share/openShares, float64(o.Offered)-fair[i])
 				fair[i] += more
-				given += more
+				assigned += more
 			}
 		}
-		work -= given
+		work -= assigned
 	}
 	return fair
 }
