--- a/lab/capacity/capacity_test.go
+++ b/lab/capacity/capacity_test.go
@@ -7,61 +7,63 @@
 	"testing"
 )
 
-func TestFitFindsALine(t *testing.T) {
+func TestFitFindsLine(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{10, 100, 1000}, func(size int) float64 { return 5 + 3*float64(size) })
-	if math.Abs(s.Each-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
-		t.Errorf("each %g, base %g", s.Each, s.Base)
+	if math.Abs(s.PerUnit-3) > 1e-9 || math.Abs(s.Base-5) > 1e-6 {
+		t.Errorf("per unit %g, base %g", s.PerUnit, s.Base)
 	}
 }
 
-func TestCostsBetweenPointsAreTheirOwn(t *testing.T) {
+func TestSlopeInterpolatesBetweenPoints(t *testing.T) {
 	s := measureOnce("x", "y", "z", []int{1, 10, 100}, func(size int) float64 {
 		return map[int]float64{1: 400, 10: 220, 100: 200}[size]
 	})
 	if s.At(100) != 200 || s.At(55) != 210 || s.At(1e6) < 0 {
-		t.Errorf("at 100: %g, at 55: %g, far off: %g", s.At(100), s.At(55), s.At(1e6))
+		t.Errorf("at 100: %g, at 55: %g, at 1e6: %g", s.At(100), s.At(55), s.At(1e6))
 	}
 }
 
-// fixedBook has slopes with known values, so that the sums can be checked.
-func fixedBook(each float64) *Book {
-	b := &Book{slopes: map[string]Slope{}}
+// fixedSlopes returns slopes with a known cost per unit, so that the rows can be
+// checked.
+func fixedSlopes(each float64) *SlopeSet {
+	set := &SlopeSet{slopes: map[string]Slope{}}
 	for _, m := range Measurements() {
-		b.slopes[m.Key] = Slope{Name: m.Key, Each: each, Points: []Point{{Size: 1}}}
-		b.Order = append(b.Order, m.Key)
+		set.slopes[m.Key] = Slope{Name: m.Key, PerUnit: each, Points: []Point{{Size: 1}}}
+		set.Keys = append(set.Keys, m.Key)
 	}
-	return b
+	return set
 }
 
-func TestSumsFollowFromSlopes(t *testing.T) {
-	b := fixedBook(100)
-	for _, r := range b.Rows() {
-		if r.What == "membership and health" && r.Value(Target) != 460_000 {
-			t.Errorf("got %g", r.Value(Target))
+func TestRowsFollowFromSlopes(t *testing.T) {
+	set := fixedSlopes(100)
+	for _, r := range set.Rows() {
+		if r.Name == "membership and health" && r.Value(Target) != 460_000 {
+			t.Errorf("membership and health at the target = %g, want 460000", r.Value(Target))
 		}
 	}
 }
 
-// A page that leaves out the row that breaks would be read as if all were
-// well. Every row over its limit at the target must be listed with its size.
-func TestEveryRowOverItsLimitIsListed(t *testing.T) {
-	b := fixedBook(100)
-	rows := b.Rows()
+// A row over its limit that is missing from the tables would hide a bottleneck.
+// Every row over its limit at the target must be listed with the sizes at which
+// it exceeds it.
+func TestTablesListRowsOverLimit(t *testing.T) {
+	set := fixedSlopes(100)
+	rows := set.Rows()
 	over := 0
 	for i := range rows {
-		if rows[i].Over(Target) {
+		if rows[i].ExceedsLimit(Target) {
 			over++
 		}
 	}
-	breaks := Breaks(rows, Registre, Target)
-	if over == 0 || len(breaks) < over {
-		t.Errorf("%d rows over, %d listed", over, len(breaks))
+	crossings := LimitCrossings(rows, Registre, Target)
+	if over == 0 || len(crossings) < over {
+		t.Errorf("%d rows exceed their limits, %d listed", over, len(crossings))
 	}
 	var page bytes.Buffer
-	b.WriteTables(&page)
-	for _, x := range breaks {
-		if !strings.Contains(page.String(), x.Row.What) {
-			t.Errorf("page lacks %s", x.Row.What)
+	set.WriteTables(&page)
+	for _, x := range crossings {
+		if !strings.Contains(page.String(), x.Row.Name) {
+			t.Errorf("tables lack the row %q", x.Row.Name)
 		}
 	}
 }
--- a/lab/history/sample.go
+++ b/lab/history/sample.go
@@ -1,6 +1,6 @@
-// Package history runs the real folds and shells of merlindock against
-// stand-ins with faults, records what callers and operators saw, and checks
-// the records with porcupine.
+// Package history runs merlindock's components for claims, leases and manifests
+// against stand-ins with faults, records the operations of callers and
+// operators, and checks the histories for consistency with porcupine.
 package history
 
 import (
@@ -12,11 +12,12 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// Sample is a small valid manifest; loads tells one from another.
-func Sample(loads int) manifest.Manifest { return SampleOf(loads, 1) }
+// SampleManifest returns a small valid manifest with one organisation.
+// Manifests with different loads have different digests.
+func SampleManifest(loads int) manifest.Manifest { return SampleManifestWith(loads, 1) }
 
-// SampleOf is Sample with a number of organisations.
-func SampleOf(loads, organisations int) manifest.Manifest {
+// SampleManifestWith is SampleManifest with the given number of organisations.
+func SampleManifestWith(loads, organisations int) manifest.Manifest {
 	m := manifest.Manifest{
 		Rules: manifest.RulesVersion, Name: "quebec-est",
 		Fleet: manifest.Fleet{
@@ -26,7 +27,7 @@
 		Models:  []manifest.Model{{ID: "plan-reader", Version: "v1"}},
 		Classes: []manifest.Class{{ID: "runner", Kind: fleet.KindModel, Models: []string{"plan-reader"}}},
 		Retention: manifest.Retention{
-			ClaimWindow: manifest.Duration(Window), LogRecords: manifest.Duration(Retention),
+			ClaimWindow: manifest.Duration(ClaimWindow), LogRecords: manifest.Duration(Retention),
 		},
 	}
 	for i := range organisations {
@@ -35,8 +36,8 @@
 	return m
 }
 
-// Retention is how long the log keeps records in the runs.
-const Retention = 3 * Window
+// Retention is the retention of log records in the tests.
+const Retention = 3 * ClaimWindow
 
 func organisation(i int) manifest.Organisation {
 	return manifest.Organisation{
