--- a/lab/capacity/shells.go
+++ b/lab/capacity/shells.go
@@ -25,20 +25,20 @@
 
 func digestBytes() Slope {
 	return measure("digest between daemons", "endpoints in the news, 64 at most", "bytes", []int{1, 8, 64}, func(size int) float64 {
-		return float64(bench.DigestBytes(size, 8))
+		return float64(bench.DigestSize(size, 8))
 	})
 }
 
 func sectionBytes() Slope {
 	return measure("record of one organisation's change", "organisations", "bytes", organisationSizes, func(size int) float64 {
-		_, bytes, err := bench.SectionFold(size)
+		_, bytes, err := bench.SectionApplier(size)
 		return float64(must(bytes, err))
 	})
 }
 
 func sectionFold() Slope {
 	return measure("fold one organisation's change", "organisations", "ns", organisationSizes, func(size int) float64 {
-		fold, _, err := bench.SectionFold(size)
+		fold, _, err := bench.SectionApplier(size)
 		must(fold, err)
 		return nanoseconds(func(n int) {
 			for range n {
@@ -50,14 +50,14 @@
 
 func pollBytes() Slope {
 	return measure("one read of the log", "bytes of the record", "bytes", []int{1, 1000, 100_000}, func(size int) float64 {
-		_, one, err := bench.PollBytes(size)
+		_, one, err := bench.LogReadBytes(size)
 		return float64(must(one, err))
 	})
 }
 
 func planOrders() Slope {
 	return measure("plan one round of orders", "endpoints", "ns", endpointSizes, func(size int) float64 {
-		plan := bench.PlanOnce(size)
+		plan := bench.RolloutPlanner(size)
 		return nanoseconds(func(n int) {
 			for range n {
 				plan()
@@ -68,17 +68,17 @@
 
 // controlRuns keeps the runs of idle daemons that exchange digests over real
 // gRPC, since two slopes come from each.
-type controlRuns map[int]bench.ControlCost
+type controlRuns map[int]bench.ControlPlaneCost
 
-func (c controlRuns) at(daemons int) bench.ControlCost {
+func (c controlRuns) at(daemons int) bench.ControlPlaneCost {
 	if r, done := c[daemons]; done {
 		return r
 	}
-	c[daemons] = must(bench.Control(bench.ControlOptions{
+	c[daemons] = must(bench.MeasureControlPlane(bench.ControlPlaneOptions{
 		Daemons:       daemons,
 		Zones:         zonesOf(daemons),
 		Interval:      controlInterval,
-		Window:        controlWindow,
+		Duration:      controlWindow,
 		Evidence:      2,
 		Organisations: 8,
 	}))
@@ -98,13 +98,13 @@
 
 func (c controlRuns) bytes() Slope {
 	return measureOnce("digests sent by one daemon", "daemons", "bytes/s", controlSizes, func(size int) float64 {
-		return c.at(size).Sent
+		return c.at(size).BytesPerSecond
 	})
 }
 
 func (c controlRuns) processor() Slope {
 	return measureOnce("processor time for digests", "daemons", "share of a core", controlSizes, func(size int) float64 {
-		return c.at(size).Processor
+		return c.at(size).Cores
 	})
 }
 
@@ -115,14 +115,14 @@
 	if r, done := c[batch]; done {
 		return r
 	}
-	c[batch] = must(bench.Claims(context.Background(), bench.ClaimOptions{
+	c[batch] = must(bench.MeasureClaims(context.Background(), bench.ClaimOptions{
 		Daemons:    3,
 		BatchItems: batch,
 		AppendRate: logRate,
 		LogDelay:   2 * time.Millisecond,
 		Workers:    claimWorkers,
-		Warm:       claimsWarm,
-		For:        claimsFor,
+		WarmUp:     claimsWarm,
+		Duration:   claimsFor,
 	}))
 	return c[batch]
 }
@@ -131,13 +131,13 @@
 
 func (c claimRuns) perSecond() Slope {
 	return measureOnce("keyed calls at 300 appends/s", "claims in one append", "calls/s", claimBatches, func(size int) float64 {
-		return c.at(size).PerSecond
+		return c.at(size).ClaimsPerSecond
 	})
 }
 
 func (c claimRuns) bytes() Slope {
 	return measureOnce("one keyed call in the log", "claims in one append", "bytes", claimBatches, func(size int) float64 {
-		return c.at(size).BytesPerOp
+		return c.at(size).BytesPerOperation
 	})
 }
 
--- a/lab/measure/agree_test.go
+++ b/lab/measure/agree_test.go
@@ -15,7 +15,7 @@
 func BenchmarkManifestDecode(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			text, err := ManifestText(n)
+			text, err := EncodeSampleManifest(n)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -32,7 +32,7 @@
 func BenchmarkManifestCheck(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			text, _ := ManifestText(n)
+			text, _ := EncodeSampleManifest(n)
 			m, err := manifest.Decode(text)
 			if err != nil {
 				b.Fatal(err)
@@ -49,7 +49,7 @@
 func BenchmarkManifestDigest(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			text, _ := ManifestText(n)
+			text, _ := EncodeSampleManifest(n)
 			m, err := manifest.Decode(text)
 			if err != nil {
 				b.Fatal(err)
@@ -66,7 +66,7 @@
 func BenchmarkFoldManifest(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			r, err := ManifestRecord(n)
+			r, err := NewManifestRecord(n)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -83,7 +83,7 @@
 func BenchmarkFoldSection(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			fold, size, err := SectionFold(n)
+			fold, size, err := SectionApplier(n)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -101,7 +101,7 @@
 	const records = 1000
 	for _, each := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("claims=%d", each), func(b *testing.B) {
-			list, err := ClaimRecords(records, each)
+			list, err := NewClaimRecords(records, each)
 			if err != nil {
 				b.Fatal(err)
 			}
@@ -131,7 +131,7 @@
 
 func BenchmarkFoldLease(b *testing.B) {
 	const records = 1000
-	list, err := LeaseRecords(records)
+	list, err := NewLeaseRecords(records)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -147,7 +147,7 @@
 
 func BenchmarkPoll(b *testing.B) {
 	for b.Loop() {
-		idle, one, err := PollBytes(220)
+		idle, one, err := LogReadBytes(220)
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -161,26 +161,26 @@
 func BenchmarkClaims(b *testing.B) {
 	for _, items := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("batch=%d", items), func(b *testing.B) {
-			o := ClaimOptions{Daemons: 9, BatchItems: items, AppendRate: 300, LogDelay: 5 * time.Millisecond, Warm: 3 * time.Second, For: 5 * time.Second}
+			o := ClaimOptions{Daemons: 9, BatchItems: items, AppendRate: 300, LogDelay: 5 * time.Millisecond, WarmUp: 3 * time.Second, Duration: 5 * time.Second}
 			for b.Loop() {
 				o.Workers = 16 * o.Daemons * items
-				most, err := Claims(b.Context(), o)
+				most, err := MeasureClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
-				o.Workers, o.Rate = 0, most.PerSecond/2
-				half, err := Claims(b.Context(), o)
+				o.Workers, o.Rate = 0, most.ClaimsPerSecond/2
+				half, err := MeasureClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(most.PerSecond, "claims/s")
-				b.ReportMetric(most.Appends, "appends/s")
+				b.ReportMetric(most.ClaimsPerSecond, "claims/s")
+				b.ReportMetric(most.AppendsPerSecond, "appends/s")
 				b.ReportMetric(float64(most.Refused), "refused")
-				b.ReportMetric(half.PerSecond, "half-claims/s")
+				b.ReportMetric(half.ClaimsPerSecond, "half-claims/s")
 				b.ReportMetric(half.P50.Seconds()*1000, "half-p50-ms")
 				b.ReportMetric(half.P99.Seconds()*1000, "half-p99-ms")
 				b.ReportMetric(float64(half.Refused), "half-refused")
-				b.ReportMetric(half.BytesPerOp, "record-B/op")
+				b.ReportMetric(half.BytesPerOperation, "record-B/op")
 			}
 		})
 	}
@@ -191,17 +191,17 @@
 	for _, delay := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond} {
 		b.Run(fmt.Sprintf("log=%v", delay), func(b *testing.B) {
 			for b.Loop() {
-				r, err := Claims(b.Context(), ClaimOptions{
-					Daemons: 9, AppendRate: 300, LogDelay: delay, Rate: 10, Warm: time.Second, For: 10 * time.Second,
+				r, err := MeasureClaims(b.Context(), ClaimOptions{
+					Daemons: 9, AppendRate: 300, LogDelay: delay, Rate: 10, WarmUp: time.Second, Duration: 10 * time.Second,
 				})
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(r.PerSecond, "claims/s")
+				b.ReportMetric(r.ClaimsPerSecond, "claims/s")
 				b.ReportMetric(r.P50.Seconds()*1000, "p50-ms")
 				b.ReportMetric(r.P99.Seconds()*1000, "p99-ms")
-				b.ReportMetric(r.Appends, "appends/s")
-				b.ReportMetric(r.BytesPerOp, "record-B/op")
+				b.ReportMetric(r.AppendsPerSecond, "appends/s")
+				b.ReportMetric(r.BytesPerOperation, "record-B/op")
 			}
 		})
 	}
--- a/lab/measure/certificates.go
+++ b/lab/measure/certificates.go
@@ -17,8 +17,8 @@
 // peerName is the name in the daemons' certificates.
 const peerName = "merlindock"
 
-// certificates writes an authority and a certificate for daemons into dir.
-func certificates(dir string) (*peer.TLSFiles, error) {
+// writeCertificates writes an authority and a certificate for daemons into dir.
+func writeCertificates(dir string) (*peer.TLSFiles, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
--- a/lab/measure/claims.go
+++ b/lab/measure/claims.go
@@ -26,24 +26,24 @@
 	LogDelay   time.Duration // of each call of the log
 	Workers    int           // calls under way at once, over all daemons; 0: by Rate
 	Rate       float64       // calls a second, over all daemons, evenly spaced
-	Warm       time.Duration // before the figures are taken
-	For        time.Duration
+	WarmUp     time.Duration // before the figures are taken
+	Duration   time.Duration
 }
 
 // ClaimResult is what a run showed. Latencies are of the claim alone, the time
 // that it adds before a call is sent.
 type ClaimResult struct {
-	PerSecond  float64
-	P50, P99   time.Duration
-	Refused    int
-	Appends    float64 // a second
-	BytesPerOp float64
+	ClaimsPerSecond   float64
+	P50, P99          time.Duration
+	Refused           int
+	AppendsPerSecond  float64 // a second
+	BytesPerOperation float64
 }
 
 const claimWindow = time.Hour
 
-// Claims measures keyed calls: claim, read back, complete.
-func Claims(ctx context.Context, o ClaimOptions) (ClaimResult, error) {
+// MeasureClaims measures keyed calls: claim, read back, complete.
+func MeasureClaims(ctx context.Context, o ClaimOptions) (ClaimResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	log := plog.New(plog.Options{AppendRate: o.AppendRate})
@@ -54,7 +54,7 @@
 	}
 	r := &claimRun{services: services, latency: hdrhistogram.New(1, int64(time.Minute/time.Microsecond), 3)}
 	warm := o
-	warm.For = o.Warm
+	warm.Duration = o.WarmUp
 	if o.Workers > 0 {
 		r.closed(ctx, warm)
 	} else {
@@ -70,12 +70,12 @@
 	took, after := time.Since(start).Seconds(), log.Counts()
 	done := float64(r.granted.Load())
 	return ClaimResult{
-		PerSecond:  done / took,
-		P50:        time.Duration(r.latency.ValueAtQuantile(50)) * time.Microsecond,
-		P99:        time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond,
-		Refused:    int(r.refused.Load()),
-		Appends:    float64(after.Appends-before.Appends) / took,
-		BytesPerOp: float64(after.BytesIn-before.BytesIn) / max(1, 2*done),
+		ClaimsPerSecond:   done / took,
+		P50:               time.Duration(r.latency.ValueAtQuantile(50)) * time.Microsecond,
+		P99:               time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond,
+		Refused:           int(r.refused.Load()),
+		AppendsPerSecond:  float64(after.Appends-before.Appends) / took,
+		BytesPerOperation: float64(after.BytesIn-before.BytesIn) / max(1, 2*done),
 	}, nil
 }
 
@@ -121,7 +121,7 @@
 // closed keeps a number of calls under way.
 func (r *claimRun) closed(ctx context.Context, o ClaimOptions) {
 	var workers sync.WaitGroup
-	end := time.Now().Add(o.For)
+	end := time.Now().Add(o.Duration)
 	for range o.Workers {
 		workers.Go(func() {
 			for time.Now().Before(end) {
@@ -137,7 +137,7 @@
 	var calls sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / o.Rate))
 	defer ticker.Stop()
-	for end := time.Now().Add(o.For); time.Now().Before(end); <-ticker.C {
+	for end := time.Now().Add(o.Duration); time.Now().Before(end); <-ticker.C {
 		calls.Go(func() { r.call(ctx) })
 	}
 	calls.Wait()
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -22,25 +22,25 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// ControlOptions describe daemons that talk to their neighbours over real gRPC
+// ControlPlaneOptions describe daemons that talk to their neighbours over real gRPC
 // on loopback, all in this process.
-type ControlOptions struct {
+type ControlPlaneOptions struct {
 	Daemons       int
 	Zones         int
 	Interval      time.Duration // between exchanges at the least; 0: the default
 	Budget        float64       // bytes a second; 0: the default
-	Window        time.Duration // measured, after a warm-up
+	Duration      time.Duration // measured, after a warm-up
 	Evidence      int           // endpoints named in each digest
 	Organisations int           // whose use each digest carries
 	TLS           bool
 }
 
-// ControlCost is what control costs one daemon.
-type ControlCost struct {
-	Daemons    int
-	Neighbours float64 // on average
-	Sent       float64 // bytes a second handed to TCP; as many are received
-	Processor  float64 // share of one core
+// ControlPlaneCost is what control costs one daemon.
+type ControlPlaneCost struct {
+	Daemons        int
+	Neighbours     float64 // on average
+	BytesPerSecond float64 // bytes a second handed to TCP; as many are received
+	Cores          float64 // share of one core
 }
 
 // controlNode is one daemon of a measurement.
@@ -104,7 +104,7 @@
 	return list
 }
 
-func startControl(o ControlOptions) (*control, error) {
+func startControl(o ControlPlaneOptions) (*control, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &control{stop: cancel, got: make(chan struct{}, o.Daemons)}
 	if err := c.secure(o); err != nil {
@@ -134,14 +134,14 @@
 	return c, nil
 }
 
-func (c *control) secure(o ControlOptions) (err error) {
+func (c *control) secure(o ControlPlaneOptions) (err error) {
 	if !o.TLS {
 		return nil
 	}
 	if c.dir, err = os.MkdirTemp("", "merlindock-measure"); err != nil {
 		return err
 	}
-	c.files, err = certificates(c.dir)
+	c.files, err = writeCertificates(c.dir)
 	return err
 }
 
@@ -166,11 +166,11 @@
 // errEarlier says that a daemon has a later manifest already.
 var errEarlier = errors.New("measure: manifest is not later")
 
-func (c *control) options(o ControlOptions, n *controlNode, list []ports.Daemon, seed uint64) peer.Options {
+func (c *control) options(o ControlPlaneOptions, n *controlNode, list []ports.Daemon, seed uint64) peer.Options {
 	// Each link should carry a revision, as it does in service.
 	n.accepted.Revision = neighbour.Revision{Offset: 1}
-	evidence := Evidence(o.Evidence)
-	usage := Usage(o.Organisations)
+	evidence := NewEvidence(o.Evidence)
+	usage := EncodeUsage(o.Organisations)
 	return peer.Options{
 		Self:     n.daemon,
 		Seed:     seed,
@@ -214,21 +214,21 @@
 	return nil
 }
 
-// Control measures what control costs each daemon when nothing happens.
-func Control(o ControlOptions) (ControlCost, error) {
+// MeasureControlPlane measures what control costs each daemon when nothing happens.
+func MeasureControlPlane(o ControlPlaneOptions) (ControlPlaneCost, error) {
 	c, err := startControl(o)
 	if err != nil {
-		return ControlCost{}, err
+		return ControlPlaneCost{}, err
 	}
 	defer c.close()
 	time.Sleep(warmUp)
 	sent, used, began := c.sent.Load(), processorTime(), time.Now()
-	time.Sleep(o.Window)
+	time.Sleep(o.Duration)
 	took := time.Since(began).Seconds() * float64(o.Daemons)
-	cost := ControlCost{
-		Daemons:   o.Daemons,
-		Sent:      float64(c.sent.Load()-sent) / took,
-		Processor: (processorTime() - used).Seconds() / took,
+	cost := ControlPlaneCost{
+		Daemons:        o.Daemons,
+		BytesPerSecond: float64(c.sent.Load()-sent) / took,
+		Cores:          (processorTime() - used).Seconds() / took,
 	}
 	for _, n := range c.nodes {
 		cost.Neighbours += float64(len(n.service.Neighbours())) / float64(o.Daemons)
@@ -245,9 +245,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// Spread measures, on loopback, how long a manifest of the given size takes
+// MeasureManifestPropagation measures, on loopback, how long a manifest of the given size takes
 // from one daemon that has accepted it to all the others.
-func Spread(o ControlOptions, manifestBytes int) (time.Duration, error) {
+func MeasureManifestPropagation(o ControlPlaneOptions, manifestBytes int) (time.Duration, error) {
 	c, err := startControl(o)
 	if err != nil {
 		return 0, err
@@ -280,8 +280,8 @@
 	return last.Sub(began), nil
 }
 
-// Evidence makes news of the given number of endpoints.
-func Evidence(count int) []fleet.Evidence {
+// NewEvidence makes news of the given number of endpoints.
+func NewEvidence(count int) []fleet.Evidence {
 	es := make([]fleet.Evidence, count)
 	for i := range es {
 		es[i] = fleet.Evidence{
@@ -293,8 +293,8 @@
 	return es
 }
 
-// Usage makes the digest of the given number of organisations' use.
-func Usage(organisations int) []byte {
+// EncodeUsage makes the digest of the given number of organisations' use.
+func EncodeUsage(organisations int) []byte {
 	d := contract.Digest{Incarnation: 1_700_000_000_000_000_000, Sequence: 100_000}
 	for i := range organisations {
 		d.Entries = append(d.Entries, contract.DigestEntry{
--- a/lab/measure/digest.go
+++ b/lab/measure/digest.go
@@ -6,17 +6,17 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// DigestBytes is the size of one digest between daemons, without what gRPC and
+// DigestSize is the size of one digest between daemons, without what gRPC and
 // TCP add.
-func DigestBytes(evidence, organisations int) int {
+func DigestSize(evidence, organisations int) int {
 	d := &peerpb.Digest{
 		Daemon:   "entry-0001",
 		Life:     1_700_000_000_000_000_000,
 		Sequence: 100_000,
 		Accepted: &peerpb.Revision{Offset: 1_000_000, Digest: make([]byte, 32)},
-		Usage:    Usage(organisations),
+		Usage:    EncodeUsage(organisations),
 	}
-	for _, e := range Evidence(evidence) {
+	for _, e := range NewEvidence(evidence) {
 		d.Endpoints = append(d.Endpoints, &peerpb.Evidence{
 			Endpoint:    string(e.Endpoint),
 			Incarnation: uint64(e.Incarnation),
--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -18,14 +18,14 @@
 
 var foldStart = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// ManifestText is the canonical text of a manifest with so many organisations.
-func ManifestText(organisations int) ([]byte, error) {
+// EncodeSampleManifest is the canonical text of a manifest with so many organisations.
+func EncodeSampleManifest(organisations int) ([]byte, error) {
 	return manifest.Encode(history.SampleOf(3, organisations))
 }
 
-// ManifestRecord is the log record that proposes such a manifest first.
-func ManifestRecord(organisations int) (ports.Record, error) {
-	text, err := ManifestText(organisations)
+// NewManifestRecord is the log record that proposes such a manifest first.
+func NewManifestRecord(organisations int) (ports.Record, error) {
+	text, err := EncodeSampleManifest(organisations)
 	if err != nil {
 		return ports.Record{}, err
 	}
@@ -33,10 +33,10 @@
 	return ports.Record{Offset: 1, Time: foldStart, Data: data}, err
 }
 
-// SectionFold returns a function that folds one change of one organisation of
+// SectionApplier returns a function that folds one change of one organisation of
 // so many each time it is called, and the size of such a record.
-func SectionFold(organisations int) (fold func() error, bytes int, err error) {
-	first, err := ManifestRecord(organisations)
+func SectionApplier(organisations int) (fold func() error, bytes int, err error) {
+	first, err := NewManifestRecord(organisations)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -69,8 +69,8 @@
 	}, len(one.Data), nil
 }
 
-// ClaimRecords are batches of claims as daemons append them.
-func ClaimRecords(records, claimsEach int) ([]ports.Record, error) {
+// NewClaimRecords are batches of claims as daemons append them.
+func NewClaimRecords(records, claimsEach int) ([]ports.Record, error) {
 	request := ledger.HashID("request")
 	var list []ports.Record
 	for i := range records {
@@ -96,8 +96,8 @@
 	return ledger.Layout{Partitions: 1, Window: manifest.Duration(claimWindow)}
 }
 
-// LeaseRecords are renewals of one lease after its acquisition.
-func LeaseRecords(n int) ([]ports.Record, error) {
+// NewLeaseRecords are renewals of one lease after its acquisition.
+func NewLeaseRecords(n int) ([]ports.Record, error) {
 	var list []ports.Record
 	for i := range n {
 		b := &ledger.LeaseRecord{Op: ledger.LeaseRenew, Name: "orders", Holder: "entry-0001/1", TTL: manifest.Duration(15 * time.Second), Fence: 1, Serial: i}
@@ -113,9 +113,9 @@
 	return list, nil
 }
 
-// PollBytes is what one read at the end of a stream and one read of a single
+// LogReadBytes is what one read at the end of a stream and one read of a single
 // record of the given size put on the wire, both ways, HTTP included.
-func PollBytes(recordBytes int) (idle, one int64, err error) {
+func LogReadBytes(recordBytes int) (idle, one int64, err error) {
 	log := plog.New(plog.Options{AppendRate: -1})
 	server := httptest.NewServer(plog.Handler(log, plog.NewVMs(nil, 0)))
 	defer server.Close()
--- a/lab/measure/graph.go
+++ b/lab/measure/graph.go
@@ -8,12 +8,12 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// GraphChange is what a change of the list of daemons does to their links.
-type GraphChange struct {
-	Before int // links before
-	Closed int
-	Opened int // each costs a TLS handshake
-	Most   int // links opened by one daemon that stayed, at the most
+// LinkChanges is what a change of the list of daemons does to their links.
+type LinkChanges struct {
+	Before    int // links before
+	Closed    int
+	Opened    int // each costs a TLS handshake
+	MaxOpened int // links opened by one daemon that stayed, at the most
 }
 
 // links are the pairs of neighbours, the smaller id first.
@@ -31,8 +31,8 @@
 	return out
 }
 
-// Replacement replaces some daemons by new ones in the same zones, at once.
-func Replacement(daemons, zones, replaced int) GraphChange {
+// ReplaceDaemons replaces some daemons by new ones in the same zones, at once.
+func ReplaceDaemons(daemons, zones, replaced int) LinkChanges {
 	before := Daemons(daemons, zones)
 	after := slices.Clone(before)
 	for i := range replaced {
@@ -41,16 +41,16 @@
 	return graphChange(before, after)
 }
 
-// ZoneLoss takes the daemons of the first zone off the list.
-func ZoneLoss(daemons, zones int) GraphChange {
+// RemoveZone takes the daemons of the first zone off the list.
+func RemoveZone(daemons, zones int) LinkChanges {
 	before := Daemons(daemons, zones)
 	after := slices.DeleteFunc(slices.Clone(before), func(d ports.Daemon) bool { return d.Zone == before[0].Zone })
 	return graphChange(before, after)
 }
 
-func graphChange(before, after []ports.Daemon) GraphChange {
+func graphChange(before, after []ports.Daemon) LinkChanges {
 	was, is := linksOf(before), linksOf(after)
-	c := GraphChange{Before: len(was)}
+	c := LinkChanges{Before: len(was)}
 	stayed := map[string]bool{}
 	for _, d := range before {
 		stayed[d.ID] = true
@@ -64,7 +64,7 @@
 		for _, id := range pair {
 			if stayed[id] {
 				opened[id]++
-				c.Most = max(c.Most, opened[id])
+				c.MaxOpened = max(c.MaxOpened, opened[id])
 			}
 		}
 	}
--- a/lab/measure/restart.go
+++ b/lab/measure/restart.go
@@ -13,9 +13,9 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// RestartCost is how long a daemon takes, from being made anew, to its first
+// RestartTimes is how long a daemon takes, from being made anew, to its first
 // whole answer.
-type RestartCost struct {
+type RestartTimes struct {
 	LogUp   time.Duration
 	LogDown time.Duration // with the manifest from a neighbour
 }
@@ -23,32 +23,32 @@
 // restartLimit is when a measurement is given up.
 const restartLimit = 30 * time.Second
 
-// Restart measures, on loopback, three daemons before six runners of which one
+// MeasureRestart measures, on loopback, three daemons before six runners of which one
 // daemon is made anew, with the log up and down.
-func Restart() (RestartCost, error) {
+func MeasureRestart() (RestartTimes, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), restartLimit)
 	defer cancel()
 	w, err := world.Start(world.Options{})
 	if err != nil {
-		return RestartCost{}, err
+		return RestartTimes{}, err
 	}
 	defer w.Close()
 	c, err := w.StartCluster(3, nil)
 	if err != nil {
-		return RestartCost{}, err
+		return RestartTimes{}, err
 	}
 	defer c.Close()
 	text, err := manifest.Encode(w.Manifest())
 	if err != nil {
-		return RestartCost{}, err
+		return RestartTimes{}, err
 	}
 	if _, err := c.Nodes[0].Admin().Publish(ctx, 0, text); err != nil {
-		return RestartCost{}, err
+		return RestartTimes{}, err
 	}
 	if err := c.WaitReady(ctx); err != nil {
-		return RestartCost{}, err
+		return RestartTimes{}, err
 	}
-	var cost RestartCost
+	var cost RestartTimes
 	if cost.LogUp, err = restartNode(ctx, c); err != nil {
 		return cost, err
 	}
--- a/lab/measure/rollout.go
+++ b/lab/measure/rollout.go
@@ -11,17 +11,17 @@
 
 // RolloutOptions describe a rollout in virtual time.
 type RolloutOptions struct {
-	Runners int
-	Limit   int           // loads at once
-	Load    time.Duration // of one runner
+	Runners    int
+	MaxLoading int           // loads at once
+	LoadTime   time.Duration // of one runner
 }
 
 // RolloutResult is how a rollout went.
 type RolloutResult struct {
-	Took     time.Duration
-	LeastUp  int // runners that served any version, at the least
-	MostLoad int // loads at once, at the most
-	Orders   int
+	Duration   time.Duration
+	MinServing int // runners that served any version, at the least
+	MaxLoading int // loads at once, at the most
+	Orders     int
 }
 
 // The fleet of the measurements has one model and one class.
@@ -51,9 +51,9 @@
 	return members
 }
 
-// PlanOnce returns one round of planning for a fleet that is read and half
+// RolloutPlanner returns one round of planning for a fleet that is read and half
 // rolled out.
-func PlanOnce(count int) func() rollout.Plan {
+func RolloutPlanner(count int) func() rollout.Plan {
 	now := time.Unix(1000, 0)
 	in := rollout.Input{Manifest: rolloutManifest(3), Revision: 2, HeldSince: now, Endpoints: runners(count)}
 	planner := rollout.NewPlanner(rollout.Options{})
@@ -64,9 +64,9 @@
 	return func() rollout.Plan { return planner.Plan(now, in) }
 }
 
-// Members returns a membership of the given number of endpoints that have all
+// NewMembership returns a membership of the given number of endpoints that have all
 // been heard, and the time by which they were.
-func Members(count int) (*fleet.Membership, time.Time) {
+func NewMembership(count int) (*fleet.Membership, time.Time) {
 	now := time.Unix(1000, 0)
 	m := fleet.NewMembership(fleet.MembershipOptions{})
 	var list []fleet.Endpoint
@@ -83,10 +83,10 @@
 // rolloutTick is the time between two rounds of the planner.
 const rolloutTick = time.Second
 
-// Rollout takes a fleet with one model from a version to the next, with
+// SimulateRollout takes a fleet with one model from a version to the next, with
 // runners that do what they are told.
-func Rollout(o RolloutOptions) RolloutResult {
-	m := rolloutManifest(o.Limit)
+func SimulateRollout(o RolloutOptions) RolloutResult {
+	m := rolloutManifest(o.MaxLoading)
 	status := map[fleet.EndpointID]rollout.Status{}
 	ends := map[fleet.EndpointID]time.Time{}
 	members := runners(o.Runners)
@@ -95,7 +95,7 @@
 	}
 	began := time.Unix(0, 0)
 	planner := rollout.NewPlanner(rollout.Options{})
-	result := RolloutResult{LeastUp: o.Runners}
+	result := RolloutResult{MinServing: o.Runners}
 	for now := began; ; now = now.Add(rolloutTick) {
 		up, loads := 0, 0
 		for id, s := range status {
@@ -109,17 +109,17 @@
 				up++
 			}
 		}
-		result.LeastUp, result.MostLoad = min(result.LeastUp, up), max(result.MostLoad, loads)
+		result.MinServing, result.MaxLoading = min(result.MinServing, up), max(result.MaxLoading, loads)
 		plan := planner.Plan(now, rollout.Input{Manifest: m, Revision: 2, Fence: 1, HeldSince: began, Endpoints: members})
 		if plan.Done == o.Runners {
-			result.Took = now.Sub(began)
+			result.Duration = now.Sub(began)
 			return result
 		}
 		for _, order := range plan.Orders {
 			result.Orders++
 			planner.Sent(now, order)
 			status[order.Endpoint] = rollout.Status{Incarnation: 1, Loading: &order}
-			ends[order.Endpoint] = now.Add(o.Load)
+			ends[order.Endpoint] = now.Add(o.LoadTime)
 			planner.Answered(order)
 		}
 		for _, id := range plan.Read {
--- a/lab/measure/spread.go
+++ b/lab/measure/spread.go
@@ -12,16 +12,16 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// SpreadModelOptions describe how a manifest goes from daemon to daemon in
+// PropagationOptions describe how a manifest goes from daemon to daemon in
 // virtual time.
-type SpreadModelOptions struct {
-	Daemons  int
-	Zones    int
-	OneWay   time.Duration // on a link
-	Interval time.Duration // of the regular exchanges
-	// Lost is the share of announcements that do not arrive, so that the next
+type PropagationOptions struct {
+	Daemons   int
+	Zones     int
+	LinkDelay time.Duration // on a link
+	Interval  time.Duration // of the regular exchanges
+	// LossRate is the share of announcements that do not arrive, so that the next
 	// regular exchange has to bring the manifest.
-	Lost float64
+	LossRate float64
 	// DeadZone takes the first zone away while the list still names it.
 	DeadZone bool
 	Seed     uint64
@@ -45,10 +45,10 @@
 	return last
 }
 
-// SpreadModel returns how long after its acceptance by one daemon a manifest is in
+// SimulateManifestPropagation returns how long after its acceptance by one daemon a manifest is in
 // force on each of the others, the earliest first. A link costs three ways: the
 // announcement, the call for the manifest and the answer.
-func SpreadModel(o SpreadModelOptions) []time.Duration {
+func SimulateManifestPropagation(o PropagationOptions) []time.Duration {
 	list := Daemons(o.Daemons, o.Zones)
 	index := map[string]int{}
 	for i, d := range list {
@@ -70,10 +70,10 @@
 				continue
 			}
 			wait := time.Duration(0)
-			if random.Float64() < o.Lost {
+			if random.Float64() < o.LossRate {
 				wait = time.Duration(random.Float64() * float64(o.Interval))
 			}
-			heap.Push(queue, arrival{a.at + wait + 3*o.OneWay, index[n.ID]})
+			heap.Push(queue, arrival{a.at + wait + 3*o.LinkDelay, index[n.ID]})
 		}
 	}
 	times := make([]time.Duration, 0, len(reached))
