--- a/lab/lab.go
+++ b/lab/lab.go
@@ -1,3 +1,3 @@
-// Package lab is the root of the stand-ins and benches; the daemon imports
-// none of it.
+// Package lab is the root of the module of simulators, load generators,
+// benchmarks and system tests. The daemon imports none of its packages.
 package lab
--- a/lab/measure/agree_test.go
+++ b/lab/measure/agree_test.go
@@ -63,7 +63,7 @@
 	}
 }
 
-func BenchmarkFoldManifest(b *testing.B) {
+func BenchmarkApplyManifest(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
 			r, err := NewManifestRecord(n)
@@ -80,15 +80,15 @@
 	}
 }
 
-func BenchmarkFoldSection(b *testing.B) {
+func BenchmarkApplySection(b *testing.B) {
 	for _, n := range organisationCounts {
 		b.Run(fmt.Sprintf("organisations=%d", n), func(b *testing.B) {
-			fold, size, err := SectionApplier(n)
+			apply, size, err := SectionApplier(n)
 			if err != nil {
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				if err := fold(); err != nil {
+				if err := apply(); err != nil {
 					b.Fatal(err)
 				}
 			}
@@ -97,7 +97,7 @@
 	}
 }
 
-func BenchmarkFoldClaims(b *testing.B) {
+func BenchmarkApplyClaims(b *testing.B) {
 	const records = 1000
 	for _, each := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("claims=%d", each), func(b *testing.B) {
@@ -105,31 +105,31 @@
 			if err != nil {
 				b.Fatal(err)
 			}
-			var kept *ledger.Claims
-			before := heapInUse()
+			var state *ledger.Claims
+			before := liveHeapBytes()
 			for b.Loop() {
-				kept = ledger.NewClaims(ClaimLayout())
+				state = ledger.NewClaims(ClaimLayout())
 				for _, r := range list {
-					kept.Apply(r)
+					state.Apply(r)
 				}
 			}
 			per := float64(records * each)
 			b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/per, "ns/claim")
-			b.ReportMetric(float64(heapInUse()-before)/per, "heap-B/claim")
+			b.ReportMetric(float64(liveHeapBytes()-before)/per, "heap-B/claim")
 			b.ReportMetric(float64(len(list[0].Data))/float64(each), "record-B/claim")
-			runtime.KeepAlive(kept)
+			runtime.KeepAlive(state)
 		})
 	}
 }
 
-func heapInUse() int64 {
+func liveHeapBytes() int64 {
 	runtime.GC()
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
 	return int64(m.HeapAlloc)
 }
 
-func BenchmarkFoldLease(b *testing.B) {
+func BenchmarkApplyLease(b *testing.B) {
 	const records = 1000
 	list, err := NewLeaseRecords(records)
 	if err != nil {
@@ -145,7 +145,7 @@
 	b.ReportMetric(float64(len(list[1].Data)), "bytes/record")
 }
 
-func BenchmarkPoll(b *testing.B) {
+func BenchmarkLogRead(b *testing.B) {
 	for b.Loop() {
 		idle, one, err := LogReadBytes(220)
 		if err != nil {
@@ -156,38 +156,39 @@
 	}
 }
 
-// BenchmarkClaims runs once for each size of batch: as many calls as go
-// through, then half as many a second for the latency.
+// BenchmarkClaims measures, for each batch size, the highest rate of claims and
+// then the latency at half that rate.
 func BenchmarkClaims(b *testing.B) {
 	for _, items := range []int{1, 10, 100} {
 		b.Run(fmt.Sprintf("batch=%d", items), func(b *testing.B) {
 			o := ClaimOptions{Daemons: 9, BatchItems: items, AppendRate: 300, LogDelay: 5 * time.Millisecond, WarmUp: 3 * time.Second, Duration: 5 * time.Second}
 			for b.Loop() {
 				o.Workers = 16 * o.Daemons * items
-				most, err := MeasureClaims(b.Context(), o)
+				maxRate, err := MeasureClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
-				o.Workers, o.Rate = 0, most.ClaimsPerSecond/2
-				half, err := MeasureClaims(b.Context(), o)
+				o.Workers, o.Rate = 0, maxRate.ClaimsPerSecond/2
+				halfRate, err := MeasureClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
-				b.ReportMetric(most.ClaimsPerSecond, "claims/s")
-				b.ReportMetric(most.AppendsPerSecond, "appends/s")
-				b.ReportMetric(float64(most.Refused), "refused")
-				b.ReportMetric(half.ClaimsPerSecond, "half-claims/s")
-				b.ReportMetric(half.P50.Seconds()*1000, "half-p50-ms")
-				b.ReportMetric(half.P99.Seconds()*1000, "half-p99-ms")
-				b.ReportMetric(float64(half.Refused), "half-refused")
-				b.ReportMetric(half.BytesPerOperation, "record-B/op")
+				b.ReportMetric(maxRate.ClaimsPerSecond, "claims/s")
+				b.ReportMetric(maxRate.AppendsPerSecond, "appends/s")
+				b.ReportMetric(float64(maxRate.Refused), "refused")
+				b.ReportMetric(halfRate.ClaimsPerSecond, "half-claims/s")
+				b.ReportMetric(halfRate.P50.Seconds()*1000, "half-p50-ms")
+				b.ReportMetric(halfRate.P99.Seconds()*1000, "half-p99-ms")
+				b.ReportMetric(float64(halfRate.Refused), "half-refused")
+				b.ReportMetric(halfRate.BytesPerOperation, "record-B/op")
 			}
 		})
 	}
 }
 
-// BenchmarkClaimsQuiet has the few keyed calls of a small deployment.
-func BenchmarkClaimsQuiet(b *testing.B) {
+// BenchmarkClaimsLowRate measures the latency of claims at 10 calls a second,
+// as in a small deployment with few calls with idempotency keys.
+func BenchmarkClaimsLowRate(b *testing.B) {
 	for _, delay := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond} {
 		b.Run(fmt.Sprintf("log=%v", delay), func(b *testing.B) {
 			for b.Loop() {
--- a/lab/measure/certificates.go
+++ b/lab/measure/certificates.go
@@ -14,17 +14,18 @@
 	"github.com/merlindock/merlindock/peer"
 )
 
-// peerName is the name in the daemons' certificates.
+// peerName is the DNS name in the daemons' certificate.
 const peerName = "merlindock"
 
-// writeCertificates writes an authority and a certificate for daemons into dir.
+// writeCertificates writes a self-signed certificate and its key into dir, as
+// authority and certificate of the daemons.
 func writeCertificates(dir string) (*peer.TLSFiles, error) {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		return nil, err
 	}
-	// One self-signed certificate is authority and leaf: the cost of the
-	// handshake and of the records is that of any other.
+	// One self-signed certificate is both authority and leaf. The handshake
+	// and the encryption cost as much as with separate certificates.
 	template := &x509.Certificate{
 		SerialNumber:          big.NewInt(1),
 		DNSNames:              []string{peerName},
--- a/lab/measure/claims.go
+++ b/lab/measure/claims.go
@@ -18,37 +18,39 @@
 	"github.com/merlindock/merlindock/internal/pause"
 )
 
-// ClaimOptions describe a run of keyed calls against the stand-in of the log.
+// ClaimOptions configure a measurement of calls with idempotency keys against
+// the simulated log.
 type ClaimOptions struct {
 	Daemons    int
 	BatchItems int
-	AppendRate float64       // of the log, appends a second
-	LogDelay   time.Duration // of each call of the log
-	Workers    int           // calls under way at once, over all daemons; 0: by Rate
-	Rate       float64       // calls a second, over all daemons, evenly spaced
-	WarmUp     time.Duration // before the figures are taken
+	AppendRate float64       // limit of the log, appends a second
+	LogDelay   time.Duration // added to each call of the log
+	Workers    int           // concurrent calls over all daemons (closed loop); 0: Rate applies
+	Rate       float64       // calls a second over all daemons, evenly spaced (open loop)
+	WarmUp     time.Duration // load before the measurement begins
 	Duration   time.Duration
 }
 
-// ClaimResult is what a run showed. Latencies are of the claim alone, the time
-// that it adds before a call is sent.
+// ClaimResult holds the results of MeasureClaims. Latencies cover the claim
+// alone, that is the delay that it adds before a call is sent to an endpoint.
 type ClaimResult struct {
 	ClaimsPerSecond   float64
 	P50, P99          time.Duration
 	Refused           int
-	AppendsPerSecond  float64 // a second
-	BytesPerOperation float64
+	AppendsPerSecond  float64
+	BytesPerOperation float64 // appended to the log; a call has two operations, claim and completion
 }
 
 const claimWindow = time.Hour
 
-// MeasureClaims measures keyed calls: claim, read back, complete.
+// MeasureClaims runs calls with idempotency keys, each of which claims its key,
+// waits until the claim is read back from the log and stores a result.
 func MeasureClaims(ctx context.Context, o ClaimOptions) (ClaimResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	log := plog.New(plog.Options{AppendRate: o.AppendRate})
 	log.SetDelay(o.LogDelay)
-	services, err := claimServices(ctx, log, o)
+	services, err := startClaimServices(ctx, log, o)
 	if err != nil {
 		return ClaimResult{}, err
 	}
@@ -56,30 +58,30 @@
 	warm := o
 	warm.Duration = o.WarmUp
 	if o.Workers > 0 {
-		r.closed(ctx, warm)
+		r.runClosedLoop(ctx, warm)
 	} else {
-		r.open(ctx, warm)
+		r.runOpenLoop(ctx, warm)
 	}
 	r.reset()
 	before, start := log.Counts(), time.Now()
 	if o.Workers > 0 {
-		r.closed(ctx, o)
+		r.runClosedLoop(ctx, o)
 	} else {
-		r.open(ctx, o)
+		r.runOpenLoop(ctx, o)
 	}
 	took, after := time.Since(start).Seconds(), log.Counts()
-	done := float64(r.granted.Load())
+	granted := float64(r.granted.Load())
 	return ClaimResult{
-		ClaimsPerSecond:   done / took,
+		ClaimsPerSecond:   granted / took,
 		P50:               time.Duration(r.latency.ValueAtQuantile(50)) * time.Microsecond,
 		P99:               time.Duration(r.latency.ValueAtQuantile(99)) * time.Microsecond,
 		Refused:           int(r.refused.Load()),
 		AppendsPerSecond:  float64(after.Appends-before.Appends) / took,
-		BytesPerOperation: float64(after.BytesIn-before.BytesIn) / max(1, 2*done),
+		BytesPerOperation: float64(after.BytesIn-before.BytesIn) / max(1, 2*granted),
 	}, nil
 }
 
-func claimServices(ctx context.Context, log *plog.Log, o ClaimOptions) ([]*claims.Service, error) {
+func startClaimServices(ctx context.Context, log *plog.Log, o ClaimOptions) ([]*claims.Service, error) {
 	var list []*claims.Service
 	for i := range o.Daemons {
 		s, err := claims.New(claims.Options{
@@ -106,7 +108,7 @@
 	services []*claims.Service
 	granted  atomic.Int64
 	refused  atomic.Int64
-	next     atomic.Int64
+	calls    atomic.Int64
 
 	mu      sync.Mutex // guards latency
 	latency *hdrhistogram.Histogram
@@ -118,8 +120,9 @@
 	r.latency.Reset()
 }
 
-// closed keeps a number of calls under way.
-func (r *claimRun) closed(ctx context.Context, o ClaimOptions) {
+// runClosedLoop runs o.Workers workers that each start a call as soon as the
+// previous one has ended.
+func (r *claimRun) runClosedLoop(ctx context.Context, o ClaimOptions) {
 	var workers sync.WaitGroup
 	end := time.Now().Add(o.Duration)
 	for range o.Workers {
@@ -132,8 +135,9 @@
 	workers.Wait()
 }
 
-// open starts calls at a rate, whether earlier ones are done or not.
-func (r *claimRun) open(ctx context.Context, o ClaimOptions) {
+// runOpenLoop starts o.Rate calls a second, whether earlier ones have ended or
+// not.
+func (r *claimRun) runOpenLoop(ctx context.Context, o ClaimOptions) {
 	var calls sync.WaitGroup
 	ticker := time.NewTicker(time.Duration(float64(time.Second) / o.Rate))
 	defer ticker.Stop()
@@ -144,21 +148,21 @@
 }
 
 func (r *claimRun) call(ctx context.Context) {
-	s := r.services[int(r.next.Add(1))%len(r.services)]
+	s := r.services[int(r.calls.Add(1))%len(r.services)]
 	key, err := uuid.NewV7()
 	if err != nil {
 		return
 	}
 	start := time.Now()
-	a := s.Claim(ctx, claims.Request{Organisation: "registre", Service: "counter", Key: key.String()})
-	if a.Outcome != claims.Granted {
+	answer := s.Claim(ctx, claims.Request{Organisation: "registre", Service: "counter", Key: key.String()})
+	if answer.Outcome != claims.Granted {
 		r.refused.Add(1)
 		return
 	}
 	r.mu.Lock()
-	// A value beyond the histogram's range cannot come up within a run.
+	// A latency beyond the histogram's range of a minute cannot occur within a run.
 	_ = r.latency.RecordValue(time.Since(start).Microseconds())
 	r.mu.Unlock()
 	r.granted.Add(1)
-	_ = a.Grant.Complete(ctx, ledger.Result{Status: 200, ContentType: "application/json", Body: []byte(`{"receipt":"2026-000123"}`)})
+	_ = answer.Grant.Complete(ctx, ledger.Result{Status: 200, ContentType: "application/json", Body: []byte(`{"receipt":"2026-000123"}`)})
 }
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -1,6 +1,7 @@
-// Package measure measures what the parts of merlindock cost, in figures that
-// the capacity page is worked out from. Each function is one measurement on
-// this machine; none of them is a test with a verdict.
+// Package measure measures the cost of single components of merlindock in
+// processor time, bytes and latency. The capacity page is computed from its
+// results. Each function performs one measurement on the local machine and
+// sets no pass criteria.
 package measure
 
 import (
@@ -22,75 +23,75 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// ControlPlaneOptions describe daemons that talk to their neighbours over real gRPC
-// on loopback, all in this process.
+// ControlPlaneOptions configure daemons that exchange digests with their
+// neighbours over gRPC on loopback, all in this process.
 type ControlPlaneOptions struct {
 	Daemons       int
 	Zones         int
-	Interval      time.Duration // between exchanges at the least; 0: the default
+	Interval      time.Duration // minimum between exchanges; 0: the default
 	Budget        float64       // bytes a second; 0: the default
-	Duration      time.Duration // measured, after a warm-up
-	Evidence      int           // endpoints named in each digest
-	Organisations int           // whose use each digest carries
+	Duration      time.Duration // of the measurement, after the connections are open
+	Evidence      int           // endpoints with evidence in each digest
+	Organisations int           // organisations with usage in each digest
 	TLS           bool
 }
 
-// ControlPlaneCost is what control costs one daemon.
+// ControlPlaneCost is the average cost of the exchanges for one daemon.
 type ControlPlaneCost struct {
 	Daemons        int
 	Neighbours     float64 // on average
-	BytesPerSecond float64 // bytes a second handed to TCP; as many are received
-	Cores          float64 // share of one core
+	BytesPerSecond float64 // written to TCP; as many are received
+	Cores          float64 // processor time in cores
 }
 
-// controlNode is one daemon of a measurement.
-type controlNode struct {
+// daemonNode is one daemon of a daemonCluster.
+type daemonNode struct {
 	daemon   ports.Daemon
 	listener net.Listener
 	service  *peer.Service
 
-	mu       sync.Mutex // guards what follows
-	accepted peer.Accepted
-	reached  time.Time
+	mu         sync.Mutex // guards the fields below
+	accepted   peer.Accepted
+	receivedAt time.Time
 }
 
-// control is a number of daemons that run.
-type control struct {
-	nodes []*controlNode
-	sent  atomic.Int64
-	stop  context.CancelFunc
-	done  sync.WaitGroup
-	got   chan struct{} // one for each daemon that took a manifest
-	files *peer.TLSFiles
-	dir   string // of files
+// daemonCluster holds running daemons that all know each other.
+type daemonCluster struct {
+	nodes     []*daemonNode
+	sentBytes atomic.Int64
+	stop      context.CancelFunc
+	running   sync.WaitGroup
+	received  chan struct{} // one element for each daemon that accepted a manifest
+	tlsFiles  *peer.TLSFiles
+	tlsDir    string // directory of tlsFiles
 }
 
-// countedConn counts the bytes written.
-type countedConn struct {
+// sendCountingConn adds the bytes written to sent.
+type sendCountingConn struct {
 	net.Conn
 	sent *atomic.Int64
 }
 
-func (c countedConn) Write(p []byte) (int, error) {
+func (c sendCountingConn) Write(p []byte) (int, error) {
 	n, err := c.Conn.Write(p)
 	c.sent.Add(int64(n))
 	return n, err
 }
 
-type countedListener struct {
+type sendCountingListener struct {
 	net.Listener
 	sent *atomic.Int64
 }
 
-func (l countedListener) Accept() (net.Conn, error) {
+func (l sendCountingListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{conn, l.sent}, nil
+	return sendCountingConn{conn, l.sent}, nil
 }
 
-// Daemons makes a list of daemons over zones.
+// Daemons returns a list of daemons that are spread evenly over the zones.
 func Daemons(count, zones int) []ports.Daemon {
 	list := make([]ports.Daemon, count)
 	for i := range list {
@@ -104,10 +105,10 @@
 	return list
 }
 
-func startControl(o ControlPlaneOptions) (*control, error) {
+func startDaemons(o ControlPlaneOptions) (*daemonCluster, error) {
 	ctx, cancel := context.WithCancel(context.Background())
-	c := &control{stop: cancel, got: make(chan struct{}, o.Daemons)}
-	if err := c.secure(o); err != nil {
+	c := &daemonCluster{stop: cancel, received: make(chan struct{}, o.Daemons)}
+	if err := c.createTLSFiles(o); err != nil {
 		c.close()
 		return nil, err
 	}
@@ -119,38 +120,38 @@
 			return nil, err
 		}
 		list[i].PeerAddress = l.Addr().String()
-		c.nodes = append(c.nodes, &controlNode{daemon: list[i], listener: countedListener{l, &c.sent}})
+		c.nodes = append(c.nodes, &daemonNode{daemon: list[i], listener: sendCountingListener{l, &c.sentBytes}})
 	}
 	for i, n := range c.nodes {
-		s, err := peer.New(c.options(o, n, list, uint64(i)))
+		s, err := peer.New(c.peerOptions(o, n, list, uint64(i)))
 		if err != nil {
 			c.close()
 			return nil, err
 		}
 		n.service = s
-		c.done.Go(func() { _ = s.Serve(ctx, n.listener) })
-		c.done.Go(func() { _ = s.Run(ctx) })
+		c.running.Go(func() { _ = s.Serve(ctx, n.listener) })
+		c.running.Go(func() { _ = s.Run(ctx) })
 	}
 	return c, nil
 }
 
-func (c *control) secure(o ControlPlaneOptions) (err error) {
+func (c *daemonCluster) createTLSFiles(o ControlPlaneOptions) (err error) {
 	if !o.TLS {
 		return nil
 	}
-	if c.dir, err = os.MkdirTemp("", "merlindock-measure"); err != nil {
+	if c.tlsDir, err = os.MkdirTemp("", "merlindock-measure"); err != nil {
 		return err
 	}
-	c.files, err = writeCertificates(c.dir)
+	c.tlsFiles, err = writeCertificates(c.tlsDir)
 	return err
 }
 
-func (c *control) close() {
+func (c *daemonCluster) close() {
 	c.stop()
-	if c.dir != "" {
-		defer os.RemoveAll(c.dir)
+	if c.tlsDir != "" {
+		defer os.RemoveAll(c.tlsDir)
 	}
-	c.done.Wait()
+	c.running.Wait()
 	for _, n := range c.nodes {
 		if n.service != nil {
 			n.service.Close()
@@ -160,14 +161,14 @@
 	}
 }
 
-// warmUp is the time in which the connections are opened.
-const warmUp = 3 * time.Second
+// connectTime is the wait for the daemons to open their connections.
+const connectTime = 3 * time.Second
 
-// errEarlier says that a daemon has a later manifest already.
-var errEarlier = errors.New("measure: manifest is not later")
+// errNotNewer is returned for a manifest that is not newer than the daemon's.
+var errNotNewer = errors.New("measure: manifest is not newer than the accepted one")
 
-func (c *control) options(o ControlPlaneOptions, n *controlNode, list []ports.Daemon, seed uint64) peer.Options {
-	// Each link should carry a revision, as it does in service.
+func (c *daemonCluster) peerOptions(o ControlPlaneOptions, n *daemonNode, list []ports.Daemon, seed uint64) peer.Options {
+	// A non-zero revision makes digests as large as those of a daemon in service.
 	n.accepted.Revision = neighbour.Revision{Offset: 1}
 	evidence := NewEvidence(o.Evidence)
 	usage := EncodeUsage(o.Organisations)
@@ -176,59 +177,60 @@
 		Seed:     seed,
 		Interval: o.Interval,
 		Budget:   o.Budget,
-		TLS:      c.files,
+		TLS:      c.tlsFiles,
 		Daemons:  func() []ports.Daemon { return list },
 		LocalDigest: func(now time.Time) peer.LocalState {
 			for i := range evidence {
 				evidence[i].At = now
 			}
-			return peer.LocalState{Accepted: n.state().Revision, Endpoints: append([]fleet.Evidence(nil), evidence...), Usage: usage}
+			return peer.LocalState{Accepted: n.acceptedManifest().Revision, Endpoints: append([]fleet.Evidence(nil), evidence...), Usage: usage}
 		},
-		FetchManifest: func(context.Context, neighbour.Revision) (peer.Accepted, error) { return n.state(), nil },
-		Merge:         func(_ context.Context, _ string, a peer.Accepted) error { return c.take(n, a) },
+		FetchManifest: func(context.Context, neighbour.Revision) (peer.Accepted, error) { return n.acceptedManifest(), nil },
+		Merge:         func(_ context.Context, _ string, a peer.Accepted) error { return c.acceptManifest(n, a) },
 		Dial: func(ctx context.Context, address string) (net.Conn, error) {
 			var d net.Dialer
 			conn, err := d.DialContext(ctx, "tcp", address)
 			if err != nil {
 				return nil, err
 			}
-			return countedConn{conn, &c.sent}, nil
+			return sendCountingConn{conn, &c.sentBytes}, nil
 		},
 	}
 }
 
-func (n *controlNode) state() peer.Accepted {
+func (n *daemonNode) acceptedManifest() peer.Accepted {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.accepted
 }
 
-func (c *control) take(n *controlNode, a peer.Accepted) error {
+func (c *daemonCluster) acceptManifest(n *daemonNode, a peer.Accepted) error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	if a.Revision.Offset <= n.accepted.Revision.Offset {
-		return errEarlier
+		return errNotNewer
 	}
-	n.accepted, n.reached = a, time.Now()
-	c.got <- struct{}{}
+	n.accepted, n.receivedAt = a, time.Now()
+	c.received <- struct{}{}
 	return nil
 }
 
-// MeasureControlPlane measures what control costs each daemon when nothing happens.
+// MeasureControlPlane measures the cost of the regular exchanges for each
+// daemon while no manifest is published.
 func MeasureControlPlane(o ControlPlaneOptions) (ControlPlaneCost, error) {
-	c, err := startControl(o)
+	c, err := startDaemons(o)
 	if err != nil {
 		return ControlPlaneCost{}, err
 	}
 	defer c.close()
-	time.Sleep(warmUp)
-	sent, used, began := c.sent.Load(), processorTime(), time.Now()
+	time.Sleep(connectTime)
+	sent, used, began := c.sentBytes.Load(), cpuTime(), time.Now()
 	time.Sleep(o.Duration)
 	took := time.Since(began).Seconds() * float64(o.Daemons)
 	cost := ControlPlaneCost{
 		Daemons:        o.Daemons,
-		BytesPerSecond: float64(c.sent.Load()-sent) / took,
-		Cores:          (processorTime() - used).Seconds() / took,
+		BytesPerSecond: float64(c.sentBytes.Load()-sent) / took,
+		Cores:          (cpuTime() - used).Seconds() / took,
 	}
 	for _, n := range c.nodes {
 		cost.Neighbours += float64(len(n.service.Neighbours())) / float64(o.Daemons)
@@ -236,8 +238,9 @@
 	return cost, nil
 }
 
-// processorTime is what this process has used, in user and system mode.
-func processorTime() time.Duration {
+// cpuTime returns the processor time of this process in user and system mode,
+// or 0 if the system doesn't report it.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -245,55 +248,57 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// MeasureManifestPropagation measures, on loopback, how long a manifest of the given size takes
-// from one daemon that has accepted it to all the others.
+// MeasureManifestPropagation measures, on loopback, the time from the moment
+// that one daemon accepts a manifest of the given size until all others have
+// accepted it. It fails after a minute.
 func MeasureManifestPropagation(o ControlPlaneOptions, manifestBytes int) (time.Duration, error) {
-	c, err := startControl(o)
+	c, err := startDaemons(o)
 	if err != nil {
 		return 0, err
 	}
 	defer c.close()
-	time.Sleep(warmUp)
+	time.Sleep(connectTime)
 	text := make([]byte, manifestBytes)
 	began := time.Now()
 	a := peer.Accepted{Revision: neighbour.Revision{Offset: 2, Digest: sha256.Sum256(text)}, Manifest: text}
-	if err := c.take(c.nodes[0], a); err != nil {
+	if err := c.acceptManifest(c.nodes[0], a); err != nil {
 		return 0, err
 	}
 	c.nodes[0].service.AnnounceManifest()
 	limit := time.After(time.Minute)
 	for range c.nodes {
 		select {
-		case <-c.got:
+		case <-c.received:
 		case <-limit:
-			return 0, errors.New("measure: manifest did not reach all daemons in a minute")
+			return 0, errors.New("measure: manifest did not reach all daemons within a minute")
 		}
 	}
 	var last time.Time
 	for _, n := range c.nodes {
 		n.mu.Lock()
-		if n.reached.After(last) {
-			last = n.reached
+		if n.receivedAt.After(last) {
+			last = n.receivedAt
 		}
 		n.mu.Unlock()
 	}
 	return last.Sub(began), nil
 }
 
-// NewEvidence makes news of the given number of endpoints.
+// NewEvidence returns sample evidence of the given number of endpoints.
 func NewEvidence(count int) []fleet.Evidence {
-	es := make([]fleet.Evidence, count)
-	for i := range es {
-		es[i] = fleet.Evidence{
+	list := make([]fleet.Evidence, count)
+	for i := range list {
+		list[i] = fleet.Evidence{
 			Endpoint:    fleet.EndpointID(fmt.Sprintf("runner-%04d", i)),
 			Incarnation: fleet.Incarnation(1_700_000_000_000_000_000 + i),
 			Draining:    i%2 == 0,
 		}
 	}
-	return es
+	return list
 }
 
-// EncodeUsage makes the digest of the given number of organisations' use.
+// EncodeUsage returns an encoded usage digest with the given number of
+// organisations, or nil if a digest cannot hold that many.
 func EncodeUsage(organisations int) []byte {
 	d := contract.Digest{Incarnation: 1_700_000_000_000_000_000, Sequence: 100_000}
 	for i := range organisations {
@@ -305,7 +310,7 @@
 	}
 	text, err := d.AppendBinary(nil)
 	if err != nil {
-		return nil // more organisations than a digest may carry
+		return nil // more organisations than a digest can hold
 	}
 	return text
 }
--- a/lab/measure/control_test.go
+++ b/lab/measure/control_test.go
@@ -10,7 +10,7 @@
 	"github.com/merlindock/merlindock/neighbour"
 )
 
-func BenchmarkControl(b *testing.B) {
+func BenchmarkControlPlane(b *testing.B) {
 	for _, o := range []ControlPlaneOptions{
 		{Daemons: 9, Zones: 3, Organisations: 8, Evidence: 2},
 		{Daemons: 50, Zones: 5, Organisations: 8, Evidence: 2},
@@ -46,7 +46,7 @@
 	}
 }
 
-func BenchmarkSpread(b *testing.B) {
+func BenchmarkManifestPropagation(b *testing.B) {
 	for _, count := range []int{9, 100} {
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			var times []time.Duration
@@ -62,7 +62,7 @@
 	}
 }
 
-func BenchmarkSpreadModel(b *testing.B) {
+func BenchmarkSimulatedPropagation(b *testing.B) {
 	for _, o := range []PropagationOptions{
 		{Daemons: 9, Zones: 3},
 		{Daemons: 100, Zones: 5},
@@ -86,7 +86,7 @@
 	}
 }
 
-func BenchmarkChoose(b *testing.B) {
+func BenchmarkChooseNeighbours(b *testing.B) {
 	for _, count := range []int{9, 100, 1100} {
 		list := Daemons(count, 5)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -110,7 +110,7 @@
 	}
 }
 
-func BenchmarkPlan(b *testing.B) {
+func BenchmarkRolloutPlan(b *testing.B) {
 	for _, count := range []int{18, 4600} {
 		plan := RolloutPlanner(count)
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
@@ -141,9 +141,9 @@
 	}
 }
 
-// A bad day closes and opens links between daemons. Those that stay must not
-// all have to open theirs anew.
-func TestGraphChanges(t *testing.T) {
+// Guards against replacements and zone failures after which a remaining daemon
+// has to open more links than it may have neighbours.
+func TestLinksOpenedPerDaemonAreBounded(t *testing.T) {
 	for name, c := range map[string]LinkChanges{
 		"1 of 1100 replaced":   ReplaceDaemons(1100, 5, 1),
 		"100 of 1100 replaced": ReplaceDaemons(1100, 5, 100),
@@ -152,24 +152,25 @@
 	} {
 		t.Logf("%s: %+v", name, c)
 		if c.MaxOpened > neighbour.MaxNeighbours {
-			t.Errorf("%s: one daemon opens %d links", name, c.MaxOpened)
+			t.Errorf("%s: one daemon opens %d links, more than its maximum of neighbours", name, c.MaxOpened)
 		}
 	}
 }
 
-// The sizes of digests are the ground of the budget for control.
-func TestDigestBytesGrowByTheirParts(t *testing.T) {
+// The bandwidth budget of the exchanges is derived from the size of a digest,
+// which must grow with the endpoints and organisations in it.
+func TestDigestSizeGrowsWithContent(t *testing.T) {
 	plain := DigestSize(0, 0)
 	t.Logf("digest: %d bytes; %d with 64 endpoints; %d with 8 and %d with 64 organisations",
 		plain, DigestSize(64, 0), DigestSize(0, 8), DigestSize(0, 64))
 	if plain >= DigestSize(1, 0) || plain >= DigestSize(0, 8) {
-		t.Error("a part costs nothing")
+		t.Error("digest does not grow with its endpoints or organisations")
 	}
 }
 
-// A manifest reaches every daemon that is up, also when a zone is dead and when
-// no announcement arrives.
-func TestSpreadModelReachesAll(t *testing.T) {
+// A manifest must reach every live daemon, also when a zone has failed and when
+// all announcements are lost, so that only regular exchanges deliver it.
+func TestManifestReachesAllLiveDaemons(t *testing.T) {
 	for _, o := range []PropagationOptions{{LossRate: 1}, {DeadZone: true}} {
 		o.Daemons, o.Zones, o.LinkDelay, o.Interval = 100, 5, time.Millisecond, time.Second
 		want := 100
@@ -178,7 +179,7 @@
 		}
 		times := SimulateManifestPropagation(o)
 		if len(times) != want || times[len(times)-1] > 10*time.Second {
-			t.Errorf("%d reached, the last after %v", len(times), times[len(times)-1])
+			t.Errorf("manifest reached %d daemons, the last after %v", len(times), times[len(times)-1])
 		}
 	}
 }
--- a/lab/measure/digest.go
+++ b/lab/measure/digest.go
@@ -6,8 +6,8 @@
 	"github.com/merlindock/merlindock/peer/peerpb"
 )
 
-// DigestSize is the size of one digest between daemons, without what gRPC and
-// TCP add.
+// DigestSize returns the encoded size in bytes of a digest with the given number
+// of endpoints and organisations, without the overhead of gRPC and TCP.
 func DigestSize(evidence, organisations int) int {
 	d := &peerpb.Digest{
 		Daemon:   "entry-0001",
--- a/lab/measure/folds.go
+++ b/lab/measure/folds.go
@@ -16,26 +16,29 @@
 	"github.com/merlindock/merlindock/ports/httplog"
 )
 
-var foldStart = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
+var recordsStart = time.Date(2026, 3, 1, 0, 0, 0, 0, time.UTC)
 
-// EncodeSampleManifest is the canonical text of a manifest with so many organisations.
+// EncodeSampleManifest returns the canonical text of a sample manifest with the
+// given number of organisations.
 func EncodeSampleManifest(organisations int) ([]byte, error) {
 	return manifest.Encode(history.SampleOf(3, organisations))
 }
 
-// NewManifestRecord is the log record that proposes such a manifest first.
+// NewManifestRecord returns the first record of a log, which proposes the sample
+// manifest with the given number of organisations.
 func NewManifestRecord(organisations int) (ports.Record, error) {
 	text, err := EncodeSampleManifest(organisations)
 	if err != nil {
 		return ports.Record{}, err
 	}
 	data, err := ledger.Encode(ledger.RulesVersion, &ledger.ManifestRecord{Digest: manifest.DigestOfText(text), Manifest: text})
-	return ports.Record{Offset: 1, Time: foldStart, Data: data}, err
+	return ports.Record{Offset: 1, Time: recordsStart, Data: data}, err
 }
 
-// SectionApplier returns a function that folds one change of one organisation of
-// so many each time it is called, and the size of such a record.
-func SectionApplier(organisations int) (fold func() error, bytes int, err error) {
+// SectionApplier returns a function that applies a record with a change of one
+// organisation to a manifest with the given number of organisations, and the
+// size of such a record in bytes.
+func SectionApplier(organisations int) (apply func() error, bytes int, err error) {
 	first, err := NewManifestRecord(organisations)
 	if err != nil {
 		return nil, 0, err
@@ -43,16 +46,16 @@
 	s := ledger.NewState(ledger.Options{})
 	s.Apply(first)
 	record := func() (ports.Record, error) {
-		share := 1 + int(s.Next())%7
-		text := fmt.Sprintf(`{"id":"organisation-1","key_hashes":["%064x"],"share":%d,"priorities":["batch"]}`, 1, share)
+		newShare := 1 + int(s.Next())%7
+		text := fmt.Sprintf(`{"id":"organisation-1","key_hashes":["%064x"],"share":%d,"priorities":["batch"]}`, 1, newShare)
 		b, err := ledger.NewSectionRecord(s.InForce(), manifest.SectionOrganisation, "organisation-1", []byte(text))
 		if err != nil {
 			return ports.Record{}, err
 		}
 		data, err := ledger.Encode(ledger.RulesVersion, b)
-		return ports.Record{Offset: s.Next(), Time: foldStart, Data: data}, err
+		return ports.Record{Offset: s.Next(), Time: recordsStart, Data: data}, err
 	}
-	one, err := record()
+	sample, err := record()
 	if err != nil {
 		return nil, 0, err
 	}
@@ -63,20 +66,21 @@
 		}
 		d := s.Apply(r)
 		if d[0].Outcome != ledger.Accepted {
-			return fmt.Errorf("measure: %+v", d[0])
+			return fmt.Errorf("measure: section record was not accepted: %+v", d[0])
 		}
 		return nil
-	}, len(one.Data), nil
+	}, len(sample.Data), nil
 }
 
-// NewClaimRecords are batches of claims as daemons append them.
-func NewClaimRecords(records, claimsEach int) ([]ports.Record, error) {
+// NewClaimRecords returns records that each hold a batch of claims, as a daemon
+// appends them.
+func NewClaimRecords(records, claimsPerRecord int) ([]ports.Record, error) {
 	request := ledger.HashID("request")
 	var list []ports.Record
 	for i := range records {
-		at := foldStart.Add(time.Duration(i) * 3 * time.Millisecond)
+		at := recordsStart.Add(time.Duration(i) * 3 * time.Millisecond)
 		b := &ledger.ClaimBatch{Writer: "entry-0001", Layout: ClaimLayout()}
-		for j := range claimsEach {
+		for j := range claimsPerRecord {
 			b.Ops = append(b.Ops, ledger.ClaimOp{
 				Verb: ledger.VerbClaim, Scope: ledger.HashID(fmt.Sprint(i), fmt.Sprint(j)), Attempt: ledger.HashID("attempt", fmt.Sprint(i), fmt.Sprint(j)),
 				KeyTime: at.UnixMilli(), Request: &request,
@@ -91,12 +95,12 @@
 	return list, nil
 }
 
-// ClaimLayout is the layout of ClaimRecords.
+// ClaimLayout returns the partition layout that NewClaimRecords uses.
 func ClaimLayout() ledger.Layout {
 	return ledger.Layout{Partitions: 1, Window: manifest.Duration(claimWindow)}
 }
 
-// NewLeaseRecords are renewals of one lease after its acquisition.
+// NewLeaseRecords returns the acquisition of a lease, followed by n-1 renewals.
 func NewLeaseRecords(n int) ([]ports.Record, error) {
 	var list []ports.Record
 	for i := range n {
@@ -108,33 +112,33 @@
 		if err != nil {
 			return nil, err
 		}
-		list = append(list, ports.Record{Offset: ports.Offset(i + 1), Time: foldStart.Add(time.Duration(i) * 5 * time.Second), Data: data})
+		list = append(list, ports.Record{Offset: ports.Offset(i + 1), Time: recordsStart.Add(time.Duration(i) * 5 * time.Second), Data: data})
 	}
 	return list, nil
 }
 
-// LogReadBytes is what one read at the end of a stream and one read of a single
-// record of the given size put on the wire, both ways, HTTP included.
-func LogReadBytes(recordBytes int) (idle, one int64, err error) {
+// LogReadBytes returns the bytes sent and received, HTTP included, by a read
+// that finds no new record and by a read of one record of the given size.
+func LogReadBytes(recordBytes int) (emptyRead, oneRecord int64, err error) {
 	log := plog.New(plog.Options{AppendRate: -1})
 	server := httptest.NewServer(plog.Handler(log, plog.NewVMs(nil, 0)))
 	defer server.Close()
-	var wire atomic.Int64
-	client, err := httplog.New(httplog.Options{BaseURL: server.URL, Token: "0123456789abcdef", Client: &http.Client{Transport: &http.Transport{DialContext: CountingDial(&wire)}}})
+	var transferred atomic.Int64
+	client, err := httplog.New(httplog.Options{BaseURL: server.URL, Token: "0123456789abcdef", Client: &http.Client{Transport: &http.Transport{DialContext: CountingDial(&transferred)}}})
 	if err != nil {
 		return 0, 0, err
 	}
 	read := func(from ports.Offset) (int64, error) {
-		before := wire.Load()
+		before := transferred.Load()
 		_, err := client.Read(context.Background(), ledger.StreamManifest, from, 256)
-		return wire.Load() - before, err
+		return transferred.Load() - before, err
 	}
-	if idle, err = read(1); err != nil {
+	if emptyRead, err = read(1); err != nil {
 		return 0, 0, err
 	}
 	if _, err = client.Append(context.Background(), ledger.StreamManifest, make([]byte, recordBytes)); err != nil {
 		return 0, 0, err
 	}
-	one, err = read(1)
-	return idle, one, err
+	oneRecord, err = read(1)
+	return emptyRead, oneRecord, err
 }
--- a/lab/measure/graph.go
+++ b/lab/measure/graph.go
@@ -8,19 +8,20 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// LinkChanges is what a change of the list of daemons does to their links.
+// LinkChanges counts the links between daemons that a change of the list of
+// daemons closes and opens.
 type LinkChanges struct {
-	Before    int // links before
+	Before    int // links before the change
 	Closed    int
 	Opened    int // each costs a TLS handshake
-	MaxOpened int // links opened by one daemon that stayed, at the most
+	MaxOpened int // maximum of links opened by one daemon that was on the list before
 }
 
-// links are the pairs of neighbours, the smaller id first.
-type links map[[2]string]bool
+// linkSet holds pairs of neighbours by id, the smaller id first.
+type linkSet map[[2]string]bool
 
-func linksOf(list []ports.Daemon) links {
-	out := links{}
+func linksOf(list []ports.Daemon) linkSet {
+	out := linkSet{}
 	for _, d := range list {
 		for _, n := range neighbour.Choose(d, list, neighbour.Options{}) {
 			pair := [2]string{d.ID, n.ID}
@@ -31,45 +32,47 @@
 	return out
 }
 
-// ReplaceDaemons replaces some daemons by new ones in the same zones, at once.
-func ReplaceDaemons(daemons, zones, replaced int) LinkChanges {
+// ReplaceDaemons returns the changes when count daemons are replaced at once by
+// new ones in the same zones.
+func ReplaceDaemons(daemons, zones, count int) LinkChanges {
 	before := Daemons(daemons, zones)
 	after := slices.Clone(before)
-	for i := range replaced {
-		after[i*daemons/replaced].ID = fmt.Sprintf("replacement-%d", i)
+	for i := range count {
+		after[i*daemons/count].ID = fmt.Sprintf("replacement-%d", i)
 	}
-	return graphChange(before, after)
+	return compareLinks(before, after)
 }
 
-// RemoveZone takes the daemons of the first zone off the list.
+// RemoveZone returns the changes when all daemons of the first zone are removed
+// from the list.
 func RemoveZone(daemons, zones int) LinkChanges {
 	before := Daemons(daemons, zones)
 	after := slices.DeleteFunc(slices.Clone(before), func(d ports.Daemon) bool { return d.Zone == before[0].Zone })
-	return graphChange(before, after)
+	return compareLinks(before, after)
 }
 
-func graphChange(before, after []ports.Daemon) LinkChanges {
-	was, is := linksOf(before), linksOf(after)
-	c := LinkChanges{Before: len(was)}
-	stayed := map[string]bool{}
+func compareLinks(before, after []ports.Daemon) LinkChanges {
+	oldLinks, newLinks := linksOf(before), linksOf(after)
+	c := LinkChanges{Before: len(oldLinks)}
+	existing := map[string]bool{}
 	for _, d := range before {
-		stayed[d.ID] = true
+		existing[d.ID] = true
 	}
 	opened := map[string]int{}
-	for pair := range is {
-		if was[pair] {
+	for pair := range newLinks {
+		if oldLinks[pair] {
 			continue
 		}
 		c.Opened++
 		for _, id := range pair {
-			if stayed[id] {
+			if existing[id] {
 				opened[id]++
 				c.MaxOpened = max(c.MaxOpened, opened[id])
 			}
 		}
 	}
-	for pair := range was {
-		if !is[pair] {
+	for pair := range oldLinks {
+		if !newLinks[pair] {
 			c.Closed++
 		}
 	}
--- a/lab/measure/restart.go
+++ b/lab/measure/restart.go
@@ -13,20 +13,20 @@
 	"github.com/merlindock/merlindock/manifest"
 )
 
-// RestartTimes is how long a daemon takes, from being made anew, to its first
-// whole answer.
+// RestartTimes holds the time from the start of a daemon to its first complete
+// answer, with the log available and with the log down.
 type RestartTimes struct {
 	LogUp   time.Duration
-	LogDown time.Duration // with the manifest from a neighbour
+	LogDown time.Duration // the manifest comes from a neighbour
 }
 
-// restartLimit is when a measurement is given up.
-const restartLimit = 30 * time.Second
+// restartTimeout bounds a whole measurement.
+const restartTimeout = 30 * time.Second
 
-// MeasureRestart measures, on loopback, three daemons before six runners of which one
-// daemon is made anew, with the log up and down.
+// MeasureRestart restarts one of three daemons with six runners, on loopback,
+// once with the log available and once with the log down.
 func MeasureRestart() (RestartTimes, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), restartLimit)
+	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
 	w, err := world.Start(world.Options{})
 	if err != nil {
@@ -58,7 +58,8 @@
 	return cost, err
 }
 
-// restartNode ends the first node and measures its return.
+// restartNode drains and restarts the first node and returns the time until it
+// serves a request.
 func restartNode(ctx context.Context, c *world.Cluster) (time.Duration, error) {
 	c.Nodes[0].Daemon.Drain()
 	select {
@@ -74,17 +75,17 @@
 		return 0, err
 	}
 	for ctx.Err() == nil {
-		if err := askOnce(ctx, c.Nodes[0].CallersURL); err == nil {
+		if err := sendRequest(ctx, c.Nodes[0].CallersURL); err == nil {
 			return time.Since(began), nil
 		}
 	}
 	return 0, ctx.Err()
 }
 
-// errNotServed says that a request was refused.
-var errNotServed = errors.New("measure: request was not served")
+// errUnexpectedStatus is returned for an answer with another status than 200.
+var errUnexpectedStatus = errors.New("measure: status of the answer is not 200")
 
-func askOnce(ctx context.Context, url string) error {
+func sendRequest(ctx context.Context, url string) error {
 	body := fmt.Sprintf(`{"model":%q,"messages":[{"role":"user","content":"hello"}],"max_tokens":1}`, world.Model)
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url+"/v1/chat/completions", strings.NewReader(body))
 	if err != nil {
@@ -98,7 +99,7 @@
 	defer resp.Body.Close()
 	_, err = io.Copy(io.Discard, resp.Body)
 	if err == nil && resp.StatusCode != http.StatusOK {
-		err = errNotServed
+		err = errUnexpectedStatus
 	}
 	return err
 }
--- a/lab/measure/rollout.go
+++ b/lab/measure/rollout.go
@@ -9,22 +9,22 @@
 	"github.com/merlindock/merlindock/rollout"
 )
 
-// RolloutOptions describe a rollout in virtual time.
+// RolloutOptions configure a simulated rollout in virtual time.
 type RolloutOptions struct {
 	Runners    int
-	MaxLoading int           // loads at once
-	LoadTime   time.Duration // of one runner
+	MaxLoading int           // runners that may load weights at once
+	LoadTime   time.Duration // of the weights on one runner
 }
 
-// RolloutResult is how a rollout went.
+// RolloutResult holds the outcome of a simulated rollout.
 type RolloutResult struct {
 	Duration   time.Duration
-	MinServing int // runners that served any version, at the least
-	MaxLoading int // loads at once, at the most
+	MinServing int // minimum of runners that served some version
+	MaxLoading int // maximum of runners that loaded weights at once
 	Orders     int
 }
 
-// The fleet of the measurements has one model and one class.
+// The simulated fleet has one model and one class.
 const (
 	model = "code"
 	class = "large"
@@ -38,7 +38,7 @@
 	}
 }
 
-func runners(count int) []fleet.Member {
+func newRunners(count int) []fleet.Member {
 	members := make([]fleet.Member, 0, count)
 	for i := range count {
 		members = append(members, fleet.Member{Endpoint: fleet.Endpoint{
@@ -51,11 +51,12 @@
 	return members
 }
 
-// RolloutPlanner returns one round of planning for a fleet that is read and half
-// rolled out.
+// RolloutPlanner returns a function that plans one round for a fleet of count
+// runners whose statuses are known and of which every other one has the new
+// version.
 func RolloutPlanner(count int) func() rollout.Plan {
 	now := time.Unix(1000, 0)
-	in := rollout.Input{Manifest: rolloutManifest(3), Revision: 2, HeldSince: now, Endpoints: runners(count)}
+	in := rollout.Input{Manifest: rolloutManifest(3), Revision: 2, HeldSince: now, Endpoints: newRunners(count)}
 	planner := rollout.NewPlanner(rollout.Options{})
 	for i, e := range in.Endpoints {
 		version := fmt.Sprintf("v%d", 1+i%2)
@@ -64,13 +65,13 @@
 	return func() rollout.Plan { return planner.Plan(now, in) }
 }
 
-// NewMembership returns a membership of the given number of endpoints that have all
-// been heard, and the time by which they were.
+// NewMembership returns a membership with count endpoints that have all reported
+// their load, and the time of these reports.
 func NewMembership(count int) (*fleet.Membership, time.Time) {
 	now := time.Unix(1000, 0)
 	m := fleet.NewMembership(fleet.MembershipOptions{})
 	var list []fleet.Endpoint
-	for _, e := range runners(count) {
+	for _, e := range newRunners(count) {
 		list = append(list, e.Endpoint)
 	}
 	m.SetList(now, list)
@@ -80,36 +81,36 @@
 	return m, now
 }
 
-// rolloutTick is the time between two rounds of the planner.
-const rolloutTick = time.Second
+// planInterval is the virtual time between two rounds of the planner.
+const planInterval = time.Second
 
-// SimulateRollout takes a fleet with one model from a version to the next, with
-// runners that do what they are told.
+// SimulateRollout rolls out a new version of one model to a fleet whose runners
+// follow every order.
 func SimulateRollout(o RolloutOptions) RolloutResult {
 	m := rolloutManifest(o.MaxLoading)
 	status := map[fleet.EndpointID]rollout.Status{}
-	ends := map[fleet.EndpointID]time.Time{}
-	members := runners(o.Runners)
+	loadEnds := map[fleet.EndpointID]time.Time{}
+	members := newRunners(o.Runners)
 	for _, e := range members {
 		status[e.ID] = rollout.Status{Incarnation: 1, Models: []rollout.Model{{ID: model, Version: "v1"}}}
 	}
 	began := time.Unix(0, 0)
 	planner := rollout.NewPlanner(rollout.Options{})
 	result := RolloutResult{MinServing: o.Runners}
-	for now := began; ; now = now.Add(rolloutTick) {
-		up, loads := 0, 0
+	for now := began; ; now = now.Add(planInterval) {
+		serving, loading := 0, 0
 		for id, s := range status {
-			if s.Loading != nil && !now.Before(ends[id]) {
+			if s.Loading != nil && !now.Before(loadEnds[id]) {
 				s = rollout.Status{Incarnation: 1, Models: []rollout.Model{{ID: model, Version: s.Loading.Version}}}
 				status[id] = s
 			}
 			if s.Loading != nil {
-				loads++
+				loading++
 			} else {
-				up++
+				serving++
 			}
 		}
-		result.MinServing, result.MaxLoading = min(result.MinServing, up), max(result.MaxLoading, loads)
+		result.MinServing, result.MaxLoading = min(result.MinServing, serving), max(result.MaxLoading, loading)
 		plan := planner.Plan(now, rollout.Input{Manifest: m, Revision: 2, Fence: 1, HeldSince: began, Endpoints: members})
 		if plan.Done == o.Runners {
 			result.Duration = now.Sub(began)
@@ -119,7 +120,7 @@
 			result.Orders++
 			planner.Sent(now, order)
 			status[order.Endpoint] = rollout.Status{Incarnation: 1, Loading: &order}
-			ends[order.Endpoint] = now.Add(o.LoadTime)
+			loadEnds[order.Endpoint] = now.Add(o.LoadTime)
 			planner.Answered(order)
 		}
 		for _, id := range plan.Read {
--- a/lab/measure/spread.go
+++ b/lab/measure/spread.go
@@ -12,42 +12,44 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// PropagationOptions describe how a manifest goes from daemon to daemon in
-// virtual time.
+// PropagationOptions configure the simulated propagation of a manifest between
+// daemons in virtual time.
 type PropagationOptions struct {
 	Daemons   int
 	Zones     int
-	LinkDelay time.Duration // on a link
+	LinkDelay time.Duration // one way, on a link between neighbours
 	Interval  time.Duration // of the regular exchanges
-	// LossRate is the share of announcements that do not arrive, so that the next
-	// regular exchange has to bring the manifest.
+	// LossRate is the fraction of announcements that are lost. After a lost one,
+	// the next regular exchange delivers the manifest.
 	LossRate float64
-	// DeadZone takes the first zone away while the list still names it.
+	// DeadZone makes the daemons of the first zone fail while they are still on
+	// the list.
 	DeadZone bool
 	Seed     uint64
 }
 
-// arrival is a daemon's learning of the manifest.
-type arrival struct {
+// receipt is the arrival of the manifest at a daemon.
+type receipt struct {
 	at     time.Duration
 	daemon int
 }
 
-type arrivals []arrival
+type receiptQueue []receipt
 
-func (a arrivals) Len() int           { return len(a) }
-func (a arrivals) Less(i, j int) bool { return a[i].at < a[j].at }
-func (a arrivals) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
-func (a *arrivals) Push(x any)        { *a = append(*a, x.(arrival)) }
-func (a *arrivals) Pop() any {
+func (a receiptQueue) Len() int           { return len(a) }
+func (a receiptQueue) Less(i, j int) bool { return a[i].at < a[j].at }
+func (a receiptQueue) Swap(i, j int)      { a[i], a[j] = a[j], a[i] }
+func (a *receiptQueue) Push(x any)        { *a = append(*a, x.(receipt)) }
+func (a *receiptQueue) Pop() any {
 	last := (*a)[len(*a)-1]
 	*a = (*a)[:len(*a)-1]
 	return last
 }
 
-// SimulateManifestPropagation returns how long after its acceptance by one daemon a manifest is in
-// force on each of the others, the earliest first. A link costs three ways: the
-// announcement, the call for the manifest and the answer.
+// SimulateManifestPropagation returns the sorted times at which a manifest is in
+// force on each daemon that it reaches, counted from its acceptance by the first
+// one, which is included with 0. Each link costs three times its one-way delay:
+// the announcement, the request for the manifest and the answer.
 func SimulateManifestPropagation(o PropagationOptions) []time.Duration {
 	list := Daemons(o.Daemons, o.Zones)
 	index := map[string]int{}
@@ -58,9 +60,9 @@
 	dead := func(d ports.Daemon) bool { return o.DeadZone && d.Zone == fleet.ZoneID("zone-0") }
 	first := slices.IndexFunc(list, func(d ports.Daemon) bool { return !dead(d) })
 	reached := map[int]time.Duration{}
-	queue := &arrivals{{0, first}}
+	queue := &receiptQueue{{0, first}}
 	for queue.Len() > 0 {
-		a := heap.Pop(queue).(arrival)
+		a := heap.Pop(queue).(receipt)
 		if _, known := reached[a.daemon]; known {
 			continue
 		}
@@ -73,7 +75,7 @@
 			if random.Float64() < o.LossRate {
 				wait = time.Duration(random.Float64() * float64(o.Interval))
 			}
-			heap.Push(queue, arrival{a.at + wait + 3*o.LinkDelay, index[n.ID]})
+			heap.Push(queue, receipt{a.at + wait + 3*o.LinkDelay, index[n.ID]})
 		}
 	}
 	times := make([]time.Duration, 0, len(reached))
