--- a/lab/e2e/bench_test.go
+++ b/lab/e2e/bench_test.go
@@ -17,7 +17,7 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// serveTCP serves a handler on loopback for as long as the benchmark runs.
+// serveTCP serves a handler on loopback until the benchmark ends.
 func serveTCP(b *testing.B, h http.Handler) (address string) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,8 +29,8 @@
 	return l.Addr().String()
 }
 
-// benchGateway returns a gateway that sends all to one address.
-func benchGateway(b *testing.B, address string, o engine.Options) *gateway.Gateway {
+// newBenchGateway returns a gateway that sends all requests to one address.
+func newBenchGateway(b *testing.B, address string, o engine.Options) *gateway.Gateway {
 	index, err := catalog.New(testManifest())
 	if err != nil {
 		b.Fatal(err)
@@ -48,8 +48,9 @@
 	})
 }
 
-// processorTime is what this process has used on all cores.
-func processorTime() time.Duration {
+// cpuTime returns the processor time of this process over all cores, or 0 if the
+// system doesn't report it.
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if syscall.Getrusage(syscall.RUSAGE_SELF, &u) != nil {
 		return 0
@@ -57,71 +58,75 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// cost is what a run of the load took of this process.
-type cost struct {
-	processor time.Duration
-	allocs    uint64
-	bytes     uint64
-	report    *load.Report
+// loadCost holds the resources that this process used during a load run.
+type loadCost struct {
+	cpu    time.Duration
+	allocs uint64
+	bytes  uint64
+	report *load.Report
 }
 
-func measure(b *testing.B, o load.Options) cost {
+func measureLoad(b *testing.B, o load.Options) loadCost {
 	o.Key, o.Model = registreKey, "codes"
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
-	used := processorTime()
+	used := cpuTime()
 	report, err := load.Run(context.Background(), o)
 	if err != nil || report.Answered != report.Requests {
 		b.Fatalf("answered %d of %d, failed %v: %v", report.Answered, report.Requests, report.Failed, err)
 	}
-	used = processorTime() - used
+	used = cpuTime() - used
 	runtime.ReadMemStats(&after)
-	return cost{used, after.Mallocs - before.Mallocs, after.TotalAlloc - before.TotalAlloc, report}
+	return loadCost{used, after.Mallocs - before.Mallocs, after.TotalAlloc - before.TotalAlloc, report}
 }
 
-// both measures the same load straight at a runner and through a gateway, in
-// turns, so that a busy machine weighs on both alike.
-func both(b *testing.B, o load.Options) (direct, through cost) {
+// measureDirectAndGateway alternates the same load directly to a runner and
+// through a gateway, so that other work on the machine affects both alike. It
+// returns the costs of the last run of each.
+func measureDirectAndGateway(b *testing.B, o load.Options) (direct, through loadCost) {
 	runner := standin.NewRunner(standin.RunnerOptions{Slots: 1 << 16})
 	address := serveTCP(b, runner)
-	front := serveTCP(b, benchGateway(b, address, engine.Options{}))
+	front := serveTCP(b, newBenchGateway(b, address, engine.Options{}))
 	for range b.N {
 		o.URL = "http://" + address
-		direct = measure(b, o)
+		direct = measureLoad(b, o)
 		o.URL = "http://" + front
-		through = measure(b, o)
+		through = measureLoad(b, o)
 	}
 	return direct, through
 }
 
-// BenchmarkRequestCost gives the gateway's own processor time per request, as
-// the difference between the same load through it and straight at the runner.
+// BenchmarkRequestCost reports the gateway's processor time and allocations per
+// request: the difference between a load through the gateway and the same load
+// directly to the runner.
 func BenchmarkRequestCost(b *testing.B) {
-	direct, through := both(b, load.Options{Callers: 32, Requests: 20000, Tokens: 1})
-	per := func(c cost) float64 { return float64(c.processor.Nanoseconds()) / float64(c.report.Requests) }
-	own := per(through) - per(direct)
-	b.ReportMetric(per(direct)/1000, "direct-µs/req")
-	b.ReportMetric(own/1000, "own-µs/req")
-	b.ReportMetric(1e9/own, "own-req/s/core")
-	b.ReportMetric(per(through)/per(direct), "ratio")
+	direct, through := measureDirectAndGateway(b, load.Options{Callers: 32, Requests: 20000, Tokens: 1})
+	cpuPerRequest := func(c loadCost) float64 { return float64(c.cpu.Nanoseconds()) / float64(c.report.Requests) }
+	gatewayCost := cpuPerRequest(through) - cpuPerRequest(direct)
+	b.ReportMetric(cpuPerRequest(direct)/1000, "direct-µs/req")
+	b.ReportMetric(gatewayCost/1000, "own-µs/req")
+	b.ReportMetric(1e9/gatewayCost, "own-req/s/core")
+	b.ReportMetric(cpuPerRequest(through)/cpuPerRequest(direct), "ratio")
 	b.ReportMetric(float64(through.allocs-direct.allocs)/float64(direct.report.Requests), "own-allocs/req")
 	b.ReportMetric(float64(through.bytes-direct.bytes)/float64(direct.report.Requests), "own-B/req")
 }
 
-// BenchmarkTokenCost gives what one relayed token costs, from long streams.
+// BenchmarkTokenCost reports the gateway's cost per relayed token, measured with
+// streams of 2000 tokens.
 func BenchmarkTokenCost(b *testing.B) {
-	direct, through := both(b, load.Options{Callers: 16, Requests: 320, Tokens: 2000})
+	direct, through := measureDirectAndGateway(b, load.Options{Callers: 16, Requests: 320, Tokens: 2000})
 	tokens := float64(direct.report.Tokens)
-	b.ReportMetric(float64(through.processor-direct.processor)/tokens, "own-ns/token")
-	b.ReportMetric(float64(direct.processor)/tokens, "direct-ns/token")
+	b.ReportMetric(float64(through.cpu-direct.cpu)/tokens, "own-ns/token")
+	b.ReportMetric(float64(direct.cpu)/tokens, "direct-ns/token")
 	b.ReportMetric((float64(through.allocs)-float64(direct.allocs))/tokens, "own-allocs/token")
 	b.ReportMetric((float64(through.bytes)-float64(direct.bytes))/tokens, "own-B/token")
 	b.ReportMetric(float64(through.report.Bytes)/tokens, "wire-B/token")
 }
 
-// BenchmarkFirstToken gives the time the gateway adds to the first token.
+// BenchmarkFirstToken reports the latency that the gateway adds to the first
+// token.
 func BenchmarkFirstToken(b *testing.B) {
-	direct, through := both(b, load.Options{Callers: 2, Requests: 10000, Tokens: 4})
+	direct, through := measureDirectAndGateway(b, load.Options{Callers: 2, Requests: 10000, Tokens: 4})
 	for _, q := range []struct {
 		percent float64
 		name    string
--- a/lab/e2e/caller_test.go
+++ b/lab/e2e/caller_test.go
@@ -14,8 +14,9 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// rawCall sends a request over a connection that the test reads itself.
-func (w *world) rawCall(body string) net.Conn {
+// openRawRequest sends a request over a new connection and returns it, so that
+// the test controls how the answer is read.
+func (w *testbed) openRawRequest(body string) net.Conn {
 	conn, err := w.network.DialContext(w.t.Context(), "tcp", gatewayAddress)
 	if err != nil {
 		w.t.Fatal(err)
@@ -28,15 +29,15 @@
 	return conn
 }
 
-// A caller reads a byte a second, or just enough for each token to pass before
-// a limit per token would. The buffers between fill up and the engine waits.
-// It must be set free within the budget, since nobody else gets its slot.
-func TestSlowCallerDoesNotHoldTheEngine(t *testing.T) {
+// A caller reads one byte a second, or just fast enough for each token to pass a
+// timeout per token. The buffers on the path fill up and the engine blocks, which
+// holds a batch slot. The request must be cancelled within a time limit.
+func TestSlowCallerReleasesEngine(t *testing.T) {
 	for _, bytesPerSecond := range []int{1, 400} {
 		t.Run(fmt.Sprintf("%d bytes a second", bytesPerSecond), func(t *testing.T) {
-			o := worldOptions{runners: 2, runner: standin.RunnerOptions{Decode: 10 * time.Millisecond}}
-			inWorld(t, o, func(w *world) {
-				conn := w.rawCall(strings.Replace(chatBody, `"max_tokens":8`, `"max_tokens":5000`, 1))
+			o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Decode: 10 * time.Millisecond}}
+			runInTestbed(t, o, func(w *testbed) {
+				conn := w.openRawRequest(strings.Replace(chatBody, `"max_tokens":8`, `"max_tokens":5000`, 1))
 				defer func() { _ = conn.Close() }()
 				buf := make([]byte, bytesPerSecond)
 				for range 120 {
@@ -44,7 +45,7 @@
 					_, _ = conn.Read(buf)
 				}
 				if load := w.runners[0].Load(); load.Running != 0 {
-					t.Errorf("after two minutes the runner still has %d requests", load.Running)
+					t.Errorf("the runner still has %d requests after two minutes", load.Running)
 				}
 				rep := w.observer.last()
 				if !rep.CallerSlow || rep.CallerLeft || rep.Duration > time.Minute || rep.Attempts != 1 {
@@ -55,10 +56,11 @@
 	}
 }
 
-// A caller announces a body and sends it a byte at a time. The connection must
-// not be held for as long as the caller likes.
-func TestSlowBodyIsRefused(t *testing.T) {
-	inWorld(t, worldOptions{runners: 1}, func(w *world) {
+// A caller announces a body and then sends almost none of it. The request must be
+// refused after gateway.DefaultBodyTimeout, or a caller could hold connections
+// for any time.
+func TestRefusesSlowBody(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
 		conn, err := w.network.DialContext(w.t.Context(), "tcp", gatewayAddress)
 		if err != nil {
 			t.Fatal(err)
@@ -68,7 +70,7 @@
 		began := time.Now()
 		answer, _ := io.ReadAll(conn)
 		if took := time.Since(began); took > gateway.DefaultBodyTimeout+time.Second {
-			t.Errorf("the connection was held for %v", took)
+			t.Errorf("the connection was closed after %v", took)
 		}
 		if !strings.Contains(string(answer), gateway.CodeSlowRequest) {
 			t.Errorf("the caller got %q", answer)
@@ -76,19 +78,19 @@
 	})
 }
 
-// A caller gives a deadline and the engine is slower. At the deadline the
-// caller gets its final answer, and the engine is set free.
-func TestDeadlineEndsTheRequest(t *testing.T) {
-	o := worldOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
-	whole := strings.Replace(chatBody, `"stream":true,`, "", 1)
-	inWorld(t, o, func(w *world) {
+// The engine is slower than the caller's deadline. The caller must get an error
+// at the deadline, and the request at the engine must be cancelled.
+func TestDeadlineEndsRequest(t *testing.T) {
+	o := testbedOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
+	unstreamed := strings.Replace(chatBody, `"stream":true,`, "", 1)
+	runInTestbed(t, o, func(w *testbed) {
 		began := time.Now()
-		a := w.do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, whole, gateway.HeaderDeadline, "2500"))
-		a.expect(t, http.StatusGatewayTimeout, gateway.CodeDeadline, gateway.OutcomeUnknown)
+		a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, unstreamed, gateway.HeaderDeadline, "2500"))
+		a.expectError(t, http.StatusGatewayTimeout, gateway.CodeDeadline, gateway.OutcomeUnknown)
 		if took := time.Since(began); took != 2500*time.Millisecond {
 			t.Errorf("the caller waited %v", took)
 		}
-		_, s := w.stream(strings.Replace(chatBody, `"stream"`, `"deadline_ms":2500,"stream"`, 1))
+		_, s := w.streamChat(strings.Replace(chatBody, `"stream"`, `"deadline_ms":2500,"stream"`, 1))
 		if s.done || s.err != gateway.CodeDeadline || len(s.indices) != 2 {
 			t.Errorf("stream ended with done %v, error %q after %v", s.done, s.err, s.indices)
 		}
@@ -99,59 +101,62 @@
 	})
 }
 
-// refuser refuses all requests as an organisation beyond its share is refused.
-type refuser struct{}
+// refusingAdmitter refuses all requests like those of an organisation that exceeds
+// its share.
+type refusingAdmitter struct{}
 
-func (refuser) Admit(context.Context, gateway.AdmitRequest) (gateway.Admission, error) {
+func (refusingAdmitter) Admit(context.Context, gateway.AdmitRequest) (gateway.Admission, error) {
 	return gateway.Admission{}, &gateway.Refusal{
 		Status: http.StatusTooManyRequests, Code: gateway.CodeOverloaded, Outcome: gateway.OutcomeNotRun,
 		Message: "the organisation is over its share", RetryAfter: 2500 * time.Millisecond,
 	}
 }
 
-// An organisation asks for more than its share. Its caller is told at once
-// that nothing ran, and when to come back.
-func TestRefusedAdmissionReachesTheCaller(t *testing.T) {
-	inWorld(t, worldOptions{runners: 1, admitter: refuser{}}, func(w *world) {
-		a, _ := w.stream(chatBody)
-		a.expect(t, http.StatusTooManyRequests, gateway.CodeOverloaded, gateway.OutcomeNotRun)
+// An organisation exceeds its share. The caller must get the outcome "not run" and
+// a Retry-After header in whole seconds, rounded up.
+func TestAdmissionRefusalReachesCaller(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 1, admitter: refusingAdmitter{}}, func(w *testbed) {
+		a, _ := w.streamChat(chatBody)
+		a.expectError(t, http.StatusTooManyRequests, gateway.CodeOverloaded, gateway.OutcomeNotRun)
 		if got := a.header.Get("Retry-After"); got != "3" {
-			t.Errorf("Retry-After is %q, want it rounded up to 3", got)
+			t.Errorf("Retry-After is %q, want 2.5 s rounded up to 3", got)
 		}
 	})
 }
 
-// More callers come to one daemon than it has memory for. The one too many is
-// told at once that nothing ran, and the streams under way go on.
-func TestRequestsBeyondTheBoundAreRefused(t *testing.T) {
-	o := worldOptions{
+// A daemon bounds its open requests to bound its memory. A request beyond the
+// limit must be refused at once with the outcome "not run", and open streams must
+// continue.
+func TestRefusesRequestsBeyondOpenLimit(t *testing.T) {
+	o := testbedOptions{
 		runners: 1,
 		runner:  standin.RunnerOptions{Decode: time.Second},
 		limits:  gateway.Limits{OpenRequests: 1},
 	}
-	inWorld(t, o, func(w *world) {
-		first := make(chan tokens)
+	runInTestbed(t, o, func(w *testbed) {
+		first := make(chan streamResult)
 		go func() {
-			_, s := w.stream(chatBody)
+			_, s := w.streamChat(chatBody)
 			first <- s
 		}()
 		time.Sleep(time.Second) // virtual
-		a, _ := w.stream(chatBody)
-		a.expect(t, http.StatusServiceUnavailable, gateway.CodeOverloaded, gateway.OutcomeNotRun)
+		a, _ := w.streamChat(chatBody)
+		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeOverloaded, gateway.OutcomeNotRun)
 		if s := <-first; !s.done {
-			t.Errorf("the stream under way was cut: %+v", s)
+			t.Errorf("the open stream was interrupted: %+v", s)
 		}
 	})
 }
 
-// A daemon is replaced while streams are open and the balancer still sends it
-// requests. No stream may be cut, and none refused that still comes in.
-func TestShutdownCutsNothing(t *testing.T) {
-	o := worldOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
-	inWorld(t, o, func(w *world) {
-		streams := make(chan tokens, 2)
+// A daemon drains while streams are open and the load balancer still sends it
+// requests. Open streams and requests that arrive within the balancer's lag must
+// complete.
+func TestDrainCompletesOpenAndNewStreams(t *testing.T) {
+	o := testbedOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
+	runInTestbed(t, o, func(w *testbed) {
+		streams := make(chan streamResult, 2)
 		open := func() {
-			_, s := w.stream(chatBody)
+			_, s := w.streamChat(chatBody)
 			streams <- s
 		}
 		go open()
@@ -167,26 +172,26 @@
 		}()
 		time.Sleep(time.Second) // virtual
 		if w.drainer.Ready() {
-			t.Error("the daemon still says ready")
+			t.Error("the drainer is still ready while it drains")
 		}
-		(<-streams).whole(t)
+		(<-streams).expectComplete(t)
 		time.Sleep(3 * time.Second) // virtual
 		go open()
 		err := <-drained
 		took := time.Since(began)
-		(<-streams).whole(t)
+		(<-streams).expectComplete(t)
 		if err != nil || took < 18*time.Second || took > 20*time.Second {
 			t.Errorf("draining took %v: %v", took, err)
 		}
 	})
 }
 
-// The bound of a shutdown passes with requests still open: a stream and a
-// claimed call. Each caller gets an explicit error that names the shutdown
-// before the daemon ends, instead of a connection that just closes.
-func TestShutdownPastItsBoundIsTold(t *testing.T) {
-	o := worldOptions{runners: 1, services: 1, claimer: newKeyRing(), runner: standin.RunnerOptions{Decode: time.Second}}
-	inWorld(t, o, func(w *world) {
+// A stream and a call with an idempotency key are still open when the shutdown
+// reaches its time limit. Their callers must get an error with the shutdown code,
+// not a connection that closes without an answer.
+func TestShutdownErrorAfterDrainTimeout(t *testing.T) {
+	o := testbedOptions{runners: 1, services: 1, claimer: newMemoryClaimer(), runner: standin.RunnerOptions{Decode: time.Second}}
+	runInTestbed(t, o, func(w *testbed) {
 		w.services[0].Delay = time.Minute
 		ctx, cut := context.WithCancelCause(context.Background())
 		s := &http.Server{Handler: w.gateway, BaseContext: func(net.Listener) context.Context { return ctx }}
@@ -195,16 +200,16 @@
 		go func() { _ = s.Serve(l) }()
 		time.AfterFunc(2500*time.Millisecond, func() { cut(gateway.ErrShutdown) })
 		answers := make(chan answer, 1)
-		call := w.request(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
+		call := w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
 		call.URL.Host = "10.0.0.2:8080"
-		go func() { answers <- w.do(call) }()
-		open := w.request(http.MethodPost, "/v1/chat/completions", registreKey, chatBody)
+		go func() { answers <- w.send(call) }()
+		open := w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody)
 		open.URL.Host = "10.0.0.2:8080"
-		got := parseStream(w.do(open).body)
+		got := parseStream(w.send(open).body)
 		if got.done || got.err != gateway.CodeShutdown || len(got.indices) != 2 {
 			t.Errorf("stream ended with done %v, error %q after %v", got.done, got.err, got.indices)
 		}
 		a := <-answers
-		a.expect(t, http.StatusServiceUnavailable, gateway.CodeShutdown, gateway.OutcomeUnknown)
+		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeShutdown, gateway.OutcomeUnknown)
 	})
 }
--- a/lab/e2e/open_test.go
+++ b/lab/e2e/open_test.go
@@ -23,20 +23,21 @@
 
 // Sizes of the benchmark of open streams.
 const (
-	openStreams    = 10000
-	openSockets    = 4500 // four descriptors each, below the usual 20,000
-	openConnBytes  = 1 << 10
-	openPromptSize = 4 << 10
-	openTokenEvery = 5 * time.Second
-	openAtOnce     = 3000 // streams being opened
+	openStreams        = 10000
+	openSocketStreams  = 4500 // four descriptors each, within the usual limit of 20,000
+	openConnBytes      = 1 << 10
+	openPromptBytes    = 4 << 10
+	openTokenInterval  = 5 * time.Second
+	maxConcurrentOpens = 3000 // streams that are being opened at a time
 
-	openCollections = 4
+	memoryCollections = 4
 )
 
-// residentBytes is what the system says this process holds. A collection halves
-// a stack at most, so that one alone would measure the depth of the last call.
+// residentBytes returns the resident memory of this process. It runs several
+// collections first: each one shrinks a stack to half its size at most, so after
+// a single one the result would depend on the depth of the last calls.
 func residentBytes(b *testing.B) float64 {
-	for range openCollections {
+	for range memoryCollections {
 		debug.FreeOSMemory()
 	}
 	status, err := os.ReadFile("/proc/self/status")
@@ -53,7 +54,7 @@
 
 type dialer func(ctx context.Context, network, address string) (net.Conn, error)
 
-// openStream opens one stream and reads up to its first token.
+// openStream opens one stream and reads it up to its first token.
 func openStream(dial dialer, address, body string) (net.Conn, error) {
 	conn, err := dial(context.Background(), "tcp", address)
 	if err != nil {
@@ -73,13 +74,14 @@
 	return conn, fmt.Errorf("stream ended before its first token: %w", lines.Err())
 }
 
-// held opens the streams and returns what the process holds with them open.
-func held(b *testing.B, dial dialer, address string, streams int) (resident, goroutines float64) {
-	body := strings.Replace(chatBody, "The building code", strings.Repeat("x", openPromptSize), 1)
+// measureOpenStreams returns the resident bytes and the number of goroutines of
+// the process while the given number of streams is open.
+func measureOpenStreams(b *testing.B, dial dialer, address string, streams int) (resident, goroutines float64) {
+	body := strings.Replace(chatBody, "The building code", strings.Repeat("x", openPromptBytes), 1)
 	body = strings.Replace(body, `"max_tokens":8`, `"max_tokens":1000`, 1)
 	conns := make([]net.Conn, streams)
 	var g errgroup.Group
-	g.SetLimit(openAtOnce)
+	g.SetLimit(maxConcurrentOpens)
 	for i := range conns {
 		g.Go(func() (err error) {
 			conns[i], err = openStream(dial, address, body)
@@ -96,9 +98,9 @@
 	return resident, goroutines
 }
 
-// BenchmarkOpenStreams gives the memory of streams that are open at once, for
-// the whole process (callers, gateway and runner) and for callers and runner
-// alone; the difference is the gateway's.
+// BenchmarkOpenStreams reports the memory and goroutines of the gateway for open
+// streams: the difference between a process with callers, gateway and runner and
+// one with callers and runner alone.
 func BenchmarkOpenStreams(b *testing.B) {
 	network := &standin.Network{ConnBytes: openConnBytes}
 	tests := []struct {
@@ -113,21 +115,21 @@
 			b.Cleanup(func() { _ = s.Close() })
 			return address
 		}},
-		{"sockets", openSockets, (&net.Dialer{}).DialContext, serveTCP},
+		{"sockets", openSocketStreams, (&net.Dialer{}).DialContext, serveTCP},
 	}
 	for _, tt := range tests {
 		b.Run(tt.name, func(b *testing.B) {
-			runner := standin.NewRunner(standin.RunnerOptions{Slots: 1 << 16, Decode: openTokenEvery, CachePieces: 1})
+			runner := standin.NewRunner(standin.RunnerOptions{Slots: 1 << 16, Decode: openTokenInterval, CachePieces: 1})
 			defer runner.Crash()
 			address := tt.serve(b, runner)
-			front := tt.serve(b, benchGateway(b, address, engine.Options{DialContext: tt.dial}))
+			front := tt.serve(b, newBenchGateway(b, address, engine.Options{DialContext: tt.dial}))
 			for range b.N {
-				direct, directGoroutines := held(b, tt.dial, address, tt.streams)
-				whole, goroutines := held(b, tt.dial, front, tt.streams)
+				direct, directGoroutines := measureOpenStreams(b, tt.dial, address, tt.streams)
+				total, goroutines := measureOpenStreams(b, tt.dial, front, tt.streams)
 				n := float64(tt.streams)
-				b.ReportMetric(whole/1e6, "whole-MB")
-				b.ReportMetric((whole-direct)/n*openStreams/1e6, "own-MB/10000")
-				b.ReportMetric((whole-direct)/n, "own-B/stream")
+				b.ReportMetric(total/1e6, "whole-MB")
+				b.ReportMetric((total-direct)/n*openStreams/1e6, "own-MB/10000")
+				b.ReportMetric((total-direct)/n, "own-B/stream")
 				b.ReportMetric((goroutines-directGoroutines)/n, "own-goroutines/stream")
 			}
 		})
--- a/lab/e2e/path_test.go
+++ b/lab/e2e/path_test.go
@@ -10,12 +10,12 @@
 )
 
 func TestStreamReachesCaller(t *testing.T) {
-	inWorld(t, worldOptions{runners: 2}, func(w *world) {
-		a, s := w.stream(chatBody)
+	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
+		a, s := w.streamChat(chatBody)
 		if a.status != http.StatusOK || a.header.Get("Content-Type") != "text/event-stream" {
 			t.Errorf("got %d %q", a.status, a.header.Get("Content-Type"))
 		}
-		s.whole(t)
+		s.expectComplete(t)
 		if got := strings.Join(s.indices, " "); got != "0 1 2 3 4 5 6 7" {
 			t.Errorf("indices are %s", got)
 		}
@@ -26,10 +26,10 @@
 	})
 }
 
-func TestWholeAnswerReachesCaller(t *testing.T) {
-	inWorld(t, worldOptions{runners: 1}, func(w *world) {
+func TestUnstreamedAnswerReachesCaller(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
 		body := strings.Replace(chatBody, `"stream":true,`, "", 1)
-		a := w.do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, body))
+		a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 		var got struct {
 			Choices []struct{ Message struct{ Content string } }
 			Usage   struct {
@@ -45,10 +45,10 @@
 	})
 }
 
-func TestModelsListsWhatTheOrganisationMayUse(t *testing.T) {
-	inWorld(t, worldOptions{}, func(w *world) {
+func TestListsModelsPermittedToOrganisation(t *testing.T) {
+	runInTestbed(t, testbedOptions{}, func(w *testbed) {
 		for key, want := range map[string]string{registreKey: `"codes:tags"`, tsukushiKey: `"codes"`} {
-			a := w.do(w.request(http.MethodGet, "/v1/models", key, ""))
+			a := w.send(w.newRequest(http.MethodGet, "/v1/models", key, ""))
 			if !strings.Contains(a.body, want) || strings.Contains(a.body, "tags") != (key == registreKey) {
 				t.Errorf("%s gets %s", key, a.body)
 			}
@@ -56,9 +56,9 @@
 	})
 }
 
-func TestServiceCallPassesAsItIs(t *testing.T) {
-	inWorld(t, worldOptions{services: 1}, func(w *world) {
-		a := w.do(w.request(http.MethodPut, "/receipts/7?copy=2", registreKey, "deed", "Content-Type", "text/plain"))
+func TestForwardsServiceCallUnchanged(t *testing.T) {
+	runInTestbed(t, testbedOptions{services: 1}, func(w *testbed) {
+		a := w.send(w.newRequest(http.MethodPut, "/receipts/7?copy=2", registreKey, "deed", "Content-Type", "text/plain"))
 		want := `{"endpoint":"counter-1","number":1,"method":"PUT","path":"/receipts/7?copy=2","bytes":4}`
 		if a.status != http.StatusOK || a.body != want {
 			t.Errorf("got %d %s, want %s", a.status, a.body, want)
--- a/lab/e2e/race_test.go
+++ b/lab/e2e/race_test.go
@@ -8,12 +8,13 @@
 	"testing"
 )
 
-// TestMain runs the tests on one processor under the race detector. Go 1.26
+// TestMain limits the tests to one processor under the race detector. Go 1.26
 // crashes there ("SIGSEGV" in runtime.(*timer).modify) when two goroutines of a
-// synctest bubble start a timer at once whose time has passed, as in-memory
-// connections do with each read deadline: both use the bubble's one detector
-// context. On one processor they take turns, and races are still found, since
-// the detector goes by the order of synchronisation.
+// synctest bubble start an expired timer concurrently, because both use the
+// single detector context of the bubble. In-memory connections start such timers
+// with each read deadline. With one processor the goroutines don't run in
+// parallel; races are still detected, as the detector evaluates the order of
+// synchronisation and not the timing.
 func TestMain(m *testing.M) {
 	runtime.GOMAXPROCS(1)
 	os.Exit(m.Run())
--- a/lab/e2e/stream_test.go
+++ b/lab/e2e/stream_test.go
@@ -11,17 +11,17 @@
 	"github.com/merlindock/merlindock/lab/standin"
 )
 
-// A runner breaks in one of many ways: it dies before the first byte, between
-// two tokens, or after the last token but before the end marker; it ends its
-// stream cleanly without the marker, leaves out a token, sends rubbish, a line
-// or a header without an end, reports an error, or hangs. The caller sees one
-// whole answer in order, with nothing twice and nothing missing.
-func TestStreamIsWholeWhenARunnerBreaks(t *testing.T) {
+// A runner fails during a stream: it crashes before the first byte, between two
+// tokens or before the end marker, ends the stream without the marker, skips a
+// token, sends malformed data or an endless line or header, reports an error, or
+// hangs. The caller must still get one complete answer in order, without
+// duplicate or missing tokens.
+func TestStreamIsCompleteAfterRunnerFault(t *testing.T) {
 	tests := []struct {
-		name    string
-		fault   standin.Fault
-		rest    int // tokens the second runner has left to generate
-		resumes int
+		name      string
+		fault     standin.Fault
+		remaining int // tokens that the second runner has to generate
+		resumes   int
 	}{
 		{"before the first byte", standin.Fault{Kind: standin.FaultBeforeFirstByte}, 8, 0},
 		{"in mid-stream", standin.Fault{Kind: standin.FaultMidStream, After: 3}, 5, 1},
@@ -38,12 +38,12 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			inWorld(t, worldOptions{runners: 2}, func(w *world) {
+			runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
 				w.runners[0].Fail(tt.fault)
-				_, s := w.stream(chatBody)
-				s.whole(t)
-				if got := w.runners[1].Stats().GeneratedTokens; got != tt.rest {
-					t.Errorf("the second runner generated %d tokens, want %d", got, tt.rest)
+				_, s := w.streamChat(chatBody)
+				s.expectComplete(t)
+				if got := w.runners[1].Stats().GeneratedTokens; got != tt.remaining {
+					t.Errorf("the second runner generated %d tokens, want %d", got, tt.remaining)
 				}
 				if rep := w.observer.last(); rep.Attempts != 2 || rep.ResumedAttempts != tt.resumes || rep.Tokens != 8 {
 					t.Errorf("report is %+v", rep)
@@ -53,28 +53,28 @@
 	}
 }
 
-// The runner that takes over begins at the first token again, since it does
-// not know of resuming. The caller must not read the first tokens twice.
-func TestTokensSentAgainAreDropped(t *testing.T) {
-	o := worldOptions{runners: 2, runner: standin.RunnerOptions{IgnoresResume: true}}
-	inWorld(t, o, func(w *world) {
+// A runner that doesn't support resuming starts again at the first token after a
+// failover. The tokens that were already sent must not reach the caller twice.
+func TestDropsDuplicateTokensAfterFailover(t *testing.T) {
+	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{IgnoresResume: true}}
+	runInTestbed(t, o, func(w *testbed) {
 		w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
-		_, s := w.stream(chatBody)
-		s.whole(t)
+		_, s := w.streamChat(chatBody)
+		s.expectComplete(t)
 		if got := w.observer.last().DuplicateTokens; got != 3 {
 			t.Errorf("%d tokens were dropped, want 3", got)
 		}
 	})
 }
 
-// Every runner dies in mid-stream. The caller cannot get the rest, and must
-// see an error where the end marker would be instead of a short answer.
-func TestStreamThatCannotBeCompletedEndsWithAnError(t *testing.T) {
-	inWorld(t, worldOptions{runners: 2}, func(w *world) {
+// Every runner crashes in mid-stream. The stream must end with an error in place
+// of the end marker, so that the caller can't take it for a complete answer.
+func TestStreamEndsWithErrorWhenAllRunnersFail(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
 		for _, r := range w.runners {
 			r.Fail(standin.Fault{Kind: standin.FaultMidStream, After: 2})
 		}
-		a, s := w.stream(chatBody)
+		a, s := w.streamChat(chatBody)
 		if a.err != nil || s.done || s.err != gateway.CodeStreamCut || s.outcome != string(gateway.OutcomeUnknown) {
 			t.Errorf("stream ended with done %v, error %q, outcome %q, %v", s.done, s.err, s.outcome, a.err)
 		}
@@ -84,82 +84,82 @@
 	})
 }
 
-// An engine that knows nothing of the protocol numbers no tokens. Its stream
-// passes through; when it dies, nobody can say where another would go on, so
-// after the first token the stream ends with an error instead of beginning
-// anew in the middle.
-func TestRunnerThatNumbersNoTokens(t *testing.T) {
-	o := worldOptions{runners: 2, runner: standin.RunnerOptions{Plain: true}}
+// An engine that doesn't implement the protocol sends no token numbers. Its
+// stream is relayed, but cannot be resumed: after a crash the position of the
+// last token is unknown. Once a token was sent, the stream must end with an error
+// instead of an answer that starts again in the middle.
+func TestRunnerWithoutTokenNumbers(t *testing.T) {
+	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Plain: true}}
 	t.Run("whole", func(t *testing.T) {
-		inWorld(t, o, func(w *world) {
-			_, s := w.stream(chatBody)
-			s.whole(t)
+		runInTestbed(t, o, func(w *testbed) {
+			_, s := w.streamChat(chatBody)
+			s.expectComplete(t)
 		})
 	})
-	t.Run("dies before the first byte", func(t *testing.T) {
-		inWorld(t, o, func(w *world) {
+	t.Run("crash before the first byte", func(t *testing.T) {
+		runInTestbed(t, o, func(w *testbed) {
 			w.runners[0].Fail(standin.Fault{Kind: standin.FaultBeforeFirstByte})
-			_, s := w.stream(chatBody)
-			s.whole(t)
+			_, s := w.streamChat(chatBody)
+			s.expectComplete(t)
 		})
 	})
-	t.Run("dies in mid-stream", func(t *testing.T) {
-		inWorld(t, o, func(w *world) {
+	t.Run("crash in mid-stream", func(t *testing.T) {
+		runInTestbed(t, o, func(w *testbed) {
 			w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
-			_, s := w.stream(chatBody)
+			_, s := w.streamChat(chatBody)
 			if s.done || s.err != gateway.CodeStreamCut || len(s.indices) != 3 {
 				t.Errorf("stream ended with done %v, error %q after %v", s.done, s.err, s.indices)
 			}
 			if n := w.runners[1].Stats().Requests; n != 0 {
-				t.Errorf("the second runner took %d requests", n)
+				t.Errorf("the second runner received %d requests, want none", n)
 			}
 		})
 	})
 }
 
-// An answer that belongs to an earlier attempt or to another request arrives
-// on this one's connection. The caller must not see a token of it.
-func TestCrossedAnswerIsDropped(t *testing.T) {
-	inWorld(t, worldOptions{runners: 2}, func(w *world) {
+// An answer to an earlier attempt or to another request arrives on the connection
+// of this request. None of its tokens may reach the caller.
+func TestDropsMismatchedAnswer(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
 		w.runners[0].Fail(standin.Fault{Kind: standin.FaultCrossed})
-		_, s := w.stream(chatBody)
-		s.whole(t)
+		_, s := w.streamChat(chatBody)
+		s.expectComplete(t)
 		if rep := w.observer.last(); rep.MismatchedAnswers != 1 || rep.Attempts != 2 {
 			t.Errorf("report is %+v", rep)
 		}
 	})
 }
 
-// New weights are published while a stream is open, and its runner dies. The
-// rest must come from the weights that the answer began with; when only the
-// new ones are left, the stream ends with an error rather than in two halves
-// of two models.
-func TestStreamKeepsItsWeights(t *testing.T) {
+// A new weight version is published while a stream is open, and then its runner
+// crashes. The stream must be resumed with the version that it began with. If
+// only the new version is available, it must end with an error instead of mixing
+// the output of two versions.
+func TestResumedStreamKeepsWeightVersion(t *testing.T) {
 	tests := []struct {
-		name  string
-		upset func(w *world)
-		whole bool
+		name          string
+		changeRunners func(w *testbed)
+		complete      bool
 	}{
-		{"another runner has the old weights", func(*world) {}, true},
-		{"the only other has the new weights and refuses", func(w *world) { w.runners[1].SetWeightVersion("v2") }, false},
-		{"the only other says it used others", func(w *world) {
+		{"another runner has the old version", func(*testbed) {}, true},
+		{"the only other runner has the new version and refuses", func(w *testbed) { w.runners[1].SetWeightVersion("v2") }, false},
+		{"the only other runner answers with another version", func(w *testbed) {
 			w.runners[1].Fail(standin.Fault{Kind: standin.FaultOtherWeights})
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			o := worldOptions{runners: 2, runner: standin.RunnerOptions{WeightVersion: "v1", Decode: time.Second}}
-			inWorld(t, o, func(w *world) {
+			o := testbedOptions{runners: 2, runner: standin.RunnerOptions{WeightVersion: "v1", Decode: time.Second}}
+			runInTestbed(t, o, func(w *testbed) {
 				w.runners[0].Fail(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 				time.AfterFunc(2*time.Second, func() {
 					m := testManifest()
 					m.Models[0].Version = "v2"
 					w.publish(m)
-					tt.upset(w)
+					tt.changeRunners(w)
 				})
-				_, s := w.stream(chatBody)
-				if tt.whole {
-					s.whole(t)
+				_, s := w.streamChat(chatBody)
+				if tt.complete {
+					s.expectComplete(t)
 					return
 				}
 				if s.done || s.err != gateway.CodeStreamCut || len(s.indices) != 3 {
@@ -170,14 +170,15 @@
 	}
 }
 
-// A runner announces more bytes than it sends before its connection breaks.
-// The caller gets the whole answer from another instead of a cut one.
-func TestWholeAnswerIsNotCut(t *testing.T) {
+// A runner breaks its connection after it ran the request, before all bytes of
+// the announced length were sent or before the answer. The caller must get the
+// complete answer of another runner, not a truncated one.
+func TestRetriesTruncatedAnswer(t *testing.T) {
 	body := strings.Replace(chatBody, `"stream":true,`, "", 1)
 	for _, kind := range []standin.FaultKind{standin.FaultContentLength, standin.FaultAfterRun} {
-		inWorld(t, worldOptions{runners: 2}, func(w *world) {
+		runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
 			w.runners[0].Fail(standin.Fault{Kind: kind})
-			a := w.do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, body))
+			a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 			if a.status != http.StatusOK || a.err != nil || !strings.Contains(a.body, `"completion_tokens":8`) {
 				t.Errorf("got %d %s %v", a.status, a.body, a.err)
 			}
@@ -185,31 +186,31 @@
 	}
 }
 
-// A runner crashes and comes back empty under the same address. What answers
-// say must show it, or later requests would be sent there for a cache that is
-// gone.
-func TestRunnerBackEmptyShowsInItsAnswers(t *testing.T) {
-	inWorld(t, worldOptions{runners: 1}, func(w *world) {
-		w.stream(chatBody)
-		w.stream(chatBody)
+// A runner crashes and restarts with an empty cache under the same address. Its
+// answers must report the new incarnation and no cached tokens, or later requests
+// would be placed there for a cache that no longer exists.
+func TestAnswersReportRunnerRestart(t *testing.T) {
+	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
+		w.streamChat(chatBody)
+		w.streamChat(chatBody)
 		w.runners[0].Restart()
-		w.stream(chatBody)
+		w.streamChat(chatBody)
 		var got []engine.Metadata
 		for _, res := range w.observer.results {
 			got = append(got, res.Meta)
 		}
 		if len(got) != 3 || got[1].CachedTokens == 0 || got[2].CachedTokens != 0 || got[1].Incarnation == got[2].Incarnation {
-			t.Errorf("answers said %+v", got)
+			t.Errorf("metadata of the answers is %+v", got)
 		}
 	})
 }
 
-// A caller closes its connection in mid-stream. The engine's work must end
-// with it, or its batch slot is lost for as long as the answer would be.
-func TestCallerThatLeavesCancelsTheEngine(t *testing.T) {
-	o := worldOptions{runners: 2, runner: standin.RunnerOptions{Decode: time.Second}}
-	inWorld(t, o, func(w *world) {
-		resp, err := w.client.Do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, chatBody))
+// A caller closes its connection in mid-stream. The request must be cancelled at
+// the engine, or it occupies a batch slot until the answer is complete.
+func TestCallerDisconnectCancelsEngineRequest(t *testing.T) {
+	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Decode: time.Second}}
+	runInTestbed(t, o, func(w *testbed) {
+		resp, err := w.client.Do(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody))
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -217,7 +218,7 @@
 		_ = resp.Body.Close()
 		time.Sleep(2 * time.Second) // virtual
 		if s := w.runners[0].Stats(); s.Cancelled != 1 || s.GeneratedTokens > 3 {
-			t.Errorf("the runner did %+v", s)
+			t.Errorf("counters of the runner are %+v", s)
 		}
 		if rep := w.observer.last(); !rep.CallerLeft || rep.Attempts != 1 || rep.Code != gateway.CodeCallerLeft {
 			t.Errorf("report is %+v", rep)
--- a/lab/e2e/world_test.go
+++ b/lab/e2e/world_test.go
@@ -59,15 +59,16 @@
 	}
 }
 
-// world is a gateway with stand-ins behind it, all in memory.
-type world struct {
+// testbed is a gateway with simulated runners and services on an in-memory
+// network. It is also the gateway's Placer.
+type testbed struct {
 	t        *testing.T
 	network  standin.Network
 	runners  []*standin.Runner
 	services []*standin.Service
 	gateway  *gateway.Gateway
 	drainer  *gateway.Drainer
-	observer *recorder
+	observer *observer
 	server   *http.Server
 	client   *http.Client
 	closers  []func()
@@ -75,10 +76,10 @@
 	mu        sync.Mutex
 	endpoints []fleet.Endpoint
 	index     *catalog.Index
-	tried     []fleet.EndpointID // in the order of the attempts
+	placed    []fleet.EndpointID // endpoints chosen, in the order of the attempts
 }
 
-type worldOptions struct {
+type testbedOptions struct {
 	runners  int
 	services int
 	runner   standin.RunnerOptions
@@ -88,18 +89,18 @@
 	admitter gateway.Admitter
 }
 
-// inWorld runs a test in virtual time with a world of its own.
-func inWorld(t *testing.T, o worldOptions, test func(w *world)) {
+// runInTestbed runs a test in virtual time with a new testbed.
+func runInTestbed(t *testing.T, o testbedOptions, test func(w *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, o)
+		w := newTestbed(t, o)
 		defer w.close()
 		test(w)
 	})
 }
 
-func newWorld(t *testing.T, o worldOptions) *world {
-	w := &world{t: t, drainer: gateway.NewDrainer(), observer: new(recorder)}
+func newTestbed(t *testing.T, o testbedOptions) *testbed {
+	w := &testbed{t: t, drainer: gateway.NewDrainer(), observer: new(observer)}
 	w.publish(testManifest())
 	for i := range o.runners {
 		ro := o.runner
@@ -109,12 +110,12 @@
 		}
 		r := standin.NewRunner(ro)
 		w.runners = append(w.runners, r)
-		w.endpoint(ro.ID, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), r)
+		w.addEndpoint(ro.ID, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), r)
 	}
 	for i := range o.services {
 		s := standin.NewService(fleet.EndpointID(fmt.Sprintf("counter-%d", i+1)))
 		w.services = append(w.services, s)
-		w.endpoint(s.ID, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), s)
+		w.addEndpoint(s.ID, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), s)
 	}
 	o.engine.DialContext = w.network.DialContext
 	client := engine.New(o.engine)
@@ -135,13 +136,13 @@
 	return w
 }
 
-func (w *world) endpoint(id fleet.EndpointID, class, address string, h http.Handler) {
+func (w *testbed) addEndpoint(id fleet.EndpointID, class, address string, h http.Handler) {
 	s := w.network.Serve(address, h)
 	w.closers = append(w.closers, func() { _ = s.Close() })
 	w.endpoints = append(w.endpoints, fleet.Endpoint{ID: id, Class: class, Address: address, State: fleet.VMLive})
 }
 
-func (w *world) publish(m *manifest.Manifest) {
+func (w *testbed) publish(m *manifest.Manifest) {
 	index, err := catalog.New(m)
 	if err != nil {
 		w.t.Fatal(err)
@@ -151,7 +152,7 @@
 	w.index = index
 }
 
-func (w *world) close() {
+func (w *testbed) close() {
 	_ = w.server.Close()
 	for _, c := range w.closers {
 		c()
@@ -161,9 +162,9 @@
 	}
 }
 
-// Place takes the first endpoint of the fleet's order that was not tried, so
-// that a test knows where its faults will strike.
-func (w *world) Place(_ context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
+// Place chooses the first suitable endpoint that is not excluded, in the order of
+// addEndpoint, so that a test knows which endpoint gets its requests and faults.
+func (w *testbed) Place(_ context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, e := range w.endpoints {
@@ -172,33 +173,33 @@
 			tried = tried || id == e.ID
 		}
 		if !tried && w.index.Serves(e.Class, r.Kind, r.Target.Model) {
-			w.tried = append(w.tried, e.ID)
+			w.placed = append(w.placed, e.ID)
 			return gateway.Placement{Endpoint: e.ID, Address: e.Address}, nil
 		}
 	}
 	return gateway.Placement{}, gateway.ErrNoEndpoint
 }
 
-// recorder keeps what the gateway reports.
-type recorder struct {
+// observer records the reports and attempt results of the gateway.
+type observer struct {
 	mu      sync.Mutex
 	reports []gateway.Report
 	results []gateway.AttemptResult
 }
 
-func (r *recorder) Request(rep *gateway.Report) {
+func (r *observer) Request(rep *gateway.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.reports = append(r.reports, *rep)
 }
 
-func (r *recorder) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.AttemptResult) {
+func (r *observer) Attempt(_ *gateway.PlaceRequest, _ *gateway.Placement, res *gateway.AttemptResult) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results = append(r.results, *res)
 }
 
-func (r *recorder) last() gateway.Report {
+func (r *observer) last() gateway.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.reports) == 0 {
@@ -207,8 +208,9 @@
 	return r.reports[len(r.reports)-1]
 }
 
-// request makes a caller's request; headers come in pairs of name and value.
-func (w *world) request(method, path, key, body string, headers ...string) *http.Request {
+// newRequest returns a request to the gateway; headers holds pairs of name and
+// value.
+func (w *testbed) newRequest(method, path, key, body string, headers ...string) *http.Request {
 	req, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+gatewayAddress+path, strings.NewReader(body))
 	if err != nil {
 		w.t.Fatal(err)
@@ -220,7 +222,7 @@
 	return req
 }
 
-// answer is what a caller got.
+// answer is a response with its body, as a caller received it.
 type answer struct {
 	status int
 	header http.Header
@@ -228,18 +230,18 @@
 	err    error // of reading the body
 }
 
-func (w *world) do(req *http.Request) answer {
+func (w *testbed) send(req *http.Request) answer {
 	w.t.Helper()
 	resp, err := w.client.Do(req)
 	if err != nil {
-		w.t.Fatalf("no answer: %v", err)
+		w.t.Fatalf("request failed: %v", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
 	return answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-func (a answer) detail(t *testing.T) (code string, outcome gateway.Outcome) {
+func (a answer) decodeError(t *testing.T) (code string, outcome gateway.Outcome) {
 	t.Helper()
 	var e struct {
 		Error struct {
@@ -248,31 +250,32 @@
 		}
 	}
 	if err := json.Unmarshal([]byte(a.body), &e); err != nil {
-		t.Fatalf("not an error: %q", a.body)
+		t.Fatalf("body is not a JSON error: %q", a.body)
 	}
 	return e.Error.Code, e.Error.Outcome
 }
 
-// expect fails the test unless the answer is the given error.
-func (a answer) expect(t *testing.T, status int, code string, outcome gateway.Outcome) {
+// expectError fails the test unless the answer has this status and its error this
+// code and outcome.
+func (a answer) expectError(t *testing.T, status int, code string, outcome gateway.Outcome) {
 	t.Helper()
-	gotCode, gotOutcome := a.detail(t)
+	gotCode, gotOutcome := a.decodeError(t)
 	if a.status != status || gotCode != code || gotOutcome != outcome {
 		t.Errorf("got %d %s %s, want %d %s %s; body %s", a.status, gotCode, gotOutcome, status, code, outcome, a.body)
 	}
 }
 
-// tokens is what a stream gave: its indices, its text and how it ended.
-type tokens struct {
+// streamResult holds the token indices and the text of a stream, and how it ended.
+type streamResult struct {
 	indices []string
 	text    string
 	done    bool
-	err     string // code of an explicit error
+	err     string // code of an error event, or "malformed"
 	outcome string
 }
 
-func parseStream(body string) tokens {
-	var out tokens
+func parseStream(body string) streamResult {
+	var out streamResult
 	lines := bufio.NewScanner(strings.NewReader(body))
 	for lines.Scan() {
 		name, value, _ := strings.Cut(lines.Text(), ": ")
@@ -280,17 +283,17 @@
 		case name == "id":
 			out.indices = append(out.indices, value)
 		case name == "data" && value == "[DONE]":
-			// The marker's own number counts the tokens.
+			// The id of the end marker is not the index of a token.
 			out.indices = out.indices[:len(out.indices)-1]
 			out.done = true
 		case name == "data":
-			out.add(value)
+			out.addChunk(value)
 		}
 	}
 	return out
 }
 
-func (s *tokens) add(data string) {
+func (s *streamResult) addChunk(data string) {
 	var chunk struct {
 		Choices []struct{ Delta struct{ Content string } }
 		Error   struct{ Code, Outcome string }
@@ -307,27 +310,27 @@
 	}
 }
 
-// whole fails the test unless the stream has all tokens once, in order, all
-// of one answer, and the end marker.
-func (s tokens) whole(t *testing.T) {
+// expectComplete fails the test unless the stream has all tokens of one answer,
+// each once and in order, and the end marker.
+func (s streamResult) expectComplete(t *testing.T) {
 	t.Helper()
-	word, _, _ := strings.Cut(s.text, ".")
+	answerID, _, _ := strings.Cut(s.text, ".")
 	var want strings.Builder
 	for i := range chatTokens {
-		want.WriteString(standin.Token(word, i))
+		want.WriteString(standin.Token(answerID, i))
 	}
 	if s.text != want.String() || !s.done || s.err != "" {
-		t.Errorf("stream is not whole: done %v, error %q, text %q, want %q", s.done, s.err, s.text, want.String())
+		t.Errorf("stream is incomplete or wrong: done %v, error %q, text %q, want %q", s.done, s.err, s.text, want.String())
 	}
 }
 
-// chatTokens is how many tokens chatBody asks for.
+// chatTokens is the number of tokens that chatBody requests.
 const chatTokens = 8
 
 const chatBody = `{"model":"codes","stream":true,"max_tokens":8,"messages":[{"role":"system","content":"The building code of Québec, part 3."},{"role":"user","content":"Does this deposit conform?"}]}`
 
-func (w *world) stream(body string) (answer, tokens) {
+func (w *testbed) streamChat(body string) (answer, streamResult) {
 	w.t.Helper()
-	a := w.do(w.request(http.MethodPost, "/v1/chat/completions", registreKey, body))
+	a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 	return a, parseStream(a.body)
 }
