--- a/lab/measure/propagation.go
+++ b/lab/measure/propagation.go
@@ -22,7 +22,7 @@
 	// LossRate is the fraction of announcements that are lost. After a lost one,
 	// the next regular exchange delivers the manifest.
 	LossRate float64
-	// DeadZone makes the daemons of the first zone fail while they are still on
+	// DeadZone makes the daemons of the first zone unreachable while they are on
 	// the list.
 	DeadZone bool
 	Seed     uint64
