--- a/cmd/merlindock/explain.go
+++ b/cmd/merlindock/explain.go
@@ -44,7 +44,7 @@
 	return command(s, "explain", "merlindock explain [flags] ID FILE...",
 		"Print what happened to one request at all daemons, from their collected logs, one file for each daemon.",
 		func(fs *flag.FlagSet) {
-			fs.DurationVar(&window, "before", defaultWindow, "how far back to show what its daemons came to believe")
+			fs.DurationVar(&window, "before", defaultWindow, "time before the end of the request from which other lines of its daemons are printed")
 		},
 		func(_ context.Context, args []string) error {
 			if len(args) < 2 {
--- a/guard/guard.go
+++ b/guard/guard.go
@@ -107,7 +107,7 @@
 	g.flush()
 	g.mu.Unlock()
 	if err != nil {
-		g.o.Log.Info("Received an invalid quarantine message.", "from", from, "error", err.Error())
+		g.o.Log.Info("Message of another daemon is malformed.", "from", from, "error", err.Error())
 	}
 }
 
--- a/limits/limits.go
+++ b/limits/limits.go
@@ -1,4 +1,4 @@
-// Package limits holds the rate limits that endpoints state in their answers: how many
+// Package limits holds the rate limits that endpoints report in their answers: how many
 // requests per second they accept from all daemons together.
 //
 // A daemon reads a limit from an answer and sends it to the others by gossip. So each
@@ -70,7 +70,7 @@
 	relaysLeft int // remaining ticks at which it is sent to peers
 }
 
-// noLimit is the limit of an endpoint that states none.
+// noLimit is the limit of an endpoint that reports none.
 const noLimit = -1.0
 
 // Options configure a Table.
@@ -95,22 +95,22 @@
 // SetPeers sets the list of all daemons.
 func (t *Table) SetPeers(all []gossip.Peer) { t.peers.Set(all) }
 
-// SetFromAnswer sets the limit stated in an answer of the endpoint; nil: no limit.
+// SetFromAnswer sets the limit reported in an answer of the endpoint; nil: no limit.
 func (t *Table) SetFromAnswer(now time.Duration, e fleet.EndpointID, limit *float64) {
-	stated := noLimit
+	reported := noLimit
 	if limit != nil {
-		stated = *limit
+		reported = *limit
 	}
 	known := t.entries[e]
 	switch {
-	case known == nil && stated < 0 || len(e) > maxEndpointBytes:
+	case known == nil && reported < 0 || len(e) > maxEndpointBytes:
 		return
-	case known != nil && known.limit == stated:
+	case known != nil && known.limit == reported:
 		known.at = now
 		return
 	}
-	t.set(now, update{endpoint: e, limit: stated}, false)
-	t.peers.SendToSample(gossip.DirectFanout, encode([]update{{endpoint: e, limit: stated}}))
+	t.set(now, update{endpoint: e, limit: reported}, false)
+	t.peers.SendToSample(gossip.DirectFanout, encode([]update{{endpoint: e, limit: reported}}))
 }
 
 func (t *Table) set(now time.Duration, u update, fromPeer bool) {
@@ -141,19 +141,19 @@
 	return err
 }
 
-// Tick expires limits and sends the messages that are due. Call it every gossip.Tick.
+// Tick expires limits and sends the messages that are due. Call it every gossip.TickInterval.
 func (t *Table) Tick(now time.Duration) {
-	for e, w := range t.entries {
-		if now-w.at > entryTTL {
+	for e, known := range t.entries {
+		if now-known.at > entryTTL {
 			delete(t.entries, e)
-			if w.limit >= 0 {
-				t.changes = append(t.changes, Change{Endpoint: e, Age: now - w.at})
+			if known.limit >= 0 {
+				t.changes = append(t.changes, Change{Endpoint: e, Age: now - known.at})
 			}
 			continue
 		}
-		if w.relaysLeft > 0 {
-			w.relaysLeft--
-			t.peers.SendToSample(gossip.RelayFanout, encode([]update{updateOf(now, e, w)}))
+		if known.relaysLeft > 0 {
+			known.relaysLeft--
+			t.peers.SendToSample(gossip.RelayFanout, encode([]update{updateOf(now, e, known)}))
 		}
 	}
 	if len(t.entries) > 0 && t.peers.SyncDue(now) {
@@ -161,8 +161,8 @@
 	}
 }
 
-func updateOf(now time.Duration, e fleet.EndpointID, w *entry) update {
-	return update{endpoint: e, limit: w.limit, age: min(max(now-w.at, 0), maxAge)}
+func updateOf(now time.Duration, e fleet.EndpointID, known *entry) update {
+	return update{endpoint: e, limit: known.limit, age: min(max(now-known.at, 0), maxAge)}
 }
 
 // nextSync returns the next few entries, in turn, for a periodic message.
@@ -183,8 +183,8 @@
 // Limited returns the endpoints that have a limit.
 func (t *Table) Limited() []fleet.EndpointID {
 	var out []fleet.EndpointID
-	for e, w := range t.entries {
-		if w.limit >= 0 {
+	for e, known := range t.entries {
+		if known.limit >= 0 {
 			out = append(out, e)
 		}
 	}
@@ -194,9 +194,9 @@
 // Limits returns the limits by key, for package quota.
 func (t *Table) Limits() map[quota.Key]quota.Limit {
 	out := map[quota.Key]quota.Limit{}
-	for e, w := range t.entries {
-		if w.limit >= 0 {
-			rate := max(w.limit, minRate)
+	for e, known := range t.entries {
+		if known.limit >= 0 {
+			rate := max(known.limit, minRate)
 			out[KeyOf(e)] = quota.Limit{PerSecond: rate, Burst: max(1, rate*burstTime.Seconds())}
 		}
 	}
--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// Guards against an endpoint that states a limit of 0 and never gets another request,
+// Guards against an endpoint that reports a limit of 0 and never gets another request,
 // so that no answer can end its limit.
 func TestZeroLimitAllowsSomeRequests(t *testing.T) {
 	b := newSimulation(t, 1)
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -164,7 +164,7 @@
 	delete(n.holds, first)
 }
 
-// Tick expires holds and sends the messages that are due. Call it every gossip.Tick.
+// Tick expires holds and sends the messages that are due. Call it every gossip.TickInterval.
 func (n *Node) Tick(now time.Duration) {
 	n.sendReports(now)
 	for f, h := range n.holds {
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -22,7 +22,7 @@
 		}
 		w.run(6*time.Second, some)
 	}
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	w.check()
 }
 
@@ -168,10 +168,10 @@
 	for _, m := range w.nodes {
 		m.node.SetLimits(w.now, nil)
 	}
-	before := w.use[traffic[0].key].refused
+	before := w.use[traffic[0].key].rejected
 	w.run(2*time.Second, scaleTraffic(traffic, 3))
-	if h := w.use[traffic[0].key]; h.refused > before {
-		t.Errorf("%d requests refused by a limit that was removed", h.refused-before)
+	if h := w.use[traffic[0].key]; h.rejected > before {
+		t.Errorf("%d requests rejected by a limit that was removed", h.rejected-before)
 	}
 }
 
@@ -183,7 +183,7 @@
 	w.loss, w.double, w.late = 0.05, 0.05, 0.01
 	w.run(warmUp, nil)
 	w.run(12*time.Second, traffic)
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	w.run(10*time.Second, scaleTraffic(traffic, 5))
 	w.check()
 }
@@ -197,7 +197,7 @@
 	}
 	w.run(warmUp, nil)
 	w.run(8*time.Second, traffic)
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	w.run(10*time.Second, scaleTraffic(traffic, 6))
 	w.check()
 }
@@ -222,7 +222,7 @@
 		switch {
 		case !v.Admitted:
 			if ran < 1000 {
-				t.Fatalf("refused after %d tokens that ran", ran)
+				t.Fatalf("rejected after %d tokens that ran", ran)
 			}
 			return
 		case i%3 == 0:
@@ -231,7 +231,7 @@
 			ran += 500
 		}
 	}
-	t.Error("never refused")
+	t.Error("never rejected")
 }
 
 // A request runs a second time after its first attempt failed. Both runs must be
@@ -256,7 +256,7 @@
 	w := newSimulation(t, 100, 1, limits)
 	w.run(warmUp, nil)
 	w.run(20*time.Second, traffic)
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	w.check()
 	if w.sent > 0 {
 		t.Errorf("%d messages sent without other daemons", w.sent)
--- a/quota/message_test.go
+++ b/quota/message_test.go
@@ -36,7 +36,7 @@
 	}
 }
 
-// Any host on the network can send to the port. Arbitrary data must be refused or
+// Any host on the network can send to the port. Arbitrary data must be rejected or
 // decode to a message that encodes to the same value, and never cause a panic.
 func FuzzMessages(f *testing.F) {
 	a, r := ask{Seq: 1, Entries: []askEntry{{Key: 1, Need: 2}}}, reply{Seq: 1, Entries: []replyEntry{{Key: 1, Lent: 2}}}
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-// maxWrongRefusals is the fraction of the requests within the limit that may be rejected.
-const maxWrongRefusals = 1.0 / 200
+// maxWrongRejections is the fraction of the requests within the limit that may be rejected.
+const maxWrongRejections = 1.0 / 200
 
 // sizes are the limits in tokens/s of a deployment with a few large organisations.
 // The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
-func checkWrongRefusals(t *testing.T, w *simulation) {
+func checkWrongRejections(t *testing.T, w *simulation) {
 	t.Helper()
-	fraction, lost, owed := w.wrongRefusals()
+	fraction, lost, owed := w.wrongRejections()
 	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
-	if fraction > maxWrongRefusals {
+	if fraction > maxWrongRejections {
 		t.Errorf("%d of %d requests within the limit were rejected, allowed is 1 in 200", lost, owed)
 	}
 }
@@ -29,7 +29,7 @@
 	w := newSimulation(t, 1, 73, limits)
 	w.run(3*time.Second, nil)
 	w.run(30*time.Second, traffic)
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	w.check()
 }
 
@@ -48,10 +48,10 @@
 	for _, i := range []int{0, 1, 8} {
 		h := w.use[traffic[i].key]
 		got := h.peakUse() / (h.limit.PerSecond * window.Seconds())
-		t.Logf("organisation %d: %.3f of its limit in the window of peak use, %d of %d rejected, %d of them within the limit", i, got, h.refused, h.asked, h.wronglyRefused)
+		t.Logf("organisation %d: %.3f of its limit in the window of peak use, %d of %d rejected, %d of them within the limit", i, got, h.rejected, h.asked, h.wronglyRejected)
 		if got < 0.95 {
 			t.Errorf("organisation %d got %.2f of its limit", i, got)
 		}
 	}
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -47,15 +47,15 @@
 
 // history records the requests of an organisation and their verdicts.
 type history struct {
-	limit          Limit
-	admitted       []use // in order of time
-	level          float64
-	at             time.Duration
-	asked          int
-	withinLimit    int // requests within the limit, by the use before them
-	wronglyRefused int // rejected ones among them
-	refused        int
-	waits          []time.Duration
+	limit           Limit
+	admitted        []use // in order of time
+	level           float64
+	at              time.Duration
+	asked           int
+	withinLimit     int // requests within the limit, by the use before them
+	wronglyRejected int // rejected ones among them
+	rejected        int
+	waits           []time.Duration
 }
 
 type use struct {
@@ -217,9 +217,9 @@
 		h.admitted = append(h.admitted, use{now, cost})
 		return
 	}
-	h.refused++
+	h.rejected++
 	if within {
-		h.wronglyRefused++
+		h.wronglyRejected++
 	}
 }
 
@@ -251,10 +251,10 @@
 	}
 }
 
-// wrongRefusals returns the fraction of the requests within the limit that were rejected.
-func (w *simulation) wrongRefusals() (fraction float64, lost, owed int) {
+// wrongRejections returns the fraction of the requests within the limit that were rejected.
+func (w *simulation) wrongRejections() (fraction float64, lost, owed int) {
 	for _, h := range w.use {
-		lost += h.wronglyRefused
+		lost += h.wronglyRejected
 		owed += h.withinLimit
 	}
 	return float64(lost) / float64(max(owed, 1)), lost, owed
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -25,7 +25,7 @@
 	began, before := w.now, w.bytes
 	w.run(time.Second, traffic)
 	each := float64(w.bytes-before) / (w.now - began).Seconds() / 1100
-	checkWrongRefusals(t, w)
+	checkWrongRejections(t, w)
 	if each > maxBytesPerSecond {
 		t.Errorf("%.0f bytes/s per daemon", each)
 	}
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -79,19 +79,19 @@
 			w.fractions = way(w)
 			w.run(time.Second, nil)
 			w.run(5*time.Second, traffic)
-			fraction, _, _ := w.wrongRefusals()
+			fraction, _, _ := w.wrongRejections()
 			w.run(9*time.Second, hot)
 			most := 0.0
 			for _, h := range w.use {
 				most = max(most, h.peakUse()/allowedUse(h.limit, w.tol, window))
 			}
 			lost[name], over[name] = fraction, most
-			t.Logf("%d daemons, %-30s %.4f refused below the limit, %.2f of what is allowed used", daemons, name, fraction, most)
+			t.Logf("%d daemons, %-30s %.4f rejected below the limit, %.2f of what is allowed used", daemons, name, fraction, most)
 		}
-		if lost["lent by owners"] > maxWrongRefusals || over["lent by owners"] > 1 {
+		if lost["lent by owners"] > maxWrongRejections || over["lent by owners"] > 1 {
 			t.Errorf("%d daemons: lending by owners rejects %.4f below the limit and uses %.2f of what is allowed", daemons, lost["lent by owners"], over["lent by owners"])
 		}
-		if lost["equal parts"] < maxWrongRefusals && over["equal parts and one request"] < 1 {
+		if lost["equal parts"] < maxWrongRejections && over["equal parts and one request"] < 1 {
 			t.Error("equal fractions would suffice")
 		}
 	}
--- a/room/room.go
+++ b/room/room.go
@@ -124,7 +124,7 @@
 	l.flush()
 	l.mu.Unlock()
 	if err != nil {
-		l.o.Log.Info("Invalid message from another daemon.", "from", from, "error", err.Error())
+		l.o.Log.Info("Message of another daemon is malformed.", "from", from, "error", err.Error())
 	}
 	return true
 }
--- a/router/attempts.go
+++ b/router/attempts.go
@@ -21,60 +21,60 @@
 // set, endpoints that have a limit are left to other requests as long as there are
 // others.
 func (p *placer) newAttempts(avoid []fleet.EndpointID, spare bool) *attempts {
-	t := &attempts{p: p, excluded: slices.Clone(avoid), remaining: maxPlaceAttempts}
+	a := &attempts{p: p, excluded: slices.Clone(avoid), remaining: maxPlaceAttempts}
 	if p.endpointLimits == nil {
-		return t
+		return a
 	}
 	full := p.endpointLimits.AtLimit()
-	t.limitReached = len(full) > 0
-	t.excluded = append(t.excluded, full...)
+	a.limitReached = len(full) > 0
+	a.excluded = append(a.excluded, full...)
 	if spare {
-		t.reserved = p.endpointLimits.Limited()
+		a.reserved = p.endpointLimits.Limited()
 	}
-	return t
+	return a
 }
 
 // excludedEndpoints returns the endpoints that the next attempt must not use.
-func (t *attempts) excludedEndpoints() []fleet.EndpointID {
-	return slices.Concat(t.excluded, t.reserved)
+func (a *attempts) excludedEndpoints() []fleet.EndpointID {
+	return slices.Concat(a.excluded, a.reserved)
 }
 
 // includeReserved allows the reserved endpoints. It returns false if there are none.
-func (t *attempts) includeReserved() bool {
-	if len(t.reserved) == 0 {
+func (a *attempts) includeReserved() bool {
+	if len(a.reserved) == 0 {
 		return false
 	}
-	t.reserved = nil
-	t.remaining++
+	a.reserved = nil
+	a.remaining++
 	return true
 }
 
 // next reports whether another endpoint may be tried.
-func (t *attempts) next() bool {
-	t.remaining--
-	return t.remaining >= 0
+func (a *attempts) next() bool {
+	a.remaining--
+	return a.remaining >= 0
 }
 
 // acquire reports whether the endpoint can take the request, and takes capacity of its
 // limit. If it cannot, the next attempt excludes it.
-func (t *attempts) acquire(now time.Time, e fleet.EndpointID, repeatable bool) bool {
-	if t.p.mayTry(now, e, repeatable) {
-		if t.p.endpointLimits == nil || t.p.endpointLimits.Acquire(e) {
+func (a *attempts) acquire(now time.Time, e fleet.EndpointID, repeatable bool) bool {
+	if a.p.mayTry(now, e, repeatable) {
+		if a.p.endpointLimits == nil || a.p.endpointLimits.Acquire(e) {
 			return true
 		}
 		// Not counted as an attempt: each such endpoint is met once, as it is excluded
 		// from now on.
-		t.limitReached = true
-		t.remaining++
+		a.limitReached = true
+		a.remaining++
 	}
-	t.excluded = append(t.excluded, e)
+	a.excluded = append(a.excluded, e)
 	return false
 }
 
 // refusal returns the error for a request that no endpoint can take.
-func (t *attempts) refusal() *forward.RefusedError {
-	if t.limitReached {
-		return &forward.RefusedError{Code: codeAtLimits, RetryAfter: t.p.overloadRetryAfter()}
+func (a *attempts) refusal() *forward.RefusedError {
+	if a.limitReached {
+		return &forward.RefusedError{Code: codeAtLimits, RetryAfter: a.p.overloadRetryAfter()}
 	}
 	return &forward.RefusedError{Code: codeNoEndpoint, RetryAfter: noEndpointRetryAfter}
 }
--- a/router/cache_transfer.go
+++ b/router/cache_transfer.go
@@ -18,23 +18,23 @@
 // Computing a long shared prefix again occupies an engine for over 100 ms, while
 // fetching it takes 5 to 25 ms. An attempt to fetch a prefix that the source does not
 // have costs a millisecond, and an engine fetches only what it lacks.
-func (p *placer) setCacheTransfer(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate, out *forward.RouterInfo) {
+func (p *placer) setCacheTransfer(now time.Time, req *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate, out *forward.RouterInfo) {
 	levels := r.Levels
 	if levels == nil {
-		levels = prefix.SegmentLevels(seedOf(w, out.Version), w.In.Parts)
+		levels = prefix.SegmentLevels(seedOf(req, out.Version), req.In.Parts)
 	}
 	at := prefix.AffinityLevel(levels)
 	if at < 0 {
 		return
 	}
-	if address, known := p.fetchFrom(now, w, r, d, out.CacheSalt); known {
+	if address, known := p.fetchFrom(now, req, r, d, out.CacheSalt); known {
 		out.FetchFrom = address
 	}
 	if levels[at].Tokens < minFetchTokens {
 		return
 	}
 	key := levels[at].Key
-	store := storeOf(w.Table, key)
+	store := storeOf(req.Table, key)
 	alternate := p.state.roster.Find(d.AlternateEndpoint)
 	spilled := d.Reason == placement.ReasonSpill && r.Locations == nil
 	switch {
@@ -57,24 +57,24 @@
 // enginesRetain reports whether the engines of a model have enough memory to keep what
 // they read for a while, at the rate at which this daemon, as dispatcher of a group,
 // sends them prompts.
-func (p *placer) enginesRetain(now time.Time, w *forward.PlacementRequest) bool {
+func (p *placer) enginesRetain(now time.Time, req *forward.PlacementRequest) bool {
 	p.state.mu.Lock()
-	engines := p.state.roster.Engines(w.Service.Name, w.In.Model)
+	engines := p.state.roster.Engines(req.Service.Name, req.In.Model)
 	p.state.mu.Unlock()
 	p.segmentsMu.Lock()
 	defer p.segmentsMu.Unlock()
-	return p.segments.retains(now, engines/dispatchGroups(engines), w.Service.Engine.CapacityTokens)
+	return p.segments.retains(now, engines/dispatchGroups(engines), req.Service.Engine.CapacityTokens)
 }
 
 // fetchFrom returns the address of the holder with the longest cached prefix of the
 // prompt, among those whose cache contents are known. known is false if no holder has
 // enough more than the chosen engine.
-func (p *placer) fetchFrom(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
+func (p *placer) fetchFrom(now time.Time, req *forward.PlacementRequest, r *placement.Request, d *placement.Decision, salt string) (address string, known bool) {
 	if p.cacheTracker == nil || r.Locations == nil {
 		return "", false
 	}
 	engine := p.state.roster.Find(d.Endpoint)
-	address, tokens := p.cacheTracker.bestSource(w, salt, engine.Zone, func(name string) bool {
+	address, tokens := p.cacheTracker.bestSource(req, salt, engine.Zone, func(name string) bool {
 		key := fleet.EndpointID(name)
 		return key != d.Endpoint && (p.state.roster.Find(key) == nil || !p.state.roster.Unusable(now, key))
 	})
@@ -108,18 +108,18 @@
 
 // salt returns the cache salt of a request. It separates cache entries that must never
 // be mixed: those of different weight versions and those of an isolated organisation.
-func salt(w *forward.PlacementRequest, version int64) string {
+func salt(req *forward.PlacementRequest, version int64) string {
 	text := "v" + strconv.FormatInt(version, 10)
-	if w.Organisation != nil && w.Organisation.Isolated {
-		text += "/" + w.Organisation.Name
+	if req.Organisation != nil && req.Organisation.Isolated {
+		text += "/" + req.Organisation.Name
 	}
 	return text
 }
 
-func seedOf(w *forward.PlacementRequest, version int64) prefix.Seed {
-	seed := prefix.Seed{Model: w.In.Model, Version: strconv.FormatInt(version, 10)}
-	if w.Organisation != nil && w.Organisation.Isolated {
-		seed.Organisation = contract.OrganisationID(w.Organisation.Name)
+func seedOf(req *forward.PlacementRequest, version int64) prefix.Seed {
+	seed := prefix.Seed{Model: req.In.Model, Version: strconv.FormatInt(version, 10)}
+	if req.Organisation != nil && req.Organisation.Isolated {
+		seed.Organisation = contract.OrganisationID(req.Organisation.Name)
 	}
 	return seed
 }
--- a/router/caches.go
+++ b/router/caches.go
@@ -25,7 +25,8 @@
 	// arrive some 100 ms late in any case.
 	eventPollPause = 60 * time.Millisecond
 	// maxEventAge is how long the last answer of a holder is relied on. After that the
-	// holder may be gone, and a fetch from it would hang for some hundred milliseconds.
+	// holder may have failed, and a fetch from it would hang for some hundred
+	// milliseconds.
 	maxEventAge = eventPollWait + 800*time.Millisecond
 	// sourceRefreshInterval is how often the set of followed holders is recomputed.
 	sourceRefreshInterval = 200 * time.Millisecond
@@ -179,13 +180,13 @@
 			continue
 		}
 		own, cancel := context.WithCancel(ctx)
-		w := &followedHolder{cacheSource: s, cancel: cancel}
-		c.followed[s.name] = w
-		go c.follow(own, w)
+		h := &followedHolder{cacheSource: s, cancel: cancel}
+		c.followed[s.name] = h
+		go c.follow(own, h)
 	}
-	for name, w := range c.followed {
+	for name, h := range c.followed {
 		if !wanted[name] {
-			w.cancel()
+			h.cancel()
 			delete(c.followed, name)
 			c.table.Remove(name)
 		}
@@ -193,47 +194,47 @@
 }
 
 // follow requests the events of one holder until the context ends.
-func (c *cacheTracker) follow(ctx context.Context, w *followedHolder) {
+func (c *cacheTracker) follow(ctx context.Context, h *followedHolder) {
 	since, failed := int64(0), 0
 	for ctx.Err() == nil {
 		call, cancel := context.WithTimeout(ctx, eventPollWait+answerTimeout)
-		b, err := c.feed.CacheEvents(call, w.address, since, eventPollWait)
+		b, err := c.feed.CacheEvents(call, h.address, since, eventPollWait)
 		cancel()
 		if err != nil {
-			c.markLost(w, err, failed)
+			c.markLost(h, err, failed)
 			failed++
 			_ = pause.For(ctx, retryDelay(err))
 			since = 0
 			continue
 		}
 		if failed > 0 {
-			c.log.Info("Following a cache again.", "holder", w.name, "failed", failed)
+			c.log.Info("Following a cache again.", "holder", h.name, "failed", failed)
 		}
 		failed, since = 0, b.Next
-		c.applyEvents(ctx, w, b)
+		c.applyEvents(ctx, h, b)
 		_ = pause.For(ctx, eventPollPause)
 	}
 }
 
 // applyEvents applies a batch of events unless the holder is no longer followed.
-func (c *cacheTracker) applyEvents(ctx context.Context, w *followedHolder, b caches.Batch) {
+func (c *cacheTracker) applyEvents(ctx context.Context, h *followedHolder, b caches.Batch) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if ctx.Err() != nil {
 		return
 	}
-	w.lastAnswer = c.clock()
-	c.table.Apply(w.name, w.capacity, b)
+	h.lastAnswer = c.clock()
+	c.table.Apply(h.name, h.capacity, b)
 }
 
 // markLost discards the cache contents of a holder that does not answer.
-func (c *cacheTracker) markLost(w *followedHolder, err error, failed int) {
+func (c *cacheTracker) markLost(h *followedHolder, err error, failed int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	w.lastAnswer = 0
-	c.table.Remove(w.name)
+	h.lastAnswer = 0
+	c.table.Remove(h.name)
 	if failed == 0 {
-		c.log.Warn("Cache cannot be followed.", "holder", w.name, "error", err.Error())
+		c.log.Warn("Cache cannot be followed.", "holder", h.name, "error", err.Error())
 	}
 }
 
@@ -256,10 +257,10 @@
 
 // locate implements prefixLocations. It returns nil if no followed holder has recent
 // events.
-func (c *cacheTracker) locate(w *forward.PlacementRequest, salt string) *placement.PrefixLocations {
+func (c *cacheTracker) locate(req *forward.PlacementRequest, salt string) *placement.PrefixLocations {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.NewPrompt(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, req.In.Parts)
 	var out *placement.PrefixLocations
 	now := c.clock()
 	for name, h := range c.followed {
@@ -281,10 +282,10 @@
 // bestSource returns the address of the usable holder that caches the longest prefix of
 // a prompt, and the length of that prefix in tokens. Among holders with equally long
 // prefixes it prefers those in the given zone, and then the one with the fastest link.
-func (c *cacheTracker) bestSource(w *forward.PlacementRequest, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
+func (c *cacheTracker) bestSource(req *forward.PlacementRequest, salt string, zone fleet.ZoneID, usable func(name string) bool) (address string, tokens int) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	prompt := caches.NewPrompt(salt, w.In.Parts)
+	prompt := caches.NewPrompt(salt, req.In.Parts)
 	now := c.clock()
 	var from *followedHolder
 	for name, h := range c.followed {
@@ -304,12 +305,12 @@
 
 // betterThan reports whether the holder is preferred to another one that caches an
 // equally long prefix.
-func (w *followedHolder) betterThan(other *followedHolder, zone fleet.ZoneID) bool {
-	if near := w.zone == zone; near != (other.zone == zone) {
+func (h *followedHolder) betterThan(other *followedHolder, zone fleet.ZoneID) bool {
+	if near := h.zone == zone; near != (other.zone == zone) {
 		return near
 	}
-	if w.rate != other.rate {
-		return w.rate > other.rate
+	if h.rate != other.rate {
+		return h.rate > other.rate
 	}
-	return w.name < other.name
+	return h.name < other.name
 }
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -55,15 +55,15 @@
 
 // beginsInTime reports whether the prompt will probably begin before the time bound on
 // its weights.
-func (w *candidate) beginsInTime(first time.Duration) bool {
-	if w.beginWithin == 0 || w.beginWithin == noTimeLimit {
+func (c *candidate) beginsInTime(first time.Duration) bool {
+	if c.beginWithin == 0 || c.beginWithin == noTimeLimit {
 		return true
 	}
 	factor := waitSafetyFactor
-	if w.notRepeatable {
+	if c.notRepeatable {
 		factor = waitSafetyFactorOnce
 	}
-	return time.Duration(factor*float64(first)) <= w.beginWithin
+	return time.Duration(factor*float64(first)) <= c.beginWithin
 }
 
 // listCandidates returns the candidates for a prompt. The first one is taken if its
@@ -75,13 +75,13 @@
 // Each prompt is therefore placed where it costs least instead of being late or
 // refused. An overloaded fleet has no idle engines, so there segments stay at their
 // preferred endpoints.
-func listCandidates(w *forward.PlacementRequest, v versionChoice, in subpool, lookup prefixLocations) []candidate {
-	once := w.Route != nil && !w.Route.Repeatable()
+func listCandidates(req *forward.PlacementRequest, v versionChoice, in subpool, lookup prefixLocations) []candidate {
+	once := req.Route != nil && !req.Route.Repeatable()
 	to := func(o otherVersion) func(l subpool, extraPenalty float64) candidate {
-		levels, held := levelsOf(w, o.version), locationsOf(w, o.version, lookup)
+		levels, held := levelsOf(req, o.version), locationsOf(req, o.version, lookup)
 		return func(l subpool, extraPenalty float64) candidate {
 			return candidate{
-				pool: pools.ModelPool(w.Service.Name, w.In.Model, o.version, l), levels: levels, held: held,
+				pool: pools.ModelPool(req.Service.Name, req.In.Model, o.version, l), levels: levels, held: held,
 				subpool: l, version: o.version, penalty: o.penalty + extraPenalty, beginWithin: o.beginWithin, notRepeatable: once,
 			}
 		}
@@ -111,20 +111,20 @@
 
 // locationsOf returns a function that looks up the cached prefix of a prompt on first
 // use.
-func locationsOf(w *forward.PlacementRequest, version int64, lookup prefixLocations) func() *placement.PrefixLocations {
+func locationsOf(req *forward.PlacementRequest, version int64, lookup prefixLocations) func() *placement.PrefixLocations {
 	return sync.OnceValue(func() *placement.PrefixLocations {
-		if lookup == nil || len(w.In.Parts) == 0 {
+		if lookup == nil || len(req.In.Parts) == 0 {
 			return nil
 		}
-		return lookup(w, salt(w, version))
+		return lookup(req, salt(req, version))
 	})
 }
 
 // levelsOf returns a function that computes the shared prefixes of a prompt under a
 // version on first use, as most prompts need those of one version only.
-func levelsOf(w *forward.PlacementRequest, version int64) func() []prefix.Level {
+func levelsOf(req *forward.PlacementRequest, version int64) func() []prefix.Level {
 	return sync.OnceValue(func() []prefix.Level {
-		return prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
+		return prefix.SegmentLevels(seedOf(req, version), req.In.Parts)
 	})
 }
 
@@ -137,13 +137,13 @@
 
 // cost returns the cost of the candidate as a fraction of the latency objective:
 // expected time to the first token plus penalty.
-func (w *evaluatedCandidate) cost(target time.Duration) float64 {
-	return w.decision.ExpectedFirstToken.Seconds()/max(target, time.Millisecond).Seconds() + w.penalty
+func (c *evaluatedCandidate) cost(target time.Duration) float64 {
+	return c.decision.ExpectedFirstToken.Seconds()/max(target, time.Millisecond).Seconds() + c.penalty
 }
 
 // lowWait reports whether the expected wait is low enough to skip the other candidates.
-func (w *evaluatedCandidate) lowWait(target time.Duration) bool {
-	return w.decision.ExpectedWait <= time.Duration(lowWaitFraction*float64(target))
+func (c *evaluatedCandidate) lowWait(target time.Duration) bool {
+	return c.decision.ExpectedWait <= time.Duration(lowWaitFraction*float64(target))
 }
 
 // evaluator is the part of placement that evaluates one pool.
@@ -170,8 +170,8 @@
 		if at.nonPreferred {
 			next.request.Avoid = append(slices.Clone(r.Avoid), preferred)
 		}
-		d, weighErr := v.Select(now, next.request)
-		if weighErr != nil {
+		d, selectErr := v.Select(now, next.request)
+		if selectErr != nil {
 			continue // another candidate may have an engine
 		}
 		if i == 0 {
--- a/router/dispatch.go
+++ b/router/dispatch.go
@@ -143,13 +143,13 @@
 }
 
 // groupOf returns the name of the group of prompts that one dispatcher places together.
-func (d *dispatchPlacer) groupOf(w *forward.PlacementRequest) string {
+func (d *dispatchPlacer) groupOf(req *forward.PlacementRequest) string {
 	d.state.mu.Lock()
-	engines := d.state.roster.Engines(w.Service.Name, w.In.Model)
+	engines := d.state.roster.Engines(req.Service.Name, req.In.Model)
 	d.state.mu.Unlock()
-	group := w.Service.Name + "/" + w.In.Model
-	if groups := dispatchGroups(engines); groups > 1 && len(w.In.Parts) > 0 {
-		group += "/" + string(rune('a'+hash.Text(w.In.Parts[0].ID)%uint64(groups)))
+	group := req.Service.Name + "/" + req.In.Model
+	if groups := dispatchGroups(engines); groups > 1 && len(req.In.Parts) > 0 {
+		group += "/" + string(rune('a'+hash.Text(req.In.Parts[0].ID)%uint64(groups)))
 	}
 	return group
 }
@@ -161,39 +161,39 @@
 }
 
 // Place implements forward.Placer.
-func (d *dispatchPlacer) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
-	if w.Service.Engine == nil || w.In.Model == "" {
-		return d.placer.Place(ctx, w)
+func (d *dispatchPlacer) Place(ctx context.Context, req *forward.PlacementRequest) (forward.Placement, error) {
+	if req.Service.Engine == nil || req.In.Model == "" {
+		return d.placer.Place(ctx, req)
 	}
-	d.recordArrival(time.Now(), w)
-	if subpoolOf(w.In.PromptTokens) != subpoolLong {
-		return d.placer.Place(ctx, w)
+	d.recordArrival(time.Now(), req)
+	if subpoolOf(req.In.PromptTokens) != subpoolLong {
+		return d.placer.Place(ctx, req)
 	}
-	to, some := d.dispatcher(d.groupOf(w))
+	to, some := d.dispatcher(d.groupOf(req))
 	switch {
 	case !some:
-		return d.placer.Place(ctx, w)
+		return d.placer.Place(ctx, req)
 	case to == d.self:
-		return d.placeAsDispatcher(time.Now(), w)
+		return d.placeAsDispatcher(time.Now(), req)
 	}
-	p, ok, err := d.askDispatcher(ctx, to, w)
+	p, ok, err := d.askDispatcher(ctx, to, req)
 	if !ok {
-		return d.placer.Place(ctx, w)
+		return d.placer.Place(ctx, req)
 	}
 	return p, err
 }
 
 // askDispatcher asks a dispatcher to place the request. ok is false if the dispatcher
 // gave no usable answer.
-func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, w *forward.PlacementRequest) (p forward.Placement, ok bool, err error) {
+func (d *dispatchPlacer) askDispatcher(ctx context.Context, to Neighbour, req *forward.PlacementRequest) (p forward.Placement, ok bool, err error) {
 	m := placeMessage{
-		ID: d.lastID.Add(1), Route: w.Route.Name, Service: w.Service.Name, In: *w.In,
-		LeftMs: time.Until(w.Deadline).Milliseconds(), Avoid: w.Excluded, Resuming: w.Resuming,
+		ID: d.lastID.Add(1), Route: req.Route.Name, Service: req.Service.Name, In: *req.In,
+		LeftMs: time.Until(req.Deadline).Milliseconds(), Avoid: req.Excluded, Resuming: req.Resuming,
 	}
 	m.In.APIKey = ""
 	m.Loads = d.takeObservedLoads(time.Now())
-	if w.Organisation != nil {
-		m.Org, m.Isolated = w.Organisation.Name, w.Organisation.Isolated
+	if req.Organisation != nil {
+		m.Org, m.Isolated = req.Organisation.Name, req.Organisation.Isolated
 	}
 	answer := make(chan placedMessage, 1)
 	d.mu.Lock()
@@ -211,7 +211,7 @@
 	defer timer.Stop()
 	select {
 	case got := <-answer:
-		return d.acceptAnswer(to, w, &got)
+		return d.acceptAnswer(to, req, &got)
 	case <-timer.C:
 		d.avoidDispatcher(to)
 	case <-ctx.Done():
@@ -220,7 +220,7 @@
 }
 
 // acceptAnswer validates a dispatcher's answer against this daemon's own state.
-func (d *dispatchPlacer) acceptAnswer(from Neighbour, w *forward.PlacementRequest, got *placedMessage) (forward.Placement, bool, error) {
+func (d *dispatchPlacer) acceptAnswer(from Neighbour, req *forward.PlacementRequest, got *placedMessage) (forward.Placement, bool, error) {
 	switch {
 	case got.Refused != nil && (got.Refused.Code == codeNoEndpoint || got.Refused.Code == codeAtLimits):
 		// The dispatcher may be cut off from the endpoints or from the daemon that
@@ -232,11 +232,11 @@
 		return forward.Placement{}, false, nil
 	}
 	p := *got.Place
-	beginWithin := d.timeToBegin(w, &p)
+	beginWithin := d.timeToBegin(req, &p)
 	if got.LeftMs > 0 {
 		beginWithin = min(beginWithin, time.Duration(got.LeftMs)*time.Millisecond)
 	}
-	if beginWithin <= minBeginTime || slices.Contains(w.Excluded, p.Target.Key) {
+	if beginWithin <= minBeginTime || slices.Contains(req.Excluded, p.Target.Key) {
 		d.sendMessage(from.Address, kindEnded, endedMessage{ID: got.ID, End: forward.AttemptEnd{Left: true}})
 		return forward.Placement{}, false, nil
 	}
@@ -254,14 +254,14 @@
 // A dispatcher that has lost the store sees neither newly named weights nor endpoints
 // that are draining. If its answer were accepted unchecked, prompts would begin on
 // weights that are out of use.
-func (d *dispatchPlacer) timeToBegin(w *forward.PlacementRequest, p *forward.Placement) time.Duration {
+func (d *dispatchPlacer) timeToBegin(req *forward.PlacementRequest, p *forward.Placement) time.Duration {
 	d.state.mu.Lock()
 	defer d.state.mu.Unlock()
 	e := d.state.roster.Find(p.Target.Key)
-	if e == nil || e.ID != p.Target.ID || e.Service != w.Service.Name || d.state.roster.Unusable(time.Now(), p.Target.Key) {
+	if e == nil || e.ID != p.Target.ID || e.Service != req.Service.Name || d.state.roster.Unusable(time.Now(), p.Target.Key) {
 		return 0
 	}
-	return d.state.named[w.In.Model].timeToBegin(p.Out.Version, d.placer.clock(), d.versionBound)
+	return d.state.named[req.In.Model].timeToBegin(p.Out.Version, d.placer.clock(), d.versionBound)
 }
 
 func (d *dispatchPlacer) avoidDispatcher(n Neighbour) {
--- a/router/dispatch_messages.go
+++ b/router/dispatch_messages.go
@@ -91,11 +91,13 @@
 		return false
 	}
 	if err := d.handle(from, data[0], data[1:]); err != nil {
-		d.log.Info("Dispatch message is malformed.", "from", from, "error", err.Error())
+		d.log.Info("Message of another daemon is malformed.", "from", from, "error", err.Error())
 	}
 	return true
 }
 
+// handle decodes and applies a message. It returns an error if the JSON of the message
+// cannot be decoded.
 func (d *dispatchPlacer) handle(from string, kind byte, data []byte) error {
 	switch kind {
 	case kindPlace:
@@ -171,12 +173,12 @@
 
 // placeFor places a prompt for another daemon.
 func (d *dispatchPlacer) placeFor(from string, m *placeMessage) placedMessage {
-	w, ok := d.workOf(m)
+	req, ok := d.requestOf(m)
 	if !ok {
 		return placedMessage{ID: m.ID, Unknown: true}
 	}
 	d.applyReportedLoads(time.Now(), m.Loads)
-	p, err := d.placeAsDispatcher(time.Now(), w)
+	p, err := d.placeAsDispatcher(time.Now(), req)
 	var refused *forward.RefusedError
 	switch {
 	case errors.As(err, &refused):
@@ -194,9 +196,9 @@
 	return out
 }
 
-// workOf rebuilds a request from the message. It returns false if this daemon's
+// requestOf rebuilds a request from the message. It returns false if this daemon's
 // configuration lacks the route or the service.
-func (d *dispatchPlacer) workOf(m *placeMessage) (*forward.PlacementRequest, bool) {
+func (d *dispatchPlacer) requestOf(m *placeMessage) (*forward.PlacementRequest, bool) {
 	t := d.state.table.Load()
 	if t == nil || t.Services[m.Service] == nil || t.Services[m.Service].Engine == nil {
 		return nil, false
@@ -205,20 +207,20 @@
 	if i < 0 {
 		return nil, false
 	}
-	w := &forward.PlacementRequest{
+	req := &forward.PlacementRequest{
 		Route: &t.Routes[i], Service: t.Services[m.Service], Table: t, In: &m.In, Arrived: time.Now(),
 		Deadline: time.Now().Add(time.Duration(m.LeftMs) * time.Millisecond), Excluded: m.Avoid, Resuming: m.Resuming,
 	}
 	if m.Org != "" {
-		w.Organisation = &routes.Organisation{Name: m.Org, Isolated: m.Isolated}
+		req.Organisation = &routes.Organisation{Name: m.Org, Isolated: m.Isolated}
 		for _, o := range t.Organisations {
 			if o.Name == m.Org {
-				w.Organisation.Priority, w.Organisation.HasPriority = o.Priority, o.HasPriority
+				req.Organisation.Priority, req.Organisation.HasPriority = o.Priority, o.HasPriority
 				break
 			}
 		}
 	}
-	return w, true
+	return req, true
 }
 
 // maxReportedLoads bounds the loads in one placeMessage.
@@ -252,10 +254,10 @@
 
 // applyReportedLoads applies loads that another daemon observed.
 func (d *dispatchPlacer) applyReportedLoads(now time.Time, loads []reportedLoad) {
-	for _, t := range loads {
-		d.state.view.LoadReported(t.Engine, fleet.Load{
-			At: now.Add(-time.Duration(t.AgeMs) * time.Millisecond), Running: t.Running, Waiting: t.Waiting, Slots: t.Slots,
-			WaitingTokens: d.estimateWaiting(subpoolShort, max(0, t.Waiting-d.state.view.PendingPrompts(t.Engine))),
+	for _, l := range loads {
+		d.state.view.LoadReported(l.Engine, fleet.Load{
+			At: now.Add(-time.Duration(l.AgeMs) * time.Millisecond), Running: l.Running, Waiting: l.Waiting, Slots: l.Slots,
+			WaitingTokens: d.estimateWaiting(subpoolShort, max(0, l.Waiting-d.state.view.PendingPrompts(l.Engine))),
 		})
 	}
 }
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -131,7 +131,8 @@
 // The store refuses the calls of a daemon through which another one reads. If an
 // organisation's keys are revoked meanwhile, the other daemon must know within the bound,
 // even with the longest waits until it reads from the store itself. The maximum age of
-// relayed answers must leave time for these.
+// relayed answers must leave time for these: with answers up to 3.2 s old accepted, a
+// caller was still admitted 2.05 s after the change.
 func TestRelayedAnswerAgeStaysWithinBound(t *testing.T) {
 	for _, bound := range []time.Duration{2 * time.Second, 3 * time.Second, 4 * time.Second} {
 		set := &Settings{ConfigWithin: bound, DrainWithin: bound}
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -395,7 +395,7 @@
 	})
 }
 
-// testWire implements forward.Wire with headers that only these tests use.
+// testWire implements forward.HeaderCodec with headers that only these tests use.
 type testWire struct{}
 
 func (testWire) DecodeRequest(h http.Header) forward.RequestInfo {
--- a/router/line_limiter.go
+++ b/router/line_limiter.go
@@ -32,18 +32,18 @@
 // allow reports whether to write the line of an ordinary event at the given time.
 // leftOut is the number of lines left out in the previous second if that has just
 // ended, else 0.
-func (f *lineLimiter) allow(now time.Time) (write bool, leftOut int) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if s := now.Unix(); s != f.second {
-		leftOut = f.suppressed
-		f.second, f.written, f.suppressed = s, 0, 0
+func (l *lineLimiter) allow(now time.Time) (write bool, leftOut int) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if s := now.Unix(); s != l.second {
+		leftOut = l.suppressed
+		l.second, l.written, l.suppressed = s, 0, 0
 	}
-	if f.written >= f.perSecond {
-		f.suppressed++
+	if l.written >= l.perSecond {
+		l.suppressed++
 		return false, leftOut
 	}
-	f.written++
+	l.written++
 	return true, leftOut
 }
 
--- a/router/placer.go
+++ b/router/placer.go
@@ -100,9 +100,9 @@
 
 // Place implements forward.Placer. While all endpoints are at their limits, it waits
 // briefly for another daemon's answer on a limit.
-func (p *placer) Place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
+func (p *placer) Place(ctx context.Context, req *forward.PlacementRequest) (forward.Placement, error) {
 	for waited := 0; ; waited++ {
-		out, err := p.place(ctx, w)
+		out, err := p.place(ctx, req)
 		var refused *forward.RefusedError
 		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.MaxReplyWaits || !p.endpointLimits.AwaitingReply() {
 			return out, err
@@ -113,50 +113,50 @@
 	}
 }
 
-func (p *placer) place(ctx context.Context, w *forward.PlacementRequest) (forward.Placement, error) {
+func (p *placer) place(ctx context.Context, req *forward.PlacementRequest) (forward.Placement, error) {
 	now := time.Now()
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
-		Pool: pools.ServicePool(w.Service.Name), Tokens: w.In.PromptTokens, Avoid: w.Excluded,
-		Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
+		Pool: pools.ServicePool(req.Service.Name), Tokens: req.In.PromptTokens, Avoid: req.Excluded,
+		Priority: priorityOf(req.Route.EffectivePriority(req.Organisation)),
 	}
-	if w.Service.Engine != nil && w.In.Model != "" {
-		return p.placeModel(ctx, now, w, &r)
+	if req.Service.Engine != nil && req.In.Model != "" {
+		return p.placeModel(ctx, now, req, &r)
 	}
-	d, err := p.chooseEndpoint(now, &r, w.Route.Repeatable())
+	d, err := p.chooseEndpoint(now, &r, req.Route.Repeatable())
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	if left := time.Until(w.Deadline); d.ExpectedFirstToken > time.Duration(maxWaitFraction*float64(left)) {
+	if left := time.Until(req.Deadline); d.ExpectedFirstToken > time.Duration(maxWaitFraction*float64(left)) {
 		p.state.view.Finished(now, r.ID)
 		p.releaseLimit(d.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{Code: codeOverloaded, RetryAfter: p.overloadRetryAfter()}
 	}
-	return p.newPlacement(now, w, &r, &d, &candidate{}), nil
+	return p.newPlacement(now, req, &r, &d, &candidate{}), nil
 }
 
 // placeAsDispatcher places a long prompt from local state without querying engines for
 // their load, as this daemon places all long prompts of the group.
-func (p *placer) placeAsDispatcher(now time.Time, w *forward.PlacementRequest) (forward.Placement, error) {
+func (p *placer) placeAsDispatcher(now time.Time, req *forward.PlacementRequest) (forward.Placement, error) {
 	p.state.refreshIfChanged(now)
 	r := placement.Request{
-		Tokens: w.In.PromptTokens, Avoid: w.Excluded, Priority: priorityOf(w.Route.EffectivePriority(w.Organisation)),
+		Tokens: req.In.PromptTokens, Avoid: req.Excluded, Priority: priorityOf(req.Route.EffectivePriority(req.Organisation)),
 		Exclusive: true,
 	}
-	return p.placeModel(context.Background(), now, w, &r)
+	return p.placeModel(context.Background(), now, req, &r)
 }
 
 // segmentLocations returns where the shared segment of a prompt is held and from which
 // engine it can be fetched. It is used by the dispatcher.
-func (p *placer) segmentLocations(now time.Time, w *forward.PlacementRequest, version int64) (*placement.PrefixLocations, fleet.EndpointID) {
-	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
+func (p *placer) segmentLocations(now time.Time, req *forward.PlacementRequest, version int64) (*placement.PrefixLocations, fleet.EndpointID) {
+	levels := prefix.SegmentLevels(seedOf(req, version), req.In.Parts)
 	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
 		return &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}, ""
 	}
 	p.segmentsMu.Lock()
 	defer p.segmentsMu.Unlock()
-	engine := w.Service.Engine
+	engine := req.Service.Engine
 	held, from := p.segments.locate(now, levels[at].Key, engine.CapacityTokens, p.fetchable)
 	if engine.BytesPerToken > 0 {
 		held.FetchRate = engine.LinkMbps * 1e6 / 8 / float64(engine.BytesPerToken) / 2
@@ -171,15 +171,15 @@
 	p.segments.expire(now)
 }
 
-// mergeReported adds the locations that engines and stores report to h. An engine that
-// does not report a segment yet may still be about to read it, so the locations in h
-// remain.
-func mergeReported(h, reported *placement.PrefixLocations) {
+// mergeReported merges the locations that engines and stores report into locations. It
+// removes none, as an engine that does not report a segment yet may be about to read
+// it.
+func mergeReported(locations, reported *placement.PrefixLocations) {
 	for key, tokens := range reported.Tokens {
-		h.Tokens[key] = max(h.Tokens[key], tokens)
+		locations.Tokens[key] = max(locations.Tokens[key], tokens)
 	}
-	if reported.MaxTokens > h.MaxTokens {
-		h.MaxTokens, h.FetchRate = reported.MaxTokens, reported.FetchRate
+	if reported.MaxTokens > locations.MaxTokens {
+		locations.MaxTokens, locations.FetchRate = reported.MaxTokens, reported.FetchRate
 	}
 }
 
@@ -190,40 +190,40 @@
 }
 
 // recordSegment records to which engine the shared segment of a prompt is sent.
-func (p *placer) recordSegment(now time.Time, w *forward.PlacementRequest, version int64, d *placement.Decision) {
-	levels := prefix.SegmentLevels(seedOf(w, version), w.In.Parts)
+func (p *placer) recordSegment(now time.Time, req *forward.PlacementRequest, version int64, d *placement.Decision) {
+	levels := prefix.SegmentLevels(seedOf(req, version), req.In.Parts)
 	at := prefix.AffinityLevel(levels)
 	if at < 0 || len(levels) < 2 {
 		return
 	}
 	p.segmentsMu.Lock()
 	defer p.segmentsMu.Unlock()
-	p.segments.recordPlacement(now, levels[at].Key, levels[at].Tokens, w.In.PromptTokens, w.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirstToken))
+	p.segments.recordPlacement(now, levels[at].Key, levels[at].Tokens, req.In.PromptTokens, req.Service.Engine.CapacityTokens, d.Endpoint, now.Add(d.ExpectedFirstToken))
 }
 
 // placeModel places a prompt on an engine that serves its model.
-func (p *placer) placeModel(ctx context.Context, now time.Time, w *forward.PlacementRequest, r *placement.Request) (forward.Placement, error) {
-	v, err := p.eligibleVersions(w)
+func (p *placer) placeModel(ctx context.Context, now time.Time, req *forward.PlacementRequest, r *placement.Request) (forward.Placement, error) {
+	v, err := p.eligibleVersions(req)
 	if err != nil {
 		return forward.Placement{}, err
 	}
-	in := subpoolOf(w.In.PromptTokens)
-	all := listCandidates(w, v, in, p.prefixLocations())
+	in := subpoolOf(req.In.PromptTokens)
+	all := listCandidates(req, v, in, p.prefixLocations())
 	switch {
 	case r.Exclusive:
-		p.useSegmentLocations(now, w, all)
+		p.useSegmentLocations(now, req, all)
 	case in == subpoolLong:
 		first := *r
 		first.Pool, first.Levels = all[0].pool, all[0].levels()
-		p.queryLoads(ctx, now, &first, w.In.Model)
+		p.queryLoads(ctx, now, &first, req.In.Model)
 	}
-	best, err := p.chooseCandidate(now, w, r, all)
+	best, err := p.chooseCandidate(now, req, r, all)
 	if err != nil {
 		return forward.Placement{}, err
 	}
 	// A stream that resumes on another engine is not refused, as its caller has
 	// received a part of it.
-	if !w.Resuming && best.decision.ExpectedWait > time.Duration(modelWaitFractions[in]*float64(w.Route.TargetLatency)) {
+	if !req.Resuming && best.decision.ExpectedWait > time.Duration(modelWaitFractions[in]*float64(req.Route.TargetLatency)) {
 		p.releaseLimit(best.decision.Endpoint)
 		return forward.Placement{}, &forward.RefusedError{
 			Code: codeOverloaded, RetryAfter: p.overloadRetryAfter(),
@@ -232,10 +232,10 @@
 	}
 	p.state.view.Reserve(now, best.request, &best.decision)
 	if r.Exclusive {
-		p.recordSegment(now, w, best.version, &best.decision)
-		best.retained = p.enginesRetain(now, w)
+		p.recordSegment(now, req, best.version, &best.decision)
+		best.retained = p.enginesRetain(now, req)
 	}
-	return p.newPlacement(now, w, &best.request, &best.decision, &best.candidate), nil
+	return p.newPlacement(now, req, &best.request, &best.decision, &best.candidate), nil
 }
 
 // releaseLimit returns the capacity that a request took of an endpoint's limit without
@@ -248,11 +248,11 @@
 
 // useSegmentLocations makes the candidates consider any engine by where the shared
 // segment is held instead of by its preferred endpoint.
-func (p *placer) useSegmentLocations(now time.Time, w *forward.PlacementRequest, all []candidate) {
+func (p *placer) useSegmentLocations(now time.Time, req *forward.PlacementRequest, all []candidate) {
 	for i := range all {
 		at := &all[i]
 		at.levels = func() []prefix.Level { return nil }
-		held, from := p.segmentLocations(now, w, at.version)
+		held, from := p.segmentLocations(now, req, at.version)
 		if reported := at.held(); reported != nil {
 			mergeReported(held, reported)
 		}
@@ -262,23 +262,23 @@
 }
 
 // chooseCandidate returns the best candidate whose endpoint can take the request.
-func (p *placer) chooseCandidate(now time.Time, w *forward.PlacementRequest, r *placement.Request, all []candidate) (evaluatedCandidate, error) {
+func (p *placer) chooseCandidate(now time.Time, req *forward.PlacementRequest, r *placement.Request, all []candidate) (evaluatedCandidate, error) {
 	try := *r
-	t := p.newAttempts(r.Avoid, subpoolOf(w.In.PromptTokens) == subpoolShort)
-	for t.next() {
-		try.ID, try.Avoid = p.lastID.Add(1), t.excludedEndpoints()
-		best, err := bestCandidate(now, p.state.view, try, all, w.Route.TargetLatency)
-		if err != nil && t.includeReserved() {
+	tries := p.newAttempts(r.Avoid, subpoolOf(req.In.PromptTokens) == subpoolShort)
+	for tries.next() {
+		try.ID, try.Avoid = p.lastID.Add(1), tries.excludedEndpoints()
+		best, err := bestCandidate(now, p.state.view, try, all, req.Route.TargetLatency)
+		if err != nil && tries.includeReserved() {
 			continue
 		}
 		if err != nil {
 			break
 		}
-		if t.acquire(now, best.decision.Endpoint, w.Route.Repeatable()) {
+		if tries.acquire(now, best.decision.Endpoint, req.Route.Repeatable()) {
 			return best, nil
 		}
 	}
-	return evaluatedCandidate{}, t.refusal()
+	return evaluatedCandidate{}, tries.refusal()
 }
 
 // modelWaitFractions is the expected wait before a prompt is read above which it is
@@ -310,23 +310,23 @@
 
 // recordArrival adds a prompt of this daemon's callers to the work that divides the
 // engines.
-func (p *placer) recordArrival(now time.Time, w *forward.PlacementRequest) {
+func (p *placer) recordArrival(now time.Time, req *forward.PlacementRequest) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
-	p.state.subpools.addRequest(now, subpoolOf(w.In.PromptTokens), w.In.PromptTokens, w.Service.Engine.Slots)
+	p.state.subpools.addRequest(now, subpoolOf(req.In.PromptTokens), req.In.PromptTokens, req.Service.Engine.Slots)
 }
 
 // eligibleVersions chooses the weight versions that the request may be bound to.
-func (p *placer) eligibleVersions(w *forward.PlacementRequest) (versionChoice, error) {
+func (p *placer) eligibleVersions(req *forward.PlacementRequest) (versionChoice, error) {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
-	n := p.state.named[w.In.Model]
+	n := p.state.named[req.In.Model]
 	segmentHash := uint64(0)
-	if len(w.In.Parts) > 0 {
-		segmentHash = hash.Text(w.In.Parts[0].ID)
+	if len(req.In.Parts) > 0 {
+		segmentHash = hash.Text(req.In.Parts[0].ID)
 	}
-	pool := subpoolOf(w.In.PromptTokens)
-	engines := p.state.roster.Counts(w.Service.Name, w.In.Model)
+	pool := subpoolOf(req.In.PromptTokens)
+	engines := p.state.roster.Counts(req.Service.Name, req.In.Model)
 	clock := p.clock()
 	lead := newestVersionFactor
 	if pool == subpoolShort {
@@ -348,22 +348,22 @@
 
 // chooseEndpoint places the request on an endpoint that can take it.
 func (p *placer) chooseEndpoint(now time.Time, r *placement.Request, repeatable bool) (placement.Decision, error) {
-	t := p.newAttempts(r.Avoid, false)
-	for t.next() {
-		r.ID, r.Avoid = p.lastID.Add(1), t.excludedEndpoints()
+	tries := p.newAttempts(r.Avoid, false)
+	for tries.next() {
+		r.ID, r.Avoid = p.lastID.Add(1), tries.excludedEndpoints()
 		d, err := p.state.view.Place(now, *r)
 		switch {
 		case errors.Is(err, placement.ErrNoEndpoint), errors.Is(err, placement.ErrUnknownPool):
-			return d, t.refusal()
+			return d, tries.refusal()
 		case err != nil:
 			return d, err
 		}
-		if t.acquire(now, d.Endpoint, repeatable) {
+		if tries.acquire(now, d.Endpoint, repeatable) {
 			return d, nil
 		}
 		p.state.view.Finished(now, r.ID)
 	}
-	return placement.Decision{}, t.refusal()
+	return placement.Decision{}, tries.refusal()
 }
 
 // mayTry reports whether the endpoint may be sent this request.
@@ -375,7 +375,7 @@
 
 // newPlacement builds the placement with the headers for the endpoint, and records the
 // request as unanswered.
-func (p *placer) newPlacement(now time.Time, w *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate) forward.Placement {
+func (p *placer) newPlacement(now time.Time, req *forward.PlacementRequest, r *placement.Request, d *placement.Decision, to *candidate) forward.Placement {
 	p.state.mu.Lock()
 	defer p.state.mu.Unlock()
 	e := p.state.roster.Find(d.Endpoint)
@@ -384,8 +384,8 @@
 		Target: forward.Target{Key: e.Key, ID: e.ID, Address: e.Address},
 		Out:    forward.RouterInfo{EndpointID: e.ID, Version: to.version, Urgency: forward.NoUrgency},
 	}
-	if w.Organisation != nil {
-		out.Out.Organisation = w.Organisation.Name
+	if req.Organisation != nil {
+		out.Out.Organisation = req.Organisation.Name
 	}
 	if to.version == 0 {
 		return out
@@ -399,13 +399,13 @@
 		expectedRead: time.Duration(float64(r.Tokens) / prefillRate * float64(time.Second)),
 	}
 	p.unansweredMu.Unlock()
-	out.Notes = forward.PlacerState{Prompt: int(subpoolOf(w.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Exclusive}
-	out.Out.CacheSalt = salt(w, to.version)
-	out.Out.Urgency = min(9, 1+2*w.Route.EffectivePriority(w.Organisation))
+	out.Notes = forward.PlacerState{Prompt: int(subpoolOf(req.In.PromptTokens)), Engine: int(to.subpool), Sole: r.Exclusive}
+	out.Out.CacheSalt = salt(req, to.version)
+	out.Out.Urgency = min(9, 1+2*req.Route.EffectivePriority(req.Organisation))
 	if at := prefix.AffinityLevel(r.Levels); at >= 0 {
 		out.Prefix = r.Levels[at].Key.String()[:prefixDigits]
 	}
-	p.setCacheTransfer(now, w, r, d, to, &out.Out)
+	p.setCacheTransfer(now, req, r, d, to, &out.Out)
 	return out
 }
 
--- a/router/quarantine_store.go
+++ b/router/quarantine_store.go
@@ -51,89 +51,89 @@
 }
 
 // put schedules a hold to be written, or to be deleted if value is empty.
-func (k *holdStore) put(f quarantine.Fingerprint, value []byte) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	if len(value) == 0 && !k.owned[f] {
+func (s *holdStore) put(f quarantine.Fingerprint, value []byte) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if len(value) == 0 && !s.owned[f] {
 		return
 	}
-	k.owned[f] = len(value) > 0
-	if !k.owned[f] {
-		delete(k.owned, f)
+	s.owned[f] = len(value) > 0
+	if !s.owned[f] {
+		delete(s.owned, f)
 	}
-	k.pending[f] = value
+	s.pending[f] = value
 	select {
-	case k.wake <- struct{}{}:
+	case s.wake <- struct{}{}:
 	default:
 	}
 }
 
 // adopt takes over a hold that this daemon wrote before it restarted, and schedules its
 // deletion if it has ended.
-func (k *holdStore) adopt(f quarantine.Fingerprint, lasts bool) {
-	k.mu.Lock()
-	k.owned[f] = true
-	k.mu.Unlock()
+func (s *holdStore) adopt(f quarantine.Fingerprint, lasts bool) {
+	s.mu.Lock()
+	s.owned[f] = true
+	s.mu.Unlock()
 	if !lasts {
-		k.put(f, nil)
+		s.put(f, nil)
 	}
 }
 
 // run writes pending holds until the context ends.
-func (k *holdStore) run(ctx context.Context) {
+func (s *holdStore) run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-k.wake:
+		case <-s.wake:
 		}
-		for k.writeAll(ctx) > 0 && pause.For(ctx, holdWriteInterval) == nil {
+		for s.writeAll(ctx) > 0 && pause.For(ctx, holdWriteInterval) == nil {
 		}
 	}
 }
 
 // writeAll writes the pending holds and returns how many failed.
-func (k *holdStore) writeAll(ctx context.Context) int {
-	k.mu.Lock()
-	all := k.pending
-	k.pending = map[quarantine.Fingerprint][]byte{}
-	k.mu.Unlock()
+func (s *holdStore) writeAll(ctx context.Context) int {
+	s.mu.Lock()
+	all := s.pending
+	s.pending = map[quarantine.Fingerprint][]byte{}
+	s.mu.Unlock()
 	failed := 0
 	for f, value := range all {
 		call, cancel := context.WithTimeout(ctx, answerTimeout)
-		err := k.store.Record(call, holdKeyPrefix+f.String(), value)
+		err := s.store.Record(call, holdKeyPrefix+f.String(), value)
 		cancel()
 		if err == nil {
 			continue
 		}
 		failed++
-		k.log.Warn("Hold cannot be written.", "fingerprint", f.String(), "error", err.Error())
-		k.mu.Lock()
-		if _, newer := k.pending[f]; !newer {
-			k.pending[f] = value
+		s.log.Warn("Hold cannot be written.", "fingerprint", f.String(), "error", err.Error())
+		s.mu.Lock()
+		if _, newer := s.pending[f]; !newer {
+			s.pending[f] = value
 		}
-		k.mu.Unlock()
+		s.mu.Unlock()
 	}
 	return failed
 }
 
 // changed schedules a hold created here to be written, or to be deleted if it has
 // ended.
-func (k *holdStore) changed(c *quarantine.Change, kept *quarantine.StoredHold) {
+func (s *holdStore) changed(c *quarantine.Change, kept *quarantine.StoredHold) {
 	switch {
 	case !c.Held:
-		k.put(c.Fingerprint, nil)
+		s.put(c.Fingerprint, nil)
 		return
 	case kept == nil:
 		return
 	}
 	now := time.Now()
-	value, err := json.Marshal(storedHold{Daemon: k.self, Round: kept.Round, Began: now.Add(-kept.Age).UnixMilli(), Until: now.Add(kept.Left).UnixMilli()})
+	value, err := json.Marshal(storedHold{Daemon: s.self, Round: kept.Round, Began: now.Add(-kept.Age).UnixMilli(), Until: now.Add(kept.Left).UnixMilli()})
 	if err != nil {
-		k.log.Error("Hold cannot be encoded.", "fingerprint", c.Fingerprint.String(), "error", err.Error())
+		s.log.Error("Hold cannot be encoded.", "fingerprint", c.Fingerprint.String(), "error", err.Error())
 		return
 	}
-	k.put(c.Fingerprint, value)
+	s.put(c.Fingerprint, value)
 }
 
 // loadHold applies a hold from the store. It returns false for other records.
--- a/router/router.go
+++ b/router/router.go
@@ -88,7 +88,7 @@
 	limits         *limiter
 	quarantine     *guard.Guard
 	holdStore      *holdStore    // nil: there is no list of daemons
-	endpointLimits *room.Limiter // limits that endpoints name themselves
+	endpointLimits *room.Limiter // limits that endpoints report
 	dispatch       *dispatchPlacer
 	feeds          [topicCount]*feed.Feed
 	log            *logging.Logger
--- a/router/segments.go
+++ b/router/segments.go
@@ -54,40 +54,40 @@
 // recordPlacement records that a prompt with a shared segment is sent to the engine.
 // shared and prompt are lengths in tokens, capacity is the engine's memory in tokens,
 // and ready is when the engine is expected to have read the prompt.
-func (x *segmentIndex) recordPlacement(now time.Time, key prefix.Key, shared, prompt, capacity int, engine fleet.EndpointID, ready time.Time) {
-	p := x.segments[key]
-	if p == nil {
-		p = &sharedSegment{}
-		x.segments[key] = p
+func (s *segmentIndex) recordPlacement(now time.Time, key prefix.Key, shared, prompt, capacity int, engine fleet.EndpointID, ready time.Time) {
+	segment := s.segments[key]
+	if segment == nil {
+		segment = &sharedSegment{}
+		s.segments[key] = segment
 	}
-	p.tokens, p.lastUsed = shared, now
+	segment.tokens, segment.lastUsed = shared, now
 	read := prompt - shared
-	h := p.holder(engine)
-	if h == nil || x.evicted(h, capacity) {
-		read, h = prompt, p.addHolder(engine)
+	h := segment.holder(engine)
+	if h == nil || s.evicted(h, capacity) {
+		read, h = prompt, segment.addHolder(engine)
 		h.ready = ready
 	}
-	x.tokensSent[engine] += float64(read)
-	h.tokensSentAtUse = x.tokensSent[engine]
-	x.rate = x.readRate(now) + float64(read)/readRateWindow.Seconds()
-	x.rateUpdated = now
+	s.tokensSent[engine] += float64(read)
+	h.tokensSentAtUse = s.tokensSent[engine]
+	s.rate = s.readRate(now) + float64(read)/readRateWindow.Seconds()
+	s.rateUpdated = now
 }
 
-func (x *segmentIndex) readRate(now time.Time) float64 {
-	return x.rate * math.Exp(-now.Sub(x.rateUpdated).Seconds()/readRateWindow.Seconds())
+func (s *segmentIndex) readRate(now time.Time) float64 {
+	return s.rate * math.Exp(-now.Sub(s.rateUpdated).Seconds()/readRateWindow.Seconds())
 }
 
 // retains reports whether engines keep a segment for as long as the index does, at the
 // present read rate. In that case no further copy of it is needed elsewhere.
-func (x *segmentIndex) retains(now time.Time, engines, capacity int) bool {
-	return x.readRate(now)*segmentLifetime.Seconds() < reusableMemoryFraction*float64(engines)*float64(capacity)
+func (s *segmentIndex) retains(now time.Time, engines, capacity int) bool {
+	return s.readRate(now)*segmentLifetime.Seconds() < reusableMemoryFraction*float64(engines)*float64(capacity)
 }
 
 // holder returns the engine's entry, or nil.
-func (p *sharedSegment) holder(engine fleet.EndpointID) *segmentHolder {
-	for i := range p.holders {
-		if p.holders[i].engine == engine {
-			return &p.holders[i]
+func (s *sharedSegment) holder(engine fleet.EndpointID) *segmentHolder {
+	for i := range s.holders {
+		if s.holders[i].engine == engine {
+			return &s.holders[i]
 		}
 	}
 	return nil
@@ -95,17 +95,17 @@
 
 // addHolder returns an entry for the engine and replaces the oldest one if there are
 // too many.
-func (p *sharedSegment) addHolder(engine fleet.EndpointID) *segmentHolder {
-	if h := p.holder(engine); h != nil {
+func (s *sharedSegment) addHolder(engine fleet.EndpointID) *segmentHolder {
+	if h := s.holder(engine); h != nil {
 		return h
 	}
-	if len(p.holders) < maxSegmentHolders {
-		p.holders = append(p.holders, segmentHolder{engine: engine})
-		return &p.holders[len(p.holders)-1]
+	if len(s.holders) < maxSegmentHolders {
+		s.holders = append(s.holders, segmentHolder{engine: engine})
+		return &s.holders[len(s.holders)-1]
 	}
-	oldest := &p.holders[0]
-	for i := range p.holders {
-		if h := &p.holders[i]; h.ready.Before(oldest.ready) {
+	oldest := &s.holders[0]
+	for i := range s.holders {
+		if h := &s.holders[i]; h.ready.Before(oldest.ready) {
 			oldest = h
 		}
 	}
@@ -115,38 +115,38 @@
 
 // evicted reports whether the engine has since been sent more tokens than its memory
 // keeps.
-func (x *segmentIndex) evicted(h *segmentHolder, capacity int) bool {
-	return x.tokensSent[h.engine]-h.tokensSentAtUse > reusableMemoryFraction*float64(capacity)
+func (s *segmentIndex) evicted(h *segmentHolder, capacity int) bool {
+	return s.tokensSent[h.engine]-h.tokensSentAtUse > reusableMemoryFraction*float64(capacity)
 }
 
 // locate returns the usable engines that hold a shared segment. A prompt sent to an
 // engine that is still reading the segment finds it there; other engines can fetch it
 // once it is read. from is the engine from which to fetch it, or empty.
-func (x *segmentIndex) locate(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (h *placement.PrefixLocations, from fleet.EndpointID) {
-	h = &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}
-	p := x.segments[key]
-	if p == nil {
-		return h, ""
+func (s *segmentIndex) locate(now time.Time, key prefix.Key, capacity int, usable func(fleet.EndpointID) bool) (locations *placement.PrefixLocations, from fleet.EndpointID) {
+	locations = &placement.PrefixLocations{Tokens: map[fleet.EndpointID]int{}}
+	segment := s.segments[key]
+	if segment == nil {
+		return locations, ""
 	}
 	var since time.Time
-	for i := range p.holders {
-		at := &p.holders[i]
-		if x.evicted(at, capacity) || !usable(at.engine) {
+	for i := range segment.holders {
+		h := &segment.holders[i]
+		if s.evicted(h, capacity) || !usable(h.engine) {
 			continue
 		}
-		h.Tokens[at.engine] = p.tokens
-		if !at.ready.After(now) && (from == "" || at.ready.After(since)) {
-			from, since, h.MaxTokens = at.engine, at.ready, p.tokens
+		locations.Tokens[h.engine] = segment.tokens
+		if !h.ready.After(now) && (from == "" || h.ready.After(since)) {
+			from, since, locations.MaxTokens = h.engine, h.ready, segment.tokens
 		}
 	}
-	return h, from
+	return locations, from
 }
 
 // expire removes segments that were not used for segmentLifetime.
-func (x *segmentIndex) expire(now time.Time) {
-	for key, p := range x.segments {
-		if now.Sub(p.lastUsed) > segmentLifetime {
-			delete(x.segments, key)
+func (s *segmentIndex) expire(now time.Time) {
+	for key, segment := range s.segments {
+		if now.Sub(segment.lastUsed) > segmentLifetime {
+			delete(s.segments, key)
 		}
 	}
 }
--- a/router/state.go
+++ b/router/state.go
@@ -42,7 +42,7 @@
 	table     atomic.Pointer[routes.Table]
 	operator  freshness.Tracker // reads of the operator topic
 	endpoints freshness.Tracker
-	// limited is the set of endpoints that name a limit. It is replaced, never
+	// limited is the set of endpoints that report a limit. It is replaced, never
 	// modified.
 	limited atomic.Pointer[map[fleet.EndpointID]bool]
 
--- a/router/subpools.go
+++ b/router/subpools.go
@@ -64,29 +64,29 @@
 }
 
 // addRequest records the work of a request.
-func (l *subpoolSplit) addRequest(now time.Time, in subpool, tokens, slots int) {
-	l.meanTokens[in] += meanWeight * (float64(tokens) - l.meanTokens[in])
-	if decay := math.Exp(-now.Sub(l.decayedAt).Seconds() / workDecayTime.Seconds()); decay < 1 {
-		for i := range l.work {
-			l.work[i] *= decay
+func (s *subpoolSplit) addRequest(now time.Time, in subpool, tokens, slots int) {
+	s.meanTokens[in] += meanWeight * (float64(tokens) - s.meanTokens[in])
+	if decay := math.Exp(-now.Sub(s.decayedAt).Seconds() / workDecayTime.Seconds()); decay < 1 {
+		for i := range s.work {
+			s.work[i] *= decay
 		}
-		l.decayedAt = now
+		s.decayedAt = now
 	}
-	l.work[in] += l.estimateWork(in, tokens, slots)
+	s.work[in] += s.estimateWork(in, tokens, slots)
 }
 
 // addAnswer records the time from the beginning of an answer to its end.
-func (l *subpoolSplit) addAnswer(in subpool, stream time.Duration) {
-	l.meanAnswer[in] += meanWeight * (stream.Seconds() - l.meanAnswer[in])
+func (s *subpoolSplit) addAnswer(in subpool, stream time.Duration) {
+	s.meanAnswer[in] += meanWeight * (stream.Seconds() - s.meanAnswer[in])
 }
 
 // estimateWork returns the estimated engine-seconds of a request: the time to read its
 // prompt, which an engine does for one request at a time, or its share of the batch
 // slots, whichever is larger. The maximum output length that callers set is not used,
 // as it hardly relates to the actual length of an answer.
-func (l *subpoolSplit) estimateWork(in subpool, tokens, slots int) float64 {
+func (s *subpoolSplit) estimateWork(in subpool, tokens, slots int) float64 {
 	read := float64(tokens) / prefillRate
-	batchShare := (read + l.meanAnswer[in]) / float64(max(slots, 1))
+	batchShare := (read + s.meanAnswer[in]) / float64(max(slots, 1))
 	if in == subpoolShort {
 		read *= shortWorkFactor
 	}
@@ -94,13 +94,13 @@
 }
 
 // shortFraction returns the fraction of the engines for short prompts.
-func (l *subpoolSplit) shortFraction() float64 {
+func (s *subpoolSplit) shortFraction() float64 {
 	fraction := initialShortFraction
-	if all := l.work[subpoolShort] + l.work[subpoolLong]; all > 0 {
-		fraction = min(maxShortFraction, l.work[subpoolShort]/all)
+	if all := s.work[subpoolShort] + s.work[subpoolLong]; all > 0 {
+		fraction = min(maxShortFraction, s.work[subpoolShort]/all)
 	}
-	if l.fraction == 0 || math.Abs(fraction-l.fraction) > minSplitChange {
-		l.fraction = fraction
+	if s.fraction == 0 || math.Abs(fraction-s.fraction) > minSplitChange {
+		s.fraction = fraction
 	}
-	return l.fraction
+	return s.fraction
 }
--- a/router/versions.go
+++ b/router/versions.go
@@ -55,16 +55,16 @@
 type versionHistory []namedVersion
 
 // newest returns the version that engines should load; 0: none was named.
-func (n versionHistory) newest() int64 {
-	if len(n) == 0 {
+func (h versionHistory) newest() int64 {
+	if len(h) == 0 {
 		return 0
 	}
-	return n[len(n)-1].version
+	return h[len(h)-1].version
 }
 
 // add returns the history with a further version, limited to maxNamedVersions.
-func (n versionHistory) add(next namedVersion) versionHistory {
-	out := append(slices.Clone(n), next)
+func (h versionHistory) add(next namedVersion) versionHistory {
+	out := append(slices.Clone(h), next)
 	return out[max(0, len(out)-maxNamedVersions):]
 }
 
@@ -78,8 +78,8 @@
 // A prompt may wait in its engine for seconds. If it began after the bound, its caller
 // would get an answer from weights that should be out of use. The request therefore
 // carries this time and is withdrawn when it is over.
-func (n versionHistory) timeToBegin(version int64, now, bound time.Duration) time.Duration {
-	for _, after := range n {
+func (h versionHistory) timeToBegin(version int64, now, bound time.Duration) time.Duration {
+	for _, after := range h {
 		if after.version > version {
 			return after.since + bound - beginSlack - now
 		}
@@ -89,11 +89,11 @@
 
 // withReported returns the history with the time at which another daemon reports that a
 // version was named.
-func (n versionHistory) withReported(now time.Duration, wall time.Time, at weights.VersionTime) versionHistory {
+func (h versionHistory) withReported(now time.Duration, wall time.Time, at weights.VersionTime) versionHistory {
 	age := max(0, wall.Sub(time.UnixMilli(at.UnixMs))) + clockSlack
 	reported := namedVersion{version: at.Version, since: now - age}
-	i, found := slices.BinarySearchFunc(n, at.Version, func(m namedVersion, v int64) int { return cmp.Compare(m.version, v) })
-	out := slices.Clone(n)
+	i, found := slices.BinarySearchFunc(h, at.Version, func(m namedVersion, v int64) int { return cmp.Compare(m.version, v) })
+	out := slices.Clone(h)
 	switch {
 	case found && out[i].guessed:
 		out[i] = reported
