--- a/quota/node.go
+++ b/quota/node.go
@@ -201,8 +201,8 @@
 	return len(a.waiters) == 0 && a.balance() >= 1-roundingError
 }
 
-// Denied reports whether a request of one unit would be rejected at once.
-func (n *Node) Denied(now time.Duration, key Key) bool {
+// WouldReject reports whether a request of one unit would be rejected at once.
+func (n *Node) WouldReject(now time.Duration, key Key) bool {
 	a := n.accounts[key]
 	return a != nil && now < a.deniedUntil && !n.CanAdmit(now, key)
 }
--- a/room/room.go
+++ b/room/room.go
@@ -209,7 +209,7 @@
 	var out []fleet.EndpointID
 	now := l.o.Clock()
 	for e, key := range l.keys {
-		if l.awaiting[key] || l.quota.Denied(now, key) {
+		if l.awaiting[key] || l.quota.WouldReject(now, key) {
 			out = append(out, e)
 		}
 	}
