--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -20,6 +20,7 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/merlindock/merlindock/admin"
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/engine"
 	"github.com/merlindock/merlindock/gateway"
 	"github.com/merlindock/merlindock/guard"
@@ -27,7 +28,6 @@
 	"github.com/merlindock/merlindock/logio"
 	"github.com/merlindock/merlindock/peer"
 	"github.com/merlindock/merlindock/ports"
-	"github.com/merlindock/merlindock/room"
 	"github.com/merlindock/merlindock/settings"
 	"github.com/merlindock/merlindock/telemetry"
 )
@@ -73,7 +73,7 @@
 	shutdown  *shutdown
 	peers     *peer.Service
 	guard     *guard.Guard
-	room      *room.Limiter
+	room      *endpointlimit.Limiter
 	gateway   *gateway.Gateway
 	claimer   *claimer
 	orders    *orderGiver
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -4,10 +4,10 @@
 	"net"
 	"time"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/gossip"
 	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/logging"
-	"github.com/merlindock/merlindock/room"
 )
 
 // newGuard returns what keeps requests from endpoints that end whenever they run them.
@@ -23,8 +23,8 @@
 }
 
 // newRoom returns what keeps endpoints within the limits that they name.
-func (d *Daemon) newRoom() *room.Limiter {
-	return room.New(room.Options{
+func (d *Daemon) newRoom() *endpointlimit.Limiter {
+	return endpointlimit.New(endpointlimit.Options{
 		Me: d.peer(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
 	})
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -9,6 +9,7 @@
 	"sync/atomic"
 	"time"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/engine"
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/gateway"
@@ -16,7 +17,6 @@
 	"github.com/merlindock/merlindock/internal/pause"
 	"github.com/merlindock/merlindock/placement"
 	"github.com/merlindock/merlindock/prefix"
-	"github.com/merlindock/merlindock/room"
 )
 
 // requestIDs numbers what one daemon places and admits.
@@ -47,10 +47,10 @@
 	}
 	for waited := 0; ; waited++ {
 		p, err := v.place(r)
-		if !errors.Is(err, errAtLimits) || waited == room.MaxReplyWaits || !v.daemon.room.AwaitingReply() {
+		if !errors.Is(err, errAtLimits) || waited == endpointlimit.MaxReplyWaits || !v.daemon.room.AwaitingReply() {
 			return p, err
 		}
-		if err := pause.For(ctx, room.ReplyWait); err != nil {
+		if err := pause.For(ctx, endpointlimit.ReplyWait); err != nil {
 			return p, err
 		}
 	}
--- a/room/room.go
+++ b/endpointlimit/endpointlimit.go
@@ -1,7 +1,7 @@
-// Package room keeps endpoints within the request limits that they report: it exchanges the
+// Package endpointlimit keeps endpoints within the request limits that they report: it exchanges the
 // messages of a limits.Table and a quota.Node with other daemons, and lists the endpoints
 // at their limits for placement.
-package room
+package endpointlimit
 
 import (
 	"context"
--- a/router/attempts_test.go
+++ b/router/attempts_test.go
@@ -8,14 +8,14 @@
 
 	"github.com/uber-go/tally/v4"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/fleet"
-	"github.com/merlindock/merlindock/room"
 )
 
 // Guards against sending a request again to an endpoint that failed it, when endpoints
 // with a limit are allowed because no others are left.
 func TestTriedEndpointStaysExcluded(t *testing.T) {
-	k := room.New(room.Options{
+	k := endpointlimit.New(endpointlimit.Options{
 		Clock: func() time.Duration { return time.Hour }, Rand: rand.New(rand.NewPCG(1, 2)), Scope: tally.NoopScope,
 		Log: discardLog(), Send: func(string, []byte) {},
 	})
--- a/router/placer.go
+++ b/router/placer.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/merlindock/merlindock/contract"
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/forward"
 	"github.com/merlindock/merlindock/internal/hash"
@@ -18,7 +19,6 @@
 	"github.com/merlindock/merlindock/pools"
 	"github.com/merlindock/merlindock/prefix"
 	"github.com/merlindock/merlindock/retry"
-	"github.com/merlindock/merlindock/room"
 	"github.com/merlindock/merlindock/weights"
 )
 
@@ -58,8 +58,8 @@
 // placer implements forward.Placer by placing requests on its own.
 type placer struct {
 	state          *state
-	cacheTracker   *cacheTracker // nil: cache contents are unknown
-	endpointLimits *room.Limiter // nil: limits of endpoints are not enforced
+	cacheTracker   *cacheTracker          // nil: cache contents are unknown
+	endpointLimits *endpointlimit.Limiter // nil: limits of endpoints are not enforced
 	engines        weights.Engines
 	clock          func() time.Duration // boot clock
 	versionBound   time.Duration        // Settings.VersionWithin
@@ -104,10 +104,10 @@
 	for waited := 0; ; waited++ {
 		out, err := p.place(ctx, req)
 		var refused *forward.RefusedError
-		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == room.MaxReplyWaits || !p.endpointLimits.AwaitingReply() {
+		if !errors.As(err, &refused) || refused.Code != codeAtLimits || waited == endpointlimit.MaxReplyWaits || !p.endpointLimits.AwaitingReply() {
 			return out, err
 		}
-		if err := pause.For(ctx, room.ReplyWait); err != nil {
+		if err := pause.For(ctx, endpointlimit.ReplyWait); err != nil {
 			return out, err
 		}
 	}
--- a/router/router.go
+++ b/router/router.go
@@ -11,6 +11,7 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sys/unix"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/feed"
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/forward"
@@ -19,7 +20,6 @@
 	"github.com/merlindock/merlindock/internal/pause"
 	"github.com/merlindock/merlindock/logging"
 	"github.com/merlindock/merlindock/quarantine"
-	"github.com/merlindock/merlindock/room"
 	"github.com/merlindock/merlindock/routes"
 	"github.com/merlindock/merlindock/telemetry"
 	"github.com/merlindock/merlindock/weights"
@@ -87,8 +87,8 @@
 	datagrams      *datagrams
 	limits         *limiter
 	quarantine     *guard.Guard
-	holdStore      *holdStore    // nil: there is no list of daemons
-	endpointLimits *room.Limiter // limits that endpoints report
+	holdStore      *holdStore             // nil: there is no list of daemons
+	endpointLimits *endpointlimit.Limiter // limits that endpoints report
 	dispatch       *dispatchPlacer
 	feeds          [topicCount]*feed.Feed
 	log            *logging.Logger
@@ -191,8 +191,8 @@
 	return guard.New(o)
 }
 
-func (r *Router) newEndpointLimits(me Neighbour) *room.Limiter {
-	return room.New(room.Options{
+func (r *Router) newEndpointLimits(me Neighbour) *endpointlimit.Limiter {
+	return endpointlimit.New(endpointlimit.Options{
 		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 		LimitsChanged: func(limited map[fleet.EndpointID]bool) { r.state.limited.Store(&limited) },
