--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -23,11 +23,11 @@
 	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/engine"
 	"github.com/merlindock/merlindock/gateway"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/logging"
 	"github.com/merlindock/merlindock/logio"
 	"github.com/merlindock/merlindock/peer"
 	"github.com/merlindock/merlindock/ports"
+	"github.com/merlindock/merlindock/quarantineguard"
 	"github.com/merlindock/merlindock/settings"
 	"github.com/merlindock/merlindock/telemetry"
 )
@@ -72,7 +72,7 @@
 	drainer   *gateway.Drainer
 	shutdown  *shutdown
 	peers     *peer.Service
-	guard     *guard.Guard
+	guard     *quarantineguard.Guard
 	room      *endpointlimit.Limiter
 	gateway   *gateway.Gateway
 	claimer   *claimer
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -6,17 +6,17 @@
 
 	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/gossip"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/logging"
+	"github.com/merlindock/merlindock/quarantineguard"
 )
 
 // newGuard returns what keeps requests from endpoints that end whenever they run them.
-func (d *Daemon) newGuard() *guard.Guard {
+func (d *Daemon) newGuard() *quarantineguard.Guard {
 	dial := d.o.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
-	return guard.New(guard.Options{
+	return quarantineguard.New(quarantineguard.Options{
 		Self: d.peer(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.life),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.PartGateway), Send: d.relay,
 	})
--- a/guard/guard.go
+++ b/quarantineguard/guard.go
@@ -1,7 +1,7 @@
-// Package guard runs the quarantine of one daemon. It checks whether endpoints have
+// Package quarantineguard runs the quarantine of one daemon. It checks whether endpoints have
 // ended, exchanges the messages of a quarantine.Node with other daemons, and serves
 // the operators' API for held requests.
-package guard
+package quarantineguard
 
 import (
 	"context"
--- a/guard/guard_test.go
+++ b/quarantineguard/guard_test.go
@@ -1,4 +1,4 @@
-package guard
+package quarantineguard
 
 import (
 	"context"
--- a/router/router.go
+++ b/router/router.go
@@ -16,10 +16,10 @@
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/forward"
 	"github.com/merlindock/merlindock/gossip"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/internal/pause"
 	"github.com/merlindock/merlindock/logging"
 	"github.com/merlindock/merlindock/quarantine"
+	"github.com/merlindock/merlindock/quarantineguard"
 	"github.com/merlindock/merlindock/routes"
 	"github.com/merlindock/merlindock/telemetry"
 	"github.com/merlindock/merlindock/weights"
@@ -86,7 +86,7 @@
 	cacheTracker   *cacheTracker
 	datagrams      *datagrams
 	limits         *limiter
-	quarantine     *guard.Guard
+	quarantine     *quarantineguard.Guard
 	holdStore      *holdStore             // nil: there is no list of daemons
 	endpointLimits *endpointlimit.Limiter // limits that endpoints report
 	dispatch       *dispatchPlacer
@@ -175,8 +175,8 @@
 
 // newQuarantineGuard creates the quarantine guard. If there is a list of daemons, holds
 // are also stored beside it.
-func (r *Router) newQuarantineGuard(me Neighbour) *guard.Guard {
-	o := guard.Options{
+func (r *Router) newQuarantineGuard(me Neighbour) *quarantineguard.Guard {
+	o := quarantineguard.Options{
 		Self: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Dial: r.options.Dial, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 	}
@@ -188,7 +188,7 @@
 		r.holdStore = newHoldStore(me.Name, r.options.DaemonRegistry, r.log)
 		o.OnChange = r.holdStore.changed
 	}
-	return guard.New(o)
+	return quarantineguard.New(o)
 }
 
 func (r *Router) newEndpointLimits(me Neighbour) *endpointlimit.Limiter {
