--- a/lab/capacity/routed.go
+++ b/lab/capacity/routed.go
@@ -8,7 +8,7 @@
 	"github.com/merlindock/merlindock/directory"
 	"github.com/merlindock/merlindock/feed"
 	"github.com/merlindock/merlindock/placement"
-	"github.com/merlindock/merlindock/readers"
+	"github.com/merlindock/merlindock/readtree"
 	"github.com/merlindock/merlindock/roster"
 )
 
@@ -130,11 +130,11 @@
 
 func readersSet() Slope {
 	return measure("find the place in the tree of readers", "daemons", "ns", routedDaemons, func(size int) float64 {
-		var list []readers.Daemon
+		var list []readtree.Daemon
 		for i := range size / zones {
-			list = append(list, readers.Daemon{Name: fmt.Sprint("front-", i), Address: fmt.Sprint("10.0.0.", i, ":7340"), Mbps: 20, Cores: 0.192})
+			list = append(list, readtree.Daemon{Name: fmt.Sprint("front-", i), Address: fmt.Sprint("10.0.0.", i, ":7340"), Mbps: 20, Cores: 0.192})
 		}
-		c := readers.New(list[0])
+		c := readtree.New(list[0])
 		return nanoseconds(func(n int) {
 			for range n {
 				c.Set(list)
--- a/readers/readers.go
+++ b/readtree/readtree.go
@@ -1,4 +1,4 @@
-// Package readers selects the daemon of its own zone through which a daemon reads the
+// Package readtree selects the daemon of its own zone through which a daemon reads the
 // metadata store.
 //
 // If every daemon read the store itself, the store's load would grow with the number of
@@ -12,7 +12,7 @@
 //
 // The package does no I/O and reads no clock. A Selector is not safe for concurrent
 // use.
-package readers
+package readtree
 
 import (
 	"cmp"
--- a/readers/readers_test.go
+++ b/readtree/readtree_test.go
@@ -1,4 +1,4 @@
-package readers
+package readtree
 
 import (
 	"fmt"
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -12,7 +12,7 @@
 
 	"github.com/merlindock/merlindock/feed"
 	"github.com/merlindock/merlindock/logging"
-	"github.com/merlindock/merlindock/readers"
+	"github.com/merlindock/merlindock/readtree"
 )
 
 func testRecord(offset int64) Record { return Record{Key: "k", Value: []byte("v"), Offset: offset} }
@@ -103,7 +103,7 @@
 			server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte(c.answer)) }))
 			defer server.Close()
 			v := neighboursOf(10, "j")
-			v.choice.Set(append([]readers.Daemon{{Name: "n", Address: server.Listener.Addr().String()}}, fillerDaemons(v, "n")...))
+			v.choice.Set(append([]readtree.Daemon{{Name: "n", Address: server.Listener.Addr().String()}}, fillerDaemons(v, "n")...))
 			s := &subscription{neighbours: v, topic: TopicOperator}
 			got, confirmed, ok := s.read(t.Context(), 4, "")
 			if ok != c.ok || (ok && (len(got.Records) != 1 || string(got.Records[0].Value) != "v" || confirmed != time.Millisecond-oldest)) {
@@ -115,12 +115,12 @@
 
 // fillerDaemons returns daemons that, together with the one named through, form a zone in
 // which v reads through that one only.
-func fillerDaemons(v *neighbours, through string) []readers.Daemon {
-	var out []readers.Daemon
+func fillerDaemons(v *neighbours, through string) []readtree.Daemon {
+	var out []readtree.Daemon
 	for i := 0; len(out) < relayMinDaemons; i++ {
-		out = append(out, readers.Daemon{Name: fmt.Sprint("later-", i), Address: "127.0.0.1:1"})
-		c := readers.New(readers.Daemon{Name: v.self.Name})
-		c.Set(append([]readers.Daemon{{Name: through, Address: "x"}}, out...))
+		out = append(out, readtree.Daemon{Name: fmt.Sprint("later-", i), Address: "127.0.0.1:1"})
+		c := readtree.New(readtree.Daemon{Name: v.self.Name})
+		c.Set(append([]readtree.Daemon{{Name: through, Address: "x"}}, out...))
 		if found := c.Candidates(0, maxRelayNeighbours); len(found) != 1 || found[0].Name != through {
 			out = out[:len(out)-1]
 		}
--- a/router/neighbours.go
+++ b/router/neighbours.go
@@ -16,7 +16,7 @@
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/internal/hash"
 	"github.com/merlindock/merlindock/logging"
-	"github.com/merlindock/merlindock/readers"
+	"github.com/merlindock/merlindock/readtree"
 )
 
 // Thresholds and timeouts for reading through neighbours.
@@ -87,9 +87,9 @@
 	LinkMbps float64
 }
 
-// reader converts the daemon to the type of package readers.
-func (n *Neighbour) reader() readers.Daemon {
-	return readers.Daemon{Name: n.Name, Address: n.Address, Mbps: n.LinkMbps, Cores: n.Cores}
+// reader converts the daemon to the type of package readtree.
+func (n *Neighbour) reader() readtree.Daemon {
+	return readtree.Daemon{Name: n.Name, Address: n.Address, Mbps: n.LinkMbps, Cores: n.Cores}
 }
 
 // DaemonRegistry is the list in the store through which daemons find each other.
@@ -101,7 +101,7 @@
 	Record(ctx context.Context, key string, value []byte) error
 }
 
-// neighbours reads topics through other daemons of the zone, chosen by package readers.
+// neighbours reads topics through other daemons of the zone, chosen by package readtree.
 // Relayed data carries its age, so that the time bounds on keys and configurations
 // still hold. If an answer is missing or too old, the reader asks the next neighbour
 // and then the store.
@@ -120,7 +120,7 @@
 
 	mu        sync.Mutex
 	names     []string // of all daemons that announced themselves
-	choice    *readers.Selector
+	choice    *readtree.Selector
 	startedAt time.Duration      // first call of allowReads, boot clock
 	sources   [topicCount]string // names of the neighbours in use, for the log
 }
@@ -132,7 +132,7 @@
 		DialContext: dialer.DialContext, MaxIdleConnsPerHost: int(topicCount), IdleConnTimeout: 10 * time.Second, DisableCompression: true,
 	}}
 	return &neighbours{
-		self: me, clock: clock, log: log, choice: readers.New(me.reader()), listed: make(chan struct{}),
+		self: me, clock: clock, log: log, choice: readtree.New(me.reader()), listed: make(chan struct{}),
 		grace: grace, secondWait: time.Duration(relaySecondWaitFraction * float64(set.ConfigWithin)),
 		maxAge: [topicCount]time.Duration{
 			TopicOperator:  time.Duration(relayAgeFraction * float64(set.ConfigWithin)),
@@ -148,7 +148,7 @@
 
 // set replaces the list of daemons.
 func (n *neighbours) set(all []Neighbour) {
-	var zone []readers.Daemon
+	var zone []readtree.Daemon
 	for _, d := range all {
 		if d.Zone == n.self.Zone && d.Address != "" {
 			zone = append(zone, d.reader())
@@ -243,7 +243,7 @@
 // candidates returns the neighbours to ask, in order. A daemon whose read of the store
 // failed also asks a random daemon of the zone, as the last one; that daemon may itself
 // read through this one.
-func (n *neighbours) candidates(t Topic, storeLost bool, random float64) []readers.Daemon {
+func (n *neighbours) candidates(t Topic, storeLost bool, random float64) []readtree.Daemon {
 	if !n.relays(t) {
 		return nil
 	}
@@ -279,7 +279,7 @@
 }
 
 // avoid excludes a neighbour for a while, for all topics.
-func (n *neighbours) avoid(t Topic, d readers.Daemon, why string, age time.Duration) {
+func (n *neighbours) avoid(t Topic, d readtree.Daemon, why string, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.choice.Avoid(n.clock(), d)
@@ -290,7 +290,7 @@
 }
 
 // recordUse records that an answer of the neighbour is used.
-func (n *neighbours) recordUse(t Topic, d readers.Daemon, age time.Duration) {
+func (n *neighbours) recordUse(t Topic, d readtree.Daemon, age time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.choice.RecordAnswer(d)
--- a/router/subscription.go
+++ b/router/subscription.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"github.com/merlindock/merlindock/feed"
-	"github.com/merlindock/merlindock/readers"
+	"github.com/merlindock/merlindock/readtree"
 )
 
 // subscription tracks what a daemon has read of one topic through its neighbours. It is
@@ -33,7 +33,7 @@
 	progress time.Duration
 	// outdated holds the neighbours whose data was too old at the last read. They are
 	// replaced only if another source has newer data: when the store is lost, none has.
-	outdated []readers.Daemon
+	outdated []readtree.Daemon
 }
 
 // age returns the age of the daemon's data; false if it has none yet.
@@ -91,7 +91,7 @@
 
 // usableAnswer is a usable answer of a neighbour.
 type usableAnswer struct {
-	by        readers.Daemon
+	by        readtree.Daemon
 	answer    feed.Answer
 	confirmed time.Duration
 	detached  bool // see subscription.detached
@@ -161,7 +161,7 @@
 
 // request sends the query to one neighbour and returns the time at which the store
 // confirmed the answer: the answer was sent at least Held after the request.
-func (s *subscription) request(ctx context.Context, d readers.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
+func (s *subscription) request(ctx context.Context, d readtree.Daemon, from int64, after string, first bool) (feed.Answer, time.Duration, error) {
 	q, grace := feed.Query{From: from, After: after, MaxWait: s.neighbours.secondWait, AcceptDetached: s.storeLost}, s.neighbours.grace
 	age, some := s.age()
 	if some {
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -22,7 +22,7 @@
 	"github.com/merlindock/merlindock/feed"
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/quarantine"
-	"github.com/merlindock/merlindock/readers"
+	"github.com/merlindock/merlindock/readtree"
 	"github.com/merlindock/merlindock/routes"
 	"github.com/merlindock/merlindock/weights"
 )
@@ -272,12 +272,12 @@
 // reads from the store.
 func (w *simulatedZone) treeOrder() []*Router {
 	out := make([]*Router, len(w.daemons))
-	var zone []readers.Daemon
+	var zone []readtree.Daemon
 	for _, r := range w.daemons {
-		zone = append(zone, readers.Daemon{Name: r.options.Settings.Name, Address: r.options.Settings.PeerAddress})
+		zone = append(zone, readtree.Daemon{Name: r.options.Settings.Name, Address: r.options.Settings.PeerAddress})
 	}
 	for _, r := range w.daemons {
-		c := readers.New(readers.Daemon{Name: r.options.Settings.Name})
+		c := readtree.New(readtree.Daemon{Name: r.options.Settings.Name})
 		c.Set(zone)
 		out[len(c.Candidates(0, len(zone)))] = r
 	}
