--- a/cmd/merlindock/capacity.go
+++ b/cmd/merlindock/capacity.go
@@ -10,7 +10,7 @@
 )
 
 func newCapacity(s streams) *ffcli.Command {
-	return command(s, "capacity", "merlindock capacity", "Measure the slopes of docs/CAPACITY.md again and print its tables.", nil,
+	return command(s, "capacity", "merlindock capacity", "Repeat the measurements of docs/CAPACITY.md and print its tables.", nil,
 		func(context.Context, []string) error {
 			b := capacity.Measure(func(name string, i, n int) {
 				fmt.Fprintf(s.err, "capacity: %d of %d, %s\n", i, n, name)
--- a/cmd/merlindock/operate.go
+++ b/cmd/merlindock/operate.go
@@ -99,10 +99,10 @@
 	var base int64
 	flags := func(fs *flag.FlagSet) {
 		t.flags(fs)
-		fs.Int64Var(&base, "base", -1, "offset of the manifest this one was made against (status shows it); 0 for the first")
+		fs.Int64Var(&base, "base", -1, "offset of the manifest that this one is based on, as shown by status; 0 for the first")
 	}
 	return command(s, "publish", "merlindock publish -base N FILE",
-		"Publish a manifest; exit code 1 if refused, 3 if not known.", flags,
+		"Publish a manifest; exit code 1 if it was refused, 3 if the outcome is unknown.", flags,
 		func(ctx context.Context, args []string) error {
 			path, err := singleFile(args)
 			if err != nil {
@@ -184,7 +184,7 @@
 }
 
 func newStatus(s streams) *ffcli.Command {
-	return newGet(s, "status", "Show the manifest in force, the endpoints and each organisation's use.",
+	return newGet(s, "status", "Show the manifest in force, the endpoints and each organisation's usage.",
 		"/v1/manifest/history", "/v1/endpoints", "/v1/organisations")
 }
 
--- a/cmd/merlindock/replay.go
+++ b/cmd/merlindock/replay.go
@@ -32,12 +32,12 @@
 	fs.StringVar(&f.trace, "trace", "", "trace file, see docs/TRACES.md")
 	fs.StringVar(&f.policies, "policy", "all", "policies, separated by commas, or all: "+joinNames(replay.Policies()))
 	fs.StringVar(&f.faults, "fault", "", "faults, separated by commas: "+joinNames(replay.Faults()))
-	fs.StringVar(&f.admit, "admission", string(admitOpen), "how requests enter: "+joinNames(admissions)+" (by the organisations' shares)")
-	fs.IntVar(&f.daemons, "daemons", 0, "daemons that share the traffic; 0 for the trace's")
-	fs.Uint64Var(&f.seed, "seed", 1, "seed of the balancer and of what is lost")
-	fs.IntVar(&f.seeds, "seeds", 1, "seeds to run, from -seed on")
-	fs.Float64Var(&f.speed, "speed", 1, "how much faster than recorded requests arrive")
-	fs.BoolVar(&f.asJSON, "json", false, "print the whole reports as JSON")
+	fs.StringVar(&f.admit, "admission", string(admitOpen), "how requests are admitted: "+joinNames(admissions)+" (by the organisations' shares)")
+	fs.IntVar(&f.daemons, "daemons", 0, "number of daemons that share the traffic; 0 for the number in the trace")
+	fs.Uint64Var(&f.seed, "seed", 1, "seed of the balancer and of losses")
+	fs.IntVar(&f.seeds, "seeds", 1, "number of seeds to run, starting with -seed")
+	fs.Float64Var(&f.speed, "speed", 1, "factor by which requests arrive faster than recorded")
+	fs.BoolVar(&f.asJSON, "json", false, "print the complete reports as JSON")
 }
 
 // admission is a value of the flag -admission.
--- a/cmd/merlindock/section.go
+++ b/cmd/merlindock/section.go
@@ -17,7 +17,7 @@
 	var remove bool
 	flags := func(fs *flag.FlagSet) {
 		t.flags(fs)
-		fs.StringVar(&was, "was", "", "digest of the section that the change was made against, as this command shows it; none for a new one")
+		fs.StringVar(&was, "was", "", "digest of the section that the change is based on, as shown by this command; empty for a new section")
 		fs.BoolVar(&remove, "remove", false, "remove the section")
 	}
 	return command(s, "section", "merlindock section [flags] KIND ID [FILE]",
--- a/cmd/merlindock/standin.go
+++ b/cmd/merlindock/standin.go
@@ -35,8 +35,8 @@
 		fs.DurationVar(&o.Prefill, "prefill", 20*time.Microsecond, "time per prompt token that is not cached")
 		fs.DurationVar(&o.Decode, "decode", 5*time.Millisecond, "time per generated token")
 		fs.IntVar(&o.Slots, "slots", 0, "requests that a runner generates at once; 0 for the default")
-		fs.IntVar(&daemons, "daemons", 3, "daemons to put on the platform's list and to write settings for")
-		fs.IntVar(&firstPort, "first-port", defaultFirstPort, "callers' port of the first daemon; each takes the next two as well and is ten on from the one before")
+		fs.IntVar(&daemons, "daemons", 3, "number of daemons to add to the platform's list and write settings for")
+		fs.IntVar(&firstPort, "first-port", defaultFirstPort, "callers' port of the first daemon; each daemon uses three consecutive ports, ten above those of the previous one")
 		fs.StringVar(&dir, "dir", "", "existing directory to write manifest.json, token and daemon-N.ini to")
 	}
 	return command(s, "standin", "merlindock standin -dir DIR [flags]",
--- a/contract/admission.go
+++ b/contract/admission.go
@@ -84,7 +84,7 @@
 	return a
 }
 
-// advance sets the clock to now. When now steps back the clock stands still, so
+// advance sets the clock to now. When now steps back the clock does not change, so
 // that no meter and no expiry runs backwards.
 func (a *Admission) advance(now time.Time) {
 	if a.start.IsZero() {
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -189,11 +189,11 @@
 
 func (a *Admission) dropIdle() {
 	a.activeList = slices.DeleteFunc(a.activeList, func(o *organisation) bool {
-		gone := o.idle() && a.clock-o.lastActive > a.opts.IdleTimeout.Seconds()
-		if gone {
+		expired := o.idle() && a.clock-o.lastActive > a.opts.IdleTimeout.Seconds()
+		if expired {
 			delete(a.active, o.id)
 		}
-		return gone
+		return expired
 	})
 }
 
--- a/directory/directory_test.go
+++ b/directory/directory_test.go
@@ -138,14 +138,14 @@
 // absence from the snapshot shows it.
 func TestRetainRemovesMissingEntries(t *testing.T) {
 	d := withEntries(3)
-	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 2 {
-		t.Errorf("%v are gone", gone)
+	if removed := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(removed) != 2 {
+		t.Errorf("%v were removed", removed)
 	}
 	if got := countUsable(d, testGrace); got != 1 {
 		t.Errorf("%d usable", got)
 	}
-	if gone := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(gone) != 0 {
-		t.Errorf("%v are gone a second time", gone)
+	if removed := d.Retain(epoch, epoch, map[string]bool{"e1": true}); len(removed) != 0 {
+		t.Errorf("%v were removed a second time", removed)
 	}
 }
 
--- a/endpointlimit/endpointlimit.go
+++ b/endpointlimit/endpointlimit.go
@@ -186,7 +186,7 @@
 	l.quota.SetDaemons(daemons)
 }
 
-// Leave stops lending to other daemons, so that they turn to another daemon at once.
+// Leave stops lending to other daemons, so that they ask another daemon at once.
 func (l *Limiter) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -119,13 +119,13 @@
 func TestMissingSilentEndpointIsRemoved(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(afterEpoch(0), runners(18))
-	var gone []Change
+	var removed []Change
 	for now := afterEpoch(0); now.Before(afterEpoch(time.Minute)); now = now.Add(500 * time.Millisecond) {
-		gone = append(gone, m.SetList(now, runners(17))...)
+		removed = append(removed, m.SetList(now, runners(17))...)
 		probe(m, now, func(id EndpointID) (Load, bool) { return Load{At: now, Incarnation: 1}, id != "runner-17" })
 	}
-	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(gone, want) {
-		t.Errorf("changes %v, want %v", gone, want)
+	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(removed, want) {
+		t.Errorf("changes %v, want %v", removed, want)
 	}
 	if m.Len() != 17 {
 		t.Errorf("%d endpoints left", m.Len())
--- a/forward/conn.go
+++ b/forward/conn.go
@@ -37,7 +37,7 @@
 	// connection while the next request is in transit.
 	reuseFraction = 0.6
 	// defaultReuse is how long a connection is reused if the endpoint states no
-	// idle timeout. Idle timeouts are stated in whole seconds.
+	// idle timeout. Idle timeouts are given in full seconds.
 	defaultReuse = 300 * time.Millisecond
 	// maxIdlePerEndpoint bounds the idle connections kept per endpoint.
 	maxIdlePerEndpoint = 16
@@ -351,11 +351,11 @@
 }
 
 // Close returns the connection to the pool, or closes it if it can't be reused.
-// whole states that the body was read to its end.
-func (a *Answer) Close(whole bool) {
+// complete states that the body was read to its end.
+func (a *Answer) Close(complete bool) {
 	alive := a.stopDeadline()
 	framed := a.Length != -1 || chunked(a.resp)
-	reusable := whole && alive && framed && !a.resp.Close
+	reusable := complete && alive && framed && !a.resp.Close
 	if !reusable || !a.write.finished() || a.conn.r.Buffered() > 0 {
 		a.client.close(a.conn)
 		return
--- a/forward/events.go
+++ b/forward/events.go
@@ -36,9 +36,9 @@
 		}
 		return nil, nil
 	}
-	whole := e.partial[:end+len(eventEnd)]
+	complete := e.partial[:end+len(eventEnd)]
 	rest := append([]byte(nil), e.partial[end+len(eventEnd):]...)
-	out, err := e.dropDelivered(whole)
+	out, err := e.dropDelivered(complete)
 	e.partial = rest
 	return out, err
 }
@@ -46,11 +46,11 @@
 // dropDelivered removes the leading events that the caller already has. An
 // endpoint that resumes a stream may start before the requested event. An old
 // event behind a new one is an error.
-func (e *eventSplitter) dropDelivered(whole []byte) ([]byte, error) {
+func (e *eventSplitter) dropDelivered(complete []byte) ([]byte, error) {
 	from := 0
-	for at := 0; at < len(whole); {
-		n := bytes.Index(whole[at:], eventEnd) + len(eventEnd)
-		id, ok := eventID(whole[at : at+n])
+	for at := 0; at < len(complete); {
+		n := bytes.Index(complete[at:], eventEnd) + len(eventEnd)
+		id, ok := eventID(complete[at : at+n])
 		switch {
 		case !ok:
 		case e.last != NoEvent && id <= e.last && from < at:
@@ -62,7 +62,7 @@
 		}
 		at += n
 	}
-	return whole[from:], nil
+	return complete[from:], nil
 }
 
 // incomplete returns the bytes received after the last complete event.
--- a/forward/placer.go
+++ b/forward/placer.go
@@ -68,7 +68,7 @@
 type Placer interface {
 	// Place chooses an endpoint and reserves capacity there. It returns a
 	// *RefusedError if there is none.
-	Place(ctx context.Context, w *PlacementRequest) (Placement, error)
+	Place(ctx context.Context, req *PlacementRequest) (Placement, error)
 	// AnswerStarted reports that the header of an answer was received.
 	AnswerStarted(p *Placement, info *AnswerInfo)
 	// AttemptEnded reports the end of an attempt. It is called once for every
--- a/logio/lease.go
+++ b/logio/lease.go
@@ -49,7 +49,7 @@
 // A holder counts its lease from the time at which it sent the accepted record,
 // so that it stops before any reader of the log can see another holder. A lease
 // expires by the monotonic or the wall clock, whichever is earlier: the monotonic
-// clock of a suspended VM stands still, and by it alone the holder would consider
+// clock of a suspended VM stops, and by it alone the holder would consider
 // its lease valid after it is resumed.
 type LeaseKeeper struct {
 	opt  LeaseOptions
--- a/orders/sender_test.go
+++ b/orders/sender_test.go
@@ -95,15 +95,15 @@
 // The lease expires after the connection was opened. The engine receives a request
 // without its body and must not get a complete order.
 func TestLeaseExpiresWhileWritingOrder(t *testing.T) {
-	var whole atomic.Int64
+	var completed atomic.Int64
 	address := serve(t, func(_ http.ResponseWriter, req *http.Request) {
 		if _, err := io.ReadAll(req.Body); err == nil {
-			whole.Add(1)
+			completed.Add(1)
 		}
 	})
 	_, err := testSender().postOrder(context.Background(), rollout.Order{}, address, func() bool { return false })
-	if !errors.Is(err, ErrLeaseExpired) || whole.Load() != 0 {
-		t.Errorf("error %v and %d complete orders", err, whole.Load())
+	if !errors.Is(err, ErrLeaseExpired) || completed.Load() != 0 {
+		t.Errorf("error %v and %d complete orders", err, completed.Load())
 	}
 }
 
--- a/placement/announcements.go
+++ b/placement/announcements.go
@@ -21,7 +21,7 @@
 // of announcements grows with the documents and not with the requests.
 //
 // An engine may crash and restart before its next load report. Only the daemons with open
-// requests there notice; the others would rely on a cache that is gone.
+// requests there notice; the others would rely on a cache that was lost.
 type Announcement struct {
 	Key         prefix.Key
 	Endpoint    fleet.EndpointID
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -157,7 +157,7 @@
 	ID       uint64
 	Endpoint fleet.EndpointID
 	// ConnectionLost is set if the endpoint refused or lost the connection, so that its
-	// cache must be assumed to be gone.
+	// cache must be assumed to be lost.
 	ConnectionLost bool
 }
 
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -238,17 +238,17 @@
 func TestEndpointRemovalMovesOnlyItsPrefixes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(2, 100).Draw(t, "endpoints")
-		gone := rapid.IntRange(0, n-1).Draw(t, "gone")
+		removed := rapid.IntRange(0, n-1).Draw(t, "gone")
 		all := testFleet(n)
-		rest := append(append([]fleet.Endpoint(nil), all[:gone]...), all[gone+1:]...)
+		rest := append(append([]fleet.Endpoint(nil), all[:removed]...), all[removed+1:]...)
 		for id := range uint64(20) {
 			before, after := NewView(Options{}), NewView(Options{})
 			before.SetPool(testPool, all)
 			after.SetPool(testPool, rest)
 			r := promptRequest(id, "a", rapid.StringN(1, 9, -1).Draw(t, "document"))
 			a, b := place(t, before, epoch, r), place(t, after, epoch, r)
-			if a.Endpoint != b.Endpoint && a.Endpoint != all[gone].ID {
-				t.Fatalf("removing %s moved a prefix from %s to %s", all[gone].ID, a.Endpoint, b.Endpoint)
+			if a.Endpoint != b.Endpoint && a.Endpoint != all[removed].ID {
+				t.Fatalf("removing %s moved a prefix from %s to %s", all[removed].ID, a.Endpoint, b.Endpoint)
 			}
 		}
 	})
--- a/quarantine/sim_test.go
+++ b/quarantine/sim_test.go
@@ -156,15 +156,15 @@
 	for _, daemons := range []int{9, 295} {
 		d := newDeployment(t, daemons, 0.05)
 		f := testFingerprint("crash")
-		gone := daemons / 3
-		for i := range gone {
+		returning := daemons / 3
+		for i := range returning {
 			d.isolated[i] = true
 		}
 		for range crashesToHold {
-			d.crashEndpoint(gone+d.rng.IntN(daemons-gone), f)
+			d.crashEndpoint(returning+d.rng.IntN(daemons-returning), f)
 		}
 		d.advance(8 * time.Second)
-		for i := range gone {
+		for i := range returning {
 			d.isolated[i] = false
 			if i%2 == 0 {
 				d.start(i)
--- a/quota/account.go
+++ b/quota/account.go
@@ -25,8 +25,8 @@
 	rejected float64 // units rejected since the last ask
 
 	deniedUntil time.Duration // the owner is not asked before
-	retryAfter  time.Duration // given by the owner
-	used        float64       // fraction of the limit, given by the owner
+	retryAfter  time.Duration // reported by the owner
+	used        float64       // fraction of the limit, reported by the owner
 	updatedAt   time.Duration // when the owner last replied for the account
 }
 
--- a/quota/node.go
+++ b/quota/node.go
@@ -128,16 +128,16 @@
 
 // SetLimits sets the current limits. Organisations without one are not limited.
 func (n *Node) SetLimits(now time.Duration, limits map[Key]Limit) {
-	var parts [Shards]map[Key]Limit
-	for i := range parts {
-		parts[i] = map[Key]Limit{}
+	var byShard [Shards]map[Key]Limit
+	for i := range byShard {
+		byShard[i] = map[Key]Limit{}
 	}
 	for key, limit := range limits {
 		if limit.PerSecond <= 0 {
 			continue
 		}
 		i := int(uint64(key) % Shards)
-		parts[i][key] = limit
+		byShard[i][key] = limit
 		a := n.accounts[key]
 		if a == nil {
 			a = &account{key: key, shard: i, demandAt: now, expiresAt: now + grantTTL}
@@ -146,14 +146,14 @@
 		a.limit = limit
 	}
 	for key, a := range n.accounts {
-		if _, ok := parts[a.shard][key]; !ok {
+		if _, ok := byShard[a.shard][key]; !ok {
 			a.resolveWaiters(func(waiter) Verdict { return Verdict{Admitted: true} })
 			delete(n.accounts, key)
 		}
 	}
 	for i := range n.shards {
-		n.shards[i].keys = slices.Sorted(maps.Keys(parts[i]))
-		n.shards[i].lender.setLimits(now, parts[i])
+		n.shards[i].keys = slices.Sorted(maps.Keys(byShard[i]))
+		n.shards[i].lender.setLimits(now, byShard[i])
 	}
 }
 
@@ -367,7 +367,7 @@
 		return me
 	}
 	for _, next := range s.order {
-		if _, gone := s.skippedUntil[next.Address]; !gone || next == me {
+		if _, skipped := s.skippedUntil[next.Address]; !skipped || next == me {
 			return next
 		}
 	}
@@ -409,7 +409,7 @@
 	}
 }
 
-// handleTimeouts repeats or gives up asks without a reply, and rejects requests after maxWait.
+// handleTimeouts repeats or abandons asks without a reply, and rejects requests after maxWait.
 func (n *Node) handleTimeouts(now time.Duration, i int) {
 	s := &n.shards[i]
 	if f := s.pendingAsk; f.seq != 0 {
@@ -451,8 +451,8 @@
 		if d == n.o.Self {
 			return
 		}
-		until, gone := s.skippedUntil[d.Address]
-		if gone && now < until || !gone && s.missed < maxMissed {
+		until, skipped := s.skippedUntil[d.Address]
+		if skipped && now < until || !skipped && s.missed < maxMissed {
 			continue
 		}
 		n.seq++
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -68,7 +68,7 @@
 		hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
 		hot = append(hot, traffic[2:8]...)
 		lost, over := map[string]float64{}, map[string]float64{}
-		for name, way := range map[string]func(w *simulation) *fractionLimiter{
+		for name, newFractions := range map[string]func(w *simulation) *fractionLimiter{
 			"lent by owners":                func(*simulation) *fractionLimiter { return nil },
 			"equal parts":                   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, false) },
 			"equal parts and one request":   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, true) },
@@ -76,7 +76,7 @@
 			"parts by demand and a request": func(w *simulation) *fractionLimiter { return newFractionLimiter(w, true, true) },
 		} {
 			w := newSimulation(t, 5, daemons, limits)
-			w.fractions = way(w)
+			w.fractions = newFractions(w)
 			w.run(time.Second, nil)
 			w.run(5*time.Second, traffic)
 			fraction, _, _ := w.wrongRejections()
--- a/readtree/readtree.go
+++ b/readtree/readtree.go
@@ -28,8 +28,8 @@
 	// 100 kB on to 8 readers in 0.3 s.
 	MinFanout = 8
 	// mbpsPerReader is the bandwidth of the link, in Mbit/s, that allows for one reader.
-	// maxFanout limits the readers of a daemon: if it is lost, all of them turn to other
-	// daemons at once.
+	// maxFanout limits the readers of a daemon: if it is lost, all of them change to
+	// other daemons at once.
 	mbpsPerReader = 20
 	maxFanout     = 24
 	// initialAvoidance is how long a daemon is avoided that did not answer or was behind
@@ -160,7 +160,7 @@
 	p := s.position
 	out := []int{p.parent}
 	if p.width > 1 {
-		// The readers of a lost daemon turn to different daemons.
+		// The readers of a lost daemon change to different daemons.
 		out = append(out, p.start+(p.parent-p.start+1+s.index%(p.width-1))%p.width)
 	}
 	for i := range s.index {
--- a/readtree/readtree_test.go
+++ b/readtree/readtree_test.go
@@ -77,7 +77,7 @@
 	})
 }
 
-// Guards against readers of a lost daemon that stay with it or all turn to the same
+// Guards against readers of a lost daemon that stay with it or all change to the same
 // other daemon.
 func TestReadersOfLostDaemonAreSpread(t *testing.T) {
 	all := selectors(73)
@@ -94,12 +94,12 @@
 				t.Fatalf("%s goes on with the lost daemon", c.self.Name)
 			}
 			if next[instead.Name]++; next[instead.Name] > 2 {
-				t.Errorf("%d readers of daemon %d turn to %s", next[instead.Name], lost, instead.Name)
+				t.Errorf("%d readers of daemon %d change to %s", next[instead.Name], lost, instead.Name)
 			}
 			c.RecordAnswer(through)
 		}
 		if next[all[0].self.Name] > 0 {
-			t.Errorf("%d readers of daemon %d turn to the first", next[all[0].self.Name], lost)
+			t.Errorf("%d readers of daemon %d change to the first", next[all[0].self.Name], lost)
 		}
 	}
 }
@@ -147,7 +147,7 @@
 }
 
 // Guards against trees with slow links near the root: a daemon with 20 Mbit/s that reads
-// for 220 others falls behind, and all of them turn to the store at once.
+// for 220 others falls behind, and all of them read from the store at once.
 func TestDaemonsWithFastLinksAreParents(t *testing.T) {
 	const large, small = 10, 210
 	var all []Daemon
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -56,7 +56,7 @@
 	OutcomeRefused Outcome = "refused"
 )
 
-// Code is the reason why a request was given up. Codes are stable.
+// Code is the reason why a request was abandoned. Codes are stable.
 type Code string
 
 // Reasons for giving up.
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -169,7 +169,7 @@
 	}
 }
 
-// clock starts at an hour, as zero stands for times that are not set.
+// clock starts at an hour, as a zero time means that it is not set.
 func (f *simulatedFleet) clock() time.Duration { return time.Hour + time.Since(f.began) }
 
 // deliver delivers a message to another daemon after fleetLatency unless it is lost.
@@ -331,7 +331,7 @@
 // run runs one request. It returns false if the connection has to be closed.
 func (e *simulatedEndpoint) run(c net.Conn, req *http.Request, body string) bool {
 	e.f.mu.Lock()
-	life, ours := e.incarnation, req.Header.Get("Instance") == e.id()
+	incarnation, ours := e.incarnation, req.Header.Get("Instance") == e.id()
 	e.arrivals = append(e.arrivals, arrival{at: time.Now(), body: body, ran: ours})
 	limit := e.limit
 	e.f.mu.Unlock()
@@ -345,7 +345,7 @@
 	}
 	time.Sleep(fleetServiceTime)
 	if body == crashBody {
-		e.crash(life)
+		e.crash(incarnation)
 		return false
 	}
 	if body == truncatedBody {
@@ -359,11 +359,11 @@
 
 // crash stops the endpoint and all requests that it runs, unless that incarnation has
 // stopped already. The endpoint restarts under another id.
-func (e *simulatedEndpoint) crash(life int) {
+func (e *simulatedEndpoint) crash(incarnation int) {
 	f := e.f
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if !e.up || e.incarnation != life {
+	if !e.up || e.incarnation != incarnation {
 		return
 	}
 	e.up = false
--- a/router/follower.go
+++ b/router/follower.go
@@ -102,8 +102,8 @@
 	return f.readStore(ctx, wait)
 }
 
-// readStore makes one read from the store. A full read has a timeout for each page and
-// none for the whole, as it would otherwise never finish over a slow link.
+// readStore makes one read from the store. A full read has a timeout for each page but
+// none in total, as it would otherwise never finish over a slow link.
 func (f *follower) readStore(ctx context.Context, wait time.Duration) (readResult, error) {
 	sent := f.router.clock()
 	if f.needsFullRead() {
--- a/router/orders.go
+++ b/router/orders.go
@@ -147,11 +147,11 @@
 	defer cancel()
 	sent := l.router.clock()
 	records, end, err := l.router.options.Lease.LeaseRecords(call, from, wait)
-	var gone *HistoryTruncatedError
-	if errors.As(err, &gone) {
+	var truncated *HistoryTruncatedError
+	if errors.As(err, &truncated) {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		l.lease.SkipTo(l.router.clock(), gone.First)
+		l.lease.SkipTo(l.router.clock(), truncated.First)
 		return nil
 	}
 	if err != nil {
@@ -227,7 +227,7 @@
 	if holds {
 		return 0
 	}
-	before, _ := r.neighbours.rank("orders") // with no list there is nobody to wait for
+	before, _ := r.neighbours.rank("orders") // 0 while the list is unknown, as no other daemon can be awaited
 	if wait := time.Duration(before) * claimStep; wait < maxClaimDelay {
 		return wait
 	}
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -166,7 +166,7 @@
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 }
 
-// clock starts at an hour, as zero stands for times that are not set.
+// clock starts at an hour, as a zero time means that it is not set.
 func (w *simulatedZone) clock() time.Duration { return time.Hour + time.Since(w.began) }
 
 // writeHeartbeats writes the entry of each endpoint every heartbeatInterval.
