--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -112,7 +112,7 @@
 	return x, nil
 }
 
-func (x *Index) addOrganisation(o *manifest.Organisation) error {
+func (i *Index) addOrganisation(o *manifest.Organisation) error {
 	org := &Organisation{ID: o.ID, Share: o.Share}
 	for _, name := range o.Priorities {
 		p, err := contract.ParsePriority(name)
@@ -133,13 +133,13 @@
 		if n, err := hex.Decode(sum[:], []byte(h)); err != nil || n != len(sum) || len(h) != 2*len(sum) {
 			return fmt.Errorf("catalog: organisation %s: key hash %q is not a hexadecimal SHA-256", o.ID, h)
 		}
-		x.keys[sum] = org
+		i.keys[sum] = org
 	}
-	x.organisations[o.ID] = org
+	i.organisations[o.ID] = org
 	return nil
 }
 
-func (x *Index) addModel(m *manifest.Model) {
+func (i *Index) addModel(m *manifest.Model) {
 	entry := &model{version: m.Version, adapters: make(map[string]*adapter, len(m.Adapters))}
 	for _, a := range m.Adapters {
 		rights := make(map[contract.OrganisationID]bool, len(a.Organisations))
@@ -150,12 +150,12 @@
 		entry.adapterNames = append(entry.adapterNames, a.ID)
 	}
 	slices.Sort(entry.adapterNames)
-	x.models[m.ID] = entry
-	x.modelNames = append(x.modelNames, m.ID)
+	i.models[m.ID] = entry
+	i.modelNames = append(i.modelNames, m.ID)
 }
 
-func (x *Index) addService(s *manifest.Service) {
-	x.services = append(x.services, &Service{
+func (i *Index) addService(s *manifest.Service) {
+	i.services = append(i.services, &Service{
 		ID:     s.ID,
 		Prefix: strings.TrimRight(s.PathPrefix, "/"),
 		Class:  s.Class,
@@ -166,8 +166,8 @@
 // Authenticate returns the organisation that an API key belongs to, or
 // ErrKeyUnknown. It looks up the key's hash, so that neither the manifest nor the
 // time of the look-up reveals anything about a key.
-func (x *Index) Authenticate(key string) (*Organisation, error) {
-	org, ok := x.keys[sha256.Sum256([]byte(key))]
+func (i *Index) Authenticate(key string) (*Organisation, error) {
+	org, ok := i.keys[sha256.Sum256([]byte(key))]
 	if !ok {
 		return nil, ErrKeyUnknown
 	}
@@ -176,8 +176,8 @@
 
 // Organisation returns the organisation with the given ID, and false if there is
 // none.
-func (x *Index) Organisation(id contract.OrganisationID) (*Organisation, bool) {
-	org, ok := x.organisations[id]
+func (i *Index) Organisation(id contract.OrganisationID) (*Organisation, bool) {
+	org, ok := i.organisations[id]
 	return org, ok
 }
 
@@ -185,7 +185,7 @@
 // may contain the adapter after AdapterSeparator; then adapterName must be empty
 // or the same. The errors are ErrModelUnknown, ErrModelForbidden,
 // ErrAdapterUnknown and ErrAdapterForbidden.
-func (x *Index) Resolve(org *Organisation, name, adapterName string) (Target, error) {
+func (i *Index) Resolve(org *Organisation, name, adapterName string) (Target, error) {
 	base, suffix, _ := strings.Cut(name, AdapterSeparator)
 	if suffix != "" && adapterName != "" && suffix != adapterName {
 		return Target{}, fmt.Errorf("%w: %q and %q are both asked for", ErrAdapterUnknown, suffix, adapterName)
@@ -193,7 +193,7 @@
 	if adapterName == "" {
 		adapterName = suffix
 	}
-	m, ok := x.models[base]
+	m, ok := i.models[base]
 	if !ok {
 		return Target{}, fmt.Errorf("%w: %q", ErrModelUnknown, base)
 	}
@@ -237,14 +237,14 @@
 
 // Models returns the model names that the organisation may use, with adapters,
 // in the order of their names.
-func (x *Index) Models(org *Organisation) []string {
+func (i *Index) Models(org *Organisation) []string {
 	var names []string
-	for _, base := range x.modelNames {
+	for _, base := range i.modelNames {
 		if org.models != nil && !org.models[base] {
 			continue
 		}
 		names = append(names, base)
-		m := x.models[base]
+		m := i.models[base]
 		for _, a := range m.adapterNames {
 			if m.adapters[a].organisations[org.ID] {
 				names = append(names, base+AdapterSeparator+a)
@@ -257,8 +257,8 @@
 // Service returns the plain service with the longest prefix of the path, and the
 // rest of the path, which is empty or begins with a slash. It returns false if no
 // service matches.
-func (x *Index) Service(path string) (s *Service, rest string, ok bool) {
-	for _, s := range x.services {
+func (i *Index) Service(path string) (s *Service, rest string, ok bool) {
+	for _, s := range i.services {
 		rest, found := strings.CutPrefix(path, s.Prefix)
 		if found && (rest == "" || rest[0] == '/') {
 			return s, rest, true
@@ -288,8 +288,8 @@
 
 // Serves reports whether endpoints of a class are of the given kind and, for
 // model engines, serve the model.
-func (x *Index) Serves(class string, kind fleet.Kind, model string) bool {
-	c, ok := x.classes[class]
+func (i *Index) Serves(class string, kind fleet.Kind, model string) bool {
+	c, ok := i.classes[class]
 	if !ok || c.Kind != kind {
 		return false
 	}
@@ -297,4 +297,4 @@
 }
 
 // Fleet returns the fleet settings of the manifest.
-func (x *Index) Fleet() manifest.Fleet { return x.fleet }
+func (i *Index) Fleet() manifest.Fleet { return i.fleet }
--- a/directory/wire.go
+++ b/directory/wire.go
@@ -23,7 +23,7 @@
 
 // Append encodes the entry without its ID, as daemons pass it to each other, and
 // appends it to the slice. Strings beyond maxTextBytes are truncated, and models beyond
-// maxModels left out.
+// maxModels omitted.
 func (e *Entry) Append(to []byte) []byte {
 	if to == nil {
 		to = make([]byte, 0, 24+len(e.Service)+len(e.Address)+len(e.Zone)+16*len(e.Models))
--- a/feed/feed.go
+++ b/feed/feed.go
@@ -104,7 +104,7 @@
 // Feed is this daemon's copy of one topic. Create it with New. It is safe for
 // concurrent use.
 //
-// Records that change nothing may be left out by the caller: endpoints rewrite their
+// Records that change nothing may be omitted by the caller: endpoints rewrite their
 // records with every heartbeat.
 type Feed struct {
 	keyed bool // only the latest record of each key matters
--- a/fleet/usable.go
+++ b/fleet/usable.go
@@ -67,7 +67,7 @@
 	return to
 }
 
-// notLeaving reports whether neither the list nor the endpoint says that it is leaving.
+// notLeaving reports whether neither the list nor the endpoint reports that it is leaving.
 func (r *member) notLeaving() bool { return !r.leaving && !r.Draining }
 
 func (r *member) snapshot(doubtful bool) Member {
--- a/freshness/freshness.go
+++ b/freshness/freshness.go
@@ -26,34 +26,34 @@
 // RecordAnswer records a read that was sent at the given time and answered now. The age
 // counts from the sending: the answer may have been delayed, and does not cover what
 // happened after it was sent.
-func (c *Tracker) RecordAnswer(sent, now time.Duration) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	c.lastAnswer = max(c.lastAnswer, now)
-	if !c.confirmed || sent > c.lastSent {
-		c.lastSent, c.confirmed = sent, true
+func (t *Tracker) RecordAnswer(sent, now time.Duration) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.lastAnswer = max(t.lastAnswer, now)
+	if !t.confirmed || sent > t.lastSent {
+		t.lastSent, t.confirmed = sent, true
 	}
 }
 
 // SinceAnswer returns the time since the last answer was received; false if there has
 // been none. It shows whether the store can be reached, whereas Age also grows while a
 // read is held by the store until there are new records.
-func (c *Tracker) SinceAnswer(now time.Duration) (time.Duration, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now - c.lastAnswer, c.confirmed
+func (t *Tracker) SinceAnswer(now time.Duration) (time.Duration, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return now - t.lastAnswer, t.confirmed
 }
 
 // Age returns the time since the latest answered read was sent; false if there has been
 // none.
-func (c *Tracker) Age(now time.Duration) (time.Duration, bool) {
-	c.mu.Lock()
-	defer c.mu.Unlock()
-	return now - c.lastSent, c.confirmed
+func (t *Tracker) Age(now time.Duration) (time.Duration, bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return now - t.lastSent, t.confirmed
 }
 
 // Within reports whether the age is below the bound.
-func (c *Tracker) Within(now, bound time.Duration) bool {
-	age, ok := c.Age(now)
+func (t *Tracker) Within(now, bound time.Duration) bool {
+	age, ok := t.Age(now)
 	return ok && age < bound
 }
--- a/gossip/gossip.go
+++ b/gossip/gossip.go
@@ -5,8 +5,8 @@
 // receives it for the first time relays it to RelayFanout random ones at each of the
 // next RelayRounds ticks. Every SyncInterval a daemon sends part of its state to a random
 // one, for daemons that were disconnected or have restarted. Messages may be lost,
-// delayed and duplicated, so an update must be comparable by itself with another one to
-// tell which is newer.
+// delayed and duplicated, so it must be possible to determine from two updates alone which
+// is newer.
 //
 // The package does no I/O and reads no clock.
 package gossip
@@ -52,8 +52,8 @@
 // NewPeers returns Peers without other daemons. rng must be seeded by the caller.
 func NewPeers(self Peer, rng *rand.Rand) *Peers { return &Peers{self: self, rng: rng} }
 
-// Set replaces the list of daemons. The own daemon and those without an address are left
-// out.
+// Set replaces the list of daemons. The own daemon and those without an address are
+// omitted.
 func (p *Peers) Set(all []Peer) {
 	p.others = slices.DeleteFunc(slices.Clone(all), func(o Peer) bool { return o.Name == p.self.Name || o.Address == "" })
 }
--- a/ledger/leases.go
+++ b/ledger/leases.go
@@ -174,12 +174,12 @@
 	return d
 }
 
-func (b *LeaseRecord) valid() bool {
-	if b.Name == "" || b.Holder == "" || len(b.Name) > maxNameBytes || len(b.Holder) > maxNameBytes {
+func (r *LeaseRecord) valid() bool {
+	if r.Name == "" || r.Holder == "" || len(r.Name) > maxNameBytes || len(r.Holder) > maxNameBytes {
 		return false
 	}
-	ttl := time.Duration(b.TTL)
-	switch b.Op {
+	ttl := time.Duration(r.TTL)
+	switch r.Op {
 	case LeaseAcquire, LeaseRenew:
 		return ttl >= MinLeaseTTL && ttl <= MaxLeaseTTL
 	case LeaseRelease:
@@ -220,37 +220,37 @@
 
 // extendUncertainty extends the uncertain period by the lease of an undecided
 // record, which other readers may have accepted.
-func (e *leaseEntry) extendUncertainty(b *LeaseRecord, now time.Time) {
-	until := now.Add(time.Duration(b.TTL))
-	if b.Op != LeaseRelease && until.After(e.lease.Expires) {
+func (e *leaseEntry) extendUncertainty(r *LeaseRecord, now time.Time) {
+	until := now.Add(time.Duration(r.TTL))
+	if r.Op != LeaseRelease && until.After(e.lease.Expires) {
 		e.lease.Expires = until
 	}
 }
 
-func (e *leaseEntry) acquire(b *LeaseRecord, offset ports.Offset, now time.Time) (Outcome, Reason, ports.Offset) {
+func (e *leaseEntry) acquire(r *LeaseRecord, offset ports.Offset, now time.Time) (Outcome, Reason, ports.Offset) {
 	if now.Before(e.lease.Expires) {
-		if e.lease.Holder == b.Holder {
+		if e.lease.Holder == r.Holder {
 			return Repeated, "", e.lease.Fence
 		}
 		return Refused, ReasonHeld, e.lease.Fence
 	}
 	e.uncertain = false
-	e.lease.Holder, e.lease.Fence = b.Holder, offset
-	e.lease.Expires = now.Add(time.Duration(b.TTL))
+	e.lease.Holder, e.lease.Fence = r.Holder, offset
+	e.lease.Expires = now.Add(time.Duration(r.TTL))
 	return Accepted, "", offset
 }
 
-func (e *leaseEntry) renewOrRelease(b *LeaseRecord, now time.Time) (Outcome, Reason, ports.Offset) {
+func (e *leaseEntry) renewOrRelease(r *LeaseRecord, now time.Time) (Outcome, Reason, ports.Offset) {
 	if !now.Before(e.lease.Expires) {
 		return Refused, ReasonLapsed, 0
 	}
-	if e.lease.Fence != b.Fence || e.lease.Holder != b.Holder {
+	if e.lease.Fence != r.Fence || e.lease.Holder != r.Holder {
 		return Refused, ReasonLapsed, e.lease.Fence
 	}
-	if b.Op == LeaseRelease {
+	if r.Op == LeaseRelease {
 		e.lease.Expires = now
-		return Accepted, "", b.Fence
+		return Accepted, "", r.Fence
 	}
-	e.lease.Expires = now.Add(time.Duration(b.TTL))
-	return Accepted, "", b.Fence
+	e.lease.Expires = now.Add(time.Duration(r.TTL))
+	return Accepted, "", r.Fence
 }
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -89,8 +89,8 @@
 	key     manifest.Digest // digest in the list of recent acceptances
 }
 
-func (w *proposal) matches(d ledger.Decision) bool {
-	return d.Kind == w.kind && d.Section == w.section && d.Base == w.base && d.Digest == w.digest
+func (p *proposal) matches(d ledger.Decision) bool {
+	return d.Kind == p.kind && d.Section == p.section && d.Base == p.base && d.Digest == p.digest
 }
 
 func newPublisher(log ports.Log, req PublishRequest) (*publisher, error) {
--- a/orders/lease.go
+++ b/orders/lease.go
@@ -29,38 +29,38 @@
 // checkLease reports whether the lease is held, and whether it was acquired since
 // the last call. No state is kept across acquisitions: another holder may have sent
 // orders in between.
-func (g *Leader) checkLease(now time.Time) (held, taken bool) {
-	h, ok := g.o.Lease.Holding(now)
+func (l *Leader) checkLease(now time.Time) (held, taken bool) {
+	h, ok := l.o.Lease.Holding(now)
 	if !ok {
-		g.loseLease(ErrLeaseExpired)
+		l.loseLease(ErrLeaseExpired)
 		return false, false
 	}
-	if h.Fence == g.term.fence {
-		return !g.term.lost, false
+	if h.Fence == l.term.fence {
+		return !l.term.lost, false
 	}
-	g.loseLease(ErrLeaseExpired)
-	g.term = leaseTerm{fence: h.Fence, since: now.Add(g.o.Rollout.MaxOrderTime)}
-	g.o.Observe(Event{Kind: EventLeaseAcquired, Fence: h.Fence})
+	l.loseLease(ErrLeaseExpired)
+	l.term = leaseTerm{fence: h.Fence, since: now.Add(l.o.Rollout.MaxOrderTime)}
+	l.o.Observe(Event{Kind: EventLeaseAcquired, Fence: h.Fence})
 	return true, true
 }
 
 // loseLease marks the current term as lost, so that no more orders are sent in it.
-func (g *Leader) loseLease(reason error) {
-	if g.term.fence == 0 || g.term.lost {
+func (l *Leader) loseLease(reason error) {
+	if l.term.fence == 0 || l.term.lost {
 		return
 	}
-	g.term.lost = true
-	g.o.Observe(Event{Kind: EventLeaseLost, Fence: g.term.fence, Err: reason})
+	l.term.lost = true
+	l.o.Observe(Event{Kind: EventLeaseLost, Fence: l.term.fence, Err: reason})
 }
 
 // sendGuard returns a function that reports whether an order may be sent now, that
 // is, whether the lease remains valid for SendTimeout. It checks the lease on each
 // call: a process that was paused must notice that its lease has expired right
 // before the bytes are written. The function is safe for concurrent use.
-func (g *Leader) sendGuard() func() bool {
-	fence := g.term.fence
+func (l *Leader) sendGuard() func() bool {
+	fence := l.term.fence
 	return func() bool {
-		h, ok := g.o.Lease.Holding(time.Now().Add(g.o.SendTimeout))
+		h, ok := l.o.Lease.Holding(time.Now().Add(l.o.SendTimeout))
 		return ok && h.Fence == fence
 	}
 }
--- a/orders/orders.go
+++ b/orders/orders.go
@@ -120,8 +120,8 @@
 }
 
 // Report returns the latest plan. It is safe for concurrent use.
-func (g *Leader) Report() Report {
-	if r := g.lastReport.Load(); r != nil {
+func (l *Leader) Report() Report {
+	if r := l.lastReport.Load(); r != nil {
 		return *r
 	}
 	return Report{}
@@ -161,12 +161,12 @@
 }
 
 // Run runs rounds until ctx ends, then releases the lease.
-func (g *Leader) Run(ctx context.Context) error {
-	ticker := time.NewTicker(g.o.Tick)
+func (l *Leader) Run(ctx context.Context) error {
+	ticker := time.NewTicker(l.o.Tick)
 	defer ticker.Stop()
-	defer g.release(ctx)
+	defer l.release(ctx)
 	for {
-		g.Round(ctx)
+		l.Round(ctx)
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -176,75 +176,75 @@
 }
 
 // release releases the lease, after the last order has been answered.
-func (g *Leader) release(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), g.o.SendTimeout)
+func (l *Leader) release(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), l.o.SendTimeout)
 	defer cancel()
-	g.o.Lease.Release(ctx)
+	l.o.Lease.Release(ctx)
 }
 
 // Round plans and sends the next orders if the lease is held, and stores the plan for
 // Report.
-func (g *Leader) Round(ctx context.Context) {
-	held, taken := g.checkLease(time.Now())
+func (l *Leader) Round(ctx context.Context) {
+	held, taken := l.checkLease(time.Now())
 	if taken {
-		g.planner = rollout.NewPlanner(g.o.Rollout)
+		l.planner = rollout.NewPlanner(l.o.Rollout)
 	}
 	if !held {
-		g.lastReport.Store(&Report{At: time.Now()})
+		l.lastReport.Store(&Report{At: time.Now()})
 		return
 	}
 	now := time.Now()
-	s := g.o.FleetState(now)
+	s := l.o.FleetState(now)
 	if s.Manifest == nil {
 		return
 	}
-	plan := g.planner.Plan(now, rollout.Input{
+	plan := l.planner.Plan(now, rollout.Input{
 		Manifest:  s.Manifest,
 		Revision:  s.Revision,
-		Fence:     g.term.fence,
-		HeldSince: g.term.since,
+		Fence:     l.term.fence,
+		HeldSince: l.term.since,
 		Endpoints: s.Endpoints,
 	})
-	g.lastReport.Store(&Report{At: now, Fence: g.term.fence, Plan: plan})
+	l.lastReport.Store(&Report{At: now, Fence: l.term.fence, Plan: plan})
 	addresses := map[fleet.EndpointID]string{}
 	for _, e := range s.Endpoints {
 		addresses[e.ID] = e.Address
 	}
-	g.sendOrders(ctx, plan.Orders, addresses)
-	g.readStatuses(ctx, plan.Read, addresses)
+	l.sendOrders(ctx, plan.Orders, addresses)
+	l.readStatuses(ctx, plan.Read, addresses)
 }
 
 // sendOrders sends the orders one by one. It stops at the first one whose error shows
 // that the lease is lost.
-func (g *Leader) sendOrders(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
+func (l *Leader) sendOrders(ctx context.Context, planned []rollout.Order, addresses map[fleet.EndpointID]string) {
 	for _, o := range planned {
-		err := g.sendOrder(ctx, o, addresses[o.Endpoint])
-		g.o.Observe(Event{Kind: EventOrder, Fence: o.Fence, Endpoint: o.Endpoint, Order: &o, Err: err})
+		err := l.sendOrder(ctx, o, addresses[o.Endpoint])
+		l.o.Observe(Event{Kind: EventOrder, Fence: o.Fence, Endpoint: o.Endpoint, Order: &o, Err: err})
 		if errors.Is(err, ErrFenced) || errors.Is(err, ErrLeaseExpired) {
-			g.loseLease(err)
+			l.loseLease(err)
 			return
 		}
 	}
 }
 
 // sendOrder sends one order and reports the result to the planner.
-func (g *Leader) sendOrder(ctx context.Context, o rollout.Order, address string) error {
-	allowed := g.sendGuard()
+func (l *Leader) sendOrder(ctx context.Context, o rollout.Order, address string) error {
+	allowed := l.sendGuard()
 	if !allowed() {
 		return ErrLeaseExpired
 	}
-	g.planner.Sent(time.Now(), o)
-	pause, err := g.sender.postOrder(ctx, o, address, allowed)
+	l.planner.Sent(time.Now(), o)
+	pause, err := l.sender.postOrder(ctx, o, address, allowed)
 	switch {
 	case errors.Is(err, ErrUnknown):
 		// The order stays pending until the endpoint's status is read.
 	case errors.Is(err, ErrNotSent), errors.Is(err, ErrLeaseExpired):
-		g.planner.NotSent(o)
+		l.planner.NotSent(o)
 	case errors.Is(err, ErrStoreBusy):
-		g.planner.StoreBusy(time.Now(), pause)
-		g.planner.Answered(o)
+		l.planner.StoreBusy(time.Now(), pause)
+		l.planner.Answered(o)
 	default:
-		g.planner.Answered(o)
+		l.planner.Answered(o)
 	}
 	return err
 }
@@ -257,15 +257,15 @@
 }
 
 // readStatuses reads statuses, at most MaxReads concurrently.
-func (g *Leader) readStatuses(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
+func (l *Leader) readStatuses(ctx context.Context, ids []fleet.EndpointID, addresses map[fleet.EndpointID]string) {
 	ids = ids[:min(len(ids), maxReadsPerRound)]
 	readings := make([]statusResult, len(ids))
 	var group errgroup.Group
-	group.SetLimit(g.o.MaxReads)
+	group.SetLimit(l.o.MaxReads)
 	for i, id := range ids {
 		group.Go(func() error {
 			readings[i].asked = time.Now()
-			readings[i].status, readings[i].err = g.sender.readStatus(ctx, addresses[id])
+			readings[i].status, readings[i].err = l.sender.readStatus(ctx, addresses[id])
 			return nil
 		})
 	}
@@ -273,10 +273,10 @@
 	now := time.Now()
 	for i, id := range ids {
 		if r := readings[i]; r.err == nil {
-			g.planner.Observed(r.asked, now, id, r.status)
+			l.planner.Observed(r.asked, now, id, r.status)
 			continue
 		}
-		g.planner.ReadFailed(now, id)
-		g.o.Observe(Event{Kind: EventStatusFailed, Endpoint: id, Err: readings[i].err})
+		l.planner.ReadFailed(now, id)
+		l.o.Observe(Event{Kind: EventStatusFailed, Endpoint: id, Err: readings[i].err})
 	}
 }
--- a/placement/dump.go
+++ b/placement/dump.go
@@ -33,7 +33,7 @@
 var availabilityNames = [...]string{"open", "ejected", "draining"}
 
 // String returns the availability's name.
-func (g Availability) String() string { return availabilityNames[g] }
+func (a Availability) String() string { return availabilityNames[a] }
 
 // Dump returns a snapshot as of now.
 func (v *View) Dump(now time.Time) Dump {
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -93,7 +93,7 @@
 
 // SetPool sets the members of a pool: the endpoints that can serve one kind of request, for
 // example those that have one model loaded. The state of endpoints that stay is kept.
-// Endpoints beyond MaxEndpoints are left out.
+// Endpoints beyond MaxEndpoints are ignored.
 func (v *View) SetPool(name string, members []fleet.Endpoint) {
 	p := v.pools[name]
 	if p == nil {
@@ -220,9 +220,9 @@
 // SetAvailability sets whether an endpoint may be given requests. It does not change the
 // rendezvous order, so that an ejected endpoint gets its own prefixes back when it returns
 // and no others move.
-func (v *View) SetAvailability(id fleet.EndpointID, g Availability) {
+func (v *View) SetAvailability(id fleet.EndpointID, a Availability) {
 	if e := v.endpointOf(id); e != nil {
-		e.assigned = g
+		e.assigned = a
 	}
 }
 
--- a/placement/shared.go
+++ b/placement/shared.go
@@ -154,10 +154,10 @@
 }
 
 // SetAvailability calls View.SetAvailability under the lock.
-func (s *SharedView) SetAvailability(id fleet.EndpointID, g Availability) {
+func (s *SharedView) SetAvailability(id fleet.EndpointID, a Availability) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.view.SetAvailability(id, g)
+	s.view.SetAvailability(id, a)
 }
 
 // SetStore calls View.SetStore under the lock.
--- a/placement/view.go
+++ b/placement/view.go
@@ -101,7 +101,7 @@
 }
 
 // decayedWait returns the last observed wait for the priority or a more urgent one, decayed
-// by its age. Waits of less urgent requests are left out, since more urgent ones are served
+// by its age. Waits of less urgent requests are ignored, since more urgent ones are served
 // first.
 func (v *View) decayedWait(now time.Time, e *endpoint, p contract.Priority) time.Duration {
 	longest := time.Duration(0)
--- a/quarantine/node.go
+++ b/quarantine/node.go
@@ -82,9 +82,9 @@
 }
 
 // recordCrash counts a crash, and holds the request once it has crashesToHold of them.
-func (n *Node) recordCrash(now time.Duration, f Fingerprint, e crash) {
-	ends := n.suspects.add(f, e)
-	if len(ends) < crashesToHold {
+func (n *Node) recordCrash(now time.Duration, f Fingerprint, c crash) {
+	crashes := n.suspects.add(f, c)
+	if len(crashes) < crashesToHold {
 		return
 	}
 	round := uint64(1)
@@ -94,7 +94,7 @@
 		}
 		round = h.round + 1
 	}
-	if n.apply(now, update{fingerprint: f, round: round, crashAge: now - firstCrash(ends), left: HoldDuration}, ReasonCrashes) {
+	if n.apply(now, update{fingerprint: f, round: round, crashAge: now - firstCrash(crashes), left: HoldDuration}, ReasonCrashes) {
 		n.announce(now, f, gossip.DirectFanout)
 	}
 }
@@ -123,30 +123,32 @@
 }
 
 // apply applies a hold or a clearance, and returns false if it is not newer than the local state.
-func (n *Node) apply(now time.Duration, t update, why Reason) bool {
-	h := n.holds[t.fingerprint]
-	if h != nil && now < h.until && !supersedes(t, h) {
+func (n *Node) apply(now time.Duration, u update, why Reason) bool {
+	h := n.holds[u.fingerprint]
+	if h != nil && now < h.until && !supersedes(u, h) {
 		return false
 	}
 	if h == nil {
 		n.evictHold()
 	}
-	n.holds[t.fingerprint] = &hold{
-		round: t.round, cleared: t.cleared, firstCrash: now - t.crashAge, until: now + t.left, relaysLeft: gossip.RelayRounds,
+	n.holds[u.fingerprint] = &hold{
+		round: u.round, cleared: u.cleared, firstCrash: now - u.crashAge, until: now + u.left, relaysLeft: gossip.RelayRounds,
 	}
-	c := Change{Fingerprint: t.fingerprint, Held: !t.cleared, Reason: why, Left: t.left}
-	for _, e := range n.suspects.crashes[t.fingerprint] {
-		c.Crashed = append(c.Crashed, e.endpoint)
+	change := Change{Fingerprint: u.fingerprint, Held: !u.cleared, Reason: why, Left: u.left}
+	for _, c := range n.suspects.crashes[u.fingerprint] {
+		change.Crashed = append(change.Crashed, c.endpoint)
 	}
-	n.changes = append(n.changes, c)
-	if t.cleared {
-		n.suspects.clear(t.fingerprint)
+	n.changes = append(n.changes, change)
+	if u.cleared {
+		n.suspects.clear(u.fingerprint)
 	}
 	return true
 }
 
-func supersedes(t update, h *hold) bool {
-	return t.round > h.round || t.round == h.round && t.cleared && !h.cleared
+// supersedes reports whether the update is newer than the hold. In the same round, a
+// clearance is newer than the hold that it ends.
+func supersedes(u update, h *hold) bool {
+	return u.round > h.round || u.round == h.round && u.cleared && !h.cleared
 }
 
 // evictHold removes the hold that expires first if there are maxHolds.
@@ -200,8 +202,8 @@
 		}
 	}
 	for to, all := range byOwner {
-		for part := range slices.Chunk(all, maxReports) {
-			n.peers.Send(to, encodeReports(part))
+		for chunk := range slices.Chunk(all, maxReports) {
+			n.peers.Send(to, encodeReports(chunk))
 		}
 	}
 }
@@ -258,8 +260,8 @@
 		return err
 	}
 	all, err := decodeHolds(data)
-	for _, t := range all {
-		n.handleUpdate(now, t)
+	for _, u := range all {
+		n.handleUpdate(now, u)
 	}
 	return err
 }
@@ -274,12 +276,12 @@
 
 // handleUpdate applies an update of another daemon. It ends a hold if the request was
 // answered at this daemon since the first crash.
-func (n *Node) handleUpdate(now time.Duration, t update) {
-	if t.left <= 0 || !n.apply(now, t, ReasonReceived) {
+func (n *Node) handleUpdate(now time.Duration, u update) {
+	if u.left <= 0 || !n.apply(now, u, ReasonReceived) {
 		return
 	}
-	if !t.cleared && n.answers.answeredSince(t.fingerprint, now-t.crashAge) {
-		n.endHold(now, t.fingerprint, ReasonAnswered)
+	if !u.cleared && n.answers.answeredSince(u.fingerprint, now-u.crashAge) {
+		n.endHold(now, u.fingerprint, ReasonAnswered)
 	}
 }
 
@@ -296,15 +298,15 @@
 	if _, held := n.Held(now, f); !held {
 		return StoredHold{}, false
 	}
-	t := n.updateOf(now, f)
-	return StoredHold{Fingerprint: f, Round: t.round, Age: t.crashAge, Left: t.left}, true
+	u := n.updateOf(now, f)
+	return StoredHold{Fingerprint: f, Round: u.round, Age: u.crashAge, Left: u.left}, true
 }
 
 // RestoreHold applies a stored hold. All daemons read the store, so it is not sent to
 // peers.
-func (n *Node) RestoreHold(now time.Duration, k StoredHold) {
-	n.handleUpdate(now, update{fingerprint: k.Fingerprint, round: k.Round, crashAge: k.Age, left: min(k.Left, HoldDuration)})
-	if h := n.holds[k.Fingerprint]; h != nil && !h.cleared {
+func (n *Node) RestoreHold(now time.Duration, stored StoredHold) {
+	n.handleUpdate(now, update{fingerprint: stored.Fingerprint, round: stored.Round, crashAge: stored.Age, left: min(stored.Left, HoldDuration)})
+	if h := n.holds[stored.Fingerprint]; h != nil && !h.cleared {
 		h.relaysLeft = 0
 	}
 }
--- a/quarantine/suspects.go
+++ b/quarantine/suspects.go
@@ -24,11 +24,11 @@
 
 // add records a crash, and returns the crashes that count against the request. Several
 // attempts or reports about the same endpoint count once.
-func (s *suspects) add(f Fingerprint, e crash) []crash {
+func (s *suspects) add(f Fingerprint, c crash) []crash {
 	known, some := s.crashes[f]
-	known = recentCrashes(known, e.at)
-	if !slices.ContainsFunc(known, func(k crash) bool { return k.endpoint == e.endpoint }) {
-		known = append(known, e)
+	known = recentCrashes(known, c.at)
+	if !slices.ContainsFunc(known, func(k crash) bool { return k.endpoint == c.endpoint }) {
+		known = append(known, c)
 	}
 	if !some {
 		s.order = append(s.order, f)
@@ -40,14 +40,14 @@
 
 // recentCrashes removes the crashes older than crashTTL.
 func recentCrashes(all []crash, now time.Duration) []crash {
-	return slices.DeleteFunc(all, func(e crash) bool { return now-e.at > crashTTL })
+	return slices.DeleteFunc(all, func(c crash) bool { return now-c.at > crashTTL })
 }
 
 // firstCrash returns the time of the earliest crash.
 func firstCrash(all []crash) time.Duration {
 	at := all[0].at
-	for _, e := range all {
-		at = min(at, e.at)
+	for _, c := range all {
+		at = min(at, c.at)
 	}
 	return at
 }
@@ -55,8 +55,8 @@
 // count returns the number of crashes that count against a request.
 func (s *suspects) count(f Fingerprint, now time.Duration) int {
 	n := 0
-	for _, e := range s.crashes[f] {
-		if now-e.at <= crashTTL {
+	for _, c := range s.crashes[f] {
+		if now-c.at <= crashTTL {
 			n++
 		}
 	}
--- a/quarantineguard/guard.go
+++ b/quarantineguard/guard.go
@@ -1,5 +1,5 @@
 // Package quarantineguard runs the quarantine of one daemon. It checks whether endpoints have
-// ended, exchanges the messages of a quarantine.Node with other daemons, and serves
+// crashed, exchanges the messages of a quarantine.Node with other daemons, and serves
 // the operators' API for held requests.
 package quarantineguard
 
@@ -21,10 +21,10 @@
 	"github.com/merlindock/merlindock/quarantine"
 )
 
-// Parameters of the check whether an endpoint has ended.
+// Parameters of the check whether an endpoint has crashed.
 const (
 	// dialAttempts is the number of connection attempts. More than one is needed because
-	// the kernel of an endpoint that ends may close the listening socket last.
+	// the kernel of an endpoint that crashes may close the listening socket last.
 	dialAttempts   = 2
 	dialRetryDelay = 150 * time.Millisecond
 	// dialTimeout limits one connection attempt.
@@ -50,7 +50,7 @@
 	OnChange func(c *quarantine.Change, kept *quarantine.StoredHold)
 }
 
-// Guard holds requests that made several endpoints end, so that they reach no further
+// Guard holds requests that crashed several endpoints, so that they reach no further
 // endpoint. It is safe for concurrent use.
 type Guard struct {
 	o      Options
@@ -64,11 +64,11 @@
 	checks map[fleet.EndpointID]*endpointCheck
 }
 
-// endpointCheck is a check whether an endpoint has ended.
+// endpointCheck is a check whether an endpoint has crashed.
 type endpointCheck struct {
 	checkedAt time.Duration
 	done      bool
-	ended     bool
+	crashed   bool
 	waiting   []quarantine.Fingerprint // requests that wait for the result
 }
 
@@ -180,43 +180,43 @@
 }
 
 // Lost records an attempt whose connection broke, and checks the endpoint unless it
-// is known to have ended. An endpoint that aborted only one answer, or whose network
-// failed, may still run, so it counts as ended only if it accepts no more connections.
+// is known to have crashed. An endpoint that aborted only one answer, or whose network
+// failed, may still run, so it counts as crashed only if it accepts no more connections.
 // key identifies one incarnation of the endpoint.
 func (g *Guard) Lost(f quarantine.Fingerprint, key fleet.EndpointID, address string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	c := g.checks[key]
 	switch {
-	case c == nil || c.done && !c.ended:
+	case c == nil || c.done && !c.crashed:
 		c = &endpointCheck{waiting: []quarantine.Fingerprint{f}}
 		g.checks[key] = c
 		go g.check(c, key, address)
 	case !c.done:
 		c.waiting = append(c.waiting, f)
 	default:
-		g.recordEnd(f, key)
+		g.recordCrash(f, key)
 	}
 }
 
-// check determines whether the endpoint has ended and records this for the waiting
+// check determines whether the endpoint has crashed and records this for the waiting
 // requests.
 func (g *Guard) check(c *endpointCheck, key fleet.EndpointID, address string) {
-	ended := false
-	for n := 0; n < dialAttempts && !ended; n++ {
+	crashed := false
+	for n := 0; n < dialAttempts && !crashed; n++ {
 		if n > 0 {
 			if pause.For(g.ctx, dialRetryDelay) != nil {
 				return
 			}
 		}
-		ended = g.unreachable(address)
+		crashed = g.unreachable(address)
 	}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	c.checkedAt, c.done, c.ended = g.o.Clock(), true, ended
+	c.checkedAt, c.done, c.crashed = g.o.Clock(), true, crashed
 	for _, f := range c.waiting {
-		if ended {
-			g.recordEnd(f, key)
+		if crashed {
+			g.recordCrash(f, key)
 		}
 	}
 	c.waiting = nil
@@ -235,10 +235,10 @@
 	return errors.Is(err, syscall.ECONNREFUSED) || errors.As(err, &timeout) && timeout.Timeout() && g.ctx.Err() == nil
 }
 
-// recordEnd records that an endpoint ended while it ran the request. The caller must
+// recordCrash records that an endpoint crashed while it ran the request. The caller must
 // hold mu.
-func (g *Guard) recordEnd(f quarantine.Fingerprint, key fleet.EndpointID) {
-	g.o.Log.Info("Endpoint ended under a request.", "fingerprint", f.String(), "endpoint", string(key))
+func (g *Guard) recordCrash(f quarantine.Fingerprint, key fleet.EndpointID) {
+	g.o.Log.Info("Endpoint crashed while it ran a request.", "fingerprint", f.String(), "endpoint", string(key))
 	g.node.EndpointCrashed(g.o.Clock(), f, key)
 	g.flush()
 }
--- a/quarantineguard/guard_test.go
+++ b/quarantineguard/guard_test.go
@@ -61,7 +61,7 @@
 }
 
 // A broken connection alone, or a failure in this daemon such as a lack of file
-// descriptors, must not count as the end of an endpoint.
+// descriptors, must not count as a crash of an endpoint.
 func TestCountsOnlyUnreachableEndpoints(t *testing.T) {
 	for name, c := range map[string]struct {
 		dial func() (net.Conn, error)
--- a/quarantineguard/http.go
+++ b/quarantineguard/http.go
@@ -12,7 +12,7 @@
 type heldRequest struct {
 	Fingerprint string `json:"fingerprint"`
 	LeftSeconds int64  `json:"left_s"`
-	Ends        int    `json:"ends"` // endpoints that ended while they ran it, as far as this daemon knows
+	Ends        int    `json:"ends"` // crashed endpoints that this daemon knows of; 0 if another daemon counted them
 }
 
 // RegisterHandlers registers the operators' API: GET /quarantine lists the held
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -12,10 +12,10 @@
 // The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
-func checkWrongRejections(t *testing.T, w *simulation) {
+func checkWrongRejections(t *testing.T, s *simulation) {
 	t.Helper()
-	fraction, lost, owed := w.wrongRejections()
-	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, w.sent, float64(w.bytes)/w.now.Seconds()/float64(len(w.nodes)))
+	fraction, lost, owed := s.wrongRejections()
+	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, s.sent, float64(s.bytes)/s.now.Seconds()/float64(len(s.nodes)))
 	if fraction > maxWrongRejections {
 		t.Errorf("%d of %d requests within the limit were rejected, allowed is 1 in 200", lost, owed)
 	}
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -85,75 +85,75 @@
 	return w
 }
 
-func (w *simulation) add(i int) {
+func (s *simulation) add(i int) {
 	m := &simDaemon{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
-	w.nodes = append(w.nodes, m)
-	w.byAddr[m.me.Address] = m
-	m.node = w.process(m)
+	s.nodes = append(s.nodes, m)
+	s.byAddr[m.me.Address] = m
+	m.node = s.process(m)
 }
 
-func (w *simulation) process(m *simDaemon) *Node {
-	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
+func (s *simulation) process(m *simDaemon) *Node {
+	return NewNode(Options{Self: m.me, Tolerance: s.tol, Nonce: s.rng.Uint64(), Rand: s.rng})
 }
 
 // restart replaces the process of a daemon by a new one, which gets the list and the
 // limits at once.
-func (w *simulation) restart(m *simDaemon) {
-	m.node, m.queue, m.down = w.process(m), nil, false
-	m.node.SetDaemons(w.list())
-	m.node.SetLimits(w.now, w.limits)
+func (s *simulation) restart(m *simDaemon) {
+	m.node, m.queue, m.down = s.process(m), nil, false
+	m.node.SetDaemons(s.list())
+	m.node.SetLimits(s.now, s.limits)
 }
 
-func (w *simulation) list() []Daemon {
+func (s *simulation) list() []Daemon {
 	var out []Daemon
-	for _, m := range w.nodes {
+	for _, m := range s.nodes {
 		out = append(out, m.me)
 	}
 	return out
 }
 
 // post sends the outgoing messages of a daemon.
-func (w *simulation) post(m *simDaemon) {
+func (s *simulation) post(m *simDaemon) {
 	for _, d := range m.node.Outbox() {
-		w.sent++
-		w.bytes += len(d.Data) + 28 // headers of IP and UDP
-		to := w.byAddr[d.To]
-		if to == nil || w.partitioned != nil && w.partitioned(m.index, to.index) || w.rng.Float64() < w.loss {
+		s.sent++
+		s.bytes += len(d.Data) + 28 // headers of IP and UDP
+		to := s.byAddr[d.To]
+		if to == nil || s.partitioned != nil && s.partitioned(m.index, to.index) || s.rng.Float64() < s.loss {
 			continue
 		}
 		copies := 1
-		if w.rng.Float64() < w.double {
+		if s.rng.Float64() < s.double {
 			copies = 2
 		}
 		for range copies {
-			after := time.Millisecond * time.Duration(1+w.rng.IntN(3))
-			if w.rng.Float64() < w.late {
-				after += time.Duration(w.rng.IntN(1000)) * time.Millisecond
+			after := time.Millisecond * time.Duration(1+s.rng.IntN(3))
+			if s.rng.Float64() < s.late {
+				after += time.Duration(s.rng.IntN(1000)) * time.Millisecond
 			}
-			w.inTransit[w.now+after] = append(w.inTransit[w.now+after], packet{m.me.Address, d.To, d.Data})
+			s.inTransit[s.now+after] = append(s.inTransit[s.now+after], packet{m.me.Address, d.To, d.Data})
 		}
 	}
 }
 
 // step advances the simulation by one millisecond.
-func (w *simulation) step() {
-	w.now += time.Millisecond
-	for _, l := range w.inTransit[w.now] {
-		m := w.byAddr[l.to]
+func (s *simulation) step() {
+	s.now += time.Millisecond
+	for _, l := range s.inTransit[s.now] {
+		m := s.byAddr[l.to]
 		switch {
 		case m.down:
 		case m.paused:
 			m.queue = append(m.queue, l)
 		default:
-			w.deliver(m, l)
+			s.deliver(m, l)
 		}
 	}
-	delete(w.inTransit, w.now)
-	if w.fractions != nil {
-		w.fractions.step(w)
+	delete(s.inTransit, s.now)
+	if s.fractions != nil {
+		s.fractions.step(s)
 		return
 	}
-	for _, m := range w.nodes {
+	for _, m := range s.nodes {
 		if m.down || m.paused {
 			continue
 		}
@@ -161,45 +161,45 @@
 		if m.node.Waiting() {
 			every = 20
 		}
-		if (w.now.Milliseconds()+int64(m.index)*7)%every == 0 {
-			m.node.Tick(w.now + m.skew)
-			w.post(m)
+		if (s.now.Milliseconds()+int64(m.index)*7)%every == 0 {
+			m.node.Tick(s.now + m.skew)
+			s.post(m)
 		}
 	}
 }
 
-func (w *simulation) deliver(m *simDaemon, l packet) {
-	if err := m.node.Receive(w.now+m.skew, l.from, l.data); err != nil {
-		w.t.Fatal(err)
+func (s *simulation) deliver(m *simDaemon, l packet) {
+	if err := m.node.Receive(s.now+m.skew, l.from, l.data); err != nil {
+		s.t.Fatal(err)
 	}
-	w.post(m)
+	s.post(m)
 }
 
-func (w *simulation) resume(m *simDaemon) {
+func (s *simulation) resume(m *simDaemon) {
 	m.paused = false
 	for _, l := range m.queue {
-		w.deliver(m, l)
+		s.deliver(m, l)
 	}
 	m.queue = nil
 }
 
 // request sends a request of an organisation to a daemon.
-func (w *simulation) request(m *simDaemon, key Key, tokens int) {
+func (s *simulation) request(m *simDaemon, key Key, tokens int) {
 	if m.down || m.paused {
 		return
 	}
-	h := w.use[key]
+	h := s.use[key]
 	h.asked++
-	since := w.now
-	done := func(v Verdict) { h.verdict(w.now, w.now-since, h.limit.Cost(tokens), v) }
-	if w.fractions != nil {
-		done(Verdict{Admitted: w.fractions.admit(m.index, key, h.limit.Cost(tokens))})
+	since := s.now
+	done := func(v Verdict) { h.verdict(s.now, s.now-since, h.limit.Cost(tokens), v) }
+	if s.fractions != nil {
+		done(Verdict{Admitted: s.fractions.admit(m.index, key, h.limit.Cost(tokens))})
 		return
 	}
-	if v, decided := m.node.Admit(w.now+m.skew, key, tokens, done); decided {
+	if v, decided := m.node.Admit(s.now+m.skew, key, tokens, done); decided {
 		done(v)
 	}
-	w.post(m)
+	s.post(m)
 }
 
 // verdict records a decision and compares it with that of a single token bucket for
@@ -242,18 +242,18 @@
 }
 
 // check fails the test if an organisation used more than allowed in any window.
-func (w *simulation) check() {
-	w.t.Helper()
-	for key, h := range w.use {
-		if most, allowed := h.peakUse(), allowedUse(h.limit, w.tol, window); most > allowed {
-			w.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
+func (s *simulation) check() {
+	s.t.Helper()
+	for key, h := range s.use {
+		if most, allowed := h.peakUse(), allowedUse(h.limit, s.tol, window); most > allowed {
+			s.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
 		}
 	}
 }
 
 // wrongRejections returns the fraction of the requests within the limit that were rejected.
-func (w *simulation) wrongRejections() (fraction float64, lost, owed int) {
-	for _, h := range w.use {
+func (s *simulation) wrongRejections() (fraction float64, lost, owed int) {
+	for _, h := range s.use {
 		lost += h.wronglyRejected
 		owed += h.withinLimit
 	}
@@ -270,27 +270,27 @@
 }
 
 // run runs the simulation for the given time with the traffic.
-func (w *simulation) run(span time.Duration, traffic []demand) {
-	for end := w.now + span; w.now < end; {
-		w.step()
+func (s *simulation) run(span time.Duration, traffic []demand) {
+	for end := s.now + span; s.now < end; {
+		s.step()
 		for i := range traffic {
 			d := &traffic[i]
-			w.arrive(d, d.long, func() int { return longTokens(w.rng) })
-			w.arrive(d, d.short, func() int { return 390 })
+			s.arrive(d, d.long, func() int { return longTokens(s.rng) })
+			s.arrive(d, d.short, func() int { return 390 })
 		}
 	}
 }
 
-func (w *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
+func (s *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
 	for expected := perSecond / 1000; expected > 0; expected-- {
-		if w.rng.Float64() >= expected {
+		if s.rng.Float64() >= expected {
 			return
 		}
-		at := w.rng.IntN(len(w.nodes))
+		at := s.rng.IntN(len(s.nodes))
 		if d.at != nil {
-			at = d.at[w.rng.IntN(len(d.at))]
+			at = d.at[s.rng.IntN(len(d.at))]
 		}
-		w.request(w.nodes[at], d.key, tokens())
+		s.request(s.nodes[at], d.key, tokens())
 	}
 }
 
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -19,30 +19,30 @@
 	known  map[Key][]float64 // demand as last exchanged
 }
 
-func newFractionLimiter(w *simulation, byDemand, overdraft bool) *fractionLimiter {
+func newFractionLimiter(s *simulation, byDemand, overdraft bool) *fractionLimiter {
 	p := &fractionLimiter{byDemand: byDemand, overdraft: overdraft, level: map[Key][]float64{}, demand: map[Key][]float64{}, known: map[Key][]float64{}}
-	for key := range w.limits {
-		p.level[key], p.demand[key], p.known[key] = make([]float64, len(w.nodes)), make([]float64, len(w.nodes)), make([]float64, len(w.nodes))
+	for key := range s.limits {
+		p.level[key], p.demand[key], p.known[key] = make([]float64, len(s.nodes)), make([]float64, len(s.nodes)), make([]float64, len(s.nodes))
 	}
 	return p
 }
 
 // step accrues the limits for one millisecond.
-func (p *fractionLimiter) step(w *simulation) {
-	for key, l := range w.limits {
+func (p *fractionLimiter) step(s *simulation) {
+	for key, l := range s.limits {
 		sum := 0.0
 		for _, d := range p.known[key] {
 			sum += d
 		}
 		for i := range p.level[key] {
-			fraction := 1 / float64(len(w.nodes))
+			fraction := 1 / float64(len(s.nodes))
 			if p.byDemand && sum > 0 {
 				fraction = p.known[key][i] / sum
 			}
 			p.level[key][i] = min(l.Burst*fraction, p.level[key][i]+l.PerSecond*fraction/1000)
 			p.demand[key][i] *= 0.999
 		}
-		if w.now%(500*time.Millisecond) == 0 {
+		if s.now%(500*time.Millisecond) == 0 {
 			copy(p.known[key], p.demand[key])
 		}
 	}
@@ -70,10 +70,10 @@
 		lost, over := map[string]float64{}, map[string]float64{}
 		for name, newFractions := range map[string]func(w *simulation) *fractionLimiter{
 			"lent by owners":                func(*simulation) *fractionLimiter { return nil },
-			"equal parts":                   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, false) },
-			"equal parts and one request":   func(w *simulation) *fractionLimiter { return newFractionLimiter(w, false, true) },
-			"parts by demand":               func(w *simulation) *fractionLimiter { return newFractionLimiter(w, true, false) },
-			"parts by demand and a request": func(w *simulation) *fractionLimiter { return newFractionLimiter(w, true, true) },
+			"equal parts":                   func(s *simulation) *fractionLimiter { return newFractionLimiter(s, false, false) },
+			"equal parts and one request":   func(s *simulation) *fractionLimiter { return newFractionLimiter(s, false, true) },
+			"parts by demand":               func(s *simulation) *fractionLimiter { return newFractionLimiter(s, true, false) },
+			"parts by demand and a request": func(s *simulation) *fractionLimiter { return newFractionLimiter(s, true, true) },
 		} {
 			w := newSimulation(t, 5, daemons, limits)
 			w.fractions = newFractions(w)
--- a/readtree/readtree.go
+++ b/readtree/readtree.go
@@ -136,7 +136,7 @@
 
 // Candidates returns up to limit daemons to read through, best first: the parent in the
 // tree, another daemon of the parent's level, then the remaining earlier daemons in
-// order. Avoided daemons are left out. It is empty for a daemon that reads the store
+// order. Avoided daemons are omitted. It is empty for a daemon that reads the store
 // itself.
 func (s *Selector) Candidates(now time.Duration, limit int) []Daemon {
 	var out []Daemon
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -90,14 +90,14 @@
 // read by this holder, within UnreachableTimeout, from the present incarnation.
 // An order that has had no result for UnreachableTimeout is dropped; otherwise
 // a dead endpoint would count as loading until the platform's list omitted it.
-func (r *round) statusValid(m fleet.Member, x *endpointState) bool {
-	if x.sent != nil && r.now.Sub(x.sentAt) >= r.p.opt.UnreachableTimeout {
-		x.sent = nil
+func (r *round) statusValid(m fleet.Member, s *endpointState) bool {
+	if s.sent != nil && r.now.Sub(s.sentAt) >= r.p.opt.UnreachableTimeout {
+		s.sent = nil
 	}
-	if x.statusAt.IsZero() || x.statusAt.Before(r.in.HeldSince) || r.now.Sub(x.statusAt) >= r.p.opt.UnreachableTimeout {
+	if s.statusAt.IsZero() || s.statusAt.Before(r.in.HeldSince) || r.now.Sub(s.statusAt) >= r.p.opt.UnreachableTimeout {
 		return false
 	}
-	return sameIncarnation(m, &x.status)
+	return sameIncarnation(m, &s.status)
 }
 
 func boolRank(later bool) int {
@@ -215,24 +215,24 @@
 
 // add counts one endpoint and returns u, or new counts if u is nil. Loaded is the
 // time of the last successful load of any endpoint.
-func (u *modelCounts) add(c *candidate, model string, loaded time.Time) *modelCounts {
-	if u == nil {
-		u = &modelCounts{}
+func (counts *modelCounts) add(c *candidate, model string, loaded time.Time) *modelCounts {
+	if counts == nil {
+		counts = &modelCounts{}
 	}
-	u.total++
+	counts.total++
 	if c.servesModel(model) {
-		u.serving++
+		counts.serving++
 	}
 	switch {
 	case c.interrupted():
-		u.interrupted++
+		counts.interrupted++
 	case !c.state.failingSince.IsZero() && !c.servesModel(model):
-		u.failing++
+		counts.failing++
 		if !loaded.After(c.state.failingSince) {
-			u.unresolved++
+			counts.unresolved++
 		}
 	}
-	return u
+	return counts
 }
 
 // loading reports whether the endpoint may be reading from the weight store. An
@@ -308,19 +308,19 @@
 // must keep serving; if dead endpoints make that impossible, one that serves is
 // enough while no other is interrupted. If dead endpoints counted like interrupted
 // ones, a few of them would block every rollout permanently.
-func (r *round) canInterruptModel(u *modelCounts) bool {
-	allowed := max(1, int(r.p.opt.MaxUnavailableFraction*float64(u.total)))
-	if u.interrupted >= allowed {
+func (r *round) canInterruptModel(counts *modelCounts) bool {
+	allowed := max(1, int(r.p.opt.MaxUnavailableFraction*float64(counts.total)))
+	if counts.interrupted >= allowed {
 		return false
 	}
-	if u.interrupted+u.unresolved >= allowed && !r.canRetryAfterFailure(u, allowed) {
+	if counts.interrupted+counts.unresolved >= allowed && !r.canRetryAfterFailure(counts, allowed) {
 		return false
 	}
-	left := u.serving - 1
-	if 2*left >= u.total || u.total == 1 {
+	left := counts.serving - 1
+	if 2*left >= counts.total || counts.total == 1 {
 		return true
 	}
-	return left >= 1 && u.interrupted == 0
+	return left >= 1 && counts.interrupted == 0
 }
 
 // canRetryAfterFailure reports whether one more endpoint may be interrupted
@@ -329,8 +329,8 @@
 // continued would interrupt the whole fleet. If only one engine is faulty, a
 // successful load elsewhere shows it. Therefore one more endpoint is tried per
 // LoadFailureDelay, up to a maximum of interrupted and failing endpoints.
-func (r *round) canRetryAfterFailure(u *modelCounts, allowed int) bool {
-	if u.interrupted+u.failing >= max(allowed, maxFailingEndpoints) {
+func (r *round) canRetryAfterFailure(counts *modelCounts, allowed int) bool {
+	if counts.interrupted+counts.failing >= max(allowed, maxFailingEndpoints) {
 		return false
 	}
 	return r.now.Sub(r.p.lastFailure) >= r.p.opt.LoadFailureDelay && r.now.Sub(r.p.lastRetry) >= r.p.opt.LoadFailureDelay
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -67,23 +67,23 @@
 }
 
 // changeHolder replaces the planner by that of a new holder without any state.
-func (w *simulation) changeHolder(fence int) {
-	w.planner = NewPlanner(Options{})
-	w.in.Fence++
-	w.in.HeldSince = w.now
+func (s *simulation) changeHolder(fence int) {
+	s.planner = NewPlanner(Options{})
+	s.in.Fence++
+	s.in.HeldSince = s.now
 	_ = fence
 }
 
-func (w *simulation) members() []fleet.Member {
+func (s *simulation) members() []fleet.Member {
 	var out []fleet.Member
-	for _, r := range w.runners {
+	for _, r := range s.runners {
 		out = append(out, r.member)
 	}
 	return out
 }
 
-func (w *simulation) runner(id fleet.EndpointID) *runner {
-	for _, r := range w.runners {
+func (s *simulation) runner(id fleet.EndpointID) *runner {
+	for _, r := range s.runners {
 		if r.member.ID == id {
 			return r
 		}
@@ -144,39 +144,39 @@
 }
 
 // step advances the time by a tick and executes the plan.
-func (w *simulation) step() Plan {
-	w.now = w.now.Add(tick)
-	for _, r := range w.runners {
-		r.advance(w.now)
+func (s *simulation) step() Plan {
+	s.now = s.now.Add(tick)
+	for _, r := range s.runners {
+		r.advance(s.now)
 	}
-	w.in.Manifest, w.in.Endpoints = w.manifest, w.members()
-	plan := w.planner.Plan(w.now, w.in)
+	s.in.Manifest, s.in.Endpoints = s.manifest, s.members()
+	plan := s.planner.Plan(s.now, s.in)
 	for _, id := range plan.Read {
-		if r := w.runner(id); r.unreachable {
-			w.planner.ReadFailed(w.now, id)
+		if r := s.runner(id); r.unreachable {
+			s.planner.ReadFailed(s.now, id)
 		} else {
-			w.planner.Observed(w.now, w.now, id, r.status)
+			s.planner.Observed(s.now, s.now, id, r.status)
 		}
 	}
 	for _, o := range plan.Orders {
-		w.planner.Sent(w.now, o)
-		r := w.runner(o.Endpoint)
+		s.planner.Sent(s.now, o)
+		r := s.runner(o.Endpoint)
 		if r.unreachable {
 			continue
 		}
-		r.execute(w.now, o)
-		if !w.loseAnswer() {
-			w.planner.Answered(o)
+		r.execute(s.now, o)
+		if !s.loseAnswer() {
+			s.planner.Answered(o)
 		}
 	}
-	w.checkLimits()
+	s.checkLimits()
 	return plan
 }
 
 // checkLimits fails the test if the runners exceed the limit of loads.
-func (w *simulation) checkLimits() {
+func (s *simulation) checkLimits() {
 	loads, up := 0, 0
-	for _, r := range w.runners {
+	for _, r := range s.runners {
 		r.uncounted = r.status.Loading != nil && (r.uncounted || r.unreachable)
 		if r.status.Loading != nil && !r.uncounted {
 			loads++
@@ -185,28 +185,28 @@
 			up++
 		}
 	}
-	w.maxLoads, w.minServing = max(w.maxLoads, loads), min(w.minServing, up)
-	if loads > w.manifest.Fleet.LoadsAtOnce {
-		w.t.Fatalf("%d loads at once after %v", loads, w.now.Sub(epoch))
+	s.maxLoads, s.minServing = max(s.maxLoads, loads), min(s.minServing, up)
+	if loads > s.manifest.Fleet.LoadsAtOnce {
+		s.t.Fatalf("%d loads at once after %v", loads, s.now.Sub(epoch))
 	}
 }
 
 // finish steps until the given number of runners is in the declared state, and
 // returns the simulated time that it took.
-func (w *simulation) finish(want int) time.Duration {
-	began := w.now
-	for w.now.Sub(began) < 12*time.Hour {
-		if p := w.step(); p.Done >= want {
-			return w.now.Sub(began)
+func (s *simulation) finish(want int) time.Duration {
+	began := s.now
+	for s.now.Sub(began) < 12*time.Hour {
+		if p := s.step(); p.Done >= want {
+			return s.now.Sub(began)
 		}
 	}
-	w.t.Fatalf("not finished: %+v", w.step())
+	s.t.Fatalf("not finished: %+v", s.step())
 	return 0
 }
 
-func (w *simulation) serving(version string) int {
+func (s *simulation) serving(version string) int {
 	n := 0
-	for _, r := range w.runners {
+	for _, r := range s.runners {
 		if m := r.status.model("model-0"); m != nil && m.Version == version {
 			n++
 		}
--- a/router/candidates.go
+++ b/router/candidates.go
@@ -77,12 +77,12 @@
 // preferred endpoints.
 func listCandidates(req *forward.PlacementRequest, v versionChoice, in subpool, lookup prefixLocations) []candidate {
 	once := req.Route != nil && !req.Route.Repeatable()
-	to := func(o otherVersion) func(l subpool, extraPenalty float64) candidate {
+	to := func(o otherVersion) func(in subpool, extraPenalty float64) candidate {
 		levels, held := levelsOf(req, o.version), locationsOf(req, o.version, lookup)
-		return func(l subpool, extraPenalty float64) candidate {
+		return func(in subpool, extraPenalty float64) candidate {
 			return candidate{
-				pool: pools.ModelPool(req.Service.Name, req.In.Model, o.version, l), levels: levels, held: held,
-				subpool: l, version: o.version, penalty: o.penalty + extraPenalty, beginWithin: o.beginWithin, notRepeatable: once,
+				pool: pools.ModelPool(req.Service.Name, req.In.Model, o.version, in), levels: levels, held: held,
+				subpool: in, version: o.version, penalty: o.penalty + extraPenalty, beginWithin: o.beginWithin, notRepeatable: once,
 			}
 		}
 	}
@@ -107,7 +107,7 @@
 
 // prefixLocations returns where the prefix of a prompt is cached under a salt; nil:
 // unknown.
-type prefixLocations func(w *forward.PlacementRequest, salt string) *placement.PrefixLocations
+type prefixLocations func(req *forward.PlacementRequest, salt string) *placement.PrefixLocations
 
 // locationsOf returns a function that looks up the cached prefix of a prompt on first
 // use.
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -65,11 +65,11 @@
 	return w
 }
 
-func (w *dispatchCluster) send(from, to string, data []byte) {
-	if w.unreachable[from] || w.unreachable[to] {
+func (c *dispatchCluster) send(from, to string, data []byte) {
+	if c.unreachable[from] || c.unreachable[to] {
 		return
 	}
-	for _, d := range w.daemons {
+	for _, d := range c.daemons {
 		if d.self.Address == to {
 			d.receive(from, data)
 		}
@@ -77,7 +77,7 @@
 }
 
 // longPrompt returns the request of a long prompt with the given shared segment.
-func (w *dispatchCluster) longPrompt(d *dispatchPlacer, segment string) *forward.PlacementRequest {
+func (c *dispatchCluster) longPrompt(d *dispatchPlacer, segment string) *forward.PlacementRequest {
 	t := d.state.table.Load()
 	return &forward.PlacementRequest{
 		Route: &t.Routes[0], Service: t.Services["s"], Table: t, Arrived: time.Now(), Deadline: time.Now().Add(6 * time.Second),
@@ -86,9 +86,9 @@
 }
 
 // place places a long prompt at a daemon and fails the test on an error.
-func (w *dispatchCluster) place(t *testing.T, d *dispatchPlacer, segment string) forward.Placement {
+func (c *dispatchCluster) place(t *testing.T, d *dispatchPlacer, segment string) forward.Placement {
 	t.Helper()
-	p, err := d.Place(context.Background(), w.longPrompt(d, segment))
+	p, err := d.Place(context.Background(), c.longPrompt(d, segment))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/router/fleet_test.go
+++ b/router/fleet_test.go
@@ -244,7 +244,7 @@
 	up              bool
 	incarnation     int
 	conns           map[net.Conn]bool
-	limit           *float64 // requests/s that its answers state; nil: none
+	limit           *float64 // requests/s that its answers report; nil: none
 	hostUnreachable bool     // its host is unreachable after a crash, instead of refusing connections
 
 	arrivals []arrival
--- a/router/follower.go
+++ b/router/follower.go
@@ -392,9 +392,9 @@
 // only the first ready endpoints of each second are logged and the others counted.
 func (r *Router) logEndpointChange(now time.Time, entry *directory.Entry, offset int64) {
 	if entry.State == directory.Ready {
-		write, leftOut := r.endpointLog.allow(now)
-		if leftOut > 0 {
-			r.log.Info("Lines of ready endpoints that changed were left out.", "endpoints", leftOut)
+		write, suppressed := r.endpointLog.allow(now)
+		if suppressed > 0 {
+			r.log.Info("Log lines of ready endpoints that changed were suppressed.", "endpoints", suppressed)
 		}
 		if !write {
 			return
--- a/router/line_limiter.go
+++ b/router/line_limiter.go
@@ -30,21 +30,21 @@
 }
 
 // allow reports whether to write the line of an ordinary event at the given time.
-// leftOut is the number of lines left out in the previous second if that has just
+// suppressed is the number of lines suppressed in the previous second if that has just
 // ended, else 0.
-func (l *lineLimiter) allow(now time.Time) (write bool, leftOut int) {
+func (l *lineLimiter) allow(now time.Time) (write bool, suppressed int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if s := now.Unix(); s != l.second {
-		leftOut = l.suppressed
+		suppressed = l.suppressed
 		l.second, l.written, l.suppressed = s, 0, 0
 	}
 	if l.written >= l.perSecond {
 		l.suppressed++
-		return false, leftOut
+		return false, suppressed
 	}
 	l.written++
-	return true, leftOut
+	return true, suppressed
 }
 
 // ordinary reports whether a request ended normally: answered without error at the
--- a/router/line_limiter_test.go
+++ b/router/line_limiter_test.go
@@ -14,21 +14,21 @@
 	at := time.Unix(1_800_000_000, 0)
 	written := 0
 	for range 5 * ordinaryPerSecond {
-		if ok, leftOut := f.allow(at); ok {
+		if ok, suppressed := f.allow(at); ok {
 			written++
-		} else if leftOut != 0 {
-			t.Fatalf("%d left-out lines reported before the second ended", leftOut)
+		} else if suppressed != 0 {
+			t.Fatalf("%d suppressed lines reported before the second ended", suppressed)
 		}
 	}
 	if written != ordinaryPerSecond {
 		t.Errorf("%d lines were written", written)
 	}
-	if ok, leftOut := f.allow(at.Add(time.Second)); !ok || leftOut != 4*ordinaryPerSecond {
-		t.Errorf("next second: allowed %v, %d lines left out before", ok, leftOut)
+	if ok, suppressed := f.allow(at.Add(time.Second)); !ok || suppressed != 4*ordinaryPerSecond {
+		t.Errorf("next second: allowed %v, %d lines suppressed before", ok, suppressed)
 	}
 }
 
-// The lines of failed, late, repeated and refused requests must never be left out.
+// The lines of failed, late, repeated and refused requests must never be suppressed.
 func TestFailuresAreNotOrdinary(t *testing.T) {
 	one := []forward.AttemptReport{{}}
 	good := forward.Report{Status: 200, Attempts: one, Duration: time.Second, FirstEvent: 100 * time.Millisecond, Target: 300 * time.Millisecond}
--- a/router/report.go
+++ b/router/report.go
@@ -57,9 +57,9 @@
 func (r *Router) report(rep *forward.Report) {
 	r.metrics.request(rep)
 	if ordinary(rep) {
-		write, leftOut := r.requestLog.allow(time.Now())
-		if leftOut > 0 {
-			r.log.Info("Lines of ordinary requests were left out.", "requests", leftOut)
+		write, suppressed := r.requestLog.allow(time.Now())
+		if suppressed > 0 {
+			r.log.Info("Log lines of ordinary requests were suppressed.", "requests", suppressed)
 		}
 		if !write {
 			return
--- a/router/versions_test.go
+++ b/router/versions_test.go
@@ -16,8 +16,8 @@
 const versionBound = 15 * time.Second
 
 // mayBegin reports whether a request may still be placed on the version.
-func (n versionHistory) mayBegin(version int64, now time.Duration) bool {
-	return n.timeToBegin(version, now, versionBound) > minBeginTime
+func (h versionHistory) mayBegin(version int64, now time.Duration) bool {
+	return h.timeToBegin(version, now, versionBound) > minBeginTime
 }
 
 // Version 3 is named, and 13 seconds later version 4. The bound for version 2 counts from
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -99,28 +99,28 @@
 }
 
 // startDaemons stops the running daemons and starts new ones within 0.3 s.
-func (w *simulatedZone) startDaemons(daemons int) {
-	if w.stop != nil {
-		w.stop()
+func (z *simulatedZone) startDaemons(daemons int) {
+	if z.stop != nil {
+		z.stop()
 	}
-	ctx, stop := context.WithCancel(w.ctx)
-	w.stop = stop
+	ctx, stop := context.WithCancel(z.ctx)
+	z.stop = stop
 	all := make([]*Router, daemons)
 	for i := range all {
-		all[i] = w.newDaemon(i)
+		all[i] = z.newDaemon(i)
 	}
-	w.mu.Lock()
-	w.daemons = all
-	w.mu.Unlock()
+	z.mu.Lock()
+	z.daemons = all
+	z.mu.Unlock()
 	rng := rand.New(rand.NewPCG(uint64(daemons), 7))
 	for i, r := range all {
-		w.setFlag(w.stopped, true, r.options.Settings.Name)
+		z.setFlag(z.stopped, true, r.options.Settings.Name)
 		go func(after time.Duration) {
 			time.Sleep(after)
-			w.setFlag(w.stopped, false, r.options.Settings.Name)
+			z.setFlag(z.stopped, false, r.options.Settings.Name)
 			go r.followDaemons(ctx)
 			go r.followOperator(ctx)
-			go w.followEndpoints(ctx, r)
+			go z.followEndpoints(ctx, r)
 			go r.quarantine.Run(ctx)
 			go r.holdStore.run(ctx)
 			l := &leader{router: r, lease: weights.NewLease(all[i].options.Settings.Name, time.Second), subscription: &subscription{neighbours: r.neighbours, topic: TopicLease}}
@@ -129,31 +129,31 @@
 	}
 }
 
-func (w *simulatedZone) newDaemon(i int) *Router {
+func (z *simulatedZone) newDaemon(i int) *Router {
 	set := zoneSettings
 	set.Name, set.PeerAddress = fmt.Sprintf("front-%d", i), strconv.Itoa(i)
 	r := &Router{
-		options: Options{Settings: set, Codec: zoneCodec{}}, clock: w.clock,
+		options: Options{Settings: set, Codec: zoneCodec{}}, clock: z.clock,
 		state: newState(&set, rand.New(rand.NewPCG(1, uint64(i)))), log: discardLog(),
 		metrics: &meters{scope: tally.NoopScope, storeFailures: tally.NoopScope.Counter("")},
 	}
-	store := &zoneStore{zone: w, daemon: set.Name}
+	store := &zoneStore{zone: z, daemon: set.Name}
 	r.options.Store, r.options.Lease, r.options.DaemonRegistry = store, store, store
 	me := Neighbour{Name: set.Name, Zone: set.Zone, Address: set.PeerAddress}
-	if w.mbps != nil {
-		me.LinkMbps = w.mbps(set.Name)
+	if z.mbps != nil {
+		me.LinkMbps = z.mbps(set.Name)
 	}
-	r.neighbours = newNeighbours(me, &set, net.Dialer{}, w.clock, discardLog())
+	r.neighbours = newNeighbours(me, &set, net.Dialer{}, z.clock, discardLog())
 	discard := func(string, []byte) {}
-	r.limits = newLimiter(r.neighbours.self, &set, w.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, discardLog(), discard)
-	r.options.Rand, r.options.Clock = rand.New(rand.NewPCG(3, uint64(i))), w.clock
+	r.limits = newLimiter(r.neighbours.self, &set, z.clock, rand.New(rand.NewPCG(2, uint64(i))), tally.NoopScope, discardLog(), discard)
+	r.options.Rand, r.options.Clock = rand.New(rand.NewPCG(3, uint64(i))), z.clock
 	r.datagrams = newDatagrams(tally.NoopScope, discardLog())
-	r.options.Dial = w.refuseDial
+	r.options.Dial = z.refuseDial
 	r.quarantine = r.newQuarantineGuard(r.neighbours.self)
 	r.endpointLimits = r.newEndpointLimits(r.neighbours.self)
-	r.dispatch = newDispatchPlacer(r.neighbours.self, r.state, r.placer, w.clock, discardLog(), discard)
+	r.dispatch = newDispatchPlacer(r.neighbours.self, r.state, r.placer, z.clock, discardLog(), discard)
 	r.neighbours.request = func(ctx context.Context, address string, t Topic, q feed.Query) (feed.Answer, error) {
-		return w.query(ctx, set.Name, address, t, q)
+		return z.query(ctx, set.Name, address, t, q)
 	}
 	for t := range r.feeds {
 		r.feeds[t] = feed.New(Topic(t) != TopicLease)
@@ -161,74 +161,74 @@
 	return r
 }
 
-// refuseDial fails like a connection to an endpoint that has ended.
-func (w *simulatedZone) refuseDial(context.Context, string, string) (net.Conn, error) {
+// refuseDial fails like a connection to an endpoint that has crashed.
+func (z *simulatedZone) refuseDial(context.Context, string, string) (net.Conn, error) {
 	return nil, &net.OpError{Op: "dial", Net: "tcp", Err: syscall.ECONNREFUSED}
 }
 
 // clock starts at an hour, as a zero time means that it is not set.
-func (w *simulatedZone) clock() time.Duration { return time.Hour + time.Since(w.began) }
+func (z *simulatedZone) clock() time.Duration { return time.Hour + time.Since(z.began) }
 
 // writeHeartbeats writes the entry of each endpoint every heartbeatInterval.
-func (w *simulatedZone) writeHeartbeats() {
-	for n := 0; w.ctx.Err() == nil; n++ {
-		w.write(TopicEndpoints, fmt.Sprint("e", n%zoneEndpoints), strconv.Itoa(n))
+func (z *simulatedZone) writeHeartbeats() {
+	for n := 0; z.ctx.Err() == nil; n++ {
+		z.write(TopicEndpoints, fmt.Sprint("e", n%zoneEndpoints), strconv.Itoa(n))
 		time.Sleep(heartbeatInterval / zoneEndpoints)
 	}
 }
 
-func (w *simulatedZone) write(t Topic, key, value string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	r := Record{Key: key, Value: []byte(value), Offset: int64(len(w.topics[t]))}
-	w.topics[t] = append(w.topics[t], r)
-	w.newest[t][key] = r
+func (z *simulatedZone) write(t Topic, key, value string) {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	r := Record{Key: key, Value: []byte(value), Offset: int64(len(z.topics[t]))}
+	z.topics[t] = append(z.topics[t], r)
+	z.newest[t][key] = r
 	if value == "" {
-		delete(w.newest[t], key)
+		delete(z.newest[t], key)
 	}
-	close(w.appended)
-	w.appended = make(chan struct{})
+	close(z.appended)
+	z.appended = make(chan struct{})
 }
 
-func (w *simulatedZone) setFlag(where map[string]bool, on bool, names ...string) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (z *simulatedZone) setFlag(where map[string]bool, on bool, names ...string) {
+	z.mu.Lock()
+	defer z.mu.Unlock()
 	for _, name := range names {
 		where[name] = on
 	}
 }
 
-func (w *simulatedZone) flag(where map[string]bool, name string) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+func (z *simulatedZone) flag(where map[string]bool, name string) bool {
+	z.mu.Lock()
+	defer z.mu.Unlock()
 	return where[name]
 }
 
-func (w *simulatedZone) countStoreCalls() int {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	return w.storeCalls
+func (z *simulatedZone) countStoreCalls() int {
+	z.mu.Lock()
+	defer z.mu.Unlock()
+	return z.storeCalls
 }
 
 // query sends a relayed read from one daemon to another.
-func (w *simulatedZone) query(ctx context.Context, from, address string, t Topic, q feed.Query) (feed.Answer, error) {
+func (z *simulatedZone) query(ctx context.Context, from, address string, t Topic, q feed.Query) (feed.Answer, error) {
 	i, err := strconv.Atoi(address)
 	if err != nil {
 		return feed.Answer{}, err
 	}
 	time.Sleep(neighbourLatency)
-	w.mu.Lock()
-	to := w.daemons[i]
-	w.mu.Unlock()
-	if w.flag(w.stopped, to.options.Settings.Name) {
+	z.mu.Lock()
+	to := z.daemons[i]
+	z.mu.Unlock()
+	if z.flag(z.stopped, to.options.Settings.Name) {
 		return feed.Answer{}, errNoAnswer
 	}
-	if w.flag(w.frozen, to.options.Settings.Name) || w.flag(w.frozen, from) {
+	if z.flag(z.frozen, to.options.Settings.Name) || z.flag(z.frozen, from) {
 		<-ctx.Done()
 		return feed.Answer{}, ctx.Err()
 	}
-	got, err := to.feeds[t].Read(ctx, w.clock, q)
-	w.transfer(to.options.Settings.Name, from, len(got.Append(nil)))
+	got, err := to.feeds[t].Read(ctx, z.clock, q)
+	z.transfer(to.options.Settings.Name, from, len(got.Append(nil)))
 	time.Sleep(neighbourLatency)
 	var unknown *feed.UnknownError
 	switch {
@@ -242,27 +242,27 @@
 
 // transfer waits until bytes were transferred from a daemon or the store to a daemon. Each
 // link carries one transfer after another; the store's link is not limited.
-func (w *simulatedZone) transfer(from, to string, bytes int) {
-	if w.mbps == nil {
+func (z *simulatedZone) transfer(from, to string, bytes int) {
+	if z.mbps == nil {
 		return
 	}
 	duration := func(mbps float64) time.Duration {
 		const bits, mega = 8, 1e6
 		return time.Duration(bits * float64(bytes) / mbps / mega * float64(time.Second))
 	}
-	w.mu.Lock()
-	begin := time.Since(w.began)
+	z.mu.Lock()
+	begin := time.Since(z.began)
 	if from != storeName {
-		begin = max(begin, w.linkBusyUntil[from])
-		w.linkBusyUntil[from] = begin + duration(w.mbps(from))
+		begin = max(begin, z.linkBusyUntil[from])
+		z.linkBusyUntil[from] = begin + duration(z.mbps(from))
 	}
-	w.linkBusyUntil[to] = max(begin, w.linkBusyUntil[to]) + duration(w.mbps(to))
-	end := max(w.linkBusyUntil[to], w.linkBusyUntil[from])
+	z.linkBusyUntil[to] = max(begin, z.linkBusyUntil[to]) + duration(z.mbps(to))
+	end := max(z.linkBusyUntil[to], z.linkBusyUntil[from])
 	if from == storeName {
-		w.storeBytes += bytes
+		z.storeBytes += bytes
 	}
-	w.mu.Unlock()
-	time.Sleep(end - time.Since(w.began))
+	z.mu.Unlock()
+	time.Sleep(end - time.Since(z.began))
 }
 
 // storeName is the sender of transfers from the store.
@@ -270,13 +270,13 @@
 
 // treeOrder returns the daemons in the order of the zone's tree of readers. The first one
 // reads from the store.
-func (w *simulatedZone) treeOrder() []*Router {
-	out := make([]*Router, len(w.daemons))
+func (z *simulatedZone) treeOrder() []*Router {
+	out := make([]*Router, len(z.daemons))
 	var zone []readtree.Daemon
-	for _, r := range w.daemons {
+	for _, r := range z.daemons {
 		zone = append(zone, readtree.Daemon{Name: r.options.Settings.Name, Address: r.options.Settings.PeerAddress})
 	}
-	for _, r := range w.daemons {
+	for _, r := range z.daemons {
 		c := readtree.New(readtree.Daemon{Name: r.options.Settings.Name})
 		c.Set(zone)
 		out[len(c.Candidates(0, len(zone)))] = r
@@ -285,15 +285,15 @@
 }
 
 // publishConfig writes a configuration and returns the time until all daemons have it,
-// except those left out. It gives up after a minute.
-func (w *simulatedZone) publishConfig(version int64, leftOut map[string]bool) time.Duration {
+// except the excluded ones. It returns after a minute at the latest.
+func (z *simulatedZone) publishConfig(version int64, excluded map[string]bool) time.Duration {
 	at := time.Now()
-	w.write(TopicOperator, "config", strconv.FormatInt(version, 10))
+	z.write(TopicOperator, "config", strconv.FormatInt(version, 10))
 	for {
 		behind := 0
-		for _, r := range w.daemons {
+		for _, r := range z.daemons {
 			t := r.state.table.Load()
-			if !w.flag(leftOut, r.options.Settings.Name) && (t == nil || t.Version < version) {
+			if !z.flag(excluded, r.options.Settings.Name) && (t == nil || t.Version < version) {
 				behind++
 			}
 		}
@@ -304,11 +304,11 @@
 	}
 }
 
-// maxKeysAge returns the largest age of the keys of all daemons, except those left out.
-func (w *simulatedZone) maxKeysAge(leftOut map[string]bool) time.Duration {
+// maxKeysAge returns the largest age of the keys of all daemons, except the excluded ones.
+func (z *simulatedZone) maxKeysAge(excluded map[string]bool) time.Duration {
 	var oldest time.Duration
-	for _, r := range w.daemons {
-		if !w.flag(leftOut, r.options.Settings.Name) {
+	for _, r := range z.daemons {
+		if !z.flag(excluded, r.options.Settings.Name) {
 			oldest = max(oldest, r.keysAge())
 		}
 	}
@@ -316,10 +316,10 @@
 }
 
 // watchKeysAge returns the largest value of maxKeysAge within a time.
-func (w *simulatedZone) watchKeysAge(d time.Duration, leftOut map[string]bool) time.Duration {
+func (z *simulatedZone) watchKeysAge(d time.Duration, excluded map[string]bool) time.Duration {
 	var oldest time.Duration
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
-		oldest = max(oldest, w.maxKeysAge(leftOut))
+		oldest = max(oldest, z.maxKeysAge(excluded))
 	}
 	return oldest
 }
@@ -626,22 +626,22 @@
 	// daemons that read through a failed one may make one call per topic, and some make
 	// another one later.
 	const calls = 100
-	faults := map[string]func(w *simulatedZone, order []*Router) (leftOut map[string]bool){
-		"the first cannot reach the store": func(w *simulatedZone, order []*Router) map[string]bool {
-			w.setFlag(w.storeSilent, true, order[0].options.Settings.Name)
-			return w.storeSilent
+	faults := map[string]func(w *simulatedZone, order []*Router) (excluded map[string]bool){
+		"the first cannot reach the store": func(z *simulatedZone, order []*Router) map[string]bool {
+			z.setFlag(z.storeSilent, true, order[0].options.Settings.Name)
+			return z.storeSilent
 		},
-		"the first freezes": func(w *simulatedZone, order []*Router) map[string]bool {
-			w.setFlag(w.frozen, true, order[0].options.Settings.Name)
-			return w.frozen
+		"the first freezes": func(z *simulatedZone, order []*Router) map[string]bool {
+			z.setFlag(z.frozen, true, order[0].options.Settings.Name)
+			return z.frozen
 		},
-		"two of the first level freeze": func(w *simulatedZone, order []*Router) map[string]bool {
-			w.setFlag(w.frozen, true, order[1].options.Settings.Name, order[2].options.Settings.Name)
-			return w.frozen
+		"two of the first level freeze": func(z *simulatedZone, order []*Router) map[string]bool {
+			z.setFlag(z.frozen, true, order[1].options.Settings.Name, order[2].options.Settings.Name)
+			return z.frozen
 		},
-		"a third is refused and reads through the others": func(w *simulatedZone, order []*Router) map[string]bool {
+		"a third is refused and reads through the others": func(z *simulatedZone, order []*Router) map[string]bool {
 			for i := 0; i < len(order); i += 3 {
-				w.setFlag(w.storeRefuses, true, order[i].options.Settings.Name)
+				z.setFlag(z.storeRefuses, true, order[i].options.Settings.Name)
 			}
 			return nil
 		},
@@ -653,10 +653,10 @@
 					w := newZoneWithHeartbeats(t, daemons)
 					time.Sleep(zoneSettleTime)
 					before := w.countStoreCalls()
-					leftOut := fault(w, w.treeOrder())
+					excluded := fault(w, w.treeOrder())
 					version := int64(2)
 					for end := time.Now().Add(10 * time.Second); time.Now().Before(end); version++ {
-						if took := w.publishConfig(version, leftOut); took > zoneSettings.ConfigWithin {
+						if took := w.publishConfig(version, excluded); took > zoneSettings.ConfigWithin {
 							t.Errorf("configuration %d was in force everywhere after %v", version, took)
 						}
 						time.Sleep(300 * time.Millisecond)
@@ -664,7 +664,7 @@
 					if made := w.countStoreCalls() - before; made > calls {
 						t.Errorf("%d calls to the store", made)
 					}
-					if oldest := w.watchKeysAge(10*time.Second, leftOut); oldest > zoneSettings.ConfigWithin {
+					if oldest := w.watchKeysAge(10*time.Second, excluded); oldest > zoneSettings.ConfigWithin {
 						t.Errorf("keys were %v old", oldest)
 					}
 				})
