--- a/limits/limits_test.go
+++ b/limits/limits_test.go
@@ -21,7 +21,7 @@
 }
 
 func newSimulation(t *testing.T, daemons int) *simulation {
-	b := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(daemons), 3)), now: time.Hour, loss: 0.05, isolated: map[string]bool{}}
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(uint64(daemons), 3)), now: time.Hour, loss: 0.05, isolated: map[string]bool{}}
 	var peers []gossip.Peer
 	for i := range daemons {
 		peers = append(peers, gossip.Peer{Name: fmt.Sprint("front-", i), Address: fmt.Sprint(i)})
@@ -29,26 +29,26 @@
 	for i := range daemons {
 		table := NewTable(Options{Self: peers[i], Rand: rand.New(rand.NewPCG(uint64(i), 5))})
 		table.SetPeers(peers)
-		b.tables = append(b.tables, table)
+		sim.tables = append(sim.tables, table)
 	}
-	return b
+	return sim
 }
 
-func (b *simulation) advance(span time.Duration) {
-	for until := b.now + span; b.now < until; b.now += gossip.TickInterval {
-		for i, table := range b.tables {
-			table.Tick(b.now)
+func (sim *simulation) advance(span time.Duration) {
+	for until := sim.now + span; sim.now < until; sim.now += gossip.TickInterval {
+		for i, table := range sim.tables {
+			table.Tick(sim.now)
 			table.Changes()
 			for _, m := range table.Outbox() {
 				var to int
 				if _, err := fmt.Sscan(m.To, &to); err != nil {
-					b.t.Fatal(err)
+					sim.t.Fatal(err)
 				}
-				if b.rng.Float64() < b.loss || b.isolated[m.To] || b.isolated[fmt.Sprint(i)] {
+				if sim.rng.Float64() < sim.loss || sim.isolated[m.To] || sim.isolated[fmt.Sprint(i)] {
 					continue
 				}
-				if err := b.tables[to].Receive(b.now, m.Data); err != nil {
-					b.t.Fatal(err)
+				if err := sim.tables[to].Receive(sim.now, m.Data); err != nil {
+					sim.t.Fatal(err)
 				}
 			}
 		}
@@ -56,9 +56,9 @@
 }
 
 // countWithLimit counts the daemons that apply the given limit; negative: no limit.
-func (b *simulation) countWithLimit(e fleet.EndpointID, limit float64) int {
+func (sim *simulation) countWithLimit(e fleet.EndpointID, limit float64) int {
 	n := 0
-	for _, table := range b.tables {
+	for _, table := range sim.tables {
 		l, ok := table.Limits()[KeyOf(e)]
 		if limit < 0 && !ok || ok && l.PerSecond == limit {
 			n++
@@ -72,21 +72,21 @@
 func TestLimitsReachAllDaemons(t *testing.T) {
 	for _, daemons := range []int{2, 9, 73, 295, 1100} {
 		t.Run(fmt.Sprint(daemons), func(t *testing.T) {
-			b := newSimulation(t, daemons)
+			sim := newSimulation(t, daemons)
 			first, second := 23.9, 5.0
 			for _, step := range []struct {
-				by     int
-				stated *float64
-				want   float64
+				by       int
+				reported *float64
+				want     float64
 			}{{0, &first, first}, {daemons - 1, &second, second}, {daemons / 2, nil, noLimit}} {
-				b.tables[step.by].SetFromAnswer(b.now, "i-1@0", step.stated)
-				b.advance(2 * time.Second)
-				if n := b.countWithLimit("i-1@0", step.want); n < daemons {
+				sim.tables[step.by].SetFromAnswer(sim.now, "i-1@0", step.reported)
+				sim.advance(2 * time.Second)
+				if n := sim.countWithLimit("i-1@0", step.want); n < daemons {
 					t.Errorf("%d of %d daemons apply the limit %g", n, daemons, step.want)
 				}
 			}
-			b.advance(2 * entryTTL)
-			if n := len(b.tables[0].entries); n > 0 {
+			sim.advance(2 * entryTTL)
+			if n := len(sim.tables[0].entries); n > 0 {
 				t.Errorf("%d entries remain after the end of the limit", n)
 			}
 		})
@@ -95,16 +95,16 @@
 
 // Guards against an isolated daemon that restores an old limit when it is back.
 func TestIgnoresOutdatedLimit(t *testing.T) {
-	b := newSimulation(t, 9)
+	sim := newSimulation(t, 9)
 	old, next := 20.0, 2.0
-	b.tables[0].SetFromAnswer(b.now, "i-1@0", &old)
-	b.advance(time.Second)
-	b.isolated["3"] = true
-	b.tables[0].SetFromAnswer(b.now, "i-1@0", &next)
-	b.advance(5 * time.Second)
-	delete(b.isolated, "3")
-	b.advance(5 * time.Second)
-	if n := b.countWithLimit("i-1@0", next); n < 9 {
+	sim.tables[0].SetFromAnswer(sim.now, "i-1@0", &old)
+	sim.advance(time.Second)
+	sim.isolated["3"] = true
+	sim.tables[0].SetFromAnswer(sim.now, "i-1@0", &next)
+	sim.advance(5 * time.Second)
+	delete(sim.isolated, "3")
+	sim.advance(5 * time.Second)
+	if n := sim.countWithLimit("i-1@0", next); n < 9 {
 		t.Errorf("%d of 9 daemons apply the newer limit", n)
 	}
 }
@@ -112,38 +112,38 @@
 // Guards against an endpoint that reports a limit of 0 and never gets another request,
 // so that no answer can end its limit.
 func TestZeroLimitAllowsSomeRequests(t *testing.T) {
-	b := newSimulation(t, 1)
+	sim := newSimulation(t, 1)
 	zero := 0.0
-	b.tables[0].SetFromAnswer(b.now, "i-1@0", &zero)
-	if l := b.tables[0].Limits()[KeyOf("i-1@0")]; l.PerSecond != minRate || l.Burst < 1 {
+	sim.tables[0].SetFromAnswer(sim.now, "i-1@0", &zero)
+	if l := sim.tables[0].Limits()[KeyOf("i-1@0")]; l.PerSecond != minRate || l.Burst < 1 {
 		t.Errorf("limit %+v", l)
 	}
 }
 
-// Guards against limits of ended endpoints that daemons keep exchanging, each restoring
+// Guards against limits of removed endpoints that daemons keep exchanging, each restoring
 // them at daemons where they had expired.
-func TestForgetsLimitsOfEndedEndpoints(t *testing.T) {
+func TestForgetsLimitsOfRemovedEndpoints(t *testing.T) {
 	const daemons = 9
-	b := newSimulation(t, daemons)
+	sim := newSimulation(t, daemons)
 	limit := 5.0
-	b.tables[0].SetFromAnswer(b.now, "i-1@0", &limit)
-	b.advance(entryTTL / 2)
-	b.tables[3].SetFromAnswer(b.now, "i-1@0", &limit)
-	b.advance(entryTTL * 3 / 4)
-	if n := b.countWithLimit("i-1@0", limit); n < daemons {
+	sim.tables[0].SetFromAnswer(sim.now, "i-1@0", &limit)
+	sim.advance(entryTTL / 2)
+	sim.tables[3].SetFromAnswer(sim.now, "i-1@0", &limit)
+	sim.advance(entryTTL * 3 / 4)
+	if n := sim.countWithLimit("i-1@0", limit); n < daemons {
 		t.Errorf("%d of %d daemons know a limit that was confirmed", n, daemons)
 	}
-	b.advance(entryTTL)
-	for i, table := range b.tables {
+	sim.advance(entryTTL)
+	for i, table := range sim.tables {
 		if n := len(table.entries); n > 0 {
 			t.Errorf("daemon %d keeps %d entries", i, n)
 		}
 	}
 	for i := range 2 * maxEndpoints {
-		b.tables[0].SetFromAnswer(b.now, fleet.EndpointID(fmt.Sprint(i)), &limit)
-		b.tables[0].Outbox()
+		sim.tables[0].SetFromAnswer(sim.now, fleet.EndpointID(fmt.Sprint(i)), &limit)
+		sim.tables[0].Outbox()
 	}
-	if n := len(b.tables[0].entries); n > maxEndpoints {
+	if n := len(sim.tables[0].entries); n > maxEndpoints {
 		t.Errorf("%d endpoints", n)
 	}
 }
--- a/quota/faults_test.go
+++ b/quota/faults_test.go
@@ -13,17 +13,17 @@
 // while; the organisation must get its limit at any daemon.
 func TestLimitFollowsTraffic(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 3, 73, limits)
-	w.run(warmUp, nil)
+	sim := newSimulation(t, 3, 73, limits)
+	sim.run(warmUp, nil)
 	for _, at := range [][]int{{1, 2, 3, 4}, {40, 41, 42}, {70, 5}} {
 		some := scaleTraffic(traffic, 1)
 		for i := range some {
 			some[i].at = at
 		}
-		w.run(6*time.Second, some)
+		sim.run(6*time.Second, some)
 	}
-	checkWrongRejections(t, w)
-	w.check()
+	checkWrongRejections(t, sim)
+	sim.check()
 }
 
 // A fifth of the daemons is isolated for 8 s, but still receives requests and reaches
@@ -32,15 +32,15 @@
 func TestPartitionedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
 	for seed := range uint64(4) {
-		w := newSimulation(t, 10+seed, 73, limits)
-		w.run(warmUp, nil)
-		w.run(3*time.Second, traffic)
+		sim := newSimulation(t, 10+seed, 73, limits)
+		sim.run(warmUp, nil)
+		sim.run(3*time.Second, traffic)
 		apart := func(i int) bool { return (uint64(i)+seed)%5 == 0 }
-		w.partitioned = func(a, b int) bool { return apart(a) || apart(b) }
-		w.run(8*time.Second, scaleTraffic(traffic, 5))
-		w.partitioned = nil
-		w.run(6*time.Second, scaleTraffic(traffic, 5))
-		w.check()
+		sim.partitioned = func(a, b int) bool { return apart(a) || apart(b) }
+		sim.run(8*time.Second, scaleTraffic(traffic, 5))
+		sim.partitioned = nil
+		sim.run(6*time.Second, scaleTraffic(traffic, 5))
+		sim.check()
 	}
 }
 
@@ -49,69 +49,69 @@
 // would be used.
 func TestEvenPartitionStaysWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 20, 73, limits)
-	w.run(warmUp, nil)
-	w.partitioned = func(a, b int) bool { return a%2 != b%2 }
-	w.run(14*time.Second, scaleTraffic(traffic, 6))
-	w.partitioned = nil
-	w.run(8*time.Second, scaleTraffic(traffic, 6))
-	w.check()
+	sim := newSimulation(t, 20, 73, limits)
+	sim.run(warmUp, nil)
+	sim.partitioned = func(a, b int) bool { return a%2 != b%2 }
+	sim.run(14*time.Second, scaleTraffic(traffic, 6))
+	sim.partitioned = nil
+	sim.run(8*time.Second, scaleTraffic(traffic, 6))
+	sim.check()
 }
 
 // Owners crash one after the other while they lend to organisations at their limit.
 // Their successors do not know what was lent.
 func TestOwnerCrashGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 30, 73, limits)
-	w.run(warmUp, nil)
+	sim := newSimulation(t, 30, 73, limits)
+	sim.run(warmUp, nil)
 	for range 6 {
-		owner := w.byAddr[w.nodes[50].node.shards[0].owner.Address]
-		w.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
+		owner := sim.byAddr[sim.nodes[50].node.shards[0].owner.Address]
+		sim.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
 		owner.down = true
-		w.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
-		w.restart(owner)
+		sim.run(1500*time.Millisecond, scaleTraffic(traffic, 6))
+		sim.restart(owner)
 	}
-	w.check()
+	sim.check()
 }
 
 // An owner is paused with unread asks in its sockets, others replace it, and it resumes
 // and replies. The units that it then lends must not be used.
 func TestPausedOwnerLendsNothingTwice(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 40, 73, limits)
-	w.run(warmUp, nil)
+	sim := newSimulation(t, 40, 73, limits)
+	sim.run(warmUp, nil)
 	for range 3 {
 		var frozen []*simDaemon
 		for s := range Shards {
-			if m := w.byAddr[w.nodes[50].node.shards[s].owner.Address]; !m.paused && m.index != 50 {
+			if m := sim.byAddr[sim.nodes[50].node.shards[s].owner.Address]; !m.paused && m.index != 50 {
 				m.paused = true
 				frozen = append(frozen, m)
 			}
 		}
-		w.run(4*time.Second, scaleTraffic(traffic, 4))
+		sim.run(4*time.Second, scaleTraffic(traffic, 4))
 		for _, m := range frozen {
-			w.resume(m)
+			sim.resume(m)
 		}
-		w.run(2*time.Second, scaleTraffic(traffic, 4))
+		sim.run(2*time.Second, scaleTraffic(traffic, 4))
 	}
-	w.check()
+	sim.check()
 }
 
 // All daemons crash at the same time and start again, several times within a window.
 // A start must not grant another burst.
 func TestRestartOfAllDaemonsGrantsNoSecondBurst(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 50, 73, limits)
-	w.run(warmUp, nil)
+	sim := newSimulation(t, 50, 73, limits)
+	sim.run(warmUp, nil)
 	for range 3 {
-		w.run(2*time.Second, scaleTraffic(traffic, 7))
-		for _, m := range w.nodes {
-			w.restart(m)
+		sim.run(2*time.Second, scaleTraffic(traffic, 7))
+		for _, m := range sim.nodes {
+			sim.restart(m)
 		}
 	}
-	w.run(8*time.Second, scaleTraffic(traffic, 7))
-	w.check()
-	if h := w.use[traffic[0].key]; h.peakUse() < 0.7*h.limit.PerSecond*window.Seconds() {
+	sim.run(8*time.Second, scaleTraffic(traffic, 7))
+	sim.check()
+	if h := sim.use[traffic[0].key]; h.peakUse() < 0.7*h.limit.PerSecond*window.Seconds() {
 		t.Errorf("after the restarts only %.0f of %.0f units a second were used", h.peakUse()/window.Seconds(), h.limit.PerSecond)
 	}
 }
@@ -120,21 +120,21 @@
 // lists are updated at different times, so daemons pledge different fractions.
 func TestAddedDaemonsStayWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 60, 73, limits)
-	w.run(warmUp, nil)
-	w.run(4*time.Second, scaleTraffic(traffic, 5))
+	sim := newSimulation(t, 60, 73, limits)
+	sim.run(warmUp, nil)
+	sim.run(4*time.Second, scaleTraffic(traffic, 5))
 	for i := 73; i < 128; i++ {
-		w.add(i)
-		m := w.nodes[i]
-		m.node.SetDaemons(w.list())
-		m.node.SetLimits(w.now, limits)
+		sim.add(i)
+		m := sim.nodes[i]
+		m.node.SetDaemons(sim.list())
+		m.node.SetLimits(sim.now, limits)
 	}
-	for _, m := range w.nodes {
-		w.run(5*time.Millisecond, scaleTraffic(traffic, 5))
-		m.node.SetDaemons(w.list())
+	for _, m := range sim.nodes {
+		sim.run(5*time.Millisecond, scaleTraffic(traffic, 5))
+		m.node.SetDaemons(sim.list())
 	}
-	w.run(8*time.Second, scaleTraffic(traffic, 5))
-	w.check()
+	sim.run(8*time.Second, scaleTraffic(traffic, 5))
+	sim.check()
 }
 
 // A limit is lowered far below its use, and some daemons get the change two seconds
@@ -142,35 +142,35 @@
 // of a limit must take effect at once.
 func TestChangedLimitsTakeEffect(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 70, 73, limits)
-	w.run(warmUp, nil)
-	w.run(3*time.Second, traffic)
+	sim := newSimulation(t, 70, 73, limits)
+	sim.run(warmUp, nil)
+	sim.run(3*time.Second, traffic)
 	lower := map[Key]Limit{}
 	for key, l := range limits {
 		l.PerSecond, l.Burst = l.PerSecond/4, l.Burst/4
 		lower[key] = l
 	}
-	for i, m := range w.nodes {
+	for i, m := range sim.nodes {
 		if i%3 > 0 {
-			m.node.SetLimits(w.now, lower)
+			m.node.SetLimits(sim.now, lower)
 		}
 	}
-	w.run(2*time.Second, traffic)
-	for _, m := range w.nodes {
-		m.node.SetLimits(w.now, lower)
+	sim.run(2*time.Second, traffic)
+	for _, m := range sim.nodes {
+		m.node.SetLimits(sim.now, lower)
 	}
-	w.run(window, traffic)
-	for key, h := range w.use {
+	sim.run(window, traffic)
+	for key, h := range sim.use {
 		h.admitted, h.limit = nil, lower[key]
 	}
-	w.run(window, traffic)
-	w.check()
-	for _, m := range w.nodes {
-		m.node.SetLimits(w.now, nil)
+	sim.run(window, traffic)
+	sim.check()
+	for _, m := range sim.nodes {
+		m.node.SetLimits(sim.now, nil)
 	}
-	before := w.use[traffic[0].key].rejected
-	w.run(2*time.Second, scaleTraffic(traffic, 3))
-	if h := w.use[traffic[0].key]; h.rejected > before {
+	before := sim.use[traffic[0].key].rejected
+	sim.run(2*time.Second, scaleTraffic(traffic, 3))
+	if h := sim.use[traffic[0].key]; h.rejected > before {
 		t.Errorf("%d requests rejected by a limit that was removed", h.rejected-before)
 	}
 }
@@ -179,27 +179,27 @@
 // late. Owners must neither lend twice nor be considered unresponsive.
 func TestLostDelayedAndDuplicatedMessages(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 80, 73, limits)
-	w.loss, w.double, w.late = 0.05, 0.05, 0.01
-	w.run(warmUp, nil)
-	w.run(12*time.Second, traffic)
-	checkWrongRejections(t, w)
-	w.run(10*time.Second, scaleTraffic(traffic, 5))
-	w.check()
+	sim := newSimulation(t, 80, 73, limits)
+	sim.loss, sim.double, sim.late = 0.05, 0.05, 0.01
+	sim.run(warmUp, nil)
+	sim.run(12*time.Second, traffic)
+	checkWrongRejections(t, sim)
+	sim.run(10*time.Second, scaleTraffic(traffic, 5))
+	sim.check()
 }
 
 // The clocks of the daemons are hours apart. Only differences of one clock may be used.
 func TestIgnoresClockDifferences(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 90, 73, limits)
-	for i, m := range w.nodes {
+	sim := newSimulation(t, 90, 73, limits)
+	for i, m := range sim.nodes {
 		m.skew = time.Duration(i%7) * time.Hour
 	}
-	w.run(warmUp, nil)
-	w.run(8*time.Second, traffic)
-	checkWrongRejections(t, w)
-	w.run(10*time.Second, scaleTraffic(traffic, 6))
-	w.check()
+	sim.run(warmUp, nil)
+	sim.run(8*time.Second, traffic)
+	checkWrongRejections(t, sim)
+	sim.run(10*time.Second, scaleTraffic(traffic, 6))
+	sim.check()
 }
 
 // A third of the admitted requests does not run and is refunded. The organisation must
@@ -253,13 +253,13 @@
 // The only daemon of a deployment must have the whole limit.
 func TestSingleDaemonHasWholeLimit(t *testing.T) {
 	limits, traffic := organisations(0.8, 100_000)
-	w := newSimulation(t, 100, 1, limits)
-	w.run(warmUp, nil)
-	w.run(20*time.Second, traffic)
-	checkWrongRejections(t, w)
-	w.check()
-	if w.sent > 0 {
-		t.Errorf("%d messages sent without other daemons", w.sent)
+	sim := newSimulation(t, 100, 1, limits)
+	sim.run(warmUp, nil)
+	sim.run(20*time.Second, traffic)
+	checkWrongRejections(t, sim)
+	sim.check()
+	if sim.sent > 0 {
+		t.Errorf("%d messages sent without other daemons", sim.sent)
 	}
 }
 
@@ -267,19 +267,19 @@
 // requests that wait for a timeout.
 func TestLeavingOwnerIsReplacedAtOnce(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 110, 73, limits)
-	w.run(warmUp, nil)
-	w.run(3*time.Second, traffic)
+	sim := newSimulation(t, 110, 73, limits)
+	sim.run(warmUp, nil)
+	sim.run(3*time.Second, traffic)
 	for s := range Shards {
-		w.byAddr[w.nodes[50].node.shards[s].owner.Address].node.StopLending()
+		sim.byAddr[sim.nodes[50].node.shards[s].owner.Address].node.StopLending()
 	}
-	w.run(5*time.Second, traffic)
-	for _, h := range w.use {
+	sim.run(5*time.Second, traffic)
+	for _, h := range sim.use {
 		for _, d := range h.waits {
 			if d > replyTimeout {
 				t.Fatalf("a request waited %v", d)
 			}
 		}
 	}
-	w.check()
+	sim.check()
 }
--- a/quota/node_test.go
+++ b/quota/node_test.go
@@ -12,10 +12,10 @@
 // The smallest allows less than three long prompts per second.
 var sizes = []float64{2e6, 1e6, 600e3, 300e3, 150e3, 100e3, 60e3, 47e3, 47e3, 47e3}
 
-func checkWrongRejections(t *testing.T, s *simulation) {
+func checkWrongRejections(t *testing.T, sim *simulation) {
 	t.Helper()
-	fraction, lost, owed := s.wrongRejections()
-	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, s.sent, float64(s.bytes)/s.now.Seconds()/float64(len(s.nodes)))
+	fraction, lost, owed := sim.wrongRejections()
+	t.Logf("%d of %d requests within the limit rejected (%.5f); %d messages, %.0f bytes/s per daemon", lost, owed, fraction, sim.sent, float64(sim.bytes)/sim.now.Seconds()/float64(len(sim.nodes)))
 	if fraction > maxWrongRejections {
 		t.Errorf("%d of %d requests within the limit were rejected, allowed is 1 in 200", lost, owed)
 	}
@@ -26,11 +26,11 @@
 // rejected although it uses only half of its limit.
 func TestAdmitsLongPromptsWithinLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 1, 73, limits)
-	w.run(3*time.Second, nil)
-	w.run(30*time.Second, traffic)
-	checkWrongRejections(t, w)
-	w.check()
+	sim := newSimulation(t, 1, 73, limits)
+	sim.run(3*time.Second, nil)
+	sim.run(30*time.Second, traffic)
+	checkWrongRejections(t, sim)
+	sim.check()
 }
 
 // Three organisations send several times their usual traffic at once. They must get at
@@ -38,20 +38,20 @@
 // affected.
 func TestOverloadedOrganisationsGetTheirLimit(t *testing.T) {
 	limits, traffic := organisations(0.55, sizes...)
-	w := newSimulation(t, 2, 73, limits)
-	w.run(3*time.Second, nil)
-	w.run(10*time.Second, traffic)
+	sim := newSimulation(t, 2, 73, limits)
+	sim.run(3*time.Second, nil)
+	sim.run(10*time.Second, traffic)
 	hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
-	w.run(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
-	w.run(8*time.Second, traffic)
-	w.check()
+	sim.run(12*time.Second, append(hot, append(traffic[2:8:8], traffic[9])...))
+	sim.run(8*time.Second, traffic)
+	sim.check()
 	for _, i := range []int{0, 1, 8} {
-		h := w.use[traffic[i].key]
+		h := sim.use[traffic[i].key]
 		got := h.peakUse() / (h.limit.PerSecond * window.Seconds())
 		t.Logf("organisation %d: %.3f of its limit in the window of peak use, %d of %d rejected, %d of them within the limit", i, got, h.rejected, h.asked, h.wronglyRejected)
 		if got < 0.95 {
 			t.Errorf("organisation %d got %.2f of its limit", i, got)
 		}
 	}
-	checkWrongRejections(t, w)
+	checkWrongRejections(t, sim)
 }
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -68,92 +68,92 @@
 const window = 8 * time.Second
 
 func newSimulation(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*simDaemon{},
 		inTransit: map[time.Duration][]packet{}, use: map[Key]*history{},
 	}
 	for i := range daemons {
-		w.add(i)
+		sim.add(i)
 	}
-	for _, m := range w.nodes {
-		m.node.SetDaemons(w.list())
+	for _, m := range sim.nodes {
+		m.node.SetDaemons(sim.list())
 		m.node.SetLimits(0, limits)
 	}
 	for key, l := range limits {
-		w.use[key] = &history{limit: l, level: l.Burst}
+		sim.use[key] = &history{limit: l, level: l.Burst}
 	}
-	return w
+	return sim
 }
 
-func (s *simulation) add(i int) {
+func (sim *simulation) add(i int) {
 	m := &simDaemon{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
-	s.nodes = append(s.nodes, m)
-	s.byAddr[m.me.Address] = m
-	m.node = s.process(m)
+	sim.nodes = append(sim.nodes, m)
+	sim.byAddr[m.me.Address] = m
+	m.node = sim.process(m)
 }
 
-func (s *simulation) process(m *simDaemon) *Node {
-	return NewNode(Options{Self: m.me, Tolerance: s.tol, Nonce: s.rng.Uint64(), Rand: s.rng})
+func (sim *simulation) process(m *simDaemon) *Node {
+	return NewNode(Options{Self: m.me, Tolerance: sim.tol, Nonce: sim.rng.Uint64(), Rand: sim.rng})
 }
 
 // restart replaces the process of a daemon by a new one, which gets the list and the
 // limits at once.
-func (s *simulation) restart(m *simDaemon) {
-	m.node, m.queue, m.down = s.process(m), nil, false
-	m.node.SetDaemons(s.list())
-	m.node.SetLimits(s.now, s.limits)
+func (sim *simulation) restart(m *simDaemon) {
+	m.node, m.queue, m.down = sim.process(m), nil, false
+	m.node.SetDaemons(sim.list())
+	m.node.SetLimits(sim.now, sim.limits)
 }
 
-func (s *simulation) list() []Daemon {
+func (sim *simulation) list() []Daemon {
 	var out []Daemon
-	for _, m := range s.nodes {
+	for _, m := range sim.nodes {
 		out = append(out, m.me)
 	}
 	return out
 }
 
 // post sends the outgoing messages of a daemon.
-func (s *simulation) post(m *simDaemon) {
+func (sim *simulation) post(m *simDaemon) {
 	for _, d := range m.node.Outbox() {
-		s.sent++
-		s.bytes += len(d.Data) + 28 // headers of IP and UDP
-		to := s.byAddr[d.To]
-		if to == nil || s.partitioned != nil && s.partitioned(m.index, to.index) || s.rng.Float64() < s.loss {
+		sim.sent++
+		sim.bytes += len(d.Data) + 28 // headers of IP and UDP
+		to := sim.byAddr[d.To]
+		if to == nil || sim.partitioned != nil && sim.partitioned(m.index, to.index) || sim.rng.Float64() < sim.loss {
 			continue
 		}
 		copies := 1
-		if s.rng.Float64() < s.double {
+		if sim.rng.Float64() < sim.double {
 			copies = 2
 		}
 		for range copies {
-			after := time.Millisecond * time.Duration(1+s.rng.IntN(3))
-			if s.rng.Float64() < s.late {
-				after += time.Duration(s.rng.IntN(1000)) * time.Millisecond
+			after := time.Millisecond * time.Duration(1+sim.rng.IntN(3))
+			if sim.rng.Float64() < sim.late {
+				after += time.Duration(sim.rng.IntN(1000)) * time.Millisecond
 			}
-			s.inTransit[s.now+after] = append(s.inTransit[s.now+after], packet{m.me.Address, d.To, d.Data})
+			sim.inTransit[sim.now+after] = append(sim.inTransit[sim.now+after], packet{m.me.Address, d.To, d.Data})
 		}
 	}
 }
 
 // step advances the simulation by one millisecond.
-func (s *simulation) step() {
-	s.now += time.Millisecond
-	for _, l := range s.inTransit[s.now] {
-		m := s.byAddr[l.to]
+func (sim *simulation) step() {
+	sim.now += time.Millisecond
+	for _, l := range sim.inTransit[sim.now] {
+		m := sim.byAddr[l.to]
 		switch {
 		case m.down:
 		case m.paused:
 			m.queue = append(m.queue, l)
 		default:
-			s.deliver(m, l)
+			sim.deliver(m, l)
 		}
 	}
-	delete(s.inTransit, s.now)
-	if s.fractions != nil {
-		s.fractions.step(s)
+	delete(sim.inTransit, sim.now)
+	if sim.fractions != nil {
+		sim.fractions.step(sim)
 		return
 	}
-	for _, m := range s.nodes {
+	for _, m := range sim.nodes {
 		if m.down || m.paused {
 			continue
 		}
@@ -161,45 +161,45 @@
 		if m.node.Waiting() {
 			every = 20
 		}
-		if (s.now.Milliseconds()+int64(m.index)*7)%every == 0 {
-			m.node.Tick(s.now + m.skew)
-			s.post(m)
+		if (sim.now.Milliseconds()+int64(m.index)*7)%every == 0 {
+			m.node.Tick(sim.now + m.skew)
+			sim.post(m)
 		}
 	}
 }
 
-func (s *simulation) deliver(m *simDaemon, l packet) {
-	if err := m.node.Receive(s.now+m.skew, l.from, l.data); err != nil {
-		s.t.Fatal(err)
+func (sim *simulation) deliver(m *simDaemon, l packet) {
+	if err := m.node.Receive(sim.now+m.skew, l.from, l.data); err != nil {
+		sim.t.Fatal(err)
 	}
-	s.post(m)
+	sim.post(m)
 }
 
-func (s *simulation) resume(m *simDaemon) {
+func (sim *simulation) resume(m *simDaemon) {
 	m.paused = false
 	for _, l := range m.queue {
-		s.deliver(m, l)
+		sim.deliver(m, l)
 	}
 	m.queue = nil
 }
 
 // request sends a request of an organisation to a daemon.
-func (s *simulation) request(m *simDaemon, key Key, tokens int) {
+func (sim *simulation) request(m *simDaemon, key Key, tokens int) {
 	if m.down || m.paused {
 		return
 	}
-	h := s.use[key]
+	h := sim.use[key]
 	h.asked++
-	since := s.now
-	done := func(v Verdict) { h.verdict(s.now, s.now-since, h.limit.Cost(tokens), v) }
-	if s.fractions != nil {
-		done(Verdict{Admitted: s.fractions.admit(m.index, key, h.limit.Cost(tokens))})
+	since := sim.now
+	done := func(v Verdict) { h.verdict(sim.now, sim.now-since, h.limit.Cost(tokens), v) }
+	if sim.fractions != nil {
+		done(Verdict{Admitted: sim.fractions.admit(m.index, key, h.limit.Cost(tokens))})
 		return
 	}
-	if v, decided := m.node.Admit(s.now+m.skew, key, tokens, done); decided {
+	if v, decided := m.node.Admit(sim.now+m.skew, key, tokens, done); decided {
 		done(v)
 	}
-	s.post(m)
+	sim.post(m)
 }
 
 // verdict records a decision and compares it with that of a single token bucket for
@@ -242,18 +242,18 @@
 }
 
 // check fails the test if an organisation used more than allowed in any window.
-func (s *simulation) check() {
-	s.t.Helper()
-	for key, h := range s.use {
-		if most, allowed := h.peakUse(), allowedUse(h.limit, s.tol, window); most > allowed {
-			s.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
+func (sim *simulation) check() {
+	sim.t.Helper()
+	for key, h := range sim.use {
+		if most, allowed := h.peakUse(), allowedUse(h.limit, sim.tol, window); most > allowed {
+			sim.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
 		}
 	}
 }
 
 // wrongRejections returns the fraction of the requests within the limit that were rejected.
-func (s *simulation) wrongRejections() (fraction float64, lost, owed int) {
-	for _, h := range s.use {
+func (sim *simulation) wrongRejections() (fraction float64, lost, owed int) {
+	for _, h := range sim.use {
 		lost += h.wronglyRejected
 		owed += h.withinLimit
 	}
@@ -270,27 +270,27 @@
 }
 
 // run runs the simulation for the given time with the traffic.
-func (s *simulation) run(span time.Duration, traffic []demand) {
-	for end := s.now + span; s.now < end; {
-		s.step()
+func (sim *simulation) run(span time.Duration, traffic []demand) {
+	for end := sim.now + span; sim.now < end; {
+		sim.step()
 		for i := range traffic {
 			d := &traffic[i]
-			s.arrive(d, d.long, func() int { return longTokens(s.rng) })
-			s.arrive(d, d.short, func() int { return 390 })
+			sim.arrive(d, d.long, func() int { return longTokens(sim.rng) })
+			sim.arrive(d, d.short, func() int { return 390 })
 		}
 	}
 }
 
-func (s *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
+func (sim *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
 	for expected := perSecond / 1000; expected > 0; expected-- {
-		if s.rng.Float64() >= expected {
+		if sim.rng.Float64() >= expected {
 			return
 		}
-		at := s.rng.IntN(len(s.nodes))
+		at := sim.rng.IntN(len(sim.nodes))
 		if d.at != nil {
-			at = d.at[s.rng.IntN(len(d.at))]
+			at = d.at[sim.rng.IntN(len(d.at))]
 		}
-		s.request(s.nodes[at], d.key, tokens())
+		sim.request(sim.nodes[at], d.key, tokens())
 	}
 }
 
--- a/quota/size_test.go
+++ b/quota/size_test.go
@@ -20,12 +20,12 @@
 		rates = append(rates, 3e6/float64(1+i)+60_000)
 	}
 	limits, traffic := organisations(0.55, rates...)
-	w := newSimulation(t, 7, 1100, limits)
-	w.run(700*time.Millisecond, nil)
-	began, before := w.now, w.bytes
-	w.run(time.Second, traffic)
-	each := float64(w.bytes-before) / (w.now - began).Seconds() / 1100
-	checkWrongRejections(t, w)
+	sim := newSimulation(t, 7, 1100, limits)
+	sim.run(700*time.Millisecond, nil)
+	began, before := sim.now, sim.bytes
+	sim.run(time.Second, traffic)
+	each := float64(sim.bytes-before) / (sim.now - began).Seconds() / 1100
+	checkWrongRejections(t, sim)
 	if each > maxBytesPerSecond {
 		t.Errorf("%.0f bytes/s per daemon", each)
 	}
@@ -37,15 +37,15 @@
 	for i := range 333 {
 		limits[KeyOf(fmt.Sprint(i))] = Limit{PerSecond: 1e12, Burst: 1e12, Unit: Tokens}
 	}
-	w := newSimulation(b, 1, 1, limits)
-	w.run(time.Second, nil)
-	n, key := w.nodes[0].node, KeyOf("7")
+	sim := newSimulation(b, 1, 1, limits)
+	sim.run(time.Second, nil)
+	n, key := sim.nodes[0].node, KeyOf("7")
 	n.accounts[key].add(1e15)
 	n.accounts[key].expiresAt = time.Hour
 	done := func(Verdict) {}
 	b.ReportAllocs()
 	for b.Loop() {
-		if v, decided := n.Admit(w.now, key, 390, done); !decided || !v.Admitted {
+		if v, decided := n.Admit(sim.now, key, 390, done); !decided || !v.Admitted {
 			b.Fatal("refused")
 		}
 	}
--- a/quota/strategies_test.go
+++ b/quota/strategies_test.go
@@ -19,30 +19,30 @@
 	known  map[Key][]float64 // demand as last exchanged
 }
 
-func newFractionLimiter(s *simulation, byDemand, overdraft bool) *fractionLimiter {
+func newFractionLimiter(sim *simulation, byDemand, overdraft bool) *fractionLimiter {
 	p := &fractionLimiter{byDemand: byDemand, overdraft: overdraft, level: map[Key][]float64{}, demand: map[Key][]float64{}, known: map[Key][]float64{}}
-	for key := range s.limits {
-		p.level[key], p.demand[key], p.known[key] = make([]float64, len(s.nodes)), make([]float64, len(s.nodes)), make([]float64, len(s.nodes))
+	for key := range sim.limits {
+		p.level[key], p.demand[key], p.known[key] = make([]float64, len(sim.nodes)), make([]float64, len(sim.nodes)), make([]float64, len(sim.nodes))
 	}
 	return p
 }
 
 // step accrues the limits for one millisecond.
-func (p *fractionLimiter) step(s *simulation) {
-	for key, l := range s.limits {
+func (p *fractionLimiter) step(sim *simulation) {
+	for key, l := range sim.limits {
 		sum := 0.0
 		for _, d := range p.known[key] {
 			sum += d
 		}
 		for i := range p.level[key] {
-			fraction := 1 / float64(len(s.nodes))
+			fraction := 1 / float64(len(sim.nodes))
 			if p.byDemand && sum > 0 {
 				fraction = p.known[key][i] / sum
 			}
 			p.level[key][i] = min(l.Burst*fraction, p.level[key][i]+l.PerSecond*fraction/1000)
 			p.demand[key][i] *= 0.999
 		}
-		if s.now%(500*time.Millisecond) == 0 {
+		if sim.now%(500*time.Millisecond) == 0 {
 			copy(p.known[key], p.demand[key])
 		}
 	}
@@ -68,22 +68,22 @@
 		hot := append(scaleTraffic(traffic[:2], 7.5), scaleTraffic(traffic[8:9], 7.5)...)
 		hot = append(hot, traffic[2:8]...)
 		lost, over := map[string]float64{}, map[string]float64{}
-		for name, newFractions := range map[string]func(w *simulation) *fractionLimiter{
-			"lent by owners":                func(*simulation) *fractionLimiter { return nil },
-			"equal parts":                   func(s *simulation) *fractionLimiter { return newFractionLimiter(s, false, false) },
-			"equal parts and one request":   func(s *simulation) *fractionLimiter { return newFractionLimiter(s, false, true) },
-			"parts by demand":               func(s *simulation) *fractionLimiter { return newFractionLimiter(s, true, false) },
-			"parts by demand and a request": func(s *simulation) *fractionLimiter { return newFractionLimiter(s, true, true) },
+		for name, newFractions := range map[string]func(sim *simulation) *fractionLimiter{
+			"lent by owners":                    func(*simulation) *fractionLimiter { return nil },
+			"equal fractions":                   func(sim *simulation) *fractionLimiter { return newFractionLimiter(sim, false, false) },
+			"equal fractions and one request":   func(sim *simulation) *fractionLimiter { return newFractionLimiter(sim, false, true) },
+			"fractions by demand":               func(sim *simulation) *fractionLimiter { return newFractionLimiter(sim, true, false) },
+			"fractions by demand and a request": func(sim *simulation) *fractionLimiter { return newFractionLimiter(sim, true, true) },
 		} {
-			w := newSimulation(t, 5, daemons, limits)
-			w.fractions = newFractions(w)
-			w.run(time.Second, nil)
-			w.run(5*time.Second, traffic)
-			fraction, _, _ := w.wrongRejections()
-			w.run(9*time.Second, hot)
+			sim := newSimulation(t, 5, daemons, limits)
+			sim.fractions = newFractions(sim)
+			sim.run(time.Second, nil)
+			sim.run(5*time.Second, traffic)
+			fraction, _, _ := sim.wrongRejections()
+			sim.run(9*time.Second, hot)
 			most := 0.0
-			for _, h := range w.use {
-				most = max(most, h.peakUse()/allowedUse(h.limit, w.tol, window))
+			for _, h := range sim.use {
+				most = max(most, h.peakUse()/allowedUse(h.limit, sim.tol, window))
 			}
 			lost[name], over[name] = fraction, most
 			t.Logf("%d daemons, %-30s %.4f rejected below the limit, %.2f of what is allowed used", daemons, name, fraction, most)
@@ -91,7 +91,7 @@
 		if lost["lent by owners"] > maxWrongRejections || over["lent by owners"] > 1 {
 			t.Errorf("%d daemons: lending by owners rejects %.4f below the limit and uses %.2f of what is allowed", daemons, lost["lent by owners"], over["lent by owners"])
 		}
-		if lost["equal parts"] < maxWrongRejections && over["equal parts and one request"] < 1 {
+		if lost["equal fractions"] < maxWrongRejections && over["equal fractions and one request"] < 1 {
 			t.Error("equal fractions would suffice")
 		}
 	}
--- a/retry/retry.go
+++ b/retry/retry.go
@@ -59,7 +59,7 @@
 // Code is the reason why a request was abandoned. Codes are stable.
 type Code string
 
-// Reasons for giving up.
+// Values of Code.
 const (
 	CodeDeadline      Code = "deadline_exceeded"
 	CodeNoBudget      Code = "retry_budget_exhausted"
--- a/rollout/plan_test.go
+++ b/rollout/plan_test.go
@@ -15,12 +15,12 @@
 func TestRolloutRespectsLimits(t *testing.T) {
 	for _, c := range []struct{ count, limit, leastUp int }{{18, 3, 15}, {9, 2, 7}, {3, 3, 2}, {1, 2, 0}} {
 		t.Run(fmt.Sprintf("%d by %d", c.count, c.limit), func(t *testing.T) {
-			w := newSimulation(t, c.count, c.limit)
-			w.manifest = declared(c.limit, "v2")
-			took := w.finish(c.count)
+			sim := newSimulation(t, c.count, c.limit)
+			sim.manifest = declared(c.limit, "v2")
+			took := sim.finish(c.count)
 			t.Logf("%d runners, %d loads at once: %v in loads of %v", c.count, c.limit, took, loadTime)
-			if w.serving("v2") != c.count || w.minServing < c.leastUp {
-				t.Errorf("%d serve v2; at the least %d served anything", w.serving("v2"), w.minServing)
+			if sim.serving("v2") != c.count || sim.minServing < c.leastUp {
+				t.Errorf("%d serve v2; at the least %d served anything", sim.serving("v2"), sim.minServing)
 			}
 		})
 	}
@@ -29,73 +29,73 @@
 // Answers to orders are lost after the engine has accepted the order. The planner
 // must count these loads, or it would exceed the limit of loads.
 func TestLostAnswersCountAsLoads(t *testing.T) {
-	w := newSimulation(t, 18, 3)
+	sim := newSimulation(t, 18, 3)
 	n := 0
-	w.loseAnswer = func() bool { n++; return n%2 == 0 }
-	w.manifest = declared(3, "v2")
-	w.finish(18)
+	sim.loseAnswer = func() bool { n++; return n%2 == 0 }
+	sim.manifest = declared(3, "v2")
+	sim.finish(18)
 }
 
 // An engine restarts during a load, without models. It must be ordered to load
 // again although the first order was accepted.
 func TestEngineRestartDuringLoad(t *testing.T) {
-	w := newSimulation(t, 6, 2)
-	w.manifest = declared(2, "v2")
-	for w.serving("v1") == 6 {
-		w.step()
+	sim := newSimulation(t, 6, 2)
+	sim.manifest = declared(2, "v2")
+	for sim.serving("v1") == 6 {
+		sim.step()
 	}
-	for _, r := range w.runners {
+	for _, r := range sim.runners {
 		if r.status.Loading != nil {
 			r.restart()
 		}
 	}
-	w.finish(6)
-	if w.serving("v2") != 6 {
-		t.Errorf("%d serve v2", w.serving("v2"))
+	sim.finish(6)
+	if sim.serving("v2") != 6 {
+		t.Errorf("%d serve v2", sim.serving("v2"))
 	}
 }
 
 // Operators publish another version during a rollout and then return to the first
 // one. All endpoints must return to it; some have never left it.
 func TestManifestChangeDuringRollout(t *testing.T) {
-	w := newSimulation(t, 18, 3)
-	w.manifest = declared(3, "v2")
-	for w.serving("v2") < 6 {
-		w.step()
+	sim := newSimulation(t, 18, 3)
+	sim.manifest = declared(3, "v2")
+	for sim.serving("v2") < 6 {
+		sim.step()
 	}
-	w.manifest, w.in.Revision = declared(3, "v3"), 2
-	for w.serving("v3") < 3 {
-		w.step()
+	sim.manifest, sim.in.Revision = declared(3, "v3"), 2
+	for sim.serving("v3") < 3 {
+		sim.step()
 	}
-	w.manifest, w.in.Revision = declared(3, "v1"), 3
-	kept := w.serving("v1")
-	w.finish(18)
-	if w.serving("v1") != 18 || kept == 0 {
-		t.Errorf("%d serve v1, %d had kept it", w.serving("v1"), kept)
+	sim.manifest, sim.in.Revision = declared(3, "v1"), 3
+	kept := sim.serving("v1")
+	sim.finish(18)
+	if sim.serving("v1") != 18 || kept == 0 {
+		t.Errorf("%d serve v1, %d had kept it", sim.serving("v1"), kept)
 	}
 }
 
 // The holder of the lease changes during a rollout. The new holder must observe
 // the loads in progress before it starts any.
 func TestNewHolderCountsLoadsUnderWay(t *testing.T) {
-	w := newSimulation(t, 18, 3)
-	w.manifest = declared(3, "v2")
+	sim := newSimulation(t, 18, 3)
+	sim.manifest = declared(3, "v2")
 	for holder := range 5 {
 		for range 40 + 31*holder {
-			w.step()
+			sim.step()
 		}
-		w.changeHolder(holder)
+		sim.changeHolder(holder)
 	}
-	w.finish(18)
+	sim.finish(18)
 }
 
 // Two runners cannot be reached when a new holder starts. It may wait for them
 // for a limited time only, or an unreachable runner would block every rollout.
 func TestUnreachableEndpointsDoNotBlockRollout(t *testing.T) {
-	w := newSimulation(t, 9, 2)
-	w.runners[0].unreachable, w.runners[1].unreachable = true, true
-	w.manifest = declared(2, "v2")
-	took := w.finish(7)
+	sim := newSimulation(t, 9, 2)
+	sim.runners[0].unreachable, sim.runners[1].unreachable = true, true
+	sim.manifest = declared(2, "v2")
+	took := sim.finish(7)
 	if took > 20*loadTime {
 		t.Errorf("took %v", took)
 	}
@@ -104,46 +104,46 @@
 // Runners become unreachable during their loads and remain listed. Their loads
 // must stop counting after UnreachableTimeout, or the rollout would never end.
 func TestUnreachableLoadTimesOut(t *testing.T) {
-	w := newSimulation(t, 9, 2)
-	w.manifest = declared(2, "v2")
+	sim := newSimulation(t, 9, 2)
+	sim.manifest = declared(2, "v2")
 	cut := 0
 	for cut < 2 {
-		w.step()
-		for _, r := range w.runners {
+		sim.step()
+		for _, r := range sim.runners {
 			if r.status.Loading != nil && !r.unreachable {
 				r.unreachable, r.ends = true, epoch.Add(1000*time.Hour)
 				cut++
 			}
 		}
 	}
-	w.finish(7)
+	sim.finish(7)
 }
 
 // Each load fails on one engine. The others must be loaded, and the retries of
 // the failing one must not use up the fleet's limit of loads.
 func TestFailingEngineDoesNotBlockOthers(t *testing.T) {
-	w := newSimulation(t, 6, 1)
-	w.runners[2].failsLoads = true
-	w.manifest = declared(1, "v2")
-	w.finish(5)
+	sim := newSimulation(t, 6, 1)
+	sim.runners[2].failsLoads = true
+	sim.manifest = declared(1, "v2")
+	sim.finish(5)
 }
 
 func TestAdaptersModelsAndRoles(t *testing.T) {
-	w := newSimulation(t, 4, 2)
+	sim := newSimulation(t, 4, 2)
 	m := declared(2, "v1", "v7")
 	m.Models[0].Adapters = []manifest.Adapter{{ID: "a", Version: "1"}, {ID: "b", Version: "1"}}
 	m.Classes[0].Role = "prefill"
-	w.manifest = m
-	w.finish(4)
-	s := w.runners[0].status
+	sim.manifest = m
+	sim.finish(4)
+	s := sim.runners[0].status
 	if s.Role != "prefill" || s.model("model-1") == nil || len(s.model("model-0").Adapters) != 2 {
 		t.Errorf("status %+v", s)
 	}
 	m = declared(2, "v1")
 	m.Models[0].Adapters = []manifest.Adapter{{ID: "a", Version: "1"}}
-	w.manifest, w.in.Revision = m, 2
-	w.finish(4)
-	s = w.runners[0].status
+	sim.manifest, sim.in.Revision = m, 2
+	sim.finish(4)
+	s = sim.runners[0].status
 	if s.model("model-1") != nil || len(s.model("model-0").Adapters) != 1 {
 		t.Errorf("status %+v", s)
 	}
@@ -152,34 +152,34 @@
 // The weight store reports that it is busy. No load may start for the given time,
 // since it would slow down the loads in progress.
 func TestBusyStorePausesLoads(t *testing.T) {
-	w := newSimulation(t, 4, 2)
+	sim := newSimulation(t, 4, 2)
 	for range 20 {
-		w.step()
+		sim.step()
 	}
-	w.manifest = declared(2, "v2")
-	w.planner.StoreBusy(w.now, time.Minute)
-	for until := w.now.Add(59 * time.Second); w.now.Before(until); {
-		if p := w.step(); len(p.Orders) > 0 {
+	sim.manifest = declared(2, "v2")
+	sim.planner.StoreBusy(sim.now, time.Minute)
+	for until := sim.now.Add(59 * time.Second); sim.now.Before(until); {
+		if p := sim.step(); len(p.Orders) > 0 {
 			t.Fatalf("orders %v while the store is busy", p.Orders)
 		}
 	}
-	w.finish(4)
+	sim.finish(4)
 }
 
 // Two daemons that both assume to hold the lease observe the same fleet. They must
 // plan the same orders, so that the second order has no effect.
 func TestHoldersPlanSameOrders(t *testing.T) {
-	w := newSimulation(t, 9, 2)
+	sim := newSimulation(t, 9, 2)
 	other := NewPlanner(Options{})
-	w.manifest = declared(2, "v2")
-	w.in.Manifest, w.in.Endpoints = w.manifest, w.members()
-	for _, r := range w.runners {
-		w.planner.Observed(w.now, w.now, r.member.ID, r.status)
-		other.Observed(w.now, w.now, r.member.ID, r.status)
+	sim.manifest = declared(2, "v2")
+	sim.in.Manifest, sim.in.Endpoints = sim.manifest, sim.members()
+	for _, r := range sim.runners {
+		sim.planner.Observed(sim.now, sim.now, r.member.ID, r.status)
+		other.Observed(sim.now, sim.now, r.member.ID, r.status)
 	}
-	a := w.planner.Plan(w.now, w.in)
-	slices.Reverse(w.in.Endpoints)
-	b := other.Plan(w.now, w.in)
+	a := sim.planner.Plan(sim.now, sim.in)
+	slices.Reverse(sim.in.Endpoints)
+	b := other.Plan(sim.now, sim.in)
 	if len(a.Orders) != 2 || !slices.Equal(a.Orders, b.Orders) {
 		t.Errorf("%v and %v", a.Orders, b.Orders)
 	}
@@ -191,20 +191,20 @@
 func TestRolloutUnderFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		count := rapid.IntRange(1, 12).Draw(t, "runners")
-		w := newSimulation(t, count, rapid.IntRange(1, 3).Draw(t, "limit"))
-		limit := w.manifest.Fleet.LoadsAtOnce
+		sim := newSimulation(t, count, rapid.IntRange(1, 3).Draw(t, "limit"))
+		limit := sim.manifest.Fleet.LoadsAtOnce
 		lossy := true
-		w.loseAnswer = func() bool { return lossy && rapid.Bool().Draw(t, "lost") }
+		sim.loseAnswer = func() bool { return lossy && rapid.Bool().Draw(t, "lost") }
 		for i := range rapid.IntRange(1, 12).Draw(t, "faults") {
-			r := w.runners[rapid.IntRange(0, count-1).Draw(t, "runner")]
+			r := sim.runners[rapid.IntRange(0, count-1).Draw(t, "runner")]
 			switch rapid.IntRange(0, 5).Draw(t, "fault") {
 			case 0:
 				r.restart()
 			case 1:
-				w.manifest = declared(limit, fmt.Sprintf("v%d", rapid.IntRange(1, 3).Draw(t, "version")))
-				w.in.Revision++
+				sim.manifest = declared(limit, fmt.Sprintf("v%d", rapid.IntRange(1, 3).Draw(t, "version")))
+				sim.in.Revision++
 			case 2:
-				w.changeHolder(i)
+				sim.changeHolder(i)
 			case 3:
 				r.failsLoads = !r.failsLoads
 			case 4:
@@ -213,14 +213,14 @@
 				r.member.Leaving = !r.member.Leaving
 			}
 			for range rapid.IntRange(1, 200).Draw(t, "ticks") {
-				w.step()
+				sim.step()
 			}
 		}
 		lossy = false
-		for _, r := range w.runners {
+		for _, r := range sim.runners {
 			r.failsLoads, r.unreachable, r.member.Leaving = false, false, false
 		}
-		w.finish(count)
+		sim.finish(count)
 	})
 }
 
--- a/rollout/simulation_test.go
+++ b/rollout/simulation_test.go
@@ -52,38 +52,38 @@
 }
 
 func newSimulation(t interface{ Fatalf(string, ...any) }, count, limit int) *simulation {
-	w := &simulation{t: t, now: epoch, planner: NewPlanner(Options{}), minServing: count}
-	w.manifest = declared(limit, "v1")
+	sim := &simulation{t: t, now: epoch, planner: NewPlanner(Options{}), minServing: count}
+	sim.manifest = declared(limit, "v1")
 	for i := range count {
 		r := &runner{}
 		r.member.ID = fleet.EndpointID(fmt.Sprintf("runner-%02d", i))
 		r.member.Class = "large"
 		r.status = Status{Incarnation: 1, Models: []Model{{ID: "model-0", Version: "v1"}}}
-		w.runners = append(w.runners, r)
+		sim.runners = append(sim.runners, r)
 	}
-	w.loseAnswer = func() bool { return false }
-	w.changeHolder(1)
-	return w
+	sim.loseAnswer = func() bool { return false }
+	sim.changeHolder(1)
+	return sim
 }
 
 // changeHolder replaces the planner by that of a new holder without any state.
-func (s *simulation) changeHolder(fence int) {
-	s.planner = NewPlanner(Options{})
-	s.in.Fence++
-	s.in.HeldSince = s.now
+func (sim *simulation) changeHolder(fence int) {
+	sim.planner = NewPlanner(Options{})
+	sim.in.Fence++
+	sim.in.HeldSince = sim.now
 	_ = fence
 }
 
-func (s *simulation) members() []fleet.Member {
+func (sim *simulation) members() []fleet.Member {
 	var out []fleet.Member
-	for _, r := range s.runners {
+	for _, r := range sim.runners {
 		out = append(out, r.member)
 	}
 	return out
 }
 
-func (s *simulation) runner(id fleet.EndpointID) *runner {
-	for _, r := range s.runners {
+func (sim *simulation) runner(id fleet.EndpointID) *runner {
+	for _, r := range sim.runners {
 		if r.member.ID == id {
 			return r
 		}
@@ -144,39 +144,39 @@
 }
 
 // step advances the time by a tick and executes the plan.
-func (s *simulation) step() Plan {
-	s.now = s.now.Add(tick)
-	for _, r := range s.runners {
-		r.advance(s.now)
+func (sim *simulation) step() Plan {
+	sim.now = sim.now.Add(tick)
+	for _, r := range sim.runners {
+		r.advance(sim.now)
 	}
-	s.in.Manifest, s.in.Endpoints = s.manifest, s.members()
-	plan := s.planner.Plan(s.now, s.in)
+	sim.in.Manifest, sim.in.Endpoints = sim.manifest, sim.members()
+	plan := sim.planner.Plan(sim.now, sim.in)
 	for _, id := range plan.Read {
-		if r := s.runner(id); r.unreachable {
-			s.planner.ReadFailed(s.now, id)
+		if r := sim.runner(id); r.unreachable {
+			sim.planner.ReadFailed(sim.now, id)
 		} else {
-			s.planner.Observed(s.now, s.now, id, r.status)
+			sim.planner.Observed(sim.now, sim.now, id, r.status)
 		}
 	}
 	for _, o := range plan.Orders {
-		s.planner.Sent(s.now, o)
-		r := s.runner(o.Endpoint)
+		sim.planner.Sent(sim.now, o)
+		r := sim.runner(o.Endpoint)
 		if r.unreachable {
 			continue
 		}
-		r.execute(s.now, o)
-		if !s.loseAnswer() {
-			s.planner.Answered(o)
+		r.execute(sim.now, o)
+		if !sim.loseAnswer() {
+			sim.planner.Answered(o)
 		}
 	}
-	s.checkLimits()
+	sim.checkLimits()
 	return plan
 }
 
 // checkLimits fails the test if the runners exceed the limit of loads.
-func (s *simulation) checkLimits() {
+func (sim *simulation) checkLimits() {
 	loads, up := 0, 0
-	for _, r := range s.runners {
+	for _, r := range sim.runners {
 		r.uncounted = r.status.Loading != nil && (r.uncounted || r.unreachable)
 		if r.status.Loading != nil && !r.uncounted {
 			loads++
@@ -185,28 +185,28 @@
 			up++
 		}
 	}
-	s.maxLoads, s.minServing = max(s.maxLoads, loads), min(s.minServing, up)
-	if loads > s.manifest.Fleet.LoadsAtOnce {
-		s.t.Fatalf("%d loads at once after %v", loads, s.now.Sub(epoch))
+	sim.maxLoads, sim.minServing = max(sim.maxLoads, loads), min(sim.minServing, up)
+	if loads > sim.manifest.Fleet.LoadsAtOnce {
+		sim.t.Fatalf("%d loads at once after %v", loads, sim.now.Sub(epoch))
 	}
 }
 
 // finish steps until the given number of runners is in the declared state, and
 // returns the simulated time that it took.
-func (s *simulation) finish(want int) time.Duration {
-	began := s.now
-	for s.now.Sub(began) < 12*time.Hour {
-		if p := s.step(); p.Done >= want {
-			return s.now.Sub(began)
+func (sim *simulation) finish(want int) time.Duration {
+	began := sim.now
+	for sim.now.Sub(began) < 12*time.Hour {
+		if p := sim.step(); p.Done >= want {
+			return sim.now.Sub(began)
 		}
 	}
-	s.t.Fatalf("not finished: %+v", s.step())
+	sim.t.Fatalf("not finished: %+v", sim.step())
 	return 0
 }
 
-func (s *simulation) serving(version string) int {
+func (sim *simulation) serving(version string) int {
 	n := 0
-	for _, r := range s.runners {
+	for _, r := range sim.runners {
 		if m := r.status.model("model-0"); m != nil && m.Version == version {
 			n++
 		}
--- a/router/candidates_test.go
+++ b/router/candidates_test.go
@@ -115,14 +115,14 @@
 // of that subpool must be placed on the engine of the other one instead of being refused.
 func TestLastEngineServesBothSubpools(t *testing.T) {
 	short := fakePools{}
-	w := &forward.PlacementRequest{In: &forward.RequestInfo{Model: "m"}, Service: &routes.Service{Name: "s"}}
+	req := &forward.PlacementRequest{In: &forward.RequestInfo{Model: "m"}, Service: &routes.Service{Name: "s"}}
 	short[pools.ModelPool("s", "m", 3, subpoolShort)] = time.Second
-	got, err := bestCandidate(time.Time{}, short, placement.Request{}, listCandidates(w, versionChoice{first: 3}, subpoolLong, nil), replayTarget)
+	got, err := bestCandidate(time.Time{}, short, placement.Request{}, listCandidates(req, versionChoice{first: 3}, subpoolLong, nil), replayTarget)
 	if err != nil || got.pool != pools.ModelPool("s", "m", 3, subpoolShort) {
 		t.Errorf("long prompt: pool %q, error %v", got.pool, err)
 	}
 	long := fakePools{pools.ModelPool("s", "m", 2, subpoolLong): time.Second}
-	got, err = bestCandidate(time.Time{}, long, placement.Request{}, listCandidates(w, versionChoice{first: 3, others: []otherVersion{{version: 2}}}, subpoolShort, nil), replayTarget)
+	got, err = bestCandidate(time.Time{}, long, placement.Request{}, listCandidates(req, versionChoice{first: 3, others: []otherVersion{{version: 2}}}, subpoolShort, nil), replayTarget)
 	if err != nil || got.version != 2 {
 		t.Errorf("short prompt: pool %q, error %v", got.pool, err)
 	}
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -31,7 +31,7 @@
 
 func newDispatchCluster(t testing.TB, daemons, engines int) *dispatchCluster {
 	t.Helper()
-	w := &dispatchCluster{unreachable: map[string]bool{}}
+	c := &dispatchCluster{unreachable: map[string]bool{}}
 	table := &routes.Table{
 		Version:  1,
 		Routes:   []routes.Route{{Name: "r", Host: "h", PathPrefix: "/", Kind: routes.Stream, TargetLatency: 600 * time.Millisecond, MaxAttempts: 1}},
@@ -58,11 +58,11 @@
 		s.refresh(now)
 		s.mu.Unlock()
 		from := list[i].Address
-		d := newDispatchPlacer(list[i], s, newPlacer(s, set, unresponsiveEngines{}, clock, rng), clock, discardLog(), func(to string, data []byte) { w.send(from, to, data) })
+		d := newDispatchPlacer(list[i], s, newPlacer(s, set, unresponsiveEngines{}, clock, rng), clock, discardLog(), func(to string, data []byte) { c.send(from, to, data) })
 		d.setDaemons(list)
-		w.daemons = append(w.daemons, d)
+		c.daemons = append(c.daemons, d)
 	}
-	return w
+	return c
 }
 
 func (c *dispatchCluster) send(from, to string, data []byte) {
@@ -99,10 +99,10 @@
 // for long prompts. If each daemon placed its prompt without knowing of the others, some
 // prompts would be sent to the same engine and be late while other engines are idle.
 func TestDispatchSpreadsPromptsOfManyDaemons(t *testing.T) {
-	w := newDispatchCluster(t, 8, 12)
+	c := newDispatchCluster(t, 8, 12)
 	counts := map[fleet.EndpointID]int{}
-	for i, d := range w.daemons {
-		counts[w.place(t, d, string(rune('a'+i))).Target.Key]++
+	for i, d := range c.daemons {
+		counts[c.place(t, d, string(rune('a'+i))).Target.Key]++
 	}
 	for key, n := range counts {
 		if n > 1 {
@@ -115,9 +115,9 @@
 // second prompt must be placed on the engine that reads the segment, or fetch it from
 // there.
 func TestSharedSegmentIsReadOnce(t *testing.T) {
-	w := newDispatchCluster(t, 6, 12)
-	first := w.place(t, w.daemons[0], "part")
-	second := w.place(t, w.daemons[3], "part")
+	c := newDispatchCluster(t, 6, 12)
+	first := c.place(t, c.daemons[0], "part")
+	second := c.place(t, c.daemons[3], "part")
 	if second.Target.Key != first.Target.Key && second.Out.FetchFrom != first.Target.Address {
 		t.Errorf("first prompt on %s, second on %s, segment fetched from %q", first.Target.Key, second.Target.Key, second.Out.FetchFrom)
 	}
@@ -126,21 +126,21 @@
 // The dispatcher has failed or cannot be reached. Callers must not wait for it, and
 // another daemon must become the dispatcher.
 func TestUnreachableDispatcherIsAvoided(t *testing.T) {
-	w := newDispatchCluster(t, 6, 12)
-	client := w.daemons[0]
-	first, _ := client.dispatcher(client.groupOf(w.longPrompt(client, "p")))
+	c := newDispatchCluster(t, 6, 12)
+	client := c.daemons[0]
+	first, _ := client.dispatcher(client.groupOf(c.longPrompt(client, "p")))
 	if first == client.self {
-		client = w.daemons[1]
+		client = c.daemons[1]
 	}
-	w.unreachable[first.Address] = true
+	c.unreachable[first.Address] = true
 	began := time.Now()
-	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
+	if p := c.place(t, client, "p"); p.Notes.Dispatcher != "" {
 		t.Errorf("the prompt was placed by %s", p.Notes.Dispatcher)
 	}
 	if took := time.Since(began); took > 10*dispatchTimeout {
 		t.Errorf("the prompt was placed after %v", took)
 	}
-	next, _ := client.dispatcher(client.groupOf(w.longPrompt(client, "p")))
+	next, _ := client.dispatcher(client.groupOf(c.longPrompt(client, "p")))
 	if next.Name == first.Name {
 		t.Error("the unreachable daemon is still the dispatcher")
 	}
@@ -150,13 +150,13 @@
 // would count the prompt at its engine for ever and refuse callers though the fleet is
 // idle.
 func TestPlacementWithoutReportExpires(t *testing.T) {
-	w := newDispatchCluster(t, 2, 1)
-	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
-	client, dispatcher := w.daemons[0], w.daemons[1]
+	c := newDispatchCluster(t, 2, 1)
+	to, _ := c.daemons[0].dispatcher(c.daemons[0].groupOf(c.longPrompt(c.daemons[0], "p")))
+	client, dispatcher := c.daemons[0], c.daemons[1]
 	if to == client.self {
 		client, dispatcher = dispatcher, client
 	}
-	p := w.place(t, client, "p")
+	p := c.place(t, client, "p")
 	if n := dispatcher.state.view.PendingPrompts(p.Target.Key); n != 1 {
 		t.Fatalf("%d prompts are pending", n)
 	}
@@ -169,13 +169,13 @@
 // After the end of an answer, neither the prompt nor its placement may count any more at
 // the engine.
 func TestEndOfAnswerFreesEngine(t *testing.T) {
-	w := newDispatchCluster(t, 2, 1)
-	for _, d := range w.daemons {
-		p := w.place(t, d, "p")
+	c := newDispatchCluster(t, 2, 1)
+	for _, d := range c.daemons {
+		p := c.place(t, d, "p")
 		d.AnswerStarted(&p, &forward.AnswerInfo{Load: &fleet.Load{Running: 1, Slots: 16}})
 		d.AttemptEnded(&p, forward.AttemptEnd{Whole: true})
 	}
-	for _, d := range w.daemons {
+	for _, d := range c.daemons {
 		if n := d.state.view.PendingPrompts("A@0"); n != 0 || len(d.open) != 0 {
 			t.Errorf("%s: %d prompts are pending, %d placements open", d.self.Name, n, len(d.open))
 		}
@@ -185,10 +185,10 @@
 // The dispatcher cannot reach any endpoint and answers that there is none. The daemon that
 // sent the request may reach them and must place the prompt itself.
 func TestDispatcherWithoutEndpointsIsIgnored(t *testing.T) {
-	w := newDispatchCluster(t, 3, 4)
-	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
+	c := newDispatchCluster(t, 3, 4)
+	to, _ := c.daemons[0].dispatcher(c.daemons[0].groupOf(c.longPrompt(c.daemons[0], "p")))
 	var client *dispatchPlacer
-	for _, d := range w.daemons {
+	for _, d := range c.daemons {
 		if d.self == to {
 			for key := range d.state.roster.All() {
 				d.state.roster.Suspend(time.Now(), key, time.Minute)
@@ -197,22 +197,22 @@
 			client = d
 		}
 	}
-	if p := w.place(t, client, "p"); p.Notes.Dispatcher != "" {
+	if p := c.place(t, client, "p"); p.Notes.Dispatcher != "" {
 		t.Errorf("the prompt was placed by %s", p.Notes.Dispatcher)
 	}
 }
 
 // Malformed messages and messages for unknown placements must not stop the daemon.
 func TestMalformedAndUnknownMessagesAreIgnored(t *testing.T) {
-	w := newDispatchCluster(t, 2, 1)
-	d := w.daemons[0]
+	c := newDispatchCluster(t, 2, 1)
+	d := c.daemons[0]
 	for _, m := range []string{"", "\x21", "\x21{", "\x22{\"id\":4}", "\x22{\"id\":5,\"place\":{}}", "\x23{\"id\":9,\"info\":{}}", "\x24{\"id\":9}", "\x21{\"id\":1,\"route\":\"none\",\"service\":\"none\"}"} {
 		d.receive("b", []byte(m))
 	}
 	if d.receive("b", []byte{kindPlace - 1}) || !d.receive("b", []byte{kindEnded}) {
 		t.Error("a message of another kind is accepted, or one of its own kinds is not")
 	}
-	if _, err := d.Place(context.Background(), w.longPrompt(d, "p")); err != nil {
+	if _, err := d.Place(context.Background(), c.longPrompt(d, "p")); err != nil {
 		t.Error(err)
 	}
 }
@@ -221,18 +221,18 @@
 // half a second later may send the engine a prompt meanwhile, which the engine refuses. If
 // the route allows one attempt, the request fails.
 func TestWeightLoadsAreAnnouncedAtOnce(t *testing.T) {
-	w := newDispatchCluster(t, 3, 4)
+	c := newDispatchCluster(t, 3, 4)
 	loading := weights.EngineUpdate{Engine: "B@0", Model: "m", Version: 2, Loading: true}
-	w.daemons[0].sendLoads([]weights.EngineUpdate{loading})
-	for _, d := range w.daemons[1:] {
+	c.daemons[0].sendLoads([]weights.EngineUpdate{loading})
+	for _, d := range c.daemons[1:] {
 		if !d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Unusable(time.Now(), "A@0") {
 			t.Errorf("%s: the engine that loads weights is usable, or another is not", d.self.Name)
 		}
 	}
 	done := loading
 	done.Loading = false
-	w.daemons[0].sendLoads([]weights.EngineUpdate{done})
-	for _, d := range w.daemons[1:] {
+	c.daemons[0].sendLoads([]weights.EngineUpdate{done})
+	for _, d := range c.daemons[1:] {
 		if d.state.roster.Unusable(time.Now(), "B@0") || d.state.roster.Find("B@0").Versions["m"] != 2 {
 			t.Errorf("%s: the engine that has loaded its weights is not usable or has the old version", d.self.Name)
 		}
@@ -243,18 +243,18 @@
 // before the time bound. A daemon that knows must not follow a decision of the dispatcher
 // for the old weights.
 func TestVersionBoundAppliesToDispatcherDecisions(t *testing.T) {
-	w := newDispatchCluster(t, 3, 4)
-	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
-	for _, d := range w.daemons {
+	c := newDispatchCluster(t, 3, 4)
+	to, _ := c.daemons[0].dispatcher(c.daemons[0].groupOf(c.longPrompt(c.daemons[0], "p")))
+	for _, d := range c.daemons {
 		if d.self == to {
 			continue
 		}
 		d.state.named["m"] = versionHistory{{version: 2, since: d.clock() - time.Hour}}
-		if p, err := d.Place(context.Background(), w.longPrompt(d, "p")); err == nil {
+		if p, err := d.Place(context.Background(), c.longPrompt(d, "p")); err == nil {
 			t.Errorf("placed on version %d by %q", p.Out.Version, p.Notes.Dispatcher)
 		}
 		d.state.named["m"] = versionHistory{{version: 2, since: d.clock()}}
-		p := w.place(t, d, "p")
+		p := c.place(t, d, "p")
 		if left := time.Until(p.BeginBy); p.BeginBy.IsZero() || left > time.Minute {
 			t.Errorf("the prompt may begin up to %v from now", left)
 		}
@@ -265,15 +265,15 @@
 // request to the dispatcher, the choice among 72 engines, the reply, and the messages that
 // report the beginning and the end of the answer.
 func BenchmarkDispatch(b *testing.B) {
-	w := newDispatchCluster(b, 2, 72)
-	to, _ := w.daemons[0].dispatcher(w.daemons[0].groupOf(w.longPrompt(w.daemons[0], "p")))
-	client := w.daemons[0]
+	c := newDispatchCluster(b, 2, 72)
+	to, _ := c.daemons[0].dispatcher(c.daemons[0].groupOf(c.longPrompt(c.daemons[0], "p")))
+	client := c.daemons[0]
 	if to == client.self {
-		client = w.daemons[1]
+		client = c.daemons[1]
 	}
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		p, err := client.Place(context.Background(), w.longPrompt(client, string(rune('a'+i%500))))
+		p, err := client.Place(context.Background(), c.longPrompt(client, string(rune('a'+i%500))))
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/router/feed_test.go
+++ b/router/feed_test.go
@@ -61,7 +61,7 @@
 	}
 }
 
-// The neighbour that a daemon reads through has ended. The daemon must use the next one or
+// The neighbour that a daemon reads through has stopped. The daemon must use the next one or
 // the store within the same read, and try the neighbour again later.
 func TestUnresponsiveNeighbourIsAvoided(t *testing.T) {
 	var v *neighbours
--- a/router/limit_test.go
+++ b/router/limit_test.go
@@ -42,7 +42,7 @@
 	})
 }
 
-// setLimit sets the limit that the endpoint's answers state, in requests/s; nil: none.
+// setLimit sets the limit that the endpoint's answers report, in requests/s; nil: none.
 func (e *simulatedEndpoint) setLimit(limit *float64) {
 	e.f.mu.Lock()
 	defer e.f.mu.Unlock()
@@ -139,7 +139,7 @@
 	}
 }
 
-// Guards against applying a limit after the endpoint has stopped stating it, and against
+// Guards against applying a limit after the endpoint has stopped reporting it, and against
 // applying the old value after it was lowered.
 func TestFollowsChangedAndRemovedLimits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/router/reuse_test.go
+++ b/router/reuse_test.go
@@ -221,36 +221,36 @@
 func TestBestSourceOfPrefix(t *testing.T) {
 	now := time.Hour
 	c := trackerWithHolders(t, &now)
-	w := &forward.PlacementRequest{In: &forward.RequestInfo{Parts: []prefix.Segment{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
+	req := &forward.PlacementRequest{In: &forward.RequestInfo{Parts: []prefix.Segment{{ID: "x", Tokens: 500}, {ID: "y", Tokens: 500}, {ID: "q", Tokens: 9}}}}
 	all := func(string) bool { return true }
-	if h := c.locate(w, "v1"); h != nil {
+	if h := c.locate(req, "v1"); h != nil {
 		t.Errorf("locations %+v without any cache event", h)
 	}
 	addCacheEvents(c, "far", "x")
 	addCacheEvents(c, "store", "x")
 	addCacheEvents(c, "near", "x")
-	if got, n := c.bestSource(w, "v1", "a", all); got != "1:1" || n != 500 {
+	if got, n := c.bestSource(req, "v1", "a", all); got != "1:1" || n != 500 {
 		t.Errorf("%q was chosen with %d tokens", got, n)
 	}
-	if got, _ := c.bestSource(w, "v1", "b", all); got != "2:1" {
+	if got, _ := c.bestSource(req, "v1", "b", all); got != "2:1" {
 		t.Errorf("%q was chosen as nearest to zone b", got)
 	}
-	if got, _ := c.bestSource(w, "v1", "a", func(name string) bool { return name != "near" }); got != "3:1" {
+	if got, _ := c.bestSource(req, "v1", "a", func(name string) bool { return name != "near" }); got != "3:1" {
 		t.Errorf("%q was chosen without the nearest", got)
 	}
-	if got, n := c.bestSource(w, "v2", "a", all); got != "" || n != 0 {
+	if got, n := c.bestSource(req, "v2", "a", all); got != "" || n != 0 {
 		t.Errorf("%q was chosen with %d tokens of another weight version", got, n)
 	}
 	now += time.Second
 	addCacheEvents(c, "far", "x", "y")
-	if got, n := c.bestSource(w, "v1", "a", all); got != "2:1" || n != 1000 {
+	if got, n := c.bestSource(req, "v1", "a", all); got != "2:1" || n != 1000 {
 		t.Errorf("%q was chosen with %d tokens", got, n)
 	}
-	if h := c.locate(w, "v1"); h == nil || h.MaxTokens != 1000 || h.Tokens["near"] != 500 || h.Tokens["far"] != 1000 {
+	if h := c.locate(req, "v1"); h == nil || h.MaxTokens != 1000 || h.Tokens["near"] != 500 || h.Tokens["far"] != 1000 {
 		t.Errorf("locations %+v", h)
 	}
 	now += maxEventAge - 500*time.Millisecond
-	if h := c.locate(w, "v1"); h == nil || len(h.Tokens) != 1 {
+	if h := c.locate(req, "v1"); h == nil || len(h.Tokens) != 1 {
 		t.Errorf("locations %+v when the last events of two of three holders are old", h)
 	}
 }
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -73,10 +73,10 @@
 // newZoneWithHeartbeats returns a zone in which endpoints write heartbeats and the given
 // number of daemons start.
 func newZoneWithHeartbeats(t *testing.T, daemons int) *simulatedZone {
-	w := newEmptyZone(t)
-	go w.writeHeartbeats()
-	w.startDaemons(daemons)
-	return w
+	z := newEmptyZone(t)
+	go z.writeHeartbeats()
+	z.startDaemons(daemons)
+	return z
 }
 
 // newEmptyZone returns a zone without daemons, whose store has one configuration.
@@ -86,16 +86,16 @@
 		cancel()
 		time.Sleep(time.Minute) // virtual, until everything has ended
 	})
-	w := &simulatedZone{
+	z := &simulatedZone{
 		t: t, ctx: ctx, began: time.Now(), appended: make(chan struct{}),
 		storeSilent: map[string]bool{}, storeRefuses: map[string]bool{}, frozen: map[string]bool{}, stopped: map[string]bool{},
 		pageSize: storePageSize, linkBusyUntil: map[string]time.Duration{}, followEndpoints: func(ctx context.Context, r *Router) { r.followEndpoints(ctx) },
 	}
-	for topic := range w.newest {
-		w.newest[topic] = map[string]Record{}
+	for topic := range z.newest {
+		z.newest[topic] = map[string]Record{}
 	}
-	w.write(TopicOperator, "config", "1")
-	return w
+	z.write(TopicOperator, "config", "1")
+	return z
 }
 
 // startDaemons stops the running daemons and starts new ones within 0.3 s.
@@ -461,13 +461,13 @@
 func TestZoneReadsStoreAsOneDaemon(t *testing.T) {
 	count := func(daemons int) (start, later int) {
 		synctest.Test(t, func(t *testing.T) {
-			w := newZoneWithHeartbeats(t, daemons)
+			z := newZoneWithHeartbeats(t, daemons)
 			time.Sleep(zoneSettleTime)
-			start = w.countStoreCalls()
-			if oldest := w.watchKeysAge(time.Minute, nil); oldest > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) {
+			start = z.countStoreCalls()
+			if oldest := z.watchKeysAge(time.Minute, nil); oldest > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) {
 				t.Errorf("%d daemons: keys were %v old in a minute without faults", daemons, oldest)
 			}
-			later = w.countStoreCalls() - start
+			later = z.countStoreCalls() - start
 		})
 		return start, later
 	}
@@ -496,16 +496,16 @@
 func TestZoneRestartsWithOneCallPerDaemon(t *testing.T) {
 	for _, daemons := range []int{16, 65, 220} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newZoneWithHeartbeats(t, daemons)
+			z := newZoneWithHeartbeats(t, daemons)
 			time.Sleep(zoneSettleTime)
-			before, back := w.countStoreCalls(), time.Now()
-			w.startDaemons(daemons)
-			for w.maxKeysAge(nil) > zoneSettings.RevokeWithin && time.Since(back) < time.Minute {
+			before, back := z.countStoreCalls(), time.Now()
+			z.startDaemons(daemons)
+			for z.maxKeysAge(nil) > zoneSettings.RevokeWithin && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			took := time.Since(back)
 			time.Sleep(zoneSettleTime - took)
-			calls := w.countStoreCalls() - before
+			calls := z.countStoreCalls() - before
 			t.Logf("%d daemons: %d calls, keys known after %v", daemons, calls, took)
 			if calls > daemons+zoneStartCalls {
 				t.Errorf("%d daemons made %d calls", daemons, calls)
@@ -523,8 +523,8 @@
 func TestZoneWithSlowLinksReadsLargeList(t *testing.T) {
 	const daemons, large, listed = 220, 10, 10_003
 	synctest.Test(t, func(t *testing.T) {
-		w := newEmptyZone(t)
-		w.mbps = func(name string) float64 {
+		z := newEmptyZone(t)
+		z.mbps = func(name string) float64 {
 			if n, _ := strconv.Atoi(strings.TrimPrefix(name, "front-")); n < large {
 				return 1000
 			}
@@ -532,25 +532,25 @@
 		}
 		rng := rand.New(rand.NewPCG(7, 11))
 		for i := range listed {
-			w.write(TopicEndpoints, fmt.Sprintf("i-%010x", rng.Uint64N(1<<40)), fmt.Sprintf(
+			z.write(TopicEndpoints, fmt.Sprintf("i-%010x", rng.Uint64N(1<<40)), fmt.Sprintf(
 				`{"service":"models-%d","address":"10.%d.%d.%d:8265","zone":"hall-limoilou","version":1,"slots":12,"state":"ready","coldLeftMs":0,"seq":%d,"stage":"unified","models":[{"name":"daka510000","version":1,"adapters":[]}],"born":%d}`,
 				i%2, i%5, rng.IntN(250), rng.IntN(250), rng.IntN(30), 1_800_000_000_000+rng.Int64N(1e7)))
 		}
 		var mu sync.Mutex
 		known := map[string]time.Duration{}
-		w.followEndpoints = func(ctx context.Context, r *Router) {
+		z.followEndpoints = func(ctx context.Context, r *Router) {
 			f := r.newFollower(TopicEndpoints)
 			f.apply = func(record Record) (Record, bool) { return record, true }
 			f.onSnapshot = func(present map[string]bool) {
 				mu.Lock()
 				defer mu.Unlock()
 				if len(present) == listed {
-					known[r.options.Settings.Name] = time.Since(w.began)
+					known[r.options.Settings.Name] = time.Since(z.began)
 				}
 			}
 			r.pollTopic(ctx, f)
 		}
-		w.startDaemons(daemons)
+		z.startDaemons(daemons)
 		time.Sleep(8 * time.Second)
 		mu.Lock()
 		defer mu.Unlock()
@@ -558,12 +558,12 @@
 		for _, at := range known {
 			last = max(last, at)
 		}
-		t.Logf("%d of %d daemons have the list, the last after %v; %d calls to the store, which sent %d bytes", len(known), daemons, last, w.countStoreCalls(), w.storeBytes)
+		t.Logf("%d of %d daemons have the list, the last after %v; %d calls to the store, which sent %d bytes", len(known), daemons, last, z.countStoreCalls(), z.storeBytes)
 		if len(known) < daemons {
 			t.Errorf("%d of %d daemons have the list after 8 s", len(known), daemons)
 		}
-		if most := 2*daemons + zoneStartCalls + listed/storePageSize + 1; w.countStoreCalls() > most || w.storeBytes > 8_000_000 {
-			t.Errorf("%d calls to the store, which sent %d bytes", w.countStoreCalls(), w.storeBytes)
+		if most := 2*daemons + zoneStartCalls + listed/storePageSize + 1; z.countStoreCalls() > most || z.storeBytes > 8_000_000 {
+			t.Errorf("%d calls to the store, which sent %d bytes", z.countStoreCalls(), z.storeBytes)
 		}
 	})
 }
@@ -574,20 +574,20 @@
 func TestZoneRestartsWithPagedDaemonList(t *testing.T) {
 	const daemons, page = 220, 50
 	synctest.Test(t, func(t *testing.T) {
-		w := newEmptyZone(t)
-		w.pageSize = page
-		go w.writeHeartbeats()
-		w.startDaemons(daemons)
+		z := newEmptyZone(t)
+		z.pageSize = page
+		go z.writeHeartbeats()
+		z.startDaemons(daemons)
 		time.Sleep(zoneSettleTime)
-		before, appended := w.countStoreCalls(), len(w.topics[TopicDaemons])
-		w.startDaemons(daemons)
+		before, appended := z.countStoreCalls(), len(z.topics[TopicDaemons])
+		z.startDaemons(daemons)
 		time.Sleep(zoneSettleTime)
 		pages := daemons/page + 1
-		t.Logf("%d calls", w.countStoreCalls()-before)
-		if calls := w.countStoreCalls() - before; calls > daemons*pages+zoneStartCalls*2 {
+		t.Logf("%d calls", z.countStoreCalls()-before)
+		if calls := z.countStoreCalls() - before; calls > daemons*pages+zoneStartCalls*2 {
 			t.Errorf("%d daemons made %d calls", daemons, calls)
 		}
-		if again := len(w.topics[TopicDaemons]) - appended; again > 0 {
+		if again := len(z.topics[TopicDaemons]) - appended; again > 0 {
 			t.Errorf("%d daemons announced themselves again", again)
 		}
 	})
@@ -598,19 +598,19 @@
 func TestZoneStartsGraduallyWithoutFirstDaemon(t *testing.T) {
 	const daemons = 220
 	synctest.Test(t, func(t *testing.T) {
-		w := newEmptyZone(t)
-		go w.writeHeartbeats()
-		w.startDaemons(daemons)
+		z := newEmptyZone(t)
+		go z.writeHeartbeats()
+		z.startDaemons(daemons)
 		time.Sleep(zoneSettleTime)
-		first := w.treeOrder()[0].options.Settings.Name
-		w.setFlag(w.storeSilent, true, first)
-		before, began := w.countStoreCalls(), time.Now()
-		w.startDaemons(daemons)
-		for w.maxKeysAge(map[string]bool{first: true}) > zoneSettings.RevokeWithin && time.Since(began) < time.Minute {
+		first := z.treeOrder()[0].options.Settings.Name
+		z.setFlag(z.storeSilent, true, first)
+		before, began := z.countStoreCalls(), time.Now()
+		z.startDaemons(daemons)
+		for z.maxKeysAge(map[string]bool{first: true}) > zoneSettings.RevokeWithin && time.Since(began) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
 		}
 		took := time.Since(began)
-		calls := w.countStoreCalls() - before
+		calls := z.countStoreCalls() - before
 		t.Logf("keys known after %v, %d calls", took, calls)
 		if took > 4*time.Second || calls > daemons+zoneStartCalls {
 			t.Errorf("keys known after %v, %d calls", took, calls)
@@ -626,7 +626,7 @@
 	// daemons that read through a failed one may make one call per topic, and some make
 	// another one later.
 	const calls = 100
-	faults := map[string]func(w *simulatedZone, order []*Router) (excluded map[string]bool){
+	faults := map[string]func(z *simulatedZone, order []*Router) (excluded map[string]bool){
 		"the first cannot reach the store": func(z *simulatedZone, order []*Router) map[string]bool {
 			z.setFlag(z.storeSilent, true, order[0].options.Settings.Name)
 			return z.storeSilent
@@ -650,21 +650,21 @@
 		for name, fault := range faults {
 			t.Run(fmt.Sprintf("%d daemons, %s", daemons, name), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					w := newZoneWithHeartbeats(t, daemons)
+					z := newZoneWithHeartbeats(t, daemons)
 					time.Sleep(zoneSettleTime)
-					before := w.countStoreCalls()
-					excluded := fault(w, w.treeOrder())
+					before := z.countStoreCalls()
+					excluded := fault(z, z.treeOrder())
 					version := int64(2)
 					for end := time.Now().Add(10 * time.Second); time.Now().Before(end); version++ {
-						if took := w.publishConfig(version, excluded); took > zoneSettings.ConfigWithin {
+						if took := z.publishConfig(version, excluded); took > zoneSettings.ConfigWithin {
 							t.Errorf("configuration %d was in force everywhere after %v", version, took)
 						}
 						time.Sleep(300 * time.Millisecond)
 					}
-					if made := w.countStoreCalls() - before; made > calls {
+					if made := z.countStoreCalls() - before; made > calls {
 						t.Errorf("%d calls to the store", made)
 					}
-					if oldest := w.watchKeysAge(10*time.Second, excluded); oldest > zoneSettings.ConfigWithin {
+					if oldest := z.watchKeysAge(10*time.Second, excluded); oldest > zoneSettings.ConfigWithin {
 						t.Errorf("keys were %v old", oldest)
 					}
 				})
@@ -678,18 +678,18 @@
 // would refuse callers for seconds after that.
 func TestIsolatedDaemonRetriesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newZoneWithHeartbeats(t, 65)
+		z := newZoneWithHeartbeats(t, 65)
 		time.Sleep(zoneSettleTime)
-		order := w.treeOrder()
+		order := z.treeOrder()
 		isolated := order[40]
 		for _, r := range order {
-			w.setFlag(w.storeRefuses, true, r.options.Settings.Name)
+			z.setFlag(z.storeRefuses, true, r.options.Settings.Name)
 			if r != isolated {
-				w.setFlag(w.stopped, true, r.options.Settings.Name)
+				z.setFlag(z.stopped, true, r.options.Settings.Name)
 			}
 		}
 		time.Sleep(4 * time.Second)
-		w.setFlag(w.storeRefuses, false, isolated.options.Settings.Name)
+		z.setFlag(z.storeRefuses, false, isolated.options.Settings.Name)
 		back := time.Now()
 		for isolated.keysAge() > time.Second && time.Since(back) < time.Minute {
 			time.Sleep(10 * time.Millisecond)
@@ -706,17 +706,17 @@
 // it, and they do not use the engine until its entry changes.
 func TestRestoredEntryIsRelayed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newZoneWithHeartbeats(t, 1)
-		f := w.daemons[0].newEndpointsFollower()
+		z := newZoneWithHeartbeats(t, 1)
+		f := z.daemons[0].newEndpointsFollower()
 		entry := []Record{{Key: "e1", Value: []byte("1")}}
-		f.applyPage("", w.clock(), Page{Records: entry})
-		if got, err := f.feed().Read(t.Context(), w.clock, feed.Query{From: -1}); err != nil || len(got.Records) != 1 {
+		f.applyPage("", z.clock(), Page{Records: entry})
+		if got, err := f.feed().Read(t.Context(), z.clock, feed.Query{From: -1}); err != nil || len(got.Records) != 1 {
 			t.Fatal("the entry of the first full read is not relayed")
 		}
 		if relayed := f.applyRecords(entry); len(relayed) != 0 {
 			t.Error("an unchanged entry is relayed")
 		}
-		f.applyPage("", w.clock(), Page{})
+		f.applyPage("", z.clock(), Page{})
 		if relayed := f.applyRecords(entry); len(relayed) != 1 {
 			t.Error("the restored entry is not relayed")
 		}
@@ -731,38 +731,38 @@
 	for _, silent := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			const daemons, outage = 65, 8 * time.Second
-			w := newZoneWithHeartbeats(t, daemons)
+			z := newZoneWithHeartbeats(t, daemons)
 			time.Sleep(zoneSettleTime)
-			fault := w.storeRefuses
+			fault := z.storeRefuses
 			if silent {
-				fault = w.storeSilent
+				fault = z.storeSilent
 			}
-			for _, r := range w.daemons {
-				w.setFlag(fault, true, r.options.Settings.Name)
+			for _, r := range z.daemons {
+				z.setFlag(fault, true, r.options.Settings.Name)
 			}
-			before := w.countStoreCalls()
+			before := z.countStoreCalls()
 			time.Sleep(outage)
 			// One read per topic and daemon detects that the store is unavailable. After
 			// that each daemon retries after its backoff, and the one that reads for the
 			// zone after minRetryPause.
 			perTopic := daemons + int(outage/storeBackoffPerDaemon)*2 + int(outage/minRetryPause)
-			calls := w.countStoreCalls() - before
+			calls := z.countStoreCalls() - before
 			t.Logf("silent %v: %d calls while the store was unavailable", silent, calls)
 			if calls > perTopic*int(topicCount) {
 				t.Errorf("silent %v: %d calls while the store was unavailable", silent, calls)
 			}
-			for _, r := range w.daemons {
-				w.setFlag(fault, false, r.options.Settings.Name)
+			for _, r := range z.daemons {
+				z.setFlag(fault, false, r.options.Settings.Name)
 			}
-			before = w.countStoreCalls()
+			before = z.countStoreCalls()
 			back := time.Now()
-			for w.maxKeysAge(nil) > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
+			for z.maxKeysAge(nil) > time.Duration(relayAgeFraction*float64(zoneSettings.ConfigWithin)) && time.Since(back) < time.Minute {
 				time.Sleep(10 * time.Millisecond)
 			}
 			if took := time.Since(back); took > 2*time.Second {
 				t.Errorf("silent %v: all keys were confirmed %v after the store was back", silent, took)
 			}
-			if calls := w.countStoreCalls() - before; calls > daemons {
+			if calls := z.countStoreCalls() - before; calls > daemons {
 				t.Errorf("silent %v: %d calls until all keys were confirmed", silent, calls)
 			}
 		})
@@ -774,20 +774,20 @@
 func TestQuarantineSurvivesRestartOfAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons = 9
-		w := newZoneWithHeartbeats(t, daemons)
+		z := newZoneWithHeartbeats(t, daemons)
 		time.Sleep(zoneSettleTime)
 		f := quarantine.FingerprintOf("org", "POST", "h", "/x", nil)
 		lifted := quarantine.FingerprintOf("org", "POST", "h", "/y", nil)
 		for _, end := range []fleet.EndpointID{"a", "b", "c"} {
-			w.daemons[0].quarantine.Lost(f, end, "e")
-			w.daemons[0].quarantine.Lost(lifted, end, "e")
+			z.daemons[0].quarantine.Lost(f, end, "e")
+			z.daemons[0].quarantine.Lost(lifted, end, "e")
 		}
 		time.Sleep(zoneSettleTime)
-		w.daemons[0].quarantine.Answered(lifted)
+		z.daemons[0].quarantine.Answered(lifted)
 		time.Sleep(zoneSettleTime)
-		w.startDaemons(daemons)
+		z.startDaemons(daemons)
 		time.Sleep(zoneSettleTime)
-		for i, r := range w.daemons {
+		for i, r := range z.daemons {
 			if _, held := r.quarantine.Held(f); !held {
 				t.Errorf("daemon %d does not quarantine the request", i)
 			}
@@ -796,9 +796,9 @@
 			}
 		}
 		time.Sleep(quarantine.HoldDuration)
-		w.mu.Lock()
-		defer w.mu.Unlock()
-		if n := len(w.newest[TopicDaemons]); n > daemons {
+		z.mu.Lock()
+		defer z.mu.Unlock()
+		if n := len(z.newest[TopicDaemons]); n > daemons {
 			t.Errorf("%d records are left for %d daemons", n, daemons)
 		}
 	})
