--- a/catalog/catalog.go
+++ b/catalog/catalog.go
@@ -84,7 +84,7 @@
 // New indexes a validated manifest. It returns an error when a key hash is not a
 // hexadecimal SHA-256 or a priority name is unknown.
 func New(m *manifest.Manifest) (*Index, error) {
-	x := &Index{
+	index := &Index{
 		keys:          make(map[[sha256.Size]byte]*Organisation),
 		organisations: make(map[contract.OrganisationID]*Organisation, len(m.Organisations)),
 		models:        make(map[string]*model, len(m.Models)),
@@ -92,24 +92,24 @@
 		fleet:         m.Fleet,
 	}
 	for i := range m.Organisations {
-		if err := x.addOrganisation(&m.Organisations[i]); err != nil {
+		if err := index.addOrganisation(&m.Organisations[i]); err != nil {
 			return nil, err
 		}
 	}
 	for i := range m.Models {
-		x.addModel(&m.Models[i])
+		index.addModel(&m.Models[i])
 	}
 	for _, c := range m.Classes {
-		x.classes[c.ID] = c
+		index.classes[c.ID] = c
 	}
 	for i := range m.Services {
-		x.addService(&m.Services[i])
+		index.addService(&m.Services[i])
 	}
 	// Longest prefix first, so that /receipts/archive takes precedence over
 	// /receipts.
-	slices.SortStableFunc(x.services, func(a, b *Service) int { return len(b.Prefix) - len(a.Prefix) })
-	slices.Sort(x.modelNames)
-	return x, nil
+	slices.SortStableFunc(index.services, func(a, b *Service) int { return len(b.Prefix) - len(a.Prefix) })
+	slices.Sort(index.modelNames)
+	return index, nil
 }
 
 func (i *Index) addOrganisation(o *manifest.Organisation) error {
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -108,15 +108,15 @@
 }
 
 // adjustPeerWeights updates the weights of silent peers. Silence alone doesn't
-// lower a weight: a peer that is partitioned rather than dead goes on using its
+// lower a weight: a peer that is partitioned rather than stopped goes on using its
 // fraction of the fleet, and daemons that took it over would overload the
 // endpoints, with requests waiting there and shares no longer kept. A weight is
 // lowered in small steps, only while the endpoints report free capacity and at
-// least half of the peers are heard from (otherwise this daemon is the partitioned
+// least half of the peers send digests (otherwise this daemon is the partitioned
 // one), and is raised again when the endpoints fill up.
 func (a *Admission) adjustPeerWeights() {
 	silent := a.silentPeers()
-	heardMost := 2*silent <= len(a.peers)
+	mostPeersSend := 2*silent <= len(a.peers)
 	fresh := a.load.known && a.clock-a.load.at <= loadMaxAge
 	for _, p := range a.peers {
 		silence := a.clock - p.lastReceived
@@ -127,7 +127,7 @@
 			p.weight = 0
 		case fresh && a.load.utilisation > giveBackAbove && p.weight < 1:
 			p.weight = min(p.weight+giveBackStep, 1)
-		case fresh && heardMost && a.load.utilisation < takeoverBelow && silence > a.opts.SilentGrace.Seconds():
+		case fresh && mostPeersSend && a.load.utilisation < takeoverBelow && silence > a.opts.SilentGrace.Seconds():
 			p.weight *= takeoverFactor
 		}
 	}
--- a/directory/directory.go
+++ b/directory/directory.go
@@ -63,7 +63,7 @@
 	lapsedService *service // the service that lists it in lapsed, or nil
 }
 
-// PutResult says how an entry differs from the previous one of the same endpoint.
+// PutResult states how an entry differs from the previous one of the same endpoint.
 type PutResult uint8
 
 // Results of Put.
@@ -238,8 +238,8 @@
 	return removed
 }
 
-// ObserveVersion records the weight version that an answer of this incarnation named,
-// and reports whether it is higher than the known one.
+// ObserveVersion records the weight version in an answer of this incarnation, and
+// reports whether it is higher than the known one.
 func (d *Directory) ObserveVersion(key fleet.EndpointID, id, model string, version int64) bool {
 	e := d.byID[id]
 	if e == nil || e.Key != key || e.Versions[model] >= version {
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -248,7 +248,7 @@
 	}
 }
 
-// For random sequences of lists and reports, an endpoint whose last report says that it
+// For random sequences of lists and reports, an endpoint whose last report states that it
 // is draining is unusable, and the table stays within its limit.
 func TestMembershipInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/gateway/errors.go
+++ b/gateway/errors.go
@@ -48,8 +48,8 @@
 )
 
 // ErrShutdown is the cause with which a daemon cancels the contexts of its open
-// requests when the time limit of its shutdown has passed. It tells them apart
-// from requests whose callers left.
+// requests when the time limit of its shutdown has passed. It distinguishes
+// them from requests whose callers left.
 var ErrShutdown = errors.New("gateway: daemon shuts down")
 
 // DefaultRetryAfter is the Retry-After value when no better estimate is known.
--- a/ledger/decision.go
+++ b/ledger/decision.go
@@ -14,7 +14,7 @@
 const (
 	Accepted  Outcome = "accepted"
 	Repeated  Outcome = "repeated"  // has the same effect as the earlier record By
-	Refused   Outcome = "refused"   // has no effect; Reason says why
+	Refused   Outcome = "refused"   // has no effect; see Reason
 	Undecided Outcome = "undecided" // earlier records are missing; may be decided later
 	Noted     Outcome = "noted"     // applied; requires no decision
 )
--- a/ledger/manifests.go
+++ b/ledger/manifests.go
@@ -245,7 +245,7 @@
 	s.through = r.Offset
 	if s.carriedAt.IsZero() {
 		// That no manifest has been accepted must be checkpointed as well:
-		// once this record has expired, a reader could not tell.
+		// once this record has expired, a reader could not determine it.
 		s.carriedAt = r.Time
 	}
 	s.remember(d)
--- a/logio/logio_test.go
+++ b/logio/logio_test.go
@@ -53,7 +53,7 @@
 
 func TestBatcherReportsOutcomeOfItems(t *testing.T) {
 	// Appends to the log fail for a while. An item whose deadline passes meanwhile
-	// gets an error that tells whether it may be in the log; one without a deadline
+	// gets an error that states whether it may be in the log; one without a deadline
 	// is appended when the log works again.
 	tests := []struct {
 		name string
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -125,7 +125,7 @@
 	defer look.Stop()
 	for {
 		m.mu.Lock()
-		have, news := m.state.Revision().Offset, m.changed
+		have, changed := m.state.Revision().Offset, m.changed
 		m.mu.Unlock()
 		if have >= offset {
 			return true
@@ -138,7 +138,7 @@
 		default:
 		}
 		select {
-		case <-news:
+		case <-changed:
 		case <-look.C: // check again whether reads fail
 		case <-ctx.Done():
 			return false
--- a/placement/endpoints.go
+++ b/placement/endpoints.go
@@ -11,7 +11,7 @@
 )
 
 // maxRetired is the number of earlier incarnations remembered for an endpoint, so that a
-// late message of a dead engine is not taken for a new incarnation.
+// late message of a crashed engine is not taken for a new incarnation.
 const maxRetired = 4
 
 // lateMessageWindow is how late a message of an ended incarnation may arrive.
@@ -53,9 +53,9 @@
 	pendingCount     int                         // their number
 }
 
-// reported is what an endpoint reported or showed of itself. Endpoints without any report
-// share one instance, since a daemon of a large fleet deals with few endpoints: call
-// ownReport before each change.
+// reported is the state of an endpoint that exists only after a report or a request. All
+// other endpoints share noReport to save memory, since a daemon of a large fleet sends
+// requests to few of them: call ownReport before each change.
 type reported struct {
 	load    fleet.Load
 	loadAt  time.Time
@@ -65,6 +65,7 @@
 
 var noReport = &reported{}
 
+// ownReport replaces the shared noReport by an instance of the endpoint's own.
 func (e *endpoint) ownReport() {
 	if e.reported == noReport {
 		e.reported = &reported{}
@@ -217,7 +218,7 @@
 	v.freeEndpoints = append(v.freeEndpoints, i)
 }
 
-// SetAvailability sets whether an endpoint may be given requests. It does not change the
+// SetAvailability sets whether an endpoint may receive requests. It does not change the
 // rendezvous order, so that an ejected endpoint gets its own prefixes back when it returns
 // and no others move.
 func (v *View) SetAvailability(id fleet.EndpointID, a Availability) {
@@ -240,7 +241,7 @@
 // An engine that crashed restarts with an empty cache under the same address. Requests sent
 // there for the lost cache would all be recomputed in one queue. So a new incarnation
 // invalidates everything recorded before. Earlier incarnations are remembered for a while,
-// since a late message of the dead engine would otherwise be taken for a new incarnation.
+// since a late message of the crashed engine would otherwise be taken for a new incarnation.
 func (v *View) accept(e *endpoint, in fleet.Incarnation, at time.Time) bool {
 	if in == 0 || in == e.incarnation {
 		if at.Before(e.cacheLostAt) {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -187,7 +187,7 @@
 	Events      []Event
 }
 
-// Availability is the degree to which an endpoint may be given requests.
+// Availability is the degree to which an endpoint may receive requests.
 type Availability uint8
 
 // Values of Availability, from most to least available.
--- a/placement/view_test.go
+++ b/placement/view_test.go
@@ -129,7 +129,7 @@
 			v.Answered(epoch, late)
 		}
 		if got := place(t, v, epoch.Add(2*time.Second), promptRequest(2, "a", "sheet")); got.Reason == ReasonHolder {
-			t.Errorf("%s: still relies on the cache of the dead engine: %+v", name, got)
+			t.Errorf("%s: still relies on the cache of the crashed engine: %+v", name, got)
 		}
 	}
 }
--- a/pools/model.go
+++ b/pools/model.go
@@ -54,17 +54,17 @@
 	i, found := m.find(number)
 	if !found {
 		v := &version{number: number}
-		for l := range v.pool {
-			v.pool[l] = ModelPool(m.key.service, m.key.model, number, Subpool(l))
+		for s := range v.pool {
+			v.pool[s] = ModelPool(m.key.service, m.key.model, number, Subpool(s))
 		}
 		m.versions = slices.Insert(m.versions, i, v)
 	}
 	v := m.versions[i]
 	if e.suspended {
 		v.suspended = append(v.suspended, e)
-		for l, usable := range v.hasPool {
+		for s, usable := range v.hasPool {
 			if usable {
-				sink.Join(v.pool[l], e.Endpoint)
+				sink.Join(v.pool[s], e.Endpoint)
 			}
 		}
 		return
@@ -92,9 +92,9 @@
 	v := m.versions[i]
 	if e.suspended {
 		v.suspended = slices.DeleteFunc(v.suspended, func(o *member) bool { return o == e })
-		for l, usable := range v.hasPool {
+		for s, usable := range v.hasPool {
 			if usable {
-				sink.Leave(v.pool[l], e.ID)
+				sink.Leave(v.pool[s], e.ID)
 			}
 		}
 		return
@@ -156,17 +156,17 @@
 // updateSuspended keeps suspended engines in the pools of both subpools, so that they keep
 // their position while they get no requests. A subpool without a usable engine has no pool.
 func (v *version) updateSuspended(sink Sink) {
-	for l, n := range v.sizes() {
+	for s, n := range v.sizes() {
 		usable := n > 0
-		if usable == v.hasPool[l] {
+		if usable == v.hasPool[s] {
 			continue
 		}
-		v.hasPool[l] = usable
+		v.hasPool[s] = usable
 		for _, e := range v.suspended {
 			if usable {
-				sink.Join(v.pool[l], e.Endpoint)
+				sink.Join(v.pool[s], e.Endpoint)
 			} else {
-				sink.Leave(v.pool[l], e.ID)
+				sink.Leave(v.pool[s], e.ID)
 			}
 		}
 	}
@@ -179,8 +179,8 @@
 
 func (m *model) updateCounts(v *version) {
 	setCount(m.counts.ByVersion, v.number, len(v.active))
-	for l, n := range v.sizes() {
-		setCount(m.counts.BySubpool[l], v.number, n)
+	for s, n := range v.sizes() {
+		setCount(m.counts.BySubpool[s], v.number, n)
 	}
 }
 
--- a/pools/pools.go
+++ b/pools/pools.go
@@ -30,8 +30,8 @@
 
 // ModelPool returns the name of the pool of a service's engines that have a version of a
 // model and belong to the subpool.
-func ModelPool(service, model string, version int64, l Subpool) string {
-	return service + "\x00" + model + "\x00" + strconv.FormatInt(version, 10) + "\x00" + subpoolNames[l]
+func ModelPool(service, model string, version int64, s Subpool) string {
+	return service + "\x00" + model + "\x00" + strconv.FormatInt(version, 10) + "\x00" + subpoolNames[s]
 }
 
 // Sink receives pool changes.
@@ -210,8 +210,8 @@
 	m := t.models[key]
 	if m == nil {
 		m = &model{key: key, counts: Counts{ByVersion: map[int64]int{}}}
-		for l := range m.counts.BySubpool {
-			m.counts.BySubpool[l] = map[int64]int{}
+		for s := range m.counts.BySubpool {
+			m.counts.BySubpool[s] = map[int64]int{}
 		}
 		t.models[key] = m
 	}
--- a/pools/pools_test.go
+++ b/pools/pools_test.go
@@ -52,7 +52,7 @@
 // endpointState is an endpoint's state as the test set it.
 type endpointState struct {
 	Endpoint
-	out, limited bool
+	suspended, limited bool
 }
 
 // rebuildPools computes all pools from all endpoints.
@@ -64,13 +64,13 @@
 		}
 		pools[pool][id] = true
 	}
-	in, out := map[modelKey]map[int64][]endpointState{}, map[modelKey]map[int64][]endpointState{}
+	active, suspended := map[modelKey]map[int64][]endpointState{}, map[modelKey]map[int64][]endpointState{}
 	for id, k := range all {
 		add(ServicePool(k.Class), id)
 		for model, v := range k.Versions {
-			key, into := modelKey{k.Class, model}, in
-			if k.out {
-				into = out
+			key, into := modelKey{k.Class, model}, active
+			if k.suspended {
+				into = suspended
 			}
 			if into[key] == nil {
 				into[key] = map[int64][]endpointState{}
@@ -78,7 +78,7 @@
 			into[key][v] = append(into[key][v], k)
 		}
 	}
-	for key, versions := range in {
+	for key, versions := range active {
 		n := 0
 		for _, members := range versions {
 			n += len(members)
@@ -97,12 +97,12 @@
 			if n == 1 {
 				subpools = [SubpoolCount][]endpointState{Short: ordered, Long: ordered}
 			}
-			for l, members := range subpools {
+			for s, members := range subpools {
 				if len(members) == 0 {
 					continue
 				}
-				for _, k := range slices.Concat(members, out[key][v]) {
-					add(ModelPool(key.service, key.model, v, Subpool(l)), k.ID)
+				for _, k := range slices.Concat(members, suspended[key][v]) {
+					add(ModelPool(key.service, key.model, v, Subpool(s)), k.ID)
 				}
 			}
 		}
@@ -123,11 +123,11 @@
 		versions := rapid.MapOfN(rapid.SampledFrom([]string{"m", "n"}), rapid.Int64Range(1, 3), 0, 2)
 		t.Repeat(map[string]func(*rapid.T){
 			"put": func(t *rapid.T) {
-				k := endpointState{out: rapid.Bool().Draw(t, "out"), limited: rapid.Bool().Draw(t, "limited")}
+				k := endpointState{suspended: rapid.Bool().Draw(t, "out"), limited: rapid.Bool().Draw(t, "limited")}
 				k.ID, k.Class = id.Draw(t, "id"), rapid.SampledFrom([]string{"s", "t"}).Draw(t, "class")
 				k.Versions = versions.Draw(t, "versions")
 				all[k.ID] = k
-				table.Put(k.Endpoint, k.out, k.limited)
+				table.Put(k.Endpoint, k.suspended, k.limited)
 			},
 			"remove": func(t *rapid.T) {
 				at := id.Draw(t, "id")
@@ -135,12 +135,12 @@
 				table.Remove(at)
 			},
 			"set out": func(t *rapid.T) {
-				at, out := id.Draw(t, "id"), rapid.Bool().Draw(t, "out")
+				at, suspended := id.Draw(t, "id"), rapid.Bool().Draw(t, "out")
 				if k, ok := all[at]; ok {
-					k.out = out
+					k.suspended = suspended
 					all[at] = k
 				}
-				table.SetSuspended(at, out)
+				table.SetSuspended(at, suspended)
 			},
 			"set limited": func(t *rapid.T) {
 				at, limited := id.Draw(t, "id"), rapid.Bool().Draw(t, "limited")
@@ -175,7 +175,7 @@
 	for v := range int64(4) {
 		n := 0
 		for _, k := range all {
-			if at, serves := k.Versions[model]; k.Class == service && !k.out && serves && at == v {
+			if at, serves := k.Versions[model]; k.Class == service && !k.suspended && serves && at == v {
 				n++
 			}
 		}
@@ -183,15 +183,15 @@
 		if counts.ByVersion[v] != n {
 			t.Fatalf("%d engines of version %d are counted, %d are there", counts.ByVersion[v], v, n)
 		}
-		for l := range SubpoolCount {
+		for s := range SubpoolCount {
 			n := 0
-			for id := range pools[ModelPool(service, model, v, l)] {
-				if !all[id].out {
+			for id := range pools[ModelPool(service, model, v, s)] {
+				if !all[id].suspended {
 					n++
 				}
 			}
-			if counts.BySubpool[l][v] != n {
-				t.Fatalf("%d engines of version %d are counted in a subpool, %d are there", counts.BySubpool[l][v], v, n)
+			if counts.BySubpool[s][v] != n {
+				t.Fatalf("%d engines of version %d are counted in a subpool, %d are there", counts.BySubpool[s][v], v, n)
 			}
 		}
 	}
@@ -206,10 +206,10 @@
 	for _, n := range []int{1000, 10_000} {
 		got := &recordingSink{t: t, pools: map[string]map[fleet.EndpointID]bool{}}
 		table := New(got, 0.2)
-		put := func(i int, version int64, out bool) {
+		put := func(i int, version int64, suspended bool) {
 			e := Endpoint{Versions: map[string]int64{"m": version}}
 			e.ID, e.Class = fleet.EndpointID(fmt.Sprint("e", i)), "s"
-			table.Put(e, out, false)
+			table.Put(e, suspended, false)
 		}
 		for i := range n {
 			put(i, 1, false)
--- a/rollout/plan.go
+++ b/rollout/plan.go
@@ -89,7 +89,7 @@
 // statusValid reports whether the last status of an endpoint still applies: it was
 // read by this holder, within UnreachableTimeout, from the present incarnation.
 // An order that has had no result for UnreachableTimeout is dropped; otherwise
-// a dead endpoint would count as loading until the platform's list omitted it.
+// a crashed endpoint would count as loading until the platform's list omitted it.
 func (r *round) statusValid(m fleet.Member, s *endpointState) bool {
 	if s.sent != nil && r.now.Sub(s.sentAt) >= r.p.opt.UnreachableTimeout {
 		s.sent = nil
@@ -305,8 +305,8 @@
 // interrupted. MaxUnavailableFraction limits the number of endpoints that are
 // interrupted by orders, and, except for retries, the number of those that are
 // interrupted or failing since the last successful load. Half of the endpoints
-// must keep serving; if dead endpoints make that impossible, one that serves is
-// enough while no other is interrupted. If dead endpoints counted like interrupted
+// must keep serving; if crashed endpoints make that impossible, one that serves is
+// enough while no other is interrupted. If crashed endpoints counted like interrupted
 // ones, a few of them would block every rollout permanently.
 func (r *round) canInterruptModel(counts *modelCounts) bool {
 	allowed := max(1, int(r.p.opt.MaxUnavailableFraction*float64(counts.total)))
@@ -350,13 +350,13 @@
 		return
 	}
 	for _, m := range c.target.models {
-		u := r.models[m.ID]
-		u.interrupted++
+		counts := r.models[m.ID]
+		counts.interrupted++
 		if !c.servesModel(m.ID) {
 			continue
 		}
-		u.serving--
-		if u.unresolved > 0 {
+		counts.serving--
+		if counts.unresolved > 0 {
 			r.p.lastRetry = r.now
 		}
 	}
--- a/roster/roster.go
+++ b/roster/roster.go
@@ -45,8 +45,8 @@
 
 	usable         map[fleet.EndpointID]*directory.Endpoint
 	suspendedUntil map[fleet.EndpointID]time.Time // end of the suspension
-	gated          map[fleet.EndpointID]bool      // placement's gate is closed for them
-	limited        map[fleet.EndpointID]bool      // they report a limit of concurrent requests
+	unavailable    map[fleet.EndpointID]bool      // not available to placement
+	limited        map[fleet.EndpointID]bool      // they report a request limit
 	changed        bool                           // there are changes for Refresh
 	recheckBuf     []fleet.EndpointID             // reused by recheck
 }
@@ -56,7 +56,7 @@
 	return &Roster{
 		directory: directory.New(o.Grace), health: health.New(o.Health), pools: pools.New(o.Placement, o.ShortFraction), placement: o.Placement,
 		usable: map[fleet.EndpointID]*directory.Endpoint{}, suspendedUntil: map[fleet.EndpointID]time.Time{},
-		gated: map[fleet.EndpointID]bool{},
+		unavailable: map[fleet.EndpointID]bool{},
 	}
 }
 
@@ -110,14 +110,14 @@
 	unusable := r.Unusable(now, e.Key)
 	r.pools.Put(pools.Endpoint{Endpoint: member, Versions: e.Versions}, unusable, r.limited[e.Key])
 	if unusable {
-		r.closeGate(e.Key)
+		r.setUnavailable(e.Key)
 	}
 }
 
 // removeUsable removes an endpoint from the pools.
 func (r *Roster) removeUsable(now time.Time, key fleet.EndpointID) {
 	delete(r.usable, key)
-	delete(r.gated, key)
+	delete(r.unavailable, key)
 	r.pools.Remove(key)
 	r.health.SetMissing(now, key)
 }
@@ -129,16 +129,16 @@
 	for key := range r.suspendedUntil {
 		r.recheckBuf = append(r.recheckBuf, key)
 	}
-	for key := range r.gated {
+	for key := range r.unavailable {
 		r.recheckBuf = append(r.recheckBuf, key)
 	}
 	for _, key := range r.recheckBuf {
 		unusable := r.Unusable(now, key)
 		r.pools.SetSuspended(key, unusable)
 		if unusable {
-			r.closeGate(key)
+			r.setUnavailable(key)
 		} else {
-			delete(r.gated, key)
+			delete(r.unavailable, key)
 			r.placement.SetAvailability(key, placement.Available)
 		}
 	}
@@ -149,14 +149,15 @@
 	}
 }
 
-// closeGate makes placement send no requests to an endpoint until recheck opens the gate.
-func (r *Roster) closeGate(key fleet.EndpointID) {
-	r.gated[key] = true
+// setUnavailable makes placement send no requests to an endpoint until recheck finds it
+// usable.
+func (r *Roster) setUnavailable(key fleet.EndpointID) {
+	r.unavailable[key] = true
 	r.placement.SetAvailability(key, placement.Ejected)
 }
 
-// SetLimited sets the endpoints that report a limit of concurrent requests. The Roster
-// keeps the map.
+// SetLimited sets the endpoints that report a request limit, see package limits. The
+// Roster keeps the map.
 func (r *Roster) SetLimited(limited map[fleet.EndpointID]bool) {
 	for key := range r.limited {
 		if !limited[key] {
@@ -178,13 +179,13 @@
 	if until := now.Add(d); until.After(r.suspendedUntil[key]) {
 		r.suspendedUntil[key] = until
 	}
-	r.closeGate(key)
+	r.setUnavailable(key)
 }
 
 // Resume ends a suspension.
 func (r *Roster) Resume(key fleet.EndpointID) { delete(r.suspendedUntil, key) }
 
-// ObserveVersion records the weight version that an answer of the endpoint named, and
+// ObserveVersion records the weight version in an answer of the endpoint, and
 // reports whether it is higher than the known one.
 func (r *Roster) ObserveVersion(key fleet.EndpointID, model string, version int64) bool {
 	e := r.usable[key]
@@ -194,18 +195,20 @@
 // RecordFailure records an attempt that failed at the endpoint.
 func (r *Roster) RecordFailure(now time.Time, key fleet.EndpointID) {
 	r.health.RecordFailure(now, key, 0)
-	r.gateIfUnusable(now, key)
+	r.updateAvailability(now, key)
 }
 
 // RecordSuccess records a complete answer of the endpoint that is not an error.
 func (r *Roster) RecordSuccess(now time.Time, key fleet.EndpointID) {
 	r.health.RecordSuccess(now, key, 0, 0)
-	r.gateIfUnusable(now, key)
+	r.updateAvailability(now, key)
 }
 
-func (r *Roster) gateIfUnusable(now time.Time, key fleet.EndpointID) {
+// updateAvailability makes an endpoint unavailable to placement at once if health ejected
+// it. An endpoint that is usable again is made available by recheck.
+func (r *Roster) updateAvailability(now time.Time, key fleet.EndpointID) {
 	if r.Unusable(now, key) {
-		r.closeGate(key)
+		r.setUnavailable(key)
 	}
 }
 
--- a/router/dispatch_test.go
+++ b/router/dispatch_test.go
@@ -217,7 +217,7 @@
 	}
 }
 
-// The rollout leader is about to have an engine load weights. A daemon that learns of it
+// The rollout leader is about to have an engine load weights. A daemon that is informed of it
 // half a second later may send the engine a prompt meanwhile, which the engine refuses. If
 // the route allows one attempt, the request fails.
 func TestWeightLoadsAreAnnouncedAtOnce(t *testing.T) {
--- a/router/quota.go
+++ b/router/quota.go
@@ -107,9 +107,9 @@
 	l.sendPending()
 }
 
-// announceLeave tells other daemons that this one shuts down, so that they stop relying
-// on it at once.
-func (l *limiter) announceLeave() {
+// stopLending makes the node refuse to lend, as this daemon shuts down. Other daemons then
+// ask another owner at once.
+func (l *limiter) stopLending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.node.StopLending()
--- a/router/replay_test.go
+++ b/router/replay_test.go
@@ -353,17 +353,17 @@
 }
 
 func TestShortFractionFollowsWork(t *testing.T) {
-	var l subpoolSplit
+	var s subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
-	if got := l.shortFraction(); got != initialShortFraction {
+	if got := s.shortFraction(); got != initialShortFraction {
 		t.Errorf("short fraction %v before any request", got)
 	}
 	for range 100 {
 		now = now.Add(10 * time.Millisecond)
-		l.addRequest(now, subpoolShort, 600, 1000)
-		l.addRequest(now, subpoolLong, 2700, 1000)
+		s.addRequest(now, subpoolShort, 600, 1000)
+		s.addRequest(now, subpoolLong, 2700, 1000)
 	}
-	if got := l.shortFraction(); got < 0.2 || got > 0.3 {
+	if got := s.shortFraction(); got < 0.2 || got > 0.3 {
 		t.Errorf("short fraction %v, want 0.25", got)
 	}
 }
--- a/router/router.go
+++ b/router/router.go
@@ -303,7 +303,7 @@
 func (r *Router) shutDown(front net.Listener) error {
 	began := time.Now()
 	r.shuttingDown.Store(true)
-	r.limits.announceLeave()
+	r.limits.stopLending()
 	r.endpointLimits.Leave()
 	r.log.Info("Stopping.")
 	end := began.Add(r.options.Settings.StopWithin - exitReserve)
--- a/router/subpools_test.go
+++ b/router/subpools_test.go
@@ -42,8 +42,8 @@
 // The maximum output length that callers set is many times the actual length. Counted as
 // work, it would reserve a third of the fleet for short prompts that keep it a tenth busy.
 func TestShortFractionFollowsReadTokens(t *testing.T) {
-	l := subpoolSplit{meanAnswer: [subpoolCount]float64{subpoolShort: 0.15, subpoolLong: 0.8}}
-	short, long := l.estimateWork(subpoolShort, 370, 24), l.estimateWork(subpoolLong, 17_000, 24)
+	s := subpoolSplit{meanAnswer: [subpoolCount]float64{subpoolShort: 0.15, subpoolLong: 0.8}}
+	short, long := s.estimateWork(subpoolShort, 370, 24), s.estimateWork(subpoolLong, 17_000, 24)
 	if n := pools.ShortCount(short/(short+long*47.5/189), 18); n < 2 || n > 3 {
 		t.Errorf("%d of 18 engines in the short subpool", n)
 	}
@@ -53,18 +53,18 @@
 // quarter of a second need the slots of five engines, though two could read the prompts.
 // On two engines, half of the callers would wait for a slot beyond their objective.
 func TestShortFractionFollowsBatchSlots(t *testing.T) {
-	var l subpoolSplit
+	var s subpoolSplit
 	now := time.Unix(1_800_000_000, 0)
 	for range 3000 {
 		now = now.Add(3 * time.Millisecond)
-		l.addRequest(now, subpoolShort, 370, 16)
-		l.addAnswer(subpoolShort, 250*time.Millisecond)
+		s.addRequest(now, subpoolShort, 370, 16)
+		s.addAnswer(subpoolShort, 250*time.Millisecond)
 	}
 	for range 450 {
-		l.addRequest(now, subpoolLong, 17_000, 16)
-		l.addAnswer(subpoolLong, 800*time.Millisecond)
+		s.addRequest(now, subpoolLong, 17_000, 16)
+		s.addAnswer(subpoolLong, 800*time.Millisecond)
 	}
-	if n := pools.ShortCount(l.shortFraction(), 14); n < 4 || n > 6 {
+	if n := pools.ShortCount(s.shortFraction(), 14); n < 4 || n > 6 {
 		t.Errorf("%d of 14 engines in the short subpool", n)
 	}
 }
--- a/router/zone_test.go
+++ b/router/zone_test.go
@@ -674,7 +674,7 @@
 }
 
 // A daemon cannot reach any other daemon of its zone while the store refuses calls. If it
-// backed off as long as daemons that learn from neighbours when the store is back, it
+// backed off as long as daemons whose neighbours detect for them that the store is back, it
 // would refuse callers for seconds after that.
 func TestIsolatedDaemonRetriesStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/weights/plan.go
+++ b/weights/plan.go
@@ -92,7 +92,7 @@
 // 0.7 s in all with little to do and 3.6 s with a queue. So engines whose weights may no
 // longer be used are ordered first, and then those with the smallest backlog.
 func (p *Plan) Next(now time.Duration, engines []Engine, named int64) []Engine {
-	away := map[fleet.ZoneID]int{}
+	absent := map[fleet.ZoneID]int{}
 	ordered := 0
 	var waiting []Engine
 	for _, e := range engines {
@@ -110,13 +110,13 @@
 			waiting = append(waiting, e)
 		case o.loading:
 			ordered++
-			away[e.Zone]++
+			absent[e.Zone]++
 		}
 	}
 	slices.SortFunc(waiting, func(a, b Engine) int {
 		return cmp.Or(
 			cmp.Compare(min(a.UsableFor, 0), min(b.UsableFor, 0)), cmp.Compare(a.Backlog/backlogStep, b.Backlog/backlogStep),
-			cmp.Compare(a.Version, b.Version), cmp.Compare(away[a.Zone], away[b.Zone]), cmp.Compare(a.Key, b.Key))
+			cmp.Compare(a.Version, b.Version), cmp.Compare(absent[a.Zone], absent[b.Zone]), cmp.Compare(a.Key, b.Key))
 	})
 	free := max(0, p.maxOrdered(len(engines))-ordered)
 	return waiting[:min(free, len(waiting))]
--- a/weights/plan_test.go
+++ b/weights/plan_test.go
@@ -109,7 +109,7 @@
 	fixedOrders    int             // engines under an order at a time; 0: as the plan decides
 	now            time.Duration
 	remaining      []time.Duration // remaining load time; -1: not ordered
-	awayInAll      time.Duration
+	totalAbsence   time.Duration
 	engines        []Engine
 }
 
@@ -160,7 +160,7 @@
 			if r.remaining[i] < 0 {
 				continue
 			}
-			r.awayInAll += step
+			r.totalAbsence += step
 			if r.now < until[i] {
 				continue
 			}
@@ -198,7 +198,7 @@
 			for named := range int64(6) {
 				took = r.run(p, named+2) // the last result counts: the plan has measured by then
 			}
-			return took, r.awayInAll / 6
+			return took, r.totalAbsence / 6
 		}
 		before, awayBefore := simulate(max(1, int(math.Round(0.22*float64(c.n)))))
 		after, awayAfter := simulate(0)
