--- a/fleet/usable.go
+++ b/fleet/usable.go
@@ -17,8 +17,8 @@
 type groupCount struct{ staying, responsive int }
 
 // needsDoubtful reports whether doubtful endpoints of the group are usable.
-func (c groupCount) needsDoubtful(share float64) bool {
-	return c.responsive < int(math.Ceil(share*float64(c.staying)))
+func (c groupCount) needsDoubtful(fraction float64) bool {
+	return c.responsive < int(math.Ceil(fraction*float64(c.staying)))
 }
 
 // Usable returns the endpoints that may receive new requests, sorted by ID.
--- a/forward/callers.go
+++ b/forward/callers.go
@@ -55,12 +55,12 @@
 }
 
 // Close implements net.Conn.
-func (c *callerConn) Close() error {
-	c.tracker.mu.Lock()
-	delete(c.tracker.open, c)
-	c.closed = true
-	c.tracker.mu.Unlock()
-	return c.Conn.Close()
+func (k *callerConn) Close() error {
+	k.tracker.mu.Lock()
+	delete(k.tracker.open, k)
+	k.closed = true
+	k.tracker.mu.Unlock()
+	return k.Conn.Close()
 }
 
 // Context stores the connection in the context of its requests. Set it as
--- a/peer/notify.go
+++ b/peer/notify.go
@@ -64,11 +64,11 @@
 }
 
 // Notify handles the placement announcements of another daemon.
-func (h *handler) Notify(_ context.Context, w *peerpb.Notices) (*peerpb.NotifyReply, error) {
-	if len(w.GetNotices()) > placement.MaxAnnouncements || len(w.GetDaemon()) > neighbour.MaxDaemonID {
+func (h *handler) Notify(_ context.Context, m *peerpb.Notices) (*peerpb.NotifyReply, error) {
+	if len(m.GetNotices()) > placement.MaxAnnouncements || len(m.GetDaemon()) > neighbour.MaxDaemonID {
 		return nil, status.Error(codes.InvalidArgument, "too many announcements or daemon ID too long")
 	}
-	h.service.o.OnPlacementAnnouncements(w.GetDaemon(), announcementsFromWire(time.Now(), w.GetNotices()))
+	h.service.o.OnPlacementAnnouncements(m.GetDaemon(), announcementsFromWire(time.Now(), m.GetNotices()))
 	return &peerpb.NotifyReply{}, nil
 }
 
--- a/peer/relay.go
+++ b/peer/relay.go
@@ -34,12 +34,12 @@
 }
 
 // Relay handles a message of another daemon.
-func (h *handler) Relay(_ context.Context, w *peerpb.Message) (*peerpb.RelayReply, error) {
-	if len(w.GetData()) > maxMessageBytes || len(w.GetDaemon()) > neighbour.MaxDaemonID {
+func (h *handler) Relay(_ context.Context, m *peerpb.Message) (*peerpb.RelayReply, error) {
+	if len(m.GetData()) > maxMessageBytes || len(m.GetDaemon()) > neighbour.MaxDaemonID {
 		return nil, status.Error(codes.InvalidArgument, "message or daemon ID too long")
 	}
 	if onMessage := h.service.o.OnMessage; onMessage != nil {
-		onMessage(w.GetDaemon(), w.GetData())
+		onMessage(m.GetDaemon(), m.GetData())
 	}
 	return &peerpb.RelayReply{}, nil
 }
