--- a/endpointlimit/endpointlimit.go
+++ b/endpointlimit/endpointlimit.go
@@ -1,6 +1,6 @@
-// Package endpointlimit keeps endpoints within the request limits that they report: it exchanges the
-// messages of a limits.Table and a quota.Node with other daemons, and lists the endpoints
-// at their limits for placement.
+// Package endpointlimit keeps endpoints within the request limits that they report: it
+// exchanges the messages of a limits.Table and a quota.Node with other daemons, and lists
+// the endpoints at their limits for placement.
 package endpointlimit
 
 import (
--- a/quarantineguard/guard.go
+++ b/quarantineguard/guard.go
@@ -1,6 +1,6 @@
-// Package quarantineguard runs the quarantine of one daemon. It checks whether endpoints have
-// crashed, exchanges the messages of a quarantine.Node with other daemons, and serves
-// the operators' API for held requests.
+// Package quarantineguard runs the quarantine of one daemon. It checks whether endpoints
+// have crashed, exchanges the messages of a quarantine.Node with other daemons, and
+// serves the operators' API for held requests.
 package quarantineguard
 
 import (
