--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -20,14 +20,14 @@
 	"golang.org/x/sync/errgroup"
 
 	"github.com/merlindock/merlindock/admin"
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/engine"
 	"github.com/merlindock/merlindock/gateway"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/logging"
 	"github.com/merlindock/merlindock/logio"
 	"github.com/merlindock/merlindock/peer"
 	"github.com/merlindock/merlindock/ports"
-	"github.com/merlindock/merlindock/room"
+	"github.com/merlindock/merlindock/quarantineguard"
 	"github.com/merlindock/merlindock/settings"
 	"github.com/merlindock/merlindock/telemetry"
 )
@@ -74,8 +74,8 @@
 	drainer     *gateway.Drainer
 	shutdown    *shutdown
 	peers       *peer.Service
-	guard       *guard.Guard
-	limiter     *room.Limiter
+	guard       *quarantineguard.Guard
+	limiter     *endpointlimit.Limiter
 	gateway     *gateway.Gateway
 	claimer     *claimer
 	orderLeader *orderLeader
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -4,20 +4,20 @@
 	"net"
 	"time"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/gossip"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/logging"
-	"github.com/merlindock/merlindock/room"
+	"github.com/merlindock/merlindock/quarantineguard"
 )
 
 // newGuard returns the guard that quarantines requests that crash the endpoints
 // that run them.
-func (d *Daemon) newGuard() *guard.Guard {
+func (d *Daemon) newGuard() *quarantineguard.Guard {
 	dial := d.o.Dial
 	if dial == nil {
 		dial = new(net.Dialer).DialContext
 	}
-	return guard.New(guard.Options{
+	return quarantineguard.New(quarantineguard.Options{
 		Self: d.self(), Clock: d.clock, Dial: dial, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.sendMessage,
 	})
@@ -25,8 +25,8 @@
 
 // newLimiter returns the limiter that keeps endpoints within the limits that
 // they report.
-func (d *Daemon) newLimiter() *room.Limiter {
-	return room.New(room.Options{
+func (d *Daemon) newLimiter() *endpointlimit.Limiter {
+	return endpointlimit.New(endpointlimit.Options{
 		Me: d.self(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.sendMessage,
 	})
--- a/room/room.go
+++ b/endpointlimit/endpointlimit.go
@@ -1,7 +1,7 @@
-// Package room keeps endpoints within the request limits that they report: it exchanges the
-// messages of a limits.Table and a quota.Node with other daemons, and lists the endpoints
-// at their limits for placement.
-package room
+// Package endpointlimit keeps endpoints within the request limits that they report: it
+// exchanges the messages of a limits.Table and a quota.Node with other daemons, and lists
+// the endpoints at their limits for placement.
+package endpointlimit
 
 import (
 	"context"
@@ -124,7 +124,7 @@
 	l.flush()
 	l.mu.Unlock()
 	if err != nil {
-		l.o.Log.Info("Invalid message from another daemon.", "from", from, "error", err.Error())
+		l.o.Log.Info("Message of another daemon is malformed.", "from", from, "error", err.Error())
 	}
 	return true
 }
@@ -186,7 +186,7 @@
 	l.quota.SetDaemons(daemons)
 }
 
-// Leave stops lending to other daemons, so that they turn to another daemon at once.
+// Leave stops lending to other daemons, so that they ask another daemon at once.
 func (l *Limiter) Leave() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -209,7 +209,7 @@
 	var out []fleet.EndpointID
 	now := l.o.Clock()
 	for e, key := range l.keys {
-		if l.awaiting[key] || l.quota.Denied(now, key) {
+		if l.awaiting[key] || l.quota.WouldReject(now, key) {
 			out = append(out, e)
 		}
 	}
--- a/fleet/membership_test.go
+++ b/fleet/membership_test.go
@@ -119,13 +119,13 @@
 func TestMissingSilentEndpointIsRemoved(t *testing.T) {
 	m := NewMembership(MembershipOptions{})
 	m.SetList(afterEpoch(0), runners(18))
-	var gone []Change
+	var removed []Change
 	for now := afterEpoch(0); now.Before(afterEpoch(time.Minute)); now = now.Add(500 * time.Millisecond) {
-		gone = append(gone, m.SetList(now, runners(17))...)
+		removed = append(removed, m.SetList(now, runners(17))...)
 		probe(m, now, func(id EndpointID) (Load, bool) { return Load{At: now, Incarnation: 1}, id != "runner-17" })
 	}
-	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(gone, want) {
-		t.Errorf("changes %v, want %v", gone, want)
+	if want := []Change{{ChangeRemoved, "runner-17", 0}}; !slices.Equal(removed, want) {
+		t.Errorf("changes %v, want %v", removed, want)
 	}
 	if m.Len() != 17 {
 		t.Errorf("%d endpoints left", m.Len())
@@ -248,7 +248,7 @@
 	}
 }
 
-// For random sequences of lists and reports, an endpoint whose last report says that it
+// For random sequences of lists and reports, an endpoint whose last report states that it
 // is draining is unusable, and the table stays within its limit.
 func TestMembershipInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/fleet/usable.go
+++ b/fleet/usable.go
@@ -17,8 +17,8 @@
 type groupCount struct{ staying, responsive int }
 
 // needsDoubtful reports whether doubtful endpoints of the group are usable.
-func (c groupCount) needsDoubtful(share float64) bool {
-	return c.responsive < int(math.Ceil(share*float64(c.staying)))
+func (c groupCount) needsDoubtful(fraction float64) bool {
+	return c.responsive < int(math.Ceil(fraction*float64(c.staying)))
 }
 
 // Usable returns the endpoints that may receive new requests, sorted by ID.
@@ -67,7 +67,7 @@
 	return to
 }
 
-// notLeaving reports whether neither the list nor the endpoint says that it is leaving.
+// notLeaving reports whether neither the list nor the endpoint reports that it is leaving.
 func (r *member) notLeaving() bool { return !r.leaving && !r.Draining }
 
 func (r *member) snapshot(doubtful bool) Member {
--- a/placement/placement.go
+++ b/placement/placement.go
@@ -157,7 +157,7 @@
 	ID       uint64
 	Endpoint fleet.EndpointID
 	// ConnectionLost is set if the endpoint refused or lost the connection, so that its
-	// cache must be assumed to be gone.
+	// cache must be assumed to be lost.
 	ConnectionLost bool
 }
 
@@ -187,7 +187,7 @@
 	Events      []Event
 }
 
-// Availability is the degree to which an endpoint may be given requests.
+// Availability is the degree to which an endpoint may receive requests.
 type Availability uint8
 
 // Values of Availability, from most to least available.
--- a/quota/sim_test.go
+++ b/quota/sim_test.go
@@ -47,15 +47,15 @@
 
 // history records the requests of an organisation and their verdicts.
 type history struct {
-	limit          Limit
-	admitted       []use // in order of time
-	level          float64
-	at             time.Duration
-	asked          int
-	withinLimit    int // requests within the limit, by the use before them
-	wronglyRefused int // rejected ones among them
-	refused        int
-	waits          []time.Duration
+	limit           Limit
+	admitted        []use // in order of time
+	level           float64
+	at              time.Duration
+	asked           int
+	withinLimit     int // requests within the limit, by the use before them
+	wronglyRejected int // rejected ones among them
+	rejected        int
+	waits           []time.Duration
 }
 
 type use struct {
@@ -68,92 +68,92 @@
 const window = 8 * time.Second
 
 func newSimulation(t testing.TB, seed uint64, daemons int, limits map[Key]Limit) *simulation {
-	w := &simulation{
+	sim := &simulation{
 		t: t, rng: rand.New(rand.NewPCG(seed, 9)), tol: tolerance, limits: limits, byAddr: map[string]*simDaemon{},
 		inTransit: map[time.Duration][]packet{}, use: map[Key]*history{},
 	}
 	for i := range daemons {
-		w.add(i)
+		sim.add(i)
 	}
-	for _, m := range w.nodes {
-		m.node.SetDaemons(w.list())
+	for _, m := range sim.nodes {
+		m.node.SetDaemons(sim.list())
 		m.node.SetLimits(0, limits)
 	}
 	for key, l := range limits {
-		w.use[key] = &history{limit: l, level: l.Burst}
+		sim.use[key] = &history{limit: l, level: l.Burst}
 	}
-	return w
+	return sim
 }
 
-func (w *simulation) add(i int) {
+func (sim *simulation) add(i int) {
 	m := &simDaemon{index: i, me: Daemon{Name: fmt.Sprintf("front-%d", i), Address: fmt.Sprintf("10.0.%d.%d:7340", i/200, i%200)}}
-	w.nodes = append(w.nodes, m)
-	w.byAddr[m.me.Address] = m
-	m.node = w.process(m)
+	sim.nodes = append(sim.nodes, m)
+	sim.byAddr[m.me.Address] = m
+	m.node = sim.process(m)
 }
 
-func (w *simulation) process(m *simDaemon) *Node {
-	return NewNode(Options{Self: m.me, Tolerance: w.tol, Nonce: w.rng.Uint64(), Rand: w.rng})
+func (sim *simulation) process(m *simDaemon) *Node {
+	return NewNode(Options{Self: m.me, Tolerance: sim.tol, Nonce: sim.rng.Uint64(), Rand: sim.rng})
 }
 
 // restart replaces the process of a daemon by a new one, which gets the list and the
 // limits at once.
-func (w *simulation) restart(m *simDaemon) {
-	m.node, m.queue, m.down = w.process(m), nil, false
-	m.node.SetDaemons(w.list())
-	m.node.SetLimits(w.now, w.limits)
+func (sim *simulation) restart(m *simDaemon) {
+	m.node, m.queue, m.down = sim.process(m), nil, false
+	m.node.SetDaemons(sim.list())
+	m.node.SetLimits(sim.now, sim.limits)
 }
 
-func (w *simulation) list() []Daemon {
+func (sim *simulation) list() []Daemon {
 	var out []Daemon
-	for _, m := range w.nodes {
+	for _, m := range sim.nodes {
 		out = append(out, m.me)
 	}
 	return out
 }
 
 // post sends the outgoing messages of a daemon.
-func (w *simulation) post(m *simDaemon) {
+func (sim *simulation) post(m *simDaemon) {
 	for _, d := range m.node.Outbox() {
-		w.sent++
-		w.bytes += len(d.Data) + 28 // headers of IP and UDP
-		to := w.byAddr[d.To]
-		if to == nil || w.partitioned != nil && w.partitioned(m.index, to.index) || w.rng.Float64() < w.loss {
+		sim.sent++
+		sim.bytes += len(d.Data) + 28 // headers of IP and UDP
+		to := sim.byAddr[d.To]
+		if to == nil || sim.partitioned != nil && sim.partitioned(m.index, to.index) || sim.rng.Float64() < sim.loss {
 			continue
 		}
 		copies := 1
-		if w.rng.Float64() < w.double {
+		if sim.rng.Float64() < sim.double {
 			copies = 2
 		}
 		for range copies {
-			after := time.Millisecond * time.Duration(1+w.rng.IntN(3))
-			if w.rng.Float64() < w.late {
-				after += time.Duration(w.rng.IntN(1000)) * time.Millisecond
+			after := time.Millisecond * time.Duration(1+sim.rng.IntN(3))
+			if sim.rng.Float64() < sim.late {
+				after += time.Duration(sim.rng.IntN(1000)) * time.Millisecond
 			}
-			w.inTransit[w.now+after] = append(w.inTransit[w.now+after], packet{m.me.Address, d.To, d.Data})
+			sim.inTransit[sim.now+after] = append(sim.inTransit[sim.now+after], packet{m.me.Address, d.To, d.Data})
 		}
 	}
 }
 
 // step advances the simulation by one millisecond.
-func (w *simulation) step() {
-	w.now += time.Millisecond
-	for _, l := range w.inTransit[w.now] {
-		m := w.byAddr[l.to]
+func (sim *simulation) step() {
+	sim.now += time.Millisecond
+	for _, l := range sim.inTransit[sim.now] {
+		m := sim.byAddr[l.to]
 		switch {
 		case m.down:
 		case m.paused:
 			m.queue = append(m.queue, l)
 		default:
-			w.deliver(m, l)
+			sim.deliver(m, l)
 		}
 	}
-	delete(w.inTransit, w.now)
-	if w.fractions != nil {
-		w.fractions.step(w)
+	delete(sim.inTransit, sim.now)
+	if sim.fractions != nil {
+		sim.fractions.step(sim)
 		return
 	}
-	for _, m := range w.nodes {
+	for _, m := range sim.nodes {
 		if m.down || m.paused {
 			continue
 		}
@@ -161,45 +161,45 @@
 		if m.node.Waiting() {
 			every = 20
 		}
-		if (w.now.Milliseconds()+int64(m.index)*7)%every == 0 {
-			m.node.Tick(w.now + m.skew)
-			w.post(m)
+		if (sim.now.Milliseconds()+int64(m.index)*7)%every == 0 {
+			m.node.Tick(sim.now + m.skew)
+			sim.post(m)
 		}
 	}
 }
 
-func (w *simulation) deliver(m *simDaemon, l packet) {
-	if err := m.node.Receive(w.now+m.skew, l.from, l.data); err != nil {
-		w.t.Fatal(err)
+func (sim *simulation) deliver(m *simDaemon, l packet) {
+	if err := m.node.Receive(sim.now+m.skew, l.from, l.data); err != nil {
+		sim.t.Fatal(err)
 	}
-	w.post(m)
+	sim.post(m)
 }
 
-func (w *simulation) resume(m *simDaemon) {
+func (sim *simulation) resume(m *simDaemon) {
 	m.paused = false
 	for _, l := range m.queue {
-		w.deliver(m, l)
+		sim.deliver(m, l)
 	}
 	m.queue = nil
 }
 
 // request sends a request of an organisation to a daemon.
-func (w *simulation) request(m *simDaemon, key Key, tokens int) {
+func (sim *simulation) request(m *simDaemon, key Key, tokens int) {
 	if m.down || m.paused {
 		return
 	}
-	h := w.use[key]
+	h := sim.use[key]
 	h.asked++
-	since := w.now
-	done := func(v Verdict) { h.verdict(w.now, w.now-since, h.limit.Cost(tokens), v) }
-	if w.fractions != nil {
-		done(Verdict{Admitted: w.fractions.admit(m.index, key, h.limit.Cost(tokens))})
+	since := sim.now
+	done := func(v Verdict) { h.verdict(sim.now, sim.now-since, h.limit.Cost(tokens), v) }
+	if sim.fractions != nil {
+		done(Verdict{Admitted: sim.fractions.admit(m.index, key, h.limit.Cost(tokens))})
 		return
 	}
-	if v, decided := m.node.Admit(w.now+m.skew, key, tokens, done); decided {
+	if v, decided := m.node.Admit(sim.now+m.skew, key, tokens, done); decided {
 		done(v)
 	}
-	w.post(m)
+	sim.post(m)
 }
 
 // verdict records a decision and compares it with that of a single token bucket for
@@ -217,9 +217,9 @@
 		h.admitted = append(h.admitted, use{now, cost})
 		return
 	}
-	h.refused++
+	h.rejected++
 	if within {
-		h.wronglyRefused++
+		h.wronglyRejected++
 	}
 }
 
@@ -242,19 +242,19 @@
 }
 
 // check fails the test if an organisation used more than allowed in any window.
-func (w *simulation) check() {
-	w.t.Helper()
-	for key, h := range w.use {
-		if most, allowed := h.peakUse(), allowedUse(h.limit, w.tol, window); most > allowed {
-			w.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
+func (sim *simulation) check() {
+	sim.t.Helper()
+	for key, h := range sim.use {
+		if most, allowed := h.peakUse(), allowedUse(h.limit, sim.tol, window); most > allowed {
+			sim.t.Errorf("organisation %x used %.0f in %v, allowed are %.0f", uint64(key), most, window, allowed)
 		}
 	}
 }
 
-// wrongRefusals returns the fraction of the requests within the limit that were rejected.
-func (w *simulation) wrongRefusals() (fraction float64, lost, owed int) {
-	for _, h := range w.use {
-		lost += h.wronglyRefused
+// wrongRejections returns the fraction of the requests within the limit that were rejected.
+func (sim *simulation) wrongRejections() (fraction float64, lost, owed int) {
+	for _, h := range sim.use {
+		lost += h.wronglyRejected
 		owed += h.withinLimit
 	}
 	return float64(lost) / float64(max(owed, 1)), lost, owed
@@ -270,27 +270,27 @@
 }
 
 // run runs the simulation for the given time with the traffic.
-func (w *simulation) run(span time.Duration, traffic []demand) {
-	for end := w.now + span; w.now < end; {
-		w.step()
+func (sim *simulation) run(span time.Duration, traffic []demand) {
+	for end := sim.now + span; sim.now < end; {
+		sim.step()
 		for i := range traffic {
 			d := &traffic[i]
-			w.arrive(d, d.long, func() int { return longTokens(w.rng) })
-			w.arrive(d, d.short, func() int { return 390 })
+			sim.arrive(d, d.long, func() int { return longTokens(sim.rng) })
+			sim.arrive(d, d.short, func() int { return 390 })
 		}
 	}
 }
 
-func (w *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
+func (sim *simulation) arrive(d *demand, perSecond float64, tokens func() int) {
 	for expected := perSecond / 1000; expected > 0; expected-- {
-		if w.rng.Float64() >= expected {
+		if sim.rng.Float64() >= expected {
 			return
 		}
-		at := w.rng.IntN(len(w.nodes))
+		at := sim.rng.IntN(len(sim.nodes))
 		if d.at != nil {
-			at = d.at[w.rng.IntN(len(d.at))]
+			at = d.at[sim.rng.IntN(len(d.at))]
 		}
-		w.request(w.nodes[at], d.key, tokens())
+		sim.request(sim.nodes[at], d.key, tokens())
 	}
 }
 
--- a/readers/readers.go
+++ b/readtree/readtree.go
@@ -1,4 +1,4 @@
-// Package readers selects the daemon of its own zone through which a daemon reads the
+// Package readtree selects the daemon of its own zone through which a daemon reads the
 // metadata store.
 //
 // If every daemon read the store itself, the store's load would grow with the number of
@@ -12,7 +12,7 @@
 //
 // The package does no I/O and reads no clock. A Selector is not safe for concurrent
 // use.
-package readers
+package readtree
 
 import (
 	"cmp"
@@ -28,8 +28,8 @@
 	// 100 kB on to 8 readers in 0.3 s.
 	MinFanout = 8
 	// mbpsPerReader is the bandwidth of the link, in Mbit/s, that allows for one reader.
-	// maxFanout limits the readers of a daemon: if it is lost, all of them turn to other
-	// daemons at once.
+	// maxFanout limits the readers of a daemon: if it is lost, all of them change to
+	// other daemons at once.
 	mbpsPerReader = 20
 	maxFanout     = 24
 	// initialAvoidance is how long a daemon is avoided that did not answer or was behind
@@ -136,7 +136,7 @@
 
 // Candidates returns up to limit daemons to read through, best first: the parent in the
 // tree, another daemon of the parent's level, then the remaining earlier daemons in
-// order. Avoided daemons are left out. It is empty for a daemon that reads the store
+// order. Avoided daemons are omitted. It is empty for a daemon that reads the store
 // itself.
 func (s *Selector) Candidates(now time.Duration, limit int) []Daemon {
 	var out []Daemon
@@ -160,7 +160,7 @@
 	p := s.position
 	out := []int{p.parent}
 	if p.width > 1 {
-		// The readers of a lost daemon turn to different daemons.
+		// The readers of a lost daemon change to different daemons.
 		out = append(out, p.start+(p.parent-p.start+1+s.index%(p.width-1))%p.width)
 	}
 	for i := range s.index {
--- a/router/router.go
+++ b/router/router.go
@@ -11,15 +11,15 @@
 	"github.com/rotisserie/eris"
 	"golang.org/x/sys/unix"
 
+	"github.com/merlindock/merlindock/endpointlimit"
 	"github.com/merlindock/merlindock/feed"
 	"github.com/merlindock/merlindock/fleet"
 	"github.com/merlindock/merlindock/forward"
 	"github.com/merlindock/merlindock/gossip"
-	"github.com/merlindock/merlindock/guard"
 	"github.com/merlindock/merlindock/internal/pause"
 	"github.com/merlindock/merlindock/logging"
 	"github.com/merlindock/merlindock/quarantine"
-	"github.com/merlindock/merlindock/room"
+	"github.com/merlindock/merlindock/quarantineguard"
 	"github.com/merlindock/merlindock/routes"
 	"github.com/merlindock/merlindock/telemetry"
 	"github.com/merlindock/merlindock/weights"
@@ -86,9 +86,9 @@
 	cacheTracker   *cacheTracker
 	datagrams      *datagrams
 	limits         *limiter
-	quarantine     *guard.Guard
-	holdStore      *holdStore    // nil: there is no list of daemons
-	endpointLimits *room.Limiter // limits that endpoints name themselves
+	quarantine     *quarantineguard.Guard
+	holdStore      *holdStore             // nil: there is no list of daemons
+	endpointLimits *endpointlimit.Limiter // limits that endpoints report
 	dispatch       *dispatchPlacer
 	feeds          [topicCount]*feed.Feed
 	log            *logging.Logger
@@ -175,8 +175,8 @@
 
 // newQuarantineGuard creates the quarantine guard. If there is a list of daemons, holds
 // are also stored beside it.
-func (r *Router) newQuarantineGuard(me Neighbour) *guard.Guard {
-	o := guard.Options{
+func (r *Router) newQuarantineGuard(me Neighbour) *quarantineguard.Guard {
+	o := quarantineguard.Options{
 		Self: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Dial: r.options.Dial, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 	}
@@ -188,11 +188,11 @@
 		r.holdStore = newHoldStore(me.Name, r.options.DaemonRegistry, r.log)
 		o.OnChange = r.holdStore.changed
 	}
-	return guard.New(o)
+	return quarantineguard.New(o)
 }
 
-func (r *Router) newEndpointLimits(me Neighbour) *room.Limiter {
-	return room.New(room.Options{
+func (r *Router) newEndpointLimits(me Neighbour) *endpointlimit.Limiter {
+	return endpointlimit.New(endpointlimit.Options{
 		Me: gossip.Peer{Name: me.Name, Address: me.Address}, Clock: r.options.Clock, Rand: r.options.Rand,
 		Scope: r.metrics.scope, Log: r.log, Send: r.datagrams.send,
 		LimitsChanged: func(limited map[fleet.EndpointID]bool) { r.state.limited.Store(&limited) },
@@ -303,7 +303,7 @@
 func (r *Router) shutDown(front net.Listener) error {
 	began := time.Now()
 	r.shuttingDown.Store(true)
-	r.limits.announceLeave()
+	r.limits.stopLending()
 	r.endpointLimits.Leave()
 	r.log.Info("Stopping.")
 	end := began.Add(r.options.Settings.StopWithin - exitReserve)
