--- a/claims/claims.go
+++ b/claims/claims.go
@@ -109,9 +109,9 @@
 
 // Service claims idempotency keys in the log.
 type Service struct {
-	opt      Options
-	parts    []*partition
-	attempts atomic.Uint64
+	opt        Options
+	partitions []*partition
+	attempts   atomic.Uint64
 }
 
 // New returns a service, which is not ready until Run has read the log. It
@@ -135,7 +135,7 @@
 	o.Owner = o.Owner[:min(len(o.Owner), maxOwnerBytes)] + "/" + uuid.NewString()
 	s := &Service{opt: o}
 	for i := range o.Layout.Partitions {
-		s.parts = append(s.parts, newPartition(o, i))
+		s.partitions = append(s.partitions, newPartition(o, i))
 	}
 	return s, nil
 }
@@ -143,7 +143,7 @@
 // Run reads and writes the claim streams until the context is done.
 func (s *Service) Run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		g.Go(func() error { return p.run(ctx) })
 	}
 	return g.Wait()
@@ -159,7 +159,7 @@
 // with fewer partitions writes markers to the first ones only.
 func (s *Service) unavailableReason() Reason {
 	now := time.Now()
-	for _, p := range s.parts {
+	for _, p := range s.partitions {
 		if p.layoutConflict() {
 			return ReasonLayout
 		}
@@ -189,7 +189,7 @@
 	}
 	c := &call{s: s, req: req, keyTime: keyTime}
 	c.scope = ledger.HashID(req.Organisation, req.Service, key)
-	c.p = s.parts[s.opt.Layout.Partition(c.scope)]
+	c.p = s.partitions[s.opt.Layout.Partition(c.scope)]
 	wait, cancel := context.WithTimeout(ctx, s.opt.RepeatWait)
 	defer cancel()
 	for {
@@ -209,17 +209,17 @@
 // expired, a late repeat could not be distinguished from a new call.
 func parseKey(key string) (string, time.Time, error) {
 	if len(key) != keyLength {
-		return "", time.Time{}, errKey
+		return "", time.Time{}, errInvalidKey
 	}
 	id, err := uuid.Parse(key)
 	if err != nil || id.Version() != 7 {
-		return "", time.Time{}, errKey
+		return "", time.Time{}, errInvalidKey
 	}
 	sec, nsec := id.Time().UnixTime()
 	return id.String(), time.Unix(sec, nsec), nil
 }
 
-var errKey = errors.New("key is not a UUID of version 7, whose time tells how old a call is")
+var errInvalidKey = errors.New("key is not a UUID of version 7, whose time tells how old a call is")
 
 // try answers from the state of the key or, if the key is free, claims it. Again
 // is true if another attempt holds the key and its result may still arrive.
--- a/claims/claims_test.go
+++ b/claims/claims_test.go
@@ -49,7 +49,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	data, err := s.parts[0].encode(nil)
+	data, err := s.partitions[0].encode(nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/claims/partition.go
+++ b/claims/partition.go
@@ -71,10 +71,10 @@
 // layout to other daemons, and reading the first one back shows that the stream
 // was read up to the time of its append.
 func (p *partition) appendMarkers(ctx context.Context) error {
-	every := time.Duration(p.opt.Layout.Window) / markersPerWindow
+	interval := time.Duration(p.opt.Layout.Window) / markersPerWindow
 	retryDelay := p.opt.Poll
 	for {
-		wait := every
+		wait := interval
 		if !p.appendMarker(ctx) {
 			wait = retryDelay
 			retryDelay = min(2*retryDelay, maxMarkerRetryDelay)
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -104,8 +104,8 @@
 	c.through, c.afterGap = first-1, true
 }
 
-// CanDecide reports whether a claim for a key with the given time can be decided. It
-// is false if a missing record may have claimed the key.
+// CanDecide reports whether a claim for a key with the given time can be decided.
+// It is false if a missing record may have claimed the key.
 func (c *Claims) CanDecide(keyTime time.Time) bool {
 	if c.afterGap {
 		return false
--- a/ledger/manifests.go
+++ b/ledger/manifests.go
@@ -109,8 +109,8 @@
 	return s.through + 1
 }
 
-// CanDecide reports whether the next record can be decided: there is no open gap and
-// this release supports the rules in force.
+// CanDecide reports whether the next record can be decided: there is no open gap
+// and this release supports the rules in force.
 func (s *State) CanDecide() bool { return s.gapEnd == 0 && !s.rulesUnsupported }
 
 // RulesUnsupported reports whether the rules in force are newer than this
@@ -236,7 +236,7 @@
 	return v.Revision.Offset
 }
 
-func (v *Version) olderThan(than *Version) bool { return v.offset() < than.offset() }
+func (v *Version) olderThan(other *Version) bool { return v.offset() < other.offset() }
 
 // applyNext applies r, the record that follows through.
 func (s *State) applyNext(r ports.Record) Decision {
--- a/ledger/proof.go
+++ b/ledger/proof.go
@@ -57,8 +57,8 @@
 	if float64(s.acceptedSince) >= checkpointMinChanges*(1+jitter) {
 		return true
 	}
-	share := checkpointMinFraction + checkpointJitterFraction*jitter
-	return now.Sub(s.carriedAt) >= time.Duration(float64(retention)*share)
+	fraction := checkpointMinFraction + checkpointJitterFraction*jitter
+	return now.Sub(s.carriedAt) >= time.Duration(float64(retention)*fraction)
 }
 
 // Adopt takes over a neighbour's checkpoint and returns the decisions on held
@@ -95,8 +95,8 @@
 	if err := c.validate(); err != nil {
 		return nil, err
 	}
-	if mine := s.InForce(); mine != nil && c.Revision == mine.Revision {
-		return mine, nil
+	if current := s.InForce(); current != nil && c.Revision == current.Revision {
+		return current, nil
 	}
 	return c.version()
 }
@@ -105,14 +105,14 @@
 // same log: it covers the offset of the manifest in force but has an older
 // manifest, or it has different content at the same offset.
 func (s *State) checkConsistent(c *Checkpoint, v *Version) error {
-	mine := s.InForce()
-	if mine == nil {
+	current := s.InForce()
+	if current == nil {
 		return nil
 	}
-	if v.olderThan(mine) && c.Through >= mine.Revision.Offset {
+	if v.olderThan(current) && c.Through >= current.Revision.Offset {
 		return &RecordError{Reason: ReasonConflict, Detail: "covers the offset of the manifest in force without accepting it"}
 	}
-	if v.offset() == mine.Revision.Offset && c.Revision != mine.Revision {
+	if v.offset() == current.Revision.Offset && c.Revision != current.Revision {
 		return &RecordError{Reason: ReasonConflict, Detail: "different content at the offset in force"}
 	}
 	return nil
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -55,7 +55,7 @@
 }
 
 // Body is the content of a record: *ManifestRecord, *Checkpoint, *SectionRecord,
-// *Raise, *LeaseRecord or *ClaimBatch.
+// *RulesUpgrade, *LeaseRecord or *ClaimBatch.
 type Body interface{ kind() Kind }
 
 // ManifestRecord proposes a complete manifest.
--- a/logio/batch.go
+++ b/logio/batch.go
@@ -58,9 +58,9 @@
 // It also paces its appends: each refused one lengthens the interval between
 // appends, and each accepted one shortens it a little. All daemons together then
 // stay near the rate that the log accepts, without knowing that rate or their
-// number. Without the pacing, nine daemons sent three times the rate that the log
-// accepts at half the calls that batches can carry, and the backoff after each
-// refusal delayed callers by seconds.
+// number. Without the pacing, a few daemons below the load that full batches can
+// carry already exceed the rate that the log accepts, and the backoff after each
+// refusal delays callers by seconds.
 //
 // A batch whose answer was lost is appended again, so items must be idempotent.
 type Batcher[T any] struct {
@@ -132,7 +132,8 @@
 	return &Batcher[T]{opt: o, queue: make(chan *Item[T], o.MaxQueued), backoff: backoff{random: newRand(o.Seed)}}
 }
 
-// Add queues an item. If it returns ErrQueueFull the item's Done is not called.
+// Add queues an item. If the queue is full, it returns ErrQueueFull and the item's
+// Done is not called.
 func (b *Batcher[T]) Add(it Item[T]) error {
 	select {
 	case b.queue <- &it:
@@ -143,7 +144,8 @@
 }
 
 // Run appends queued items until the context ends, and returns the context's
-// error. Items that are not appended by then are dropped as after their deadline.
+// error. Items that are not appended by then are dropped as if their deadline had
+// passed.
 func (b *Batcher[T]) Run(ctx context.Context) error {
 	var batch []*Item[T]
 	for {
@@ -191,8 +193,8 @@
 	}
 	data, err := b.opt.Encode(values)
 	if err == nil {
-		call, cancel := context.WithTimeout(ctx, b.opt.Timeout)
-		_, err = b.opt.Log.Append(call, b.opt.Stream, data)
+		appendCtx, cancel := context.WithTimeout(ctx, b.opt.Timeout)
+		_, err = b.opt.Log.Append(appendCtx, b.opt.Stream, data)
 		cancel()
 	} else {
 		err = errors.Join(ports.ErrNotAppended, err)
--- a/logio/lease.go
+++ b/logio/lease.go
@@ -132,8 +132,8 @@
 			return err
 		}
 		if r, ok := k.nextRecord(time.Now()); ok {
-			call, cancel := context.WithTimeout(ctx, k.opt.TTL/renewDivisor)
-			k.send(call, r)
+			sendCtx, cancel := context.WithTimeout(ctx, k.opt.TTL/renewDivisor)
+			k.send(sendCtx, r)
 			cancel()
 		}
 	}
@@ -141,7 +141,7 @@
 
 // nextRecord returns the record to append at now, and false if there is none.
 func (k *LeaseKeeper) nextRecord(now time.Time) (ledger.LeaseRecord, bool) {
-	want := k.opt.ShouldHold()
+	shouldHold := k.opt.ShouldHold()
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.fence != 0 && expired(now, k.validUntil) {
@@ -149,7 +149,7 @@
 	}
 	k.expirePending(now)
 	switch {
-	case !want || !k.caughtUp || len(k.pending) >= maxPending:
+	case !shouldHold || !k.caughtUp || len(k.pending) >= maxPending:
 		return ledger.LeaseRecord{}, false
 	case k.fence != 0 && k.validUntil.Sub(now) < k.opt.TTL*(renewDivisor-1)/renewDivisor:
 		return ledger.LeaseRecord{Op: ledger.LeaseRenew, Fence: k.fence}, true
@@ -261,8 +261,8 @@
 	}
 }
 
-// accept applies an accepted record. A renewal that the log took late may be read
-// after a later one, and then does not shorten the lease.
+// accept applies an accepted record. A renewal that the log appended late may be
+// read after a newer one, and then does not shorten the lease.
 func (k *LeaseKeeper) accept(d ledger.LeaseDecision, until time.Time) {
 	if k.fence == d.Fence && until.Before(k.validUntil) {
 		return
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -42,8 +42,8 @@
 	OnChange func(*ledger.Version)
 }
 
-// Manifests maintains the manifest in force: it follows the log, adopts proofs of
-// neighbours, and appends a checkpoint before the manifest's record expires.
+// Manifests maintains the manifest in force: it follows the log, adopts checkpoints
+// of neighbours, and appends a checkpoint before the manifest's record expires.
 type Manifests struct {
 	opt    ManifestsOptions
 	tail   *Tail
@@ -88,7 +88,7 @@
 }
 
 // NeedsProof reports whether records expired before this daemon read them, so that
-// it can decide again only after a checkpoint or a neighbour's proof.
+// it can decide again only after a checkpoint from the log or from a neighbour.
 func (m *Manifests) NeedsProof() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -103,7 +103,7 @@
 	return m.state.Checkpoint()
 }
 
-// Adopt applies a neighbour's proof. The error is a *ledger.RecordError; one with
+// Adopt applies a neighbour's checkpoint. The error is a *ledger.RecordError; one with
 // ledger.ReasonConflict needs an operator's attention.
 func (m *Manifests) Adopt(c ledger.Checkpoint) error {
 	defer m.notifyChange()
@@ -116,18 +116,18 @@
 // Await reads the log at once and waits up to awaitTimeout for the manifest of the
 // given offset, which a neighbour has announced. It returns false when the manifest
 // must be fetched from the neighbour. The log is tried first because it holds a
-// change of one section in a few hundred bytes, while a neighbour's proof holds
-// all sections.
+// change of one section in a few hundred bytes, while a neighbour's checkpoint
+// holds all sections.
 func (m *Manifests) Await(ctx context.Context, offset ports.Offset) bool {
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
-	look := time.NewTicker(awaitInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(awaitInterval)
+	defer ticker.Stop()
 	for {
 		m.mu.Lock()
-		have, changed := m.state.Revision().Offset, m.changed
+		inForce, changed := m.state.Revision().Offset, m.changed
 		m.mu.Unlock()
-		if have >= offset {
+		if inForce >= offset {
 			return true
 		}
 		if m.tail.Failures() > 0 {
@@ -139,7 +139,7 @@
 		}
 		select {
 		case <-changed:
-		case <-look.C: // check again whether reads fail
+		case <-ticker.C: // check again whether reads fail
 		case <-ctx.Done():
 			return false
 		}
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -27,7 +27,7 @@
 type PublishRequest struct {
 	Base     ports.Offset // offset of the accepted manifest it is based on; 0 for the first
 	Manifest manifest.Manifest
-	// Section proposes a change of one section instead of a whole manifest; Base
+	// Section proposes a change of one section instead of a complete manifest; Base
 	// and Manifest are then ignored. See ledger.NewSectionRecord.
 	Section *ledger.SectionRecord
 	Author  string
@@ -94,7 +94,7 @@
 }
 
 func newPublisher(log ports.Log, req PublishRequest) (*publisher, error) {
-	what, body, err := propose(req)
+	proposed, body, err := propose(req)
 	if err != nil {
 		return nil, eris.Wrap(err, "logio: publish")
 	}
@@ -102,7 +102,7 @@
 	if err != nil {
 		return nil, eris.Wrap(err, "logio: publish")
 	}
-	p := &publisher{log: log, proposal: what, data: data, state: ledger.NewState(ledger.Options{Lazy: true}), limit: maxPageRecords}
+	p := &publisher{log: log, proposal: proposed, data: data, state: ledger.NewState(ledger.Options{Lazy: true}), limit: maxPageRecords}
 	p.reads.random = newRand(req.Seed)
 	p.writes.random = p.reads.random
 	if req.Proof == nil {
@@ -155,8 +155,8 @@
 		if ctx.Err() != nil {
 			return p.unresolved(err.Error())
 		}
-		if waited := p.writes.wait(ctx); waited != nil {
-			return p.unresolved(errors.Join(err, waited).Error())
+		if waitErr := p.writes.wait(ctx); waitErr != nil {
+			return p.unresolved(errors.Join(err, waitErr).Error())
 		}
 	}
 }
--- a/logio/tail.go
+++ b/logio/tail.go
@@ -19,7 +19,7 @@
 // goroutine.
 type Sink interface {
 	// Next returns the offset to read next. It never decreases, and may advance
-	// without Apply when a neighbour's proof replaces the records before it.
+	// without Apply when a neighbour's checkpoint replaces the records before it.
 	Next() ports.Offset
 	// Apply is called with each record, in the order of offsets.
 	Apply(ports.Record)
@@ -101,7 +101,7 @@
 		return true, nil
 	}
 	if errors.Is(err, ports.ErrTooLong) {
-		// A page of whole manifests can exceed the size limit. The same request
+		// A page of complete manifests can exceed the size limit. The same request
 		// would fail again for ever, so the next one is for fewer records.
 		t.limit = max(1, t.limit/2)
 	}
--- a/quota/message.go
+++ b/quota/message.go
@@ -90,11 +90,11 @@
 }
 
 func (r *reply) encode() []byte {
-	leaving := byte(0)
+	shuttingDown := byte(0)
 	if r.ShuttingDown {
-		leaving = 1
+		shuttingDown = 1
 	}
-	b := []byte{kindReply, byte(r.Shard), leaving}
+	b := []byte{kindReply, byte(r.Shard), shuttingDown}
 	b = binary.AppendUvarint(b, r.Seq)
 	for _, e := range r.Entries[:min(len(r.Entries), maxEntries)] {
 		b = binary.LittleEndian.AppendUint64(b, uint64(e.Key))
--- a/quota/owner.go
+++ b/quota/owner.go
@@ -22,72 +22,72 @@
 }
 
 // lendableFraction returns the fraction of the limits that this owner may lend.
-func (l *shardOwner) lendableFraction(t Tolerance) float64 {
-	return min(1, l.pledgedSum*t.compensation())
+func (o *shardOwner) lendableFraction(t Tolerance) float64 {
+	return min(1, o.pledgedSum*t.compensation())
 }
 
 // accrue accrues the limits up to now and drops expired pledges.
-func (l *shardOwner) accrue(now time.Duration, t Tolerance) {
-	fraction := l.lendableFraction(t)
-	for _, b := range l.buckets {
+func (o *shardOwner) accrue(now time.Duration, t Tolerance) {
+	fraction := o.lendableFraction(t)
+	for _, b := range o.buckets {
 		b.accrue(now, fraction)
 	}
-	l.pledgedSum = 0
-	for from, p := range l.pledges {
+	o.pledgedSum = 0
+	for from, p := range o.pledges {
 		if p.until <= now {
-			delete(l.pledges, from)
+			delete(o.pledges, from)
 			continue
 		}
-		l.pledgedSum += p.fraction
+		o.pledgedSum += p.fraction
 	}
 }
 
 // setLimits sets the limits of the shard's organisations. A new bucket starts
 // empty, since the previous owner may have lent the burst.
-func (l *shardOwner) setLimits(now time.Duration, limits map[Key]Limit) {
+func (o *shardOwner) setLimits(now time.Duration, limits map[Key]Limit) {
 	for key, limit := range limits {
-		b := l.buckets[key]
+		b := o.buckets[key]
 		if b == nil {
 			b = &bucket{at: now}
-			l.buckets[key] = b
+			o.buckets[key] = b
 		}
 		b.limit = limit
 	}
-	for key := range l.buckets {
+	for key := range o.buckets {
 		if _, ok := limits[key]; !ok {
-			delete(l.buckets, key)
+			delete(o.buckets, key)
 		}
 	}
 }
 
 // lend records the pledge of an ask and lends what it asks for. It returns false
 // for an ask that is a duplicate or older than the last one.
-func (l *shardOwner) lend(now time.Duration, t Tolerance, from string, q *ask) (reply, bool) {
-	p, known := l.pledges[from]
-	if known && p.nonce == q.Nonce && q.Seq <= p.seq {
+func (o *shardOwner) lend(now time.Duration, t Tolerance, from string, a *ask) (reply, bool) {
+	p, known := o.pledges[from]
+	if known && p.nonce == a.Nonce && a.Seq <= p.seq {
 		return reply{}, false
 	}
-	l.pledgedSum -= p.fraction
-	p = pledge{nonce: q.Nonce, seq: q.Seq, fraction: q.Fraction, until: now + q.PledgeTTL}
-	if q.PledgeTTL <= 0 {
+	o.pledgedSum -= p.fraction
+	p = pledge{nonce: a.Nonce, seq: a.Seq, fraction: a.Fraction, until: now + a.PledgeTTL}
+	if a.PledgeTTL <= 0 {
 		// The daemon's fraction is pledged to another owner. The entry is kept to
 		// recognise duplicates.
 		p.fraction, p.until = 0, now+pledgeTTL
 	}
-	l.pledgedSum += p.fraction
-	l.pledges[from] = p
-	fraction := l.lendableFraction(t)
-	out := reply{Seq: q.Seq, Shard: q.Shard}
-	for i := range q.Entries {
-		e := &q.Entries[i]
-		b := l.buckets[e.Key]
+	o.pledgedSum += p.fraction
+	o.pledges[from] = p
+	fraction := o.lendableFraction(t)
+	out := reply{Seq: a.Seq, Shard: a.Shard}
+	for i := range a.Entries {
+		e := &a.Entries[i]
+		b := o.buckets[e.Key]
 		if b == nil {
 			out.Entries = append(out.Entries, replyEntry{Key: e.Key, AskAfter: denialWindow, RetryAfter: denialWindow})
 			continue
 		}
 		b.accrue(now, fraction)
-		lent, again, retry := b.lend(now, fraction, t.overdraft(), e)
-		out.Entries = append(out.Entries, replyEntry{Key: e.Key, Lent: lent, AskAfter: again, RetryAfter: retry, Used: b.used()})
+		lent, askAfter, retryAfter := b.lend(now, fraction, t.overdraft(), e)
+		out.Entries = append(out.Entries, replyEntry{Key: e.Key, Lent: lent, AskAfter: askAfter, RetryAfter: retryAfter, Used: b.used()})
 	}
 	return out, true
 }
