--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -151,7 +151,7 @@
 // fetchManifest returns the manifest in force and its checkpoint for a
 // neighbour. It fails if no manifest has been accepted.
 func (d *Daemon) fetchManifest(context.Context, neighbour.Revision) (peer.Accepted, error) {
-	c, ok := d.manifests.Proof()
+	c, ok := d.manifests.Checkpoint()
 	if !ok || c.Revision.Offset == 0 {
 		return peer.Accepted{}, eris.New("daemon: no accepted manifest")
 	}
@@ -207,7 +207,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if d.manifests.NeedsProof() {
+		if d.manifests.NeedsCheckpoint() {
 			// A failed request is repeated at the next tick.
 			_, _ = d.peers.Bootstrap(ctx)
 		}
--- a/daemon/system.go
+++ b/daemon/system.go
@@ -66,7 +66,7 @@
 // history, so it is listed from the accepted revisions of the checkpoint.
 func (s *system) History() []admin.Publication {
 	byOffset := map[ports.Offset]admin.Publication{}
-	if checkpoint, ok := s.manifests.Proof(); ok {
+	if checkpoint, ok := s.manifests.Checkpoint(); ok {
 		for _, a := range checkpoint.Recent {
 			byOffset[a.Offset] = admin.Publication{
 				Outcome:  admin.OutcomeAccepted,
--- a/lab/history/follower.go
+++ b/lab/history/follower.go
@@ -49,7 +49,7 @@
 // AdoptFrom adopts the checkpoint of a neighbour, if it has one. It returns an
 // error if the checkpoint is refused.
 func (f *Follower) AdoptFrom(from *Follower) error {
-	c, ok := from.manifests.Proof()
+	c, ok := from.manifests.Checkpoint()
 	if !ok {
 		return nil
 	}
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -87,17 +87,17 @@
 	return m.state.InForce()
 }
 
-// NeedsProof reports whether records expired before this daemon read them, so that
-// it can decide again only after a checkpoint from the log or from a neighbour.
-func (m *Manifests) NeedsProof() bool {
+// NeedsCheckpoint reports whether records expired before this daemon read them, so
+// that it can decide again only after a checkpoint from the log or from a neighbour.
+func (m *Manifests) NeedsCheckpoint() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.state.CanDecide() && !m.state.RulesUnsupported()
 }
 
-// Proof returns a checkpoint from which a neighbour can adopt the manifest in
+// Checkpoint returns the state from which a neighbour can adopt the manifest in
 // force, and false if there is none.
-func (m *Manifests) Proof() (ledger.Checkpoint, bool) {
+func (m *Manifests) Checkpoint() (ledger.Checkpoint, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Checkpoint()
@@ -159,8 +159,8 @@
 
 func (m *Manifests) propose(ctx context.Context, req PublishRequest) (PublishResult, error) {
 	req.Seed = m.opt.Seed
-	if c, ok := m.Proof(); ok {
-		req.Proof = &c
+	if c, ok := m.Checkpoint(); ok {
+		req.Checkpoint = &c
 	}
 	r, state, err := publish(ctx, m.opt.Log, req)
 	if err != nil {
@@ -254,7 +254,7 @@
 		if err := pause.For(ctx, checkpointInterval); err != nil {
 			return err
 		}
-		data := m.checkpoint(time.Now())
+		data := m.encodeDueCheckpoint(time.Now())
 		if data == nil {
 			continue
 		}
@@ -263,7 +263,8 @@
 	}
 }
 
-func (m *Manifests) checkpoint(now time.Time) []byte {
+// encodeDueCheckpoint returns the record of a checkpoint, or nil if none is due.
+func (m *Manifests) encodeDueCheckpoint(now time.Time) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	retention := m.opt.Retention
--- a/logio/publish.go
+++ b/logio/publish.go
@@ -31,10 +31,10 @@
 	// and Manifest are then ignored. See ledger.NewSectionRecord.
 	Section *ledger.SectionRecord
 	Author  string
-	// Proof is a checkpoint to start from, needed when older records of the log
+	// Checkpoint is the state to start from, needed when older records of the log
 	// have expired. May be nil.
-	Proof *ledger.Checkpoint
-	Seed  uint64 // of the jitter of retries
+	Checkpoint *ledger.Checkpoint
+	Seed       uint64 // of the jitter of retries
 }
 
 // PublishResult is the outcome of a publication with its details.
@@ -105,10 +105,10 @@
 	p := &publisher{log: log, proposal: proposed, data: data, state: ledger.NewState(ledger.Options{Lazy: true}), limit: maxPageRecords}
 	p.reads.random = newRand(req.Seed)
 	p.writes.random = p.reads.random
-	if req.Proof == nil {
+	if req.Checkpoint == nil {
 		return p, nil
 	}
-	_, err = p.state.Adopt(*req.Proof)
+	_, err = p.state.Adopt(*req.Checkpoint)
 	return p, eris.Wrap(err, "logio: publish")
 }
 
