--- a/admin/admin.go
+++ b/admin/admin.go
@@ -48,7 +48,7 @@
 	Organisations() any
 	// Drain starts a graceful shutdown and returns at once.
 	Drain()
-	// Dump returns the state of the whole process.
+	// Dump returns the complete state of the process.
 	Dump() any
 }
 
--- a/admin/sections.go
+++ b/admin/sections.go
@@ -48,12 +48,12 @@
 // other's changes without noticing.
 func (a *api) changeSection(w http.ResponseWriter, r *http.Request) {
 	c := Change{Kind: manifest.SectionKind(r.PathValue("kind")), ID: r.PathValue("id")}
-	was := strings.Trim(r.Header.Get("If-Match"), `"`)
-	if was == "" && r.Header.Get("If-None-Match") != "*" {
+	ifMatch := strings.Trim(r.Header.Get("If-Match"), `"`)
+	if ifMatch == "" && r.Header.Get("If-None-Match") != "*" {
 		writeJSON(w, http.StatusPreconditionRequired, errorResponse{Error: "If-Match must name the ETag of the section that was changed, or If-None-Match: * for a new one"})
 		return
 	}
-	c.BaseDigest = manifest.Digest(was)
+	c.BaseDigest = manifest.Digest(ifMatch)
 	if r.Method == http.MethodPut {
 		text, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxSectionBytes))
 		if err != nil || len(text) == 0 {
--- a/caches/caches.go
+++ b/caches/caches.go
@@ -94,14 +94,14 @@
 }
 
 func (h *holder) apply(e Event) {
-	old, had := h.segments[e.Segment]
+	old, existed := h.segments[e.Segment]
 	h.tokens += e.Tokens - old.tokens
 	if e.Tokens <= 0 {
 		delete(h.segments, e.Segment)
 		return
 	}
 	h.segments[e.Segment] = segmentState{e.Tokens, e.Sequence}
-	if !had || old.sequence != e.Sequence {
+	if !existed || old.sequence != e.Sequence {
 		h.updates = append(h.updates, update{e.Segment, e.Sequence})
 	}
 }
@@ -110,20 +110,20 @@
 //
 // Some removal events are lost. Without a bound the removed segments would stay in
 // the table for ever, and prompts would be sent to holders without their prefixes.
-// What exceeds a holder's capacity can't be cached there.
+// Segments beyond a holder's capacity cannot be cached there.
 func (h *holder) evictToCapacity() {
 	drop := 0
 	for ; drop < len(h.updates); drop++ {
 		u := h.updates[drop]
-		now, have := h.segments[u.segment]
+		current, exists := h.segments[u.segment]
 		switch {
-		case !have || now.sequence != u.sequence:
+		case !exists || current.sequence != u.sequence:
 			continue // removed, or updated since
 		case h.capacity <= 0 || h.tokens <= h.capacity:
 			h.updates = h.updates[drop:]
 			return
 		}
-		h.tokens -= now.tokens
+		h.tokens -= current.tokens
 		delete(h.segments, u.segment)
 	}
 	h.updates = h.updates[:0]
@@ -135,8 +135,8 @@
 		return
 	}
 	h.updates = slices.DeleteFunc(h.updates, func(u update) bool {
-		now, have := h.segments[u.segment]
-		return !have || now.sequence != u.sequence
+		current, exists := h.segments[u.segment]
+		return !exists || current.sequence != u.sequence
 	})
 }
 
@@ -168,9 +168,9 @@
 	}
 	tokens := 0
 	for i, key := range p.segments {
-		have := h.segments[key].tokens
-		tokens += min(have, p.tokens[i])
-		if have == 0 || have+blockTokens <= p.tokens[i] {
+		cached := h.segments[key].tokens
+		tokens += min(cached, p.tokens[i])
+		if cached == 0 || cached+blockTokens <= p.tokens[i] {
 			break
 		}
 	}
--- a/contract/fleet_fraction.go
+++ b/contract/fleet_fraction.go
@@ -21,30 +21,30 @@
 func (a *Admission) computeFleetFraction() float64 {
 	a.fleetDemands = a.fleetDemands[:0]
 	for _, o := range a.activeList {
-		here := a.demand(o)
-		there := a.estimateRemoteDemand(o.hash, here)
+		local := a.demand(o)
+		remote := a.estimateRemoteDemand(o.hash, local)
 		if len(a.peers) == 0 || a.collidingHashes[o.hash] {
-			there = here * a.otherDaemons
+			remote = local * a.otherDaemons
 		}
 		delete(a.peerDemands, o.hash)
-		if here > 0 && o.contractWeight > 0 {
-			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: o.contractWeight, local: here, total: here + there})
+		if local > 0 && o.contractWeight > 0 {
+			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: o.contractWeight, local: local, total: local + remote})
 		}
 	}
 	for hash, s := range a.peerDemands {
-		if share := a.weightByHash[hash]; share > 0 && s.demand > 0 {
-			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: share, total: s.demand})
+		if weight := a.weightByHash[hash]; weight > 0 && s.demand > 0 {
+			a.fleetDemands = append(a.fleetDemands, fleetDemand{weight: weight, total: s.demand})
 		}
 	}
 	level := waterLevel(a.fleetDemands, a.tokensPerSecond)
-	all := priorFraction * a.tokensPerSecond
-	here := all / (1 + a.otherDaemons)
+	total := priorFraction * a.tokensPerSecond
+	local := total / (1 + a.otherDaemons)
 	for _, d := range a.fleetDemands {
 		granted := min(d.total, d.weight*level)
-		all += granted
-		here += granted * d.local / d.total
+		total += granted
+		local += granted * d.local / d.total
 	}
-	return here / all
+	return local / total
 }
 
 // waterLevel returns the rate per unit of weight at which the demands exhaust
--- a/contract/options.go
+++ b/contract/options.go
@@ -121,9 +121,9 @@
 	o.MaxRetryAfter = orDefault(o.MaxRetryAfter, DefaultMaxRetryAfter)
 	o.MaxDigestEntries = min(orDefault(o.MaxDigestEntries, DefaultMaxDigestEntries), MaxDigestOrganisations)
 	o.MaxReserve = orDefault(o.MaxReserve, DefaultMaxReserve)
-	caps := [PriorityCount]time.Duration{defaultInteractiveWait, defaultStandardWait, defaultBatchWait}
+	maxWaits := [PriorityCount]time.Duration{defaultInteractiveWait, defaultStandardWait, defaultBatchWait}
 	for p := range o.MaxWait {
-		o.MaxWait[p] = orDefault(o.MaxWait[p], caps[p])
+		o.MaxWait[p] = orDefault(o.MaxWait[p], maxWaits[p])
 	}
 	return o
 }
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -33,7 +33,7 @@
 
 const (
 	loadMaxAge      = 10   // seconds
-	takeoverBelow   = 0.95 // utilisation; below it, a silent peer is taken to send nothing
+	takeoverBelow   = 0.95 // utilisation; below it, a silent peer is assumed to send nothing
 	giveBackAbove   = 1.05 // utilisation; above it, too much has been taken over
 	takeoverFactor  = 0.95 // of a silent peer's weight, per refresh
 	giveBackStep    = 0.1  // added to a silent peer's weight, per refresh
--- a/contract/refusal.go
+++ b/contract/refusal.go
@@ -71,7 +71,7 @@
 	return a.backlog.queued > 0 && o.tag > a.virtualTime+a.allowedLead()
 }
 
-// displace frees a place in a full queue by refusing the newest and least urgent
+// displace frees a slot in a full queue by refusing the newest and least urgent
 // request of the organisation that is furthest ahead. It returns false if no
 // organisation is further ahead than o. Without it, many organisations over their
 // shares could fill the queue and lock out one that has received nothing yet.
--- a/gateway/drain.go
+++ b/gateway/drain.go
@@ -43,8 +43,8 @@
 }
 
 // Drain calls SetUnready, waits for lag, the time in which the balancer notices
-// it, and then until no request is in flight. If the context ends first, Drain
-// returns its error, and requests may still be in flight.
+// it, and then waits until no request is in flight. If the context ends first,
+// Drain returns its error, and requests may still be in flight.
 func (d *Drainer) Drain(ctx context.Context, lag time.Duration) error {
 	d.SetUnready()
 	if pause.For(ctx, lag) != nil {
--- a/gateway/gateway.go
+++ b/gateway/gateway.go
@@ -193,7 +193,7 @@
 
 // serve handles the request, or returns the refusal to send.
 func (c *call) serve() *Refusal {
-	// Memory for further requests would be missing for the streams in progress.
+	// Further requests would take memory that the streams in progress need.
 	// Refusing at once lets the caller go to another daemon.
 	if c.g.o.Drainer.InFlight() > c.g.o.Limits.OpenRequests {
 		return notRunRefusal(CodeOverloaded, "too many requests are open at this daemon", DefaultRetryAfter)
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -198,7 +198,7 @@
 
 // resumeFrom returns the index of the last token delivered to the caller, and
 // whether there is one.
-func (mc *modelCall) resumeFrom() (last int64, any bool) {
+func (mc *modelCall) resumeFrom() (last int64, ok bool) {
 	last, _ = mc.assembler.ResumePoint()
 	return last, last >= 0
 }
@@ -223,7 +223,7 @@
 		}
 	}
 	mc.place.Exclude = append(mc.place.Exclude, p.Endpoint)
-	if !mc.mayRepeat() {
+	if !mc.mayRetry() {
 		return mc.quarantineRefusal(mc.mayHaveRun)
 	}
 	wait, ok := mc.g.o.Retry.Next(FailedAttempt{
--- a/gateway/prompt.go
+++ b/gateway/prompt.go
@@ -35,7 +35,7 @@
 	Seed                *int64
 
 	prompt      []byte // slice of the body: the messages, or the prompt
-	levelEnds   []int  // end offsets in prompt: of each message, or of the whole prompt
+	levelEnds   []int  // end offsets in prompt: of each message, or of the complete prompt
 	hasMessages bool   // the field messages is present
 	objectStart int    // offset of the opening brace in the body
 }
@@ -71,7 +71,7 @@
 )
 
 // decode reads the body, one JSON object. It scans the prompt once and does not
-// copy it, since it may have hundreds of kilobytes.
+// copy it, since it may be hundreds of kilobytes long.
 //
 // Field names that are equal, or equal but for case, are refused. JSON decoders
 // differ in which of two fields "model", or of "model" and "Model", they take:
@@ -209,8 +209,8 @@
 // milliseconds converts a deadline, capped at 24 hours so that it cannot
 // overflow a Duration.
 func milliseconds(ms int64) time.Duration {
-	const longest = int64(24 * time.Hour / time.Millisecond)
-	return time.Duration(min(ms, longest)) * time.Millisecond
+	const maxMilliseconds = int64(24 * time.Hour / time.Millisecond)
+	return time.Duration(min(ms, maxMilliseconds)) * time.Millisecond
 }
 
 // outputTokens returns the maximum number of tokens to generate.
--- a/gateway/quarantine.go
+++ b/gateway/quarantine.go
@@ -26,8 +26,8 @@
 	return notRunRefusal(CodeQuarantined, quarantinedMessage, left)
 }
 
-// mayRepeat reports whether the quarantine allows a retry after a failed attempt.
-func (c *call) mayRepeat() bool {
+// mayRetry reports whether the quarantine allows a retry after a failed attempt.
+func (c *call) mayRetry() bool {
 	return c.g.o.Quarantine == nil || c.g.o.Quarantine.MayRetry(c.fingerprint)
 }
 
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -169,7 +169,7 @@
 		return sc.attemptsExhausted(true)
 	}
 	sc.place.Exclude = append(sc.place.Exclude, p.Endpoint)
-	if !sc.mayRepeat() {
+	if !sc.mayRetry() {
 		return sc.quarantineRefusal(sc.mayHaveRun)
 	}
 	wait, ok := sc.g.o.Retry.Next(FailedAttempt{
--- a/health/group.go
+++ b/health/group.go
@@ -225,7 +225,7 @@
 }
 
 // Weight returns the fraction of its usual load that the endpoint may get, from 0 to 1.
-// An endpoint that returned with empty caches and got its whole load at once would be
+// An endpoint that returned with empty caches and got its full load at once would be
 // slow and be ejected again.
 func (t *Tracker) Weight(now time.Time, id fleet.EndpointID) float64 {
 	switch t.Status(now, id) {
--- a/health/health.go
+++ b/health/health.go
@@ -32,7 +32,7 @@
 	slowStartWeight      = 0.1
 	slownessSmoothing    = 0.1
 	slownessSamples      = 20
-	ejectionDecay        = time.Minute // without a failure, until one doubling is taken back
+	ejectionDecay        = time.Minute // without a failure, until one doubling is reverted
 	outlierCheckInterval = time.Second
 )
 
@@ -44,7 +44,7 @@
 	MaxEjection  time.Duration
 	MaxEjected   float64       // largest fraction of a class in a zone that may be ejected
 	Trial        time.Duration // timeout of a trial
-	SlowStart    time.Duration // duration until a readmitted endpoint gets its whole load
+	SlowStart    time.Duration // duration until a readmitted endpoint gets its full load
 	SlowFactor   float64       // multiple of the median of its class from which an endpoint is slow
 	MissingGrace time.Duration // how long an unlisted endpoint is still used
 }
--- a/health/snapshot.go
+++ b/health/snapshot.go
@@ -23,7 +23,8 @@
 	Missing     bool              `json:"missing,omitempty"` // from the platform's list
 }
 
-// Snapshot returns at most limit endpoints, unhealthy ones first, each part sorted by id.
+// Snapshot returns at most limit endpoints: the unhealthy ones, then the healthy ones,
+// each sorted by ID.
 func (t *Tracker) Snapshot(now time.Time, limit int) []EndpointHealth {
 	list := make([]EndpointHealth, 0, len(t.endpoints))
 	for _, e := range t.endpoints {
@@ -33,8 +34,8 @@
 			Slowness: e.slowness, Missing: !e.missingAt.IsZero(),
 		}
 		if e.ejected {
-			back := e.returnAt
-			h.ReturnAt = &back
+			returnAt := e.returnAt
+			h.ReturnAt = &returnAt
 		}
 		list = append(list, h)
 	}
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -240,12 +240,12 @@
 
 func (c *checker) retention() {
 	p := fieldPath("retention")
-	window, kept := time.Duration(c.m.Retention.ClaimWindow), time.Duration(c.m.Retention.LogRecords)
+	window, retention := time.Duration(c.m.Retention.ClaimWindow), time.Duration(c.m.Retention.LogRecords)
 	if window < MinClaimWindow || window > MaxClaimWindow {
 		c.faults.add(p.field("claim_window"), "is %v, expected %v to %v", window, MinClaimWindow, MaxClaimWindow)
 	}
-	if kept < MinRetentionWindows*window {
-		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", kept, MinRetentionWindows, window)
+	if retention < MinRetentionWindows*window {
+		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", retention, MinRetentionWindows, window)
 	}
 }
 
--- a/manifest/section.go
+++ b/manifest/section.go
@@ -89,7 +89,7 @@
 func serviceID(s Service) string           { return s.ID }
 
 func find[T any](list []T, id string, idOf func(T) string) (T, bool) {
-	i := slices.IndexFunc(list, func(part T) bool { return idOf(part) == id })
+	i := slices.IndexFunc(list, func(section T) bool { return idOf(section) == id })
 	if i < 0 {
 		var none T
 		return none, false
@@ -98,7 +98,7 @@
 }
 
 func replace[T any](list []T, id string, text []byte, idOf func(T) string) ([]T, error) {
-	i := slices.IndexFunc(list, func(part T) bool { return idOf(part) == id })
+	i := slices.IndexFunc(list, func(section T) bool { return idOf(section) == id })
 	list = slices.Clone(list)
 	if len(text) == 0 {
 		if i < 0 {
