--- a/router/caches.go
+++ b/router/caches.go
@@ -47,8 +47,8 @@
 	maxHolders = 40
 )
 
-// ErrTooManyFollowers is returned by CacheFeed when a holder already has its maximum number of
-// followers.
+// ErrTooManyFollowers is returned by CacheFeed when a holder already has its maximum
+// number of followers.
 var ErrTooManyFollowers = errors.New("router: holder has its maximum number of followers")
 
 // CacheFeed requests cache events from engines and stores.
@@ -118,15 +118,15 @@
 			out = append(out, s)
 		}
 	}
-	perToken := 0
+	bytesPerToken := 0
 	for _, e := range engines {
 		add(e.cacheSource)
-		perToken = e.perToken
+		bytesPerToken = e.bytesPerToken
 	}
 	for _, s := range t.Stores {
 		add(cacheSource{
 			name: s.Address, address: s.Address, zone: fleet.ZoneID(s.Zone), capacity: s.CapacityTokens,
-			rate: tokenRate(s.LinkMbps, perToken), followers: s.MaxFollowers,
+			rate: tokenRate(s.LinkMbps, bytesPerToken), followers: s.MaxFollowers,
 		})
 	}
 	return out
@@ -135,23 +135,23 @@
 // engineSource is an engine with the size of one token in its cache.
 type engineSource struct {
 	cacheSource
-	perToken int // in bytes
+	bytesPerToken int
 }
 
-// engineSources returns up to most engines that publish cache events.
-func (s *state) engineSources(t *routes.Table, most int) []engineSource {
+// engineSources returns up to limit engines that publish cache events.
+func (s *state) engineSources(t *routes.Table, limit int) []engineSource {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []engineSource
 	for key, e := range s.roster.All() {
-		if len(out) == most {
+		if len(out) == limit {
 			break
 		}
 		service := t.Services[e.Service]
 		if service == nil || service.Engine == nil || service.Engine.MaxFollowers <= 0 {
 			continue
 		}
-		out = append(out, engineSource{perToken: service.Engine.BytesPerToken, cacheSource: cacheSource{
+		out = append(out, engineSource{bytesPerToken: service.Engine.BytesPerToken, cacheSource: cacheSource{
 			name: string(key), address: e.Address, zone: e.Zone, capacity: service.Engine.CapacityTokens,
 			rate: tokenRate(service.Engine.LinkMbps, service.Engine.BytesPerToken), followers: service.Engine.MaxFollowers,
 		}})
@@ -161,12 +161,12 @@
 
 // tokenRate converts a link rate to tokens/s. It returns 0 if the size of a token is
 // unknown.
-func tokenRate(mbps float64, perToken int) float64 {
-	if perToken <= 0 {
+func tokenRate(mbps float64, bytesPerToken int) float64 {
+	if bytesPerToken <= 0 {
 		return 0
 	}
 	const bitsPerByte, bitsPerMegabit = 8, 1e6
-	return mbps * bitsPerMegabit / bitsPerByte / float64(perToken)
+	return mbps * bitsPerMegabit / bitsPerByte / float64(bytesPerToken)
 }
 
 // set starts following new sources and stops following those that are no longer listed.
@@ -179,10 +179,10 @@
 		if c.followed[s.name] != nil {
 			continue
 		}
-		own, cancel := context.WithCancel(ctx)
+		followCtx, cancel := context.WithCancel(ctx)
 		h := &followedHolder{cacheSource: s, cancel: cancel}
 		c.followed[s.name] = h
-		go c.follow(own, h)
+		go c.follow(followCtx, h)
 	}
 	for name, h := range c.followed {
 		if !wanted[name] {
@@ -197,8 +197,8 @@
 func (c *cacheTracker) follow(ctx context.Context, h *followedHolder) {
 	since, failed := int64(0), 0
 	for ctx.Err() == nil {
-		call, cancel := context.WithTimeout(ctx, eventPollWait+answerTimeout)
-		b, err := c.feed.CacheEvents(call, h.address, since, eventPollWait)
+		pollCtx, cancel := context.WithTimeout(ctx, eventPollWait+answerTimeout)
+		b, err := c.feed.CacheEvents(pollCtx, h.address, since, eventPollWait)
 		cancel()
 		if err != nil {
 			c.markLost(h, err, failed)
@@ -287,27 +287,27 @@
 	defer c.mu.Unlock()
 	prompt := caches.NewPrompt(salt, req.In.Parts)
 	now := c.clock()
-	var from *followedHolder
+	var best *followedHolder
 	for name, h := range c.followed {
-		have, known := c.table.CachedTokens(name, prompt)
-		if !known || have == 0 || now-h.lastAnswer > maxEventAge || !usable(name) {
+		cached, known := c.table.CachedTokens(name, prompt)
+		if !known || cached == 0 || now-h.lastAnswer > maxEventAge || !usable(name) {
 			continue
 		}
-		if from == nil || have > tokens || have == tokens && h.betterThan(from, zone) {
-			from, tokens = h, have
+		if best == nil || cached > tokens || cached == tokens && h.betterThan(best, zone) {
+			best, tokens = h, cached
 		}
 	}
-	if from == nil {
+	if best == nil {
 		return "", 0
 	}
-	return from.address, tokens
+	return best.address, tokens
 }
 
 // betterThan reports whether the holder is preferred to another one that caches an
 // equally long prefix.
 func (h *followedHolder) betterThan(other *followedHolder, zone fleet.ZoneID) bool {
-	if near := h.zone == zone; near != (other.zone == zone) {
-		return near
+	if inZone := h.zone == zone; inZone != (other.zone == zone) {
+		return inZone
 	}
 	if h.rate != other.rate {
 		return h.rate > other.rate
--- a/router/engine_feedback.go
+++ b/router/engine_feedback.go
@@ -53,25 +53,25 @@
 //
 // With many daemons, each receives a load from any one engine only every few seconds.
 // That is too seldom to distinguish a full engine from an idle one, and late answers
-// are caused mainly by long prompts that are read one behind the other. Two small
+// are caused mainly by long prompts that are read one after the other. Two small
 // requests take a few milliseconds.
 func (p *placer) queryLoads(ctx context.Context, now time.Time, r *placement.Request, model string) {
 	preferred := p.state.view.StalePreferred(*r, now.Add(-freshLoadAge), maxQueriedEngines)
 	if len(preferred) == 0 {
 		return
 	}
-	call, cancel := context.WithTimeout(ctx, loadQueryTimeout)
+	queryCtx, cancel := context.WithTimeout(ctx, loadQueryTimeout)
 	defer cancel()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, key := range preferred {
 		target, ok := p.target(key)
 		if !ok {
 			continue
 		}
-		all.Add(1)
+		wg.Add(1)
 		go func() {
-			defer all.Done()
-			report, err := p.engines.Report(call, target, model)
+			defer wg.Done()
+			report, err := p.engines.Report(queryCtx, target, model)
 			if err != nil {
 				return // placement uses the loads it has; the attempt shows the fault
 			}
@@ -81,7 +81,7 @@
 			})
 		}()
 	}
-	all.Wait()
+	wg.Wait()
 }
 
 func (p *placer) target(key fleet.EndpointID) (weights.Target, bool) {
@@ -158,13 +158,13 @@
 // maxBatch is the batch size above which an endpoint counts as full. A generation step
 // reads the weights once for all requests and, for each request, its own KV cache. With
 // a few dozen requests the caches take as long as the weights, and each further request
-// slows down the tokens of all others. An endpoint above this size still gets work when
-// no other has free slots.
+// slows down the tokens of all others. An endpoint above this size still receives
+// requests when no other has free slots.
 const maxBatch = 64
 
-// capSlots limits the slots of a load to maxBatch. Otherwise short prompts with long
-// answers exceeded their time limit in batches of 128 while other engines had batches
-// of 20.
+// capSlots limits the slots of a load to maxBatch. Without the limit, short prompts with
+// long answers exceed their time limit in batches of 128 while other engines have
+// batches of 20.
 func capSlots(l *fleet.Load) *fleet.Load {
 	if l == nil {
 		return nil
--- a/router/follower.go
+++ b/router/follower.go
@@ -107,10 +107,10 @@
 func (f *follower) readStore(ctx context.Context, wait time.Duration) (readResult, error) {
 	sent := f.router.clock()
 	if f.needsFullRead() {
-		call, cancel := context.WithTimeout(ctx, answerTimeout)
+		pageCtx, cancel := context.WithTimeout(ctx, answerTimeout)
 		defer cancel()
 		after := f.pageAfter(false)
-		page, err := f.router.options.Store.Newest(call, f.subscription.topic, after)
+		page, err := f.router.options.Store.Newest(pageCtx, f.subscription.topic, after)
 		if err != nil {
 			return readResult{}, err
 		}
@@ -118,9 +118,9 @@
 		f.feed().RecordProgress(f.router.clock())
 		return f.applyPage(after, sent, page), nil
 	}
-	call, cancel := context.WithTimeout(ctx, wait+answerTimeout)
+	readCtx, cancel := context.WithTimeout(ctx, wait+answerTimeout)
 	defer cancel()
-	got, err := f.router.options.Store.Read(call, f.subscription.topic, f.next, wait)
+	got, err := f.router.options.Store.Read(readCtx, f.subscription.topic, f.next, wait)
 	if errors.Is(err, ErrHistoryTruncated) {
 		f.complete = false
 		f.router.log.Info("History of the store is no longer kept, reading the newest record of each key.", "topic", f.subscription.topic.String(), "next", f.next)
@@ -149,7 +149,7 @@
 func (f *follower) applyRecords(records []Record) []Record {
 	var relayed []Record
 	for _, record := range records {
-		if record, more := f.apply(record); more {
+		if record, changed := f.apply(record); changed {
 			relayed = append(relayed, record)
 		}
 	}
@@ -204,11 +204,11 @@
 // pauseAfterFailure waits a random time after a failed read, so that daemons that lost
 // the store together do not all call it again at the same time.
 func (f *follower) pauseAfterFailure(ctx context.Context) {
-	longest := min(minRetryPause<<min(f.failedReads, 4), maxRetryPause)
+	maxJitter := min(minRetryPause<<min(f.failedReads, 4), maxRetryPause)
 	if f.subscription.storeBackedOff() {
-		longest = 0 // only neighbours are asked meanwhile
+		maxJitter = 0 // only neighbours are asked meanwhile
 	}
-	_ = pause.For(ctx, minRetryPause+time.Duration(rand.Float64()*float64(longest)))
+	_ = pause.For(ctx, minRetryPause+time.Duration(rand.Float64()*float64(maxJitter)))
 }
 
 // followOperator maintains the configuration and the named weight versions.
@@ -353,9 +353,9 @@
 
 // endpointRecord applies an entry of an endpoint. It returns the record as relayed to
 // neighbours, and whether it differs from the previous one. unseen is how long before
-// now the entry may have changed. Entries that are part of a full read (oneOfMany) are
-// not logged.
-func (r *Router) endpointRecord(record Record, relayed bool, unseen time.Duration, oneOfMany bool) (Record, bool) {
+// now the entry may have changed. Changed entries that are part of a full read are not
+// logged.
+func (r *Router) endpointRecord(record Record, relayed bool, unseen time.Duration, inFullRead bool) (Record, bool) {
 	now := time.Now()
 	since := now.Add(-unseen)
 	r.state.mu.Lock()
@@ -378,14 +378,14 @@
 		return record, true
 	}
 	change := r.state.roster.Put(entry)
-	if change == directory.RoutingChanged && !oneOfMany {
+	if change == directory.RoutingChanged && !inFullRead {
 		r.logEndpointChange(now, &entry, record.Offset)
 	}
-	more := change != directory.HeartbeatOnly
-	if !relayed && (more || oneOfMany) {
+	changed := change != directory.HeartbeatOnly
+	if !relayed && (changed || inFullRead) {
 		record.Value = entry.Append(nil)
 	}
-	return record, more
+	return record, changed
 }
 
 // logEndpointChange logs a changed endpoint. When thousands register within seconds,
--- a/router/state.go
+++ b/router/state.go
@@ -102,7 +102,7 @@
 	return &state{
 		roster: roster.New(roster.Options{
 			Grace:         time.Duration(lapseGraceFraction * float64(set.DrainWithin)),
-			Health:        health.Options{Rand: rng, Failures: ejectAfter, Ejection: ejectFor, MaxEjection: maxEjection},
+			Health:        health.Options{Rand: rng, Failures: ejectionFailures, Ejection: ejectionDuration, MaxEjection: maxEjection},
 			ShortFraction: initialShortFraction, Placement: changes,
 		}),
 		named:   map[string]versionHistory{},
@@ -117,8 +117,8 @@
 	// generates for other requests reads prompts. It is about what a present
 	// accelerator achieves for a model of some ten billion parameters. If an engine is
 	// slower, requests that wait longer than expected show this within a second
-	// (placement.View.ObserveWait). If it is faster, nothing shows it, and callers are
-	// refused that it could serve.
+	// (placement.View.ObserveWait). If it is faster, nothing shows it, and callers that
+	// it could serve are refused.
 	prefillRate   = 80_000
 	importLatency = 5 * time.Millisecond // until a fetch from another engine or a store begins
 	// cachedPrior is the assumed probability that a preferred endpoint caches a shared
@@ -136,9 +136,9 @@
 // Ejection of failing endpoints. Few failures suffice, as there are other endpoints and
 // a wrong ejection costs little.
 const (
-	ejectAfter  = 3
-	ejectFor    = 700 * time.Millisecond
-	maxEjection = 4 * time.Second
+	ejectionFailures = 3
+	ejectionDuration = 700 * time.Millisecond
+	maxEjection      = 4 * time.Second
 )
 
 // refresh applies all changes since the previous call, including those due to time. The
@@ -177,18 +177,18 @@
 func (s *state) applyEngineUpdates(now time.Time, updates []weights.EngineUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range updates {
-		key := fleet.EndpointID(n.Engine)
+	for _, u := range updates {
+		key := fleet.EndpointID(u.Engine)
 		e := s.roster.Find(key)
 		if e == nil {
 			continue
 		}
 		switch {
-		case n.Loading && e.Versions[n.Model] < n.Version:
+		case u.Loading && e.Versions[u.Model] < u.Version:
 			s.roster.Suspend(now, key, loadingUpdateLifetime)
-		case !n.Loading:
+		case !u.Loading:
 			s.roster.Resume(key)
-			s.roster.ObserveVersion(key, n.Model, n.Version)
+			s.roster.ObserveVersion(key, u.Model, u.Version)
 		}
 	}
 	s.refresh(now)
@@ -226,11 +226,11 @@
 
 // applyNamedTimes applies the times at which versions were named, as reported by
 // another daemon.
-func (s *state) applyNamedTimes(now time.Duration, wall time.Time, all []weights.VersionTime) {
+func (s *state) applyNamedTimes(now time.Duration, wall time.Time, reported []weights.VersionTime) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, at := range all {
-		s.named[at.Model] = s.named[at.Model].withReported(now, wall, at)
+	for _, r := range reported {
+		s.named[r.Model] = s.named[r.Model].withReported(now, wall, r)
 	}
 }
 
@@ -239,8 +239,8 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var out []weights.VersionTime
-	for model, all := range s.named {
-		for _, n := range all {
+	for model, history := range s.named {
+		for _, n := range history {
 			out = append(out, weights.VersionTime{Model: model, Version: n.version, UnixMs: wall.Add(n.since - now).UnixMilli()})
 		}
 	}
