--- a/contract/digest_test.go
+++ b/contract/digest_test.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// A daemon dies without a leaving digest, and the balancer sends its callers to the
+// A daemon crashes without a leaving digest, and the balancer sends its callers to the
 // others. Its fraction of the fleet must be taken over, or it stays unused.
-func TestShareOfDeadDaemonIsTakenOver(t *testing.T) {
+func TestShareOfCrashedDaemonIsTakenOver(t *testing.T) {
 	for _, listed := range []bool{false, true} {
 		all := newDaemons(9)
 		exchange(all, 0, 20*time.Second, allPairs)
@@ -156,7 +156,7 @@
 			exchange(all, span, 5*time.Second, allPairs)
 		}
 		if sum := sumFleetFractions(all); sum < 0.94 || sum > 1.06 {
-			t.Errorf("daemon count from the list %v: a minute after the death the fleet fractions sum to %.3f", listed, sum)
+			t.Errorf("daemon count from the list %v: a minute after the crash the fleet fractions sum to %.3f", listed, sum)
 		}
 	}
 }
--- a/contract/peers.go
+++ b/contract/peers.go
@@ -229,9 +229,9 @@
 // estimateRemoteDemand estimates an organisation's demand at the other daemons, in
 // tokens per second. Where a truncated digest doesn't list it, its demand may be
 // anything up to the digest's floor.
-func (a *Admission) estimateRemoteDemand(hash uint32, here float64) float64 {
+func (a *Admission) estimateRemoteDemand(hash uint32, localDemand float64) float64 {
 	s := a.peerDemands[hash]
-	return s.demand + min(max(a.peerFloors-s.floors, 0), here*a.otherDaemons)
+	return s.demand + min(max(a.peerFloors-s.floors, 0), localDemand*a.otherDaemons)
 }
 
 // fraction estimates the fraction of an organisation's demand that arrives at
@@ -242,10 +242,10 @@
 	if a.collidingHashes[o.hash] {
 		return 1 / daemons
 	}
-	here := a.demand(o)
-	there := o.remoteDemand
+	local := a.demand(o)
+	remote := o.remoteDemand
 	if len(a.peers) == 0 {
-		there = here * a.otherDaemons
+		remote = local * a.otherDaemons
 	}
-	return (here + priorDemand/daemons) / (here + there + priorDemand)
+	return (local + priorDemand/daemons) / (local + remote + priorDemand)
 }
--- a/ledger/agreement_test.go
+++ b/ledger/agreement_test.go
@@ -205,13 +205,13 @@
 		keyTime := epoch.Add(time.Duration(rapid.IntRange(0, 12).Draw(rt, "key")) * 5 * time.Minute)
 		strays := rapid.IntRange(0, 2).Draw(rt, "strays") // number of marker records with the third layout at the start
 		var sent string
-		givenUp := make(map[string]bool)
+		abandoned := make(map[string]bool)
 		for i := range rapid.IntRange(1, 60).Draw(rt, "records") {
 			owner := rapid.IntRange(0, 1).Draw(rt, "owner")
 			if i < strays {
-				mark := l.put(rt, &ClaimBatch{Layout: windows[2]}, 0, time.Minute)
-				for _, f := range readers {
-					f.Apply(mark)
+				marker := l.put(rt, &ClaimBatch{Layout: windows[2]}, 0, time.Minute)
+				for _, c := range readers {
+					c.Apply(marker)
 				}
 				continue
 			}
@@ -223,13 +223,13 @@
 			op := ClaimOp{Verb: VerbClaim, Scope: HashID("key"), KeyTime: keyTime.UnixMilli(), Attempt: HashID(attempt), Request: &request}
 			if sent != attempt && rapid.IntRange(0, 3).Draw(rt, "abandon") == 0 {
 				op.Verb, op.Request = VerbAbandon, nil
-				givenUp[attempt] = true
+				abandoned[attempt] = true
 			}
 			r := l.put(rt, &ClaimBatch{Layout: windows[owner], Ops: []ClaimOp{op}}, 0, time.Second, time.Minute, 5*time.Minute)
-			for i, f := range readers {
-				granted := f.Apply(r)[0].Outcome == Accepted && op.Verb == VerbClaim && i == owner
-				if granted && (sent != "" && sent != attempt || givenUp[attempt]) {
-					rt.Fatalf("granted to %s after %q was sent; given up: %v", attempt, sent, givenUp)
+			for i, c := range readers {
+				granted := c.Apply(r)[0].Outcome == Accepted && op.Verb == VerbClaim && i == owner
+				if granted && (sent != "" && sent != attempt || abandoned[attempt]) {
+					rt.Fatalf("granted to %s after %q was sent; abandoned: %v", attempt, sent, abandoned)
 				}
 				if granted {
 					sent = attempt
--- a/ledger/manifests_test.go
+++ b/ledger/manifests_test.go
@@ -132,7 +132,7 @@
 	apply(s, l.add(proposal(t, 0, 1)), l.add(&RulesUpgrade{To: 2}))
 	checkDecision(t, apply(s, l.add(proposal(t, 1, 2))), Undecided, ReasonRulesUnsupported, 0)
 	if !s.RulesUnsupported() || s.Revision().Offset != 1 {
-		t.Fatalf("behind %v, offset %d in force", s.RulesUnsupported(), s.Revision().Offset)
+		t.Fatalf("rules unsupported %v, offset %d in force", s.RulesUnsupported(), s.Revision().Offset)
 	}
 }
 
@@ -170,33 +170,33 @@
 	apply(full, l.add(proposal(t, 1, 2)), l.add(proposal(t, 2, 3)))
 	newer, _ := full.Checkpoint()
 
-	cut := NewState(Options{})
-	apply(cut, l.records[0])
-	if _, err := cut.Adopt(newer); err != nil {
+	isolated := NewState(Options{})
+	apply(isolated, l.records[0])
+	if _, err := isolated.Adopt(newer); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := cut.Adopt(old); reasonOf(err) != ReasonStale {
+	if _, err := isolated.Adopt(old); reasonOf(err) != ReasonStale {
 		t.Fatalf("adopting an older checkpoint returned %v", err)
 	}
-	if cut.Revision().Offset != 3 {
-		t.Fatalf("offset %d is in force", cut.Revision().Offset)
+	if isolated.Revision().Offset != 3 {
+		t.Fatalf("offset %d is in force", isolated.Revision().Offset)
 	}
-	cut.Gap(4) // the log is available again; the records in between have expired
-	checkDecision(t, apply(cut, l.add(proposal(t, 3, 4))), Accepted, "", 0)
+	isolated.Gap(4) // the log is available again; the records in between have expired
+	checkDecision(t, apply(isolated, l.add(proposal(t, 3, 4))), Accepted, "", 0)
 
 	forged := newer
 	forged.Through, forged.Recent = 9, newer.Recent[:2]
 	forged.Revision, forged.Manifest = newer.Recent[1].revision(), proposal(t, 1, 2).Manifest
-	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonConflict {
+	if _, err := isolated.Adopt(forged); reasonOf(err) != ReasonConflict {
 		t.Fatalf("adopting a contradictory checkpoint returned %v", err)
 	}
 	forged = newer
 	forged.Through, forged.Revision = 20, Revision{Offset: 20, Digest: "00"}
-	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonMalformed {
+	if _, err := isolated.Adopt(forged); reasonOf(err) != ReasonMalformed {
 		t.Fatalf("adopting a checkpoint without its acceptance returned %v", err)
 	}
 	forged.Recent = slices.Concat(newer.Recent, []Acceptance{{Offset: 20, Base: 3, Digest: "00"}})
-	if _, err := cut.Adopt(forged); reasonOf(err) != ReasonDigest {
+	if _, err := isolated.Adopt(forged); reasonOf(err) != ReasonDigest {
 		t.Fatalf("adopting a checkpoint with a wrong digest returned %v", err)
 	}
 }
@@ -216,20 +216,20 @@
 func TestCheckpointDueBeforeRecordExpires(t *testing.T) {
 	s, l := NewState(Options{}), &testLog{t: t}
 	apply(s, l.add(proposal(t, 0, 1)))
-	kept := 6 * time.Hour
+	retention := 6 * time.Hour
 	at := l.records[0].Time
 	for _, jitter := range []float64{0, 0.5, 1} {
-		if s.CheckpointDue(at.Add(kept/4-time.Second), kept, jitter) {
+		if s.CheckpointDue(at.Add(retention/4-time.Second), retention, jitter) {
 			t.Fatalf("due too early with jitter %v", jitter)
 		}
-		if !s.CheckpointDue(at.Add(kept/2), kept, jitter) {
+		if !s.CheckpointDue(at.Add(retention/2), retention, jitter) {
 			t.Fatalf("not due after half the retention with jitter %v", jitter)
 		}
 	}
 	c, _ := s.Checkpoint()
 	r := l.add(&c)
 	apply(s, r)
-	if s.CheckpointDue(r.Time.Add(kept/4-time.Second), kept, 0) {
+	if s.CheckpointDue(r.Time.Add(retention/4-time.Second), retention, 0) {
 		t.Fatal("due immediately after another daemon's checkpoint")
 	}
 }
