--- a/contract/admission.go
+++ b/contract/admission.go
@@ -149,7 +149,7 @@
 	if r.Priority < 0 || r.Priority >= PriorityCount {
 		r.Priority = PriorityBatch
 	}
-	asked := r.Tokens
+	requestedTokens := r.Tokens
 	r.Tokens = a.charge(o, &r)
 	o.lastActive = a.clock
 	o.counts.Offered++
@@ -157,13 +157,13 @@
 	a.updateWeight(o)
 	o.tag = a.startTag(o)
 	if a.canStartNow(o, r.Priority) {
-		a.admit(a.newEntry(o, r, asked))
+		a.admit(a.newEntry(o, r, requestedTokens))
 		return Decision{Verdict: Admitted}
 	}
 	if reason := a.queueRefusal(o, &r); reason != NoReason {
 		return a.refuse(o, r.Tokens, reason)
 	}
-	e := a.newEntry(o, r, asked)
+	e := a.newEntry(o, r, requestedTokens)
 	e.queued = true
 	e.due = a.queueExpiry(&r)
 	a.due.push(e)
@@ -281,14 +281,14 @@
 	return credit
 }
 
-func (a *Admission) newEntry(o *organisation, r Request, asked float64) *entry {
+func (a *Admission) newEntry(o *organisation, r Request, requestedTokens float64) *entry {
 	e := a.free
 	if e == nil {
 		e = &entry{}
 	} else {
 		a.free = e.next
 	}
-	*e = entry{Request: r, org: o, requestedTokens: asked, since: a.clock}
+	*e = entry{Request: r, org: o, requestedTokens: requestedTokens, since: a.clock}
 	a.entries[r.ID] = e
 	return e
 }
--- a/contract/admission_test.go
+++ b/contract/admission_test.go
@@ -282,8 +282,8 @@
 	}
 	both := map[string]float64{"a": 3000, "b": 3000}
 	first := runLoad(a, 30*time.Second, 2*time.Second, owner, both, std)
-	if part := first["a"] / (first["a"] + first["b"]); part < 0.45 {
-		t.Errorf("in the first two seconds a got a fraction of %.2f, want 0.45 or more", part)
+	if fraction := first["a"] / (first["a"] + first["b"]); fraction < 0.45 {
+		t.Errorf("in the first two seconds a got a fraction of %.2f, want 0.45 or more", fraction)
 	}
 	next := runLoad(a, 32*time.Second, 18*time.Second, owner, both, std)
 	ahead := first["a"] + next["a"] - first["b"] - next["b"]
@@ -292,8 +292,8 @@
 		t.Errorf("a got %.0f tokens more than b, its credit allows %.0f", ahead, most)
 	}
 	last := runLoad(a, 50*time.Second, 20*time.Second, owner, both, std)
-	if part := last["a"] / (last["a"] + last["b"]); math.Abs(part-0.5) > 0.05 {
-		t.Errorf("once its credit is spent a gets a fraction of %.2f, want 0.5", part)
+	if fraction := last["a"] / (last["a"] + last["b"]); math.Abs(fraction-0.5) > 0.05 {
+		t.Errorf("once its credit is spent a gets a fraction of %.2f, want 0.5", fraction)
 	}
 }
 
--- a/contract/digest_test.go
+++ b/contract/digest_test.go
@@ -126,12 +126,12 @@
 func TestShareOfPartitionedDaemonIsKept(t *testing.T) {
 	all := newDaemons(9)
 	exchange(all, 0, 20*time.Second, allPairs)
-	cut := func(from, to int) bool { return from != 8 && to != 8 }
+	partition := func(from, to int) bool { return from != 8 && to != 8 }
 	for span := 20 * time.Second; span < 5*time.Minute; span += 10 * time.Second {
 		for _, a := range all {
 			a.SetLoad(at(span), 90, 90)
 		}
-		exchange(all, span, 10*time.Second, cut)
+		exchange(all, span, 10*time.Second, partition)
 		if sum := sumFleetFractions(all); sum > 1.03 {
 			t.Fatalf("after %v the fleet fractions sum to %.3f, want at most 1.03", span, sum)
 		}
--- a/contract/refusal.go
+++ b/contract/refusal.go
@@ -119,7 +119,7 @@
 	return Decision{Reason: reason, RetryAfter: roundUp(after, time.Second)}
 }
 
-// roundUp rounds d up to a multiple of unit; the Retry-After header holds whole
+// roundUp rounds d up to a multiple of unit; the Retry-After header is in full
 // seconds.
 func roundUp(d, unit time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)/float64(unit))) * unit
--- a/engine/events.go
+++ b/engine/events.go
@@ -165,8 +165,8 @@
 func (e *EventReader) readLongLine(head []byte) ([]byte, error) {
 	e.line = append(e.line[:0], head...)
 	for {
-		part, err := e.reader.ReadSlice('\n')
-		e.line = append(e.line, part...)
+		chunk, err := e.reader.ReadSlice('\n')
+		e.line = append(e.line, chunk...)
 		if len(e.line) > e.limit {
 			return nil, ErrTooLarge
 		}
--- a/gateway/model.go
+++ b/gateway/model.go
@@ -253,14 +253,14 @@
 	}
 	// Tokens were delivered, so the request has run even if the last attempt did
 	// not.
-	cut := unknownOutcome(r.Status, r.Code, r.Message)
-	switch cut.Code {
+	refusal := unknownOutcome(r.Status, r.Code, r.Message)
+	switch refusal.Code {
 	case CodeDeadline, CodeShutdown, CodeCallerLeft:
 	default:
-		cut.Code = CodeStreamCut
+		refusal.Code = CodeStreamCut
 	}
-	mc.report.Code, mc.report.Outcome = cut.Code, cut.Outcome
-	mc.out.writeError(cut)
+	mc.report.Code, mc.report.Outcome = refusal.Code, refusal.Outcome
+	mc.out.writeError(refusal)
 	return nil
 }
 
--- a/gateway/service.go
+++ b/gateway/service.go
@@ -131,8 +131,8 @@
 // digest returns a hash of the call, to detect that a key is reused for another.
 func (sc *serviceCall) digest() [sha256.Size]byte {
 	h := sha256.New()
-	for _, part := range []string{sc.r.Method, sc.path, sc.r.Header.Get("Content-Type")} {
-		_, _ = io.WriteString(h, strconv.Itoa(len(part))+":"+part)
+	for _, field := range []string{sc.r.Method, sc.path, sc.r.Header.Get("Content-Type")} {
+		_, _ = io.WriteString(h, strconv.Itoa(len(field))+":"+field)
 	}
 	_, _ = h.Write(sc.body)
 	return [sha256.Size]byte(h.Sum(nil))
--- a/ledger/claimrecord.go
+++ b/ledger/claimrecord.go
@@ -40,14 +40,14 @@
 	return err
 }
 
-// HashID returns the hash of the given parts as an ID. Each part is hashed with
-// its length, so that different lists of parts never have the same encoding.
-func HashID(parts ...string) ID {
+// HashID returns the hash of the given fields as an ID. Each field is hashed with
+// its length, so that different lists of fields never have the same encoding.
+func HashID(fields ...string) ID {
 	h := sha256.New()
-	for _, p := range parts {
-		h.Write(strconv.AppendInt(nil, int64(len(p)), 10))
+	for _, f := range fields {
+		h.Write(strconv.AppendInt(nil, int64(len(f)), 10))
 		h.Write([]byte{':'})
-		h.Write([]byte(p))
+		h.Write([]byte(f))
 	}
 	return ID(h.Sum(nil)[:idBytes])
 }
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -210,9 +210,9 @@
 		c.faults.add(p, "is %q, expected /name/ of at most %d bytes", prefix, MaxIDBytes)
 		return
 	}
-	for _, taken := range []string{modelProtocolPrefix, adminPrefix} {
-		if prefixesOverlap(prefix, taken) {
-			c.faults.add(p, "%q overlaps with %s, which is merlindock's own", prefix, taken)
+	for _, reserved := range []string{modelProtocolPrefix, adminPrefix} {
+		if prefixesOverlap(prefix, reserved) {
+			c.faults.add(p, "%q overlaps with %s, which is merlindock's own", prefix, reserved)
 		}
 	}
 	for _, other := range c.m.Services[:i] {
--- a/router/follower.go
+++ b/router/follower.go
@@ -51,7 +51,7 @@
 	subscription *subscription
 	next         int64
 	complete     bool
-	fullRead     *fullRead // under way; nil: none
+	fullRead     *fullRead // in progress; nil: none
 	// apply applies a record. It returns the record as relayed to neighbours, and
 	// whether it differs from the previous one.
 	apply         func(Record) (relayed Record, changed bool)
--- a/router/state.go
+++ b/router/state.go
@@ -63,7 +63,7 @@
 // guarded by state.mu.
 type viewChanges struct {
 	shared *placement.SharedView
-	batch  *placement.View // nil: no batch is under way
+	batch  *placement.View // nil: no batch is in progress
 }
 
 // Join implements roster.PlacementSink.
