--- a/contract/digest_test.go
+++ b/contract/digest_test.go
@@ -126,21 +126,21 @@
 func TestShareOfPartitionedDaemonIsKept(t *testing.T) {
 	all := newDaemons(9)
 	exchange(all, 0, 20*time.Second, allPairs)
-	cut := func(from, to int) bool { return from != 8 && to != 8 }
+	partition := func(from, to int) bool { return from != 8 && to != 8 }
 	for span := 20 * time.Second; span < 5*time.Minute; span += 10 * time.Second {
 		for _, a := range all {
 			a.SetLoad(at(span), 90, 90)
 		}
-		exchange(all, span, 10*time.Second, cut)
+		exchange(all, span, 10*time.Second, partition)
 		if sum := sumFleetFractions(all); sum > 1.03 {
 			t.Fatalf("after %v the fleet fractions sum to %.3f, want at most 1.03", span, sum)
 		}
 	}
 }
 
-// A daemon dies without a leaving digest, and the balancer sends its callers to the
+// A daemon crashes without a leaving digest, and the balancer sends its callers to the
 // others. Its fraction of the fleet must be taken over, or it stays unused.
-func TestShareOfDeadDaemonIsTakenOver(t *testing.T) {
+func TestShareOfCrashedDaemonIsTakenOver(t *testing.T) {
 	for _, listed := range []bool{false, true} {
 		all := newDaemons(9)
 		exchange(all, 0, 20*time.Second, allPairs)
@@ -156,7 +156,7 @@
 			exchange(all, span, 5*time.Second, allPairs)
 		}
 		if sum := sumFleetFractions(all); sum < 0.94 || sum > 1.06 {
-			t.Errorf("daemon count from the list %v: a minute after the death the fleet fractions sum to %.3f", listed, sum)
+			t.Errorf("daemon count from the list %v: a minute after the crash the fleet fractions sum to %.3f", listed, sum)
 		}
 	}
 }
--- a/contract/refusal.go
+++ b/contract/refusal.go
@@ -71,7 +71,7 @@
 	return a.backlog.queued > 0 && o.tag > a.virtualTime+a.allowedLead()
 }
 
-// displace frees a place in a full queue by refusing the newest and least urgent
+// displace frees a slot in a full queue by refusing the newest and least urgent
 // request of the organisation that is furthest ahead. It returns false if no
 // organisation is further ahead than o. Without it, many organisations over their
 // shares could fill the queue and lock out one that has received nothing yet.
@@ -119,7 +119,7 @@
 	return Decision{Reason: reason, RetryAfter: roundUp(after, time.Second)}
 }
 
-// roundUp rounds d up to a multiple of unit; the Retry-After header holds whole
+// roundUp rounds d up to a multiple of unit; the Retry-After header is in full
 // seconds.
 func roundUp(d, unit time.Duration) time.Duration {
 	return time.Duration(math.Ceil(float64(d)/float64(unit))) * unit
--- a/logio/manifests.go
+++ b/logio/manifests.go
@@ -42,8 +42,8 @@
 	OnChange func(*ledger.Version)
 }
 
-// Manifests maintains the manifest in force: it follows the log, adopts proofs of
-// neighbours, and appends a checkpoint before the manifest's record expires.
+// Manifests maintains the manifest in force: it follows the log, adopts checkpoints
+// of neighbours, and appends a checkpoint before the manifest's record expires.
 type Manifests struct {
 	opt    ManifestsOptions
 	tail   *Tail
@@ -87,23 +87,23 @@
 	return m.state.InForce()
 }
 
-// NeedsProof reports whether records expired before this daemon read them, so that
-// it can decide again only after a checkpoint or a neighbour's proof.
-func (m *Manifests) NeedsProof() bool {
+// NeedsCheckpoint reports whether records expired before this daemon read them, so
+// that it can decide again only after a checkpoint from the log or from a neighbour.
+func (m *Manifests) NeedsCheckpoint() bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return !m.state.CanDecide() && !m.state.RulesUnsupported()
 }
 
-// Proof returns a checkpoint from which a neighbour can adopt the manifest in
+// Checkpoint returns the state from which a neighbour can adopt the manifest in
 // force, and false if there is none.
-func (m *Manifests) Proof() (ledger.Checkpoint, bool) {
+func (m *Manifests) Checkpoint() (ledger.Checkpoint, bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.state.Checkpoint()
 }
 
-// Adopt applies a neighbour's proof. The error is a *ledger.RecordError; one with
+// Adopt applies a neighbour's checkpoint. The error is a *ledger.RecordError; one with
 // ledger.ReasonConflict needs an operator's attention.
 func (m *Manifests) Adopt(c ledger.Checkpoint) error {
 	defer m.notifyChange()
@@ -116,18 +116,18 @@
 // Await reads the log at once and waits up to awaitTimeout for the manifest of the
 // given offset, which a neighbour has announced. It returns false when the manifest
 // must be fetched from the neighbour. The log is tried first because it holds a
-// change of one section in a few hundred bytes, while a neighbour's proof holds
-// all sections.
+// change of one section in a few hundred bytes, while a neighbour's checkpoint
+// holds all sections.
 func (m *Manifests) Await(ctx context.Context, offset ports.Offset) bool {
 	ctx, cancel := context.WithTimeout(ctx, awaitTimeout)
 	defer cancel()
-	look := time.NewTicker(awaitInterval)
-	defer look.Stop()
+	ticker := time.NewTicker(awaitInterval)
+	defer ticker.Stop()
 	for {
 		m.mu.Lock()
-		have, changed := m.state.Revision().Offset, m.changed
+		inForce, changed := m.state.Revision().Offset, m.changed
 		m.mu.Unlock()
-		if have >= offset {
+		if inForce >= offset {
 			return true
 		}
 		if m.tail.Failures() > 0 {
@@ -139,7 +139,7 @@
 		}
 		select {
 		case <-changed:
-		case <-look.C: // check again whether reads fail
+		case <-ticker.C: // check again whether reads fail
 		case <-ctx.Done():
 			return false
 		}
@@ -159,8 +159,8 @@
 
 func (m *Manifests) propose(ctx context.Context, req PublishRequest) (PublishResult, error) {
 	req.Seed = m.opt.Seed
-	if c, ok := m.Proof(); ok {
-		req.Proof = &c
+	if c, ok := m.Checkpoint(); ok {
+		req.Checkpoint = &c
 	}
 	r, state, err := publish(ctx, m.opt.Log, req)
 	if err != nil {
@@ -254,7 +254,7 @@
 		if err := pause.For(ctx, checkpointInterval); err != nil {
 			return err
 		}
-		data := m.checkpoint(time.Now())
+		data := m.encodeDueCheckpoint(time.Now())
 		if data == nil {
 			continue
 		}
@@ -263,7 +263,8 @@
 	}
 }
 
-func (m *Manifests) checkpoint(now time.Time) []byte {
+// encodeDueCheckpoint returns the record of a checkpoint, or nil if none is due.
+func (m *Manifests) encodeDueCheckpoint(now time.Time) []byte {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	retention := m.opt.Retention
--- a/manifest/check.go
+++ b/manifest/check.go
@@ -210,9 +210,9 @@
 		c.faults.add(p, "is %q, expected /name/ of at most %d bytes", prefix, MaxIDBytes)
 		return
 	}
-	for _, taken := range []string{modelProtocolPrefix, adminPrefix} {
-		if prefixesOverlap(prefix, taken) {
-			c.faults.add(p, "%q overlaps with %s, which is merlindock's own", prefix, taken)
+	for _, reserved := range []string{modelProtocolPrefix, adminPrefix} {
+		if prefixesOverlap(prefix, reserved) {
+			c.faults.add(p, "%q overlaps with %s, which is merlindock's own", prefix, reserved)
 		}
 	}
 	for _, other := range c.m.Services[:i] {
@@ -240,12 +240,12 @@
 
 func (c *checker) retention() {
 	p := fieldPath("retention")
-	window, kept := time.Duration(c.m.Retention.ClaimWindow), time.Duration(c.m.Retention.LogRecords)
+	window, retention := time.Duration(c.m.Retention.ClaimWindow), time.Duration(c.m.Retention.LogRecords)
 	if window < MinClaimWindow || window > MaxClaimWindow {
 		c.faults.add(p.field("claim_window"), "is %v, expected %v to %v", window, MinClaimWindow, MaxClaimWindow)
 	}
-	if kept < MinRetentionWindows*window {
-		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", kept, MinRetentionWindows, window)
+	if retention < MinRetentionWindows*window {
+		c.faults.add(p.field("log_records"), "is %v, expected at least %d times the claim window %v", retention, MinRetentionWindows, window)
 	}
 }
 
