--- a/lab/capacity/realtime.go
+++ b/lab/capacity/realtime.go
@@ -74,7 +74,7 @@
 	if r, done := c[daemons]; done {
 		return r
 	}
-	c[daemons] = must(labmeasure.MeasureControlPlane(labmeasure.ControlPlaneOptions{
+	c[daemons] = must(labmeasure.RunControlPlane(labmeasure.ControlPlaneOptions{
 		Daemons:       daemons,
 		Zones:         zoneCount(daemons),
 		Interval:      controlInterval,
@@ -116,7 +116,7 @@
 	if r, done := c[batch]; done {
 		return r
 	}
-	c[batch] = must(labmeasure.MeasureClaims(context.Background(), labmeasure.ClaimOptions{
+	c[batch] = must(labmeasure.RunClaims(context.Background(), labmeasure.ClaimOptions{
 		Daemons:    3,
 		BatchItems: batch,
 		AppendRate: logRate,
--- a/lab/measure/claims.go
+++ b/lab/measure/claims.go
@@ -31,7 +31,7 @@
 	Duration   time.Duration
 }
 
-// ClaimResult holds the results of MeasureClaims. Latencies cover the claim
+// ClaimResult holds the results of RunClaims. Latencies cover the claim
 // alone, that is the delay that it adds before a call is sent to an endpoint.
 type ClaimResult struct {
 	ClaimsPerSecond   float64
@@ -43,9 +43,9 @@
 
 const claimWindow = time.Hour
 
-// MeasureClaims runs calls with idempotency keys, each of which claims its key,
+// RunClaims runs calls with idempotency keys, each of which claims its key,
 // waits until the claim is read back from the log and stores a result.
-func MeasureClaims(ctx context.Context, o ClaimOptions) (ClaimResult, error) {
+func RunClaims(ctx context.Context, o ClaimOptions) (ClaimResult, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	log := plog.New(plog.Options{AppendRate: o.AppendRate})
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -215,9 +215,9 @@
 	return nil
 }
 
-// MeasureControlPlane measures the cost of the regular exchanges for each
+// RunControlPlane measures the cost of the regular exchanges for each
 // daemon while no manifest is published.
-func MeasureControlPlane(o ControlPlaneOptions) (ControlPlaneCost, error) {
+func RunControlPlane(o ControlPlaneOptions) (ControlPlaneCost, error) {
 	c, err := startDaemons(o)
 	if err != nil {
 		return ControlPlaneCost{}, err
@@ -248,10 +248,10 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// MeasureManifestPropagation measures, on loopback, the time from the moment
+// RunManifestPropagation measures, on loopback, the time from the moment
 // that one daemon accepts a manifest of the given size until all others have
 // accepted it. It fails after a minute.
-func MeasureManifestPropagation(o ControlPlaneOptions, manifestBytes int) (time.Duration, error) {
+func RunManifestPropagation(o ControlPlaneOptions, manifestBytes int) (time.Duration, error) {
 	c, err := startDaemons(o)
 	if err != nil {
 		return 0, err
--- a/lab/measure/control_test.go
+++ b/lab/measure/control_test.go
@@ -23,7 +23,7 @@
 		o.Duration = 14 * time.Second
 		b.Run(fmt.Sprintf("%d/organisations=%d/budget=%v/tls=%v", o.Daemons, o.Organisations, o.Budget, o.TLS), func(b *testing.B) {
 			for b.Loop() {
-				c, err := MeasureControlPlane(o)
+				c, err := RunControlPlane(o)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -37,7 +37,7 @@
 
 func BenchmarkRestart(b *testing.B) {
 	for b.Loop() {
-		c, err := MeasureRestart()
+		c, err := RunRestart()
 		if err != nil {
 			b.Fatal(err)
 		}
@@ -51,7 +51,7 @@
 		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			var times []time.Duration
 			for b.Loop() {
-				took, err := MeasureManifestPropagation(ControlPlaneOptions{Daemons: count, Zones: 5, Evidence: 2, Organisations: 8}, 20<<10)
+				took, err := RunManifestPropagation(ControlPlaneOptions{Daemons: count, Zones: 5, Evidence: 2, Organisations: 8}, 20<<10)
 				if err != nil {
 					b.Fatal(err)
 				}
--- a/lab/measure/records_test.go
+++ b/lab/measure/records_test.go
@@ -164,12 +164,12 @@
 			o := ClaimOptions{Daemons: 9, BatchItems: items, AppendRate: 300, LogDelay: 5 * time.Millisecond, WarmUp: 3 * time.Second, Duration: 5 * time.Second}
 			for b.Loop() {
 				o.Workers = 16 * o.Daemons * items
-				maxRate, err := MeasureClaims(b.Context(), o)
+				maxRate, err := RunClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
 				o.Workers, o.Rate = 0, maxRate.ClaimsPerSecond/2
-				halfRate, err := MeasureClaims(b.Context(), o)
+				halfRate, err := RunClaims(b.Context(), o)
 				if err != nil {
 					b.Fatal(err)
 				}
@@ -192,7 +192,7 @@
 	for _, delay := range []time.Duration{5 * time.Millisecond, 50 * time.Millisecond} {
 		b.Run(fmt.Sprintf("log=%v", delay), func(b *testing.B) {
 			for b.Loop() {
-				r, err := MeasureClaims(b.Context(), ClaimOptions{
+				r, err := RunClaims(b.Context(), ClaimOptions{
 					Daemons: 9, AppendRate: 300, LogDelay: delay, Rate: 10, WarmUp: time.Second, Duration: 10 * time.Second,
 				})
 				if err != nil {
--- a/lab/measure/restart.go
+++ b/lab/measure/restart.go
@@ -23,9 +23,9 @@
 // restartTimeout bounds a whole measurement.
 const restartTimeout = 30 * time.Second
 
-// MeasureRestart restarts one of three daemons with six runners, on loopback,
+// RunRestart restarts one of three daemons with six runners, on loopback,
 // once with the log available and once with the log down.
-func MeasureRestart() (RestartTimes, error) {
+func RunRestart() (RestartTimes, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
 	w, err := world.Start(world.Options{})
