--- a/daemon/admission.go
+++ b/daemon/admission.go
@@ -239,7 +239,8 @@
 const minTimerDelay = time.Millisecond
 
 // admissionRefusal returns the error answer for a request that was not
-// admitted. Nothing has run; RetryAfter is when the caller may try again.
+// admitted. Nothing has run; RetryAfter is the time after which the caller may
+// try again.
 func admissionRefusal(d contract.Decision) *gateway.Refusal {
 	r := &gateway.Refusal{
 		Status:     http.StatusServiceUnavailable,
--- a/daemon/daemon.go
+++ b/daemon/daemon.go
@@ -61,24 +61,24 @@
 // Daemon is one entry point to the fleet: it serves callers, operators and the
 // other daemons. Use New to create one.
 type Daemon struct {
-	o           Options
-	startedAt   time.Time
-	log         *logging.Logger
-	metrics     *telemetry.Metrics
-	catalogue   *catalogue
-	manifests   *logio.Manifests
-	fleet       *fleetView
-	daemons     daemonList
-	admission   *admission
-	retries     *retries
-	drainer     *gateway.Drainer
-	shutdown    *shutdown
-	peers       *peer.Service
-	guard       *quarantineguard.Guard
-	limiter     *endpointlimit.Limiter
-	gateway     *gateway.Gateway
-	claimer     *claimer
-	orderLeader *orderLeader
+	o              Options
+	startedAt      time.Time
+	log            *logging.Logger
+	metrics        *telemetry.Metrics
+	catalogue      *catalogue
+	manifests      *logio.Manifests
+	fleet          *fleetView
+	daemons        daemonList
+	admission      *admission
+	retries        *retries
+	drainer        *gateway.Drainer
+	shutdown       *shutdown
+	peers          *peer.Service
+	guard          *quarantineguard.Guard
+	endpointLimits *endpointlimit.Limiter
+	gateway        *gateway.Gateway
+	claimer        *claimer
+	orderLeader    *orderLeader
 }
 
 // New returns a daemon. It does not serve until Run is called.
@@ -111,7 +111,7 @@
 	d.retries = newRetries(o.Now, newRand(s.Daemon.ID, d.startedAt))
 	d.claimer = newClaimer(d)
 	d.orderLeader = newOrderLeader(d)
-	d.guard, d.limiter = d.newGuard(), d.newLimiter()
+	d.guard, d.endpointLimits = d.newGuard(), d.newEndpointLimits()
 	peers, err := peer.New(d.peerOptions())
 	if err != nil {
 		return nil, eris.Wrap(err, "daemon: peers")
@@ -210,7 +210,7 @@
 		return nil
 	})
 	g.Go(func() error {
-		d.limiter.Run(ctx)
+		d.endpointLimits.Run(ctx)
 		return nil
 	})
 	g.Go(func() error {
--- a/daemon/events.go
+++ b/daemon/events.go
@@ -31,8 +31,8 @@
 	var list []fleet.Endpoint
 	seen := make(map[fleet.EndpointID]bool)
 	for _, groups := range v.versionGroups {
-		for _, s := range groups {
-			for _, e := range s.Endpoints {
+		for _, group := range groups {
+			for _, e := range group.Endpoints {
 				if !seen[e.ID] {
 					seen[e.ID] = true
 					list = append(list, e)
--- a/daemon/fleetview.go
+++ b/daemon/fleetview.go
@@ -118,13 +118,13 @@
 	defer v.events.Close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
-	notices := time.NewTicker(announceInterval)
-	defer notices.Stop()
+	announcements := time.NewTicker(announceInterval)
+	defer announcements.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-notices.C:
+		case <-announcements.C:
 			v.announcePlacements()
 			continue
 		case <-timer.C:
--- a/daemon/guard.go
+++ b/daemon/guard.go
@@ -23,9 +23,9 @@
 	})
 }
 
-// newLimiter returns the limiter that keeps endpoints within the limits that
-// they report.
-func (d *Daemon) newLimiter() *endpointlimit.Limiter {
+// newEndpointLimits returns the limiter that keeps endpoints within the limits
+// that they report.
+func (d *Daemon) newEndpointLimits() *endpointlimit.Limiter {
 	return endpointlimit.New(endpointlimit.Options{
 		Me: d.self(), Clock: d.clock, Rand: newRand(d.o.Settings.Daemon.ID, d.startedAt),
 		Scope: d.metrics.Scope, Log: d.o.Logs.For(logging.ComponentGateway), Send: d.sendMessage,
@@ -51,7 +51,7 @@
 		if other.ID != from {
 			continue
 		}
-		if !d.limiter.Receive(other.PeerAddress, data) {
+		if !d.endpointLimits.Receive(other.PeerAddress, data) {
 			d.guard.Receive(from, data)
 		}
 		return
--- a/daemon/orders.go
+++ b/daemon/orders.go
@@ -30,8 +30,8 @@
 
 func newOrderLeader(d *Daemon) *orderLeader {
 	s := d.o.Settings
-	g := &orderLeader{daemon: d, log: d.o.Logs.For(logging.ComponentOrders)}
-	g.keeper = logio.NewLeaseKeeper(logio.LeaseOptions{
+	l := &orderLeader{daemon: d, log: d.o.Logs.For(logging.ComponentOrders)}
+	l.keeper = logio.NewLeaseKeeper(logio.LeaseOptions{
 		Log:        d.o.Log,
 		Name:       ordersLeaseName,
 		Holder:     fmt.Sprintf("%s/%d", s.Daemon.ID, d.startedAt.UnixNano()),
@@ -40,31 +40,31 @@
 		Seed:       seedOf(s.Daemon.ID, d.startedAt),
 		ShouldHold: d.shutdown.ready,
 	})
-	g.leader = orders.New(orders.Options{
-		Lease:      g.keeper,
+	l.leader = orders.New(orders.Options{
+		Lease:      l.keeper,
 		FleetState: d.fleetState,
 		Dial:       d.o.Dial,
-		Observe:    g.observe,
+		Observe:    l.observe,
 	})
-	return g
+	return l
 }
 
 // run competes for the lease and sends orders while it holds it, until ctx
 // ends.
-func (g *orderLeader) run(ctx context.Context) error {
-	if !g.daemon.o.Settings.Orders.Enabled {
+func (l *orderLeader) run(ctx context.Context) error {
+	if !l.daemon.o.Settings.Orders.Enabled {
 		<-ctx.Done()
 		return ctx.Err()
 	}
 	var running sync.WaitGroup
-	running.Go(func() { _ = g.keeper.Run(ctx) })
-	err := g.leader.Run(ctx)
+	running.Go(func() { _ = l.keeper.Run(ctx) })
+	err := l.leader.Run(ctx)
 	running.Wait()
 	return err
 }
 
-func (g *orderLeader) observe(e orders.Event) {
-	g.daemon.metrics.Scope.Tagged(map[string]string{"kind": string(e.Kind)}).Counter("order_events").Inc(1)
+func (l *orderLeader) observe(e orders.Event) {
+	l.daemon.metrics.Scope.Tagged(map[string]string{"kind": string(e.Kind)}).Counter("order_events").Inc(1)
 	fields := []any{"kind", string(e.Kind), "fence", int64(e.Fence), "endpoint", string(e.Endpoint)}
 	if e.Order != nil {
 		fields = append(fields, "order", e.Order.ID)
@@ -74,9 +74,9 @@
 	}
 	switch e.Kind {
 	case orders.EventLeaseAcquired, orders.EventLeaseLost, orders.EventOrder:
-		g.log.Info("Rollout leader event.", fields...)
+		l.log.Info("Rollout leader event.", fields...)
 	default:
-		g.log.Debug("Rollout leader event.", fields...)
+		l.log.Debug("Rollout leader event.", fields...)
 	}
 }
 
--- a/daemon/peers.go
+++ b/daemon/peers.go
@@ -65,7 +65,7 @@
 		peers = append(peers, gossip.Peer{Name: list[i].ID, Address: list[i].PeerAddress})
 	}
 	d.guard.SetDaemons(peers)
-	d.limiter.SetDaemons(peers)
+	d.endpointLimits.SetDaemons(peers)
 }
 
 func (d *Daemon) peerOptions() peer.Options {
--- a/daemon/placer.go
+++ b/daemon/placer.go
@@ -47,7 +47,7 @@
 	}
 	for waited := 0; ; waited++ {
 		p, err := v.place(r)
-		if !errors.Is(err, errAtLimits) || waited == endpointlimit.MaxReplyWaits || !v.daemon.limiter.AwaitingReply() {
+		if !errors.Is(err, errAtLimits) || waited == endpointlimit.MaxReplyWaits || !v.daemon.endpointLimits.AwaitingReply() {
 			return p, err
 		}
 		if err := pause.For(ctx, endpointlimit.ReplyWait); err != nil {
@@ -69,7 +69,7 @@
 		request.Pool = modelPool(r.Target.Model, r.Target.Version)
 	}
 	repeatable := r.Kind == fleet.KindModel
-	full := v.daemon.limiter.AtLimit()
+	full := v.daemon.endpointLimits.AtLimit()
 	request.Avoid = append(slices.Clone(r.Exclude), full...)
 	for tries := 0; ; tries++ {
 		request.ID = v.ids.next()
@@ -87,7 +87,7 @@
 		}
 		last := tries == maxTrialRetries
 		if v.allowRequest(decision.Endpoint, repeatable) || (last && repeatable) {
-			if v.daemon.limiter.Acquire(decision.Endpoint) {
+			if v.daemon.endpointLimits.Acquire(decision.Endpoint) {
 				return v.newPlacement(request.ID, levels, &decision), nil
 			}
 			v.placement.Finished(v.now(), request.ID)
@@ -126,9 +126,9 @@
 	v.mu.Lock()
 	pool := v.splitters
 	v.mu.Unlock()
-	c := pool.Get().(*prefix.Splitter)
-	defer pool.Put(c)
-	c.Reset(prefix.Seed{
+	splitter := pool.Get().(*prefix.Splitter)
+	defer pool.Put(splitter)
+	splitter.Reset(prefix.Seed{
 		Organisation:   r.Organisation,
 		Model:          r.Target.Model,
 		Version:        r.Target.Version,
@@ -137,11 +137,11 @@
 	})
 	begin := 0
 	for _, end := range r.Levels {
-		c.Write(r.Prompt[begin:end])
-		c.EndMessage()
+		splitter.Write(r.Prompt[begin:end])
+		splitter.EndMessage()
 		begin = end
 	}
-	return append([]prefix.Level(nil), c.Levels()...)
+	return append([]prefix.Level(nil), splitter.Levels()...)
 }
 
 // newPlacement converts a decision into a gateway.Placement. Its callbacks
@@ -166,7 +166,7 @@
 }
 
 func (v *fleetView) onBegan(id uint64, e fleet.EndpointID, levels []prefix.Level, m engine.Metadata) {
-	v.daemon.limiter.Answered(e, m.Limit)
+	v.daemon.endpointLimits.Answered(e, m.Limit)
 	if m.NotRun {
 		return
 	}
@@ -191,11 +191,11 @@
 	if r.Outcome == gateway.AttemptSucceeded || r.Outcome == gateway.AttemptCancelled {
 		v.placement.Finished(now, id)
 	} else {
-		dead := r.Outcome == gateway.AttemptNotSent
-		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, ConnectionLost: dead})
+		connectionLost := r.Outcome == gateway.AttemptNotSent
+		v.placement.Failed(now, placement.Failure{ID: id, Endpoint: e, ConnectionLost: connectionLost})
 	}
 	if r.Status != 0 {
-		v.daemon.limiter.Answered(e, r.Meta.Limit)
+		v.daemon.endpointLimits.Answered(e, r.Meta.Limit)
 	}
 	switch r.Outcome {
 	case gateway.AttemptSucceeded:
@@ -203,7 +203,7 @@
 		v.health.RecordSuccess(now, e, r.Meta.Incarnation, slowness(r.FirstToken, expected))
 		v.healthMu.Unlock()
 	case gateway.AttemptNotSent:
-		v.daemon.limiter.Release(e)
+		v.daemon.endpointLimits.Release(e)
 		v.recordRefusal(e)
 	case gateway.AttemptNotRun:
 		v.onNotRun(e, r.Meta)
@@ -233,11 +233,11 @@
 
 // slowness returns the ratio of the observed to the expected time to the first
 // token, or 0 if either is unknown.
-func slowness(got, expected time.Duration) float64 {
-	if got <= 0 || expected <= 0 {
+func slowness(observed, expected time.Duration) float64 {
+	if observed <= 0 || expected <= 0 {
 		return 0
 	}
-	return float64(got) / float64(expected)
+	return float64(observed) / float64(expected)
 }
 
 // readLoad requests the load report of an endpoint.
--- a/daemon/pools.go
+++ b/daemon/pools.go
@@ -61,10 +61,10 @@
 		model := v.manifest.Models[i].ID
 		groups := rollout.GroupByVersion(v.manifest, model, staying)
 		v.versionGroups[model] = groups
-		for _, s := range groups {
-			v.setPool(modelPool(model, s.Version), s.Endpoints)
+		for _, group := range groups {
+			v.setPool(modelPool(model, group.Version), group.Endpoints)
 			c := v.capacity[model]
-			c.endpoints += len(s.Endpoints)
+			c.endpoints += len(group.Endpoints)
 			v.capacity[model] = c
 		}
 	}
@@ -85,9 +85,9 @@
 	}
 	for model, groups := range v.versionGroups {
 		c := v.capacity[model]
-		for _, s := range groups {
-			for i := range s.Endpoints {
-				c.slots += slots[s.Endpoints[i].ID]
+		for _, group := range groups {
+			for i := range group.Endpoints {
+				c.slots += slots[group.Endpoints[i].ID]
 			}
 		}
 		v.capacity[model] = c
@@ -116,17 +116,17 @@
 // loads returns the total reported load by model. Endpoints that report no
 // slots are left out. The caller holds v.mu.
 func (v *fleetView) loads() map[string]poolLoad {
-	sums := make(map[string]poolLoad, len(v.versionGroups))
+	totals := make(map[string]poolLoad, len(v.versionGroups))
 	for model, groups := range v.versionGroups {
-		sum := poolLoad{}
-		for _, s := range groups {
-			for i := range s.Endpoints {
-				sum.add(v.memberByID(s.Endpoints[i].ID))
+		total := poolLoad{}
+		for _, group := range groups {
+			for i := range group.Endpoints {
+				total.add(v.memberByID(group.Endpoints[i].ID))
 			}
 		}
-		sums[model] = sum
+		totals[model] = total
 	}
-	return sums
+	return totals
 }
 
 func (l *poolLoad) add(m *fleet.Member) {
@@ -172,8 +172,8 @@
 	v.mu.Lock()
 	groups := v.versionGroups[t.Model]
 	v.mu.Unlock()
-	if s, ok := rollout.ChooseVersion(groups, t.Version, d.Sum64()); ok {
-		t.Version = s.Version
+	if group, ok := rollout.ChooseVersion(groups, t.Version, d.Sum64()); ok {
+		t.Version = group.Version
 	}
 	return t
 }
@@ -207,12 +207,12 @@
 
 // setAvailability updates the availability of an endpoint in placement if it
 // has changed.
-func (v *fleetView) setAvailability(m *fleet.Member, open bool) {
+func (v *fleetView) setAvailability(m *fleet.Member, mayServe bool) {
 	availability := placement.Available
 	switch {
 	case m.Leaving:
 		availability = placement.Draining
-	case !open:
+	case !mayServe:
 		availability = placement.Ejected
 	}
 	if before, ok := v.availability[m.ID]; ok && before == availability {
--- a/daemon/watch.go
+++ b/daemon/watch.go
@@ -22,8 +22,8 @@
 	defer ticker.Stop()
 	for {
 		failures := d.updateGauges()
-		if now := failures >= logDownFailures; now != down {
-			down = now
+		if nowDown := failures >= logDownFailures; nowDown != down {
+			down = nowDown
 			d.reportLogState(log, down, failures)
 		}
 		select {
@@ -36,7 +36,7 @@
 
 func (d *Daemon) reportLogState(log *logging.Logger, down bool, failures int) {
 	if down {
-		log.Warn("Log is unavailable; the manifest stays in force and keyed calls are refused.", "failures", failures)
+		log.Warn("Log is unavailable; the manifest stays in force and calls with an idempotency key are refused.", "failures", failures)
 		return
 	}
 	log.Info("Log is available again.")
--- a/lab/history/leases_test.go
+++ b/lab/history/leases_test.go
@@ -15,19 +15,19 @@
 
 const leaseTTL = 15 * time.Second
 
-// leader is a daemon that gives orders to endpoints while it holds the lease.
+// leader is a daemon that sends orders to endpoints while it holds the lease.
 type leader struct {
 	log    *plog.View
 	keeper *logio.LeaseKeeper
 	kill   context.CancelFunc
 	paused bool
-	// ignoresExpiry makes it give orders with its last lease even after expiry.
+	// ignoresExpiry makes it send orders with its last lease even after expiry.
 	ignoresExpiry bool
 	fence         ports.Offset
 }
 
 // currentFence returns the fencing token that the leader would send now, and
-// whether it would give orders.
+// whether it would send orders.
 func (l *leader) currentFence() (ports.Offset, bool) {
 	h, ok := l.keeper.Holding(time.Now())
 	if ok {
@@ -79,7 +79,7 @@
 	}
 }
 
-// run runs for a duration in which every leader that holds the lease gives
+// run runs for a duration in which every leader that holds the lease sends
 // orders.
 func (lt *leaseTest) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
@@ -122,8 +122,8 @@
 
 func TestPausedLeaseHolderGivesNoOrders(t *testing.T) {
 	// The VM of the lease holder is suspended for a minute, and another daemon
-	// takes the lease over and gives orders. After it resumes, the first holder
-	// must give no orders, even to an endpoint that does not check fencing tokens.
+	// takes the lease over and sends orders. After it resumes, the first holder
+	// must send no orders, even to an endpoint that does not check fencing tokens.
 	// With holders that ignore the expiry, the checker must detect a violation.
 	for _, trusting := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
