--- a/lab/capacity/fixtures.go
+++ b/lab/capacity/fixtures.go
@@ -81,8 +81,8 @@
 
 // promptLevels returns the prefix levels of a typical prompt: a preamble, a
 // document of several pieces and a question.
-func promptLevels(c *prefix.Splitter, org, document, question int) []prefix.Level {
-	c.Reset(prefix.Seed{Organisation: organisation(org), Model: "codes", Version: "v1"})
+func promptLevels(splitter *prefix.Splitter, org, document, question int) []prefix.Level {
+	splitter.Reset(prefix.Seed{Organisation: organisation(org), Model: "codes", Version: "v1"})
 	for _, segment := range []struct {
 		name   string
 		tokens int
@@ -91,10 +91,10 @@
 		{fmt.Sprintf("document %d %d", org, document), 9000},
 		{fmt.Sprintf("question %d", question), 100},
 	} {
-		c.Write(paddedText(segment.name, segment.tokens*prefix.DefaultBytesPerToken))
-		c.EndMessage()
+		splitter.Write(paddedText(segment.name, segment.tokens*prefix.DefaultBytesPerToken))
+		splitter.EndMessage()
 	}
-	return append([]prefix.Level(nil), c.Levels()...)
+	return append([]prefix.Level(nil), splitter.Levels()...)
 }
 
 // paddedText returns n bytes that begin with the name.
--- a/lab/capacity/parts.go
+++ b/lab/capacity/parts.go
@@ -36,13 +36,13 @@
 
 func splitPrompt() Slope {
 	return measure("split a prompt into prefix keys", "bytes of prompt", "ns", promptSizes, func(size int) float64 {
-		c := prefix.NewSplitter(prefix.Options{})
+		splitter := prefix.NewSplitter(prefix.Options{})
 		b := paddedText("prompt", size)
 		return nanoseconds(func(n int) {
 			for range n {
-				c.Reset(prefix.Seed{Organisation: "o", Model: "m", Version: "v"})
-				c.Write(b)
-				c.EndMessage()
+				splitter.Reset(prefix.Seed{Organisation: "o", Model: "m", Version: "v"})
+				splitter.Write(b)
+				splitter.EndMessage()
 			}
 		})
 	})
@@ -67,10 +67,10 @@
 func place() Slope {
 	return measure("place, answer and finish a request", "endpoints", "ns", endpointSizes, func(size int) float64 {
 		v := newView(size)
-		c := prefix.NewSplitter(prefix.Options{})
+		splitter := prefix.NewSplitter(prefix.Options{})
 		var prompts [][]prefix.Level
 		for i := range 512 {
-			prompts = append(prompts, promptLevels(c, i%64, i%8, i))
+			prompts = append(prompts, promptLevels(splitter, i%64, i%8, i))
 		}
 		id := uint64(0)
 		now := epoch
@@ -92,12 +92,12 @@
 
 func placementPrefixBytes() Slope {
 	return measure("placement state", "remembered prefixes", "bytes", prefixSizes, func(size int) float64 {
-		c := prefix.NewSplitter(prefix.Options{})
+		splitter := prefix.NewSplitter(prefix.Options{})
 		return heapBytes(func() any {
 			v := placement.NewView(placement.Options{Zone: zone(0), Daemons: 9, MaxPrefixes: size})
 			v.SetPool("codes", endpoints(18))
 			for i := range 2 * size / 6 {
-				placeAndFinish(v, epoch, uint64(i+1), promptLevels(c, i%8, i, i))
+				placeAndFinish(v, epoch, uint64(i+1), promptLevels(splitter, i%8, i, i))
 			}
 			return v
 		})
--- a/lab/capacity/sums.go
+++ b/lab/capacity/sums.go
@@ -163,8 +163,8 @@
 // daemon: an idle read of each list per interval, and the complete list after a
 // change.
 func (set *SlopeSet) listBytes(s Sizes) float64 {
-	whole := set.at(keyListBytes, s.Endpoints) + set.at(keyListBytes, s.Daemons)
-	return listCount*set.at(keyPoll, 0)/listSeconds + whole*s.VMChanges/day
+	fullRead := set.at(keyListBytes, s.Endpoints) + set.at(keyListBytes, s.Daemons)
+	return listCount*set.at(keyPoll, 0)/listSeconds + fullRead*s.VMChanges/day
 }
 
 // idleLog returns the bytes per second of reading the manifest stream and the
--- a/lab/cluster/partition.go
+++ b/lab/cluster/partition.go
@@ -33,17 +33,17 @@
 	}
 }
 
-func (w *peerConnections) register(by link, conn net.Conn) (net.Conn, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.blocked[by] {
+func (p *peerConnections) register(l link, conn net.Conn) (net.Conn, error) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.blocked[l] {
 		_ = conn.Close()
-		return nil, fmt.Errorf("cluster: the link to %s is blocked", by.address)
+		return nil, fmt.Errorf("cluster: the link to %s is blocked", l.address)
 	}
-	if w.open == nil {
-		w.open = map[link][]net.Conn{}
+	if p.open == nil {
+		p.open = map[link][]net.Conn{}
 	}
-	w.open[by] = append(w.open[by], conn)
+	p.open[l] = append(p.open[l], conn)
 	return conn, nil
 }
 
@@ -60,15 +60,15 @@
 	c.peerConns.setBlocked(link{j, c.Nodes[i].peerAddress()}, false)
 }
 
-func (w *peerConnections) setBlocked(by link, cut bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.blocked == nil {
-		w.blocked = map[link]bool{}
+func (p *peerConnections) setBlocked(l link, blocked bool) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	if p.blocked == nil {
+		p.blocked = map[link]bool{}
 	}
-	w.blocked[by] = cut
-	for _, conn := range w.open[by] {
+	p.blocked[l] = blocked
+	for _, conn := range p.open[l] {
 		_ = conn.Close()
 	}
-	delete(w.open, by)
+	delete(p.open, l)
 }
--- a/lab/e2e/caller_test.go
+++ b/lab/e2e/caller_test.go
@@ -16,15 +16,15 @@
 
 // openRawRequest sends a request over a new connection and returns it, so that
 // the test controls how the answer is read.
-func (w *testbed) openRawRequest(body string) net.Conn {
-	conn, err := w.network.DialContext(w.t.Context(), "tcp", gatewayAddress)
+func (tb *testbed) openRawRequest(body string) net.Conn {
+	conn, err := tb.network.DialContext(tb.t.Context(), "tcp", gatewayAddress)
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	_, err = fmt.Fprintf(conn, "POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\nAuthorization: Bearer %s\r\nContent-Length: %d\r\n\r\n%s",
 		registreKey, len(body), body)
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	return conn
 }
@@ -36,18 +36,18 @@
 	for _, bytesPerSecond := range []int{1, 400} {
 		t.Run(fmt.Sprintf("%d bytes a second", bytesPerSecond), func(t *testing.T) {
 			o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Decode: 10 * time.Millisecond}}
-			runInTestbed(t, o, func(w *testbed) {
-				conn := w.openRawRequest(strings.Replace(chatBody, `"max_tokens":8`, `"max_tokens":5000`, 1))
+			runInTestbed(t, o, func(tb *testbed) {
+				conn := tb.openRawRequest(strings.Replace(chatBody, `"max_tokens":8`, `"max_tokens":5000`, 1))
 				defer func() { _ = conn.Close() }()
 				buf := make([]byte, bytesPerSecond)
 				for range 120 {
 					time.Sleep(time.Second) // virtual
 					_, _ = conn.Read(buf)
 				}
-				if load := w.runners[0].Load(); load.Running != 0 {
+				if load := tb.runners[0].Load(); load.Running != 0 {
 					t.Errorf("the runner still has %d requests after two minutes", load.Running)
 				}
-				rep := w.observer.last()
+				rep := tb.observer.last()
 				if !rep.CallerSlow || rep.CallerLeft || rep.Duration > time.Minute || rep.Attempts != 1 {
 					t.Errorf("report is %+v", rep)
 				}
@@ -60,8 +60,8 @@
 // refused after gateway.DefaultBodyTimeout, or a caller could hold connections
 // for any time.
 func TestRefusesSlowBody(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
-		conn, err := w.network.DialContext(w.t.Context(), "tcp", gatewayAddress)
+	runInTestbed(t, testbedOptions{runners: 1}, func(tb *testbed) {
+		conn, err := tb.network.DialContext(tb.t.Context(), "tcp", gatewayAddress)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -83,19 +83,19 @@
 func TestDeadlineEndsRequest(t *testing.T) {
 	o := testbedOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
 	unstreamed := strings.Replace(chatBody, `"stream":true,`, "", 1)
-	runInTestbed(t, o, func(w *testbed) {
+	runInTestbed(t, o, func(tb *testbed) {
 		began := time.Now()
-		a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, unstreamed, gateway.HeaderDeadline, "2500"))
+		a := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, unstreamed, gateway.HeaderDeadline, "2500"))
 		a.expectError(t, http.StatusGatewayTimeout, gateway.CodeDeadline, gateway.OutcomeUnknown)
 		if took := time.Since(began); took != 2500*time.Millisecond {
 			t.Errorf("the caller waited %v", took)
 		}
-		_, s := w.streamChat(strings.Replace(chatBody, `"stream"`, `"deadline_ms":2500,"stream"`, 1))
+		_, s := tb.streamChat(strings.Replace(chatBody, `"stream"`, `"deadline_ms":2500,"stream"`, 1))
 		if s.done || s.err != gateway.CodeDeadline || len(s.indices) != 2 {
 			t.Errorf("stream ended with done %v, error %q after %v", s.done, s.err, s.indices)
 		}
 		time.Sleep(time.Second) // virtual
-		if load := w.runners[0].Load(); load.Running != 0 {
+		if load := tb.runners[0].Load(); load.Running != 0 {
 			t.Errorf("the runner still has %d requests", load.Running)
 		}
 	})
@@ -115,8 +115,8 @@
 // An organisation exceeds its share. The caller must get the outcome "not run" and
 // a Retry-After header in whole seconds, rounded up.
 func TestAdmissionRefusalReachesCaller(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1, admitter: refusingAdmitter{}}, func(w *testbed) {
-		a, _ := w.streamChat(chatBody)
+	runInTestbed(t, testbedOptions{runners: 1, admitter: refusingAdmitter{}}, func(tb *testbed) {
+		a, _ := tb.streamChat(chatBody)
 		a.expectError(t, http.StatusTooManyRequests, gateway.CodeOverloaded, gateway.OutcomeNotRun)
 		if got := a.header.Get("Retry-After"); got != "3" {
 			t.Errorf("Retry-After is %q, want 2.5 s rounded up to 3", got)
@@ -133,14 +133,14 @@
 		runner:  standin.RunnerOptions{Decode: time.Second},
 		limits:  gateway.Limits{OpenRequests: 1},
 	}
-	runInTestbed(t, o, func(w *testbed) {
+	runInTestbed(t, o, func(tb *testbed) {
 		first := make(chan streamResult)
 		go func() {
-			_, s := w.streamChat(chatBody)
+			_, s := tb.streamChat(chatBody)
 			first <- s
 		}()
 		time.Sleep(time.Second) // virtual
-		a, _ := w.streamChat(chatBody)
+		a, _ := tb.streamChat(chatBody)
 		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeOverloaded, gateway.OutcomeNotRun)
 		if s := <-first; !s.done {
 			t.Errorf("the open stream was interrupted: %+v", s)
@@ -153,10 +153,10 @@
 // complete.
 func TestDrainCompletesOpenAndNewStreams(t *testing.T) {
 	o := testbedOptions{runners: 1, runner: standin.RunnerOptions{Decode: time.Second}}
-	runInTestbed(t, o, func(w *testbed) {
+	runInTestbed(t, o, func(tb *testbed) {
 		streams := make(chan streamResult, 2)
 		open := func() {
-			_, s := w.streamChat(chatBody)
+			_, s := tb.streamChat(chatBody)
 			streams <- s
 		}
 		go open()
@@ -164,14 +164,14 @@
 		began := time.Now()
 		drained := make(chan error, 1)
 		go func() {
-			err := w.drainer.Drain(w.t.Context(), 12*time.Second)
+			err := tb.drainer.Drain(tb.t.Context(), 12*time.Second)
 			if err == nil {
-				err = w.server.Shutdown(w.t.Context())
+				err = tb.server.Shutdown(tb.t.Context())
 			}
 			drained <- err
 		}()
 		time.Sleep(time.Second) // virtual
-		if w.drainer.Ready() {
+		if tb.drainer.Ready() {
 			t.Error("the drainer is still ready while it drains")
 		}
 		(<-streams).expectComplete(t)
@@ -191,21 +191,21 @@
 // not a connection that closes without an answer.
 func TestShutdownErrorAfterDrainTimeout(t *testing.T) {
 	o := testbedOptions{runners: 1, services: 1, claimer: newMemoryClaimer(), runner: standin.RunnerOptions{Decode: time.Second}}
-	runInTestbed(t, o, func(w *testbed) {
-		w.services[0].Delay = time.Minute
+	runInTestbed(t, o, func(tb *testbed) {
+		tb.services[0].Delay = time.Minute
 		ctx, cut := context.WithCancelCause(context.Background())
-		s := &http.Server{Handler: w.gateway, BaseContext: func(net.Listener) context.Context { return ctx }}
+		s := &http.Server{Handler: tb.gateway, BaseContext: func(net.Listener) context.Context { return ctx }}
 		defer func() { _ = s.Close() }()
-		l := w.network.Listen("10.0.0.2:8080")
+		l := tb.network.Listen("10.0.0.2:8080")
 		go func() { _ = s.Serve(l) }()
 		time.AfterFunc(2500*time.Millisecond, func() { cut(gateway.ErrShutdown) })
 		answers := make(chan answer, 1)
-		call := w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
+		call := tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
 		call.URL.Host = "10.0.0.2:8080"
-		go func() { answers <- w.send(call) }()
-		open := w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody)
+		go func() { answers <- tb.send(call) }()
+		open := tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody)
 		open.URL.Host = "10.0.0.2:8080"
-		got := parseStream(w.send(open).body)
+		got := parseStream(tb.send(open).body)
 		if got.done || got.err != gateway.CodeShutdown || len(got.indices) != 2 {
 			t.Errorf("stream ended with done %v, error %q after %v", got.done, got.err, got.indices)
 		}
--- a/lab/e2e/forward_test.go
+++ b/lab/e2e/forward_test.go
@@ -10,8 +10,8 @@
 )
 
 func TestStreamReachesCaller(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-		a, s := w.streamChat(chatBody)
+	runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+		a, s := tb.streamChat(chatBody)
 		if a.status != http.StatusOK || a.header.Get("Content-Type") != "text/event-stream" {
 			t.Errorf("got %d %q", a.status, a.header.Get("Content-Type"))
 		}
@@ -19,7 +19,7 @@
 		if got := strings.Join(s.indices, " "); got != "0 1 2 3 4 5 6 7" {
 			t.Errorf("indices are %s", got)
 		}
-		rep := w.observer.last()
+		rep := tb.observer.last()
 		if rep.Tokens != 8 || rep.Attempts != 1 || rep.Organisation != "registre" || rep.Outcome != gateway.OutcomeNone {
 			t.Errorf("report is %+v", rep)
 		}
@@ -27,9 +27,9 @@
 }
 
 func TestUnstreamedAnswerReachesCaller(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
+	runInTestbed(t, testbedOptions{runners: 1}, func(tb *testbed) {
 		body := strings.Replace(chatBody, `"stream":true,`, "", 1)
-		a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
+		a := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 		var got struct {
 			Choices []struct{ Message struct{ Content string } }
 			Usage   struct {
@@ -46,9 +46,9 @@
 }
 
 func TestListsModelsPermittedToOrganisation(t *testing.T) {
-	runInTestbed(t, testbedOptions{}, func(w *testbed) {
+	runInTestbed(t, testbedOptions{}, func(tb *testbed) {
 		for key, want := range map[string]string{registreKey: `"codes:tags"`, tsukushiKey: `"codes"`} {
-			a := w.send(w.newRequest(http.MethodGet, "/v1/models", key, ""))
+			a := tb.send(tb.newRequest(http.MethodGet, "/v1/models", key, ""))
 			if !strings.Contains(a.body, want) || strings.Contains(a.body, "tags") != (key == registreKey) {
 				t.Errorf("%s gets %s", key, a.body)
 			}
@@ -57,8 +57,8 @@
 }
 
 func TestForwardsServiceCallUnchanged(t *testing.T) {
-	runInTestbed(t, testbedOptions{services: 1}, func(w *testbed) {
-		a := w.send(w.newRequest(http.MethodPut, "/receipts/7?copy=2", registreKey, "deed", "Content-Type", "text/plain"))
+	runInTestbed(t, testbedOptions{services: 1}, func(tb *testbed) {
+		a := tb.send(tb.newRequest(http.MethodPut, "/receipts/7?copy=2", registreKey, "deed", "Content-Type", "text/plain"))
 		want := `{"endpoint":"counter-1","number":1,"method":"PUT","path":"/receipts/7?copy=2","bytes":4}`
 		if a.status != http.StatusOK || a.body != want {
 			t.Errorf("got %d %s, want %s", a.status, a.body, want)
--- a/lab/e2e/refusal_test.go
+++ b/lab/e2e/refusal_test.go
@@ -12,10 +12,10 @@
 // A request with a revoked or mistyped key must be refused with an error that
 // names the key, before anything runs.
 func TestRefusesUnknownKey(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
-		a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", "nobody", chatBody))
+	runInTestbed(t, testbedOptions{runners: 1}, func(tb *testbed) {
+		a := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", "nobody", chatBody))
 		a.expectError(t, http.StatusUnauthorized, gateway.CodeInvalidKey, gateway.OutcomeRefused)
-		if n := w.runners[0].Stats().Requests; n != 0 {
+		if n := tb.runners[0].Stats().Requests; n != 0 {
 			t.Errorf("the runner received %d requests, want none", n)
 		}
 	})
@@ -24,16 +24,16 @@
 // Guards against access to an adapter that was trained on another organisation's
 // records, through the model name or the header.
 func TestRefusesAdapterOfAnotherOrganisation(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
+	runInTestbed(t, testbedOptions{runners: 1}, func(tb *testbed) {
 		named := strings.Replace(chatBody, `"codes"`, `"codes:tags"`, 1)
-		byName := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", tsukushiKey, named))
+		byName := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", tsukushiKey, named))
 		byName.expectError(t, http.StatusForbidden, gateway.CodeNotPermitted, gateway.OutcomeRefused)
-		byHeader := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", tsukushiKey, chatBody, gateway.HeaderAdapter, "tags"))
+		byHeader := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", tsukushiKey, chatBody, gateway.HeaderAdapter, "tags"))
 		byHeader.expectError(t, http.StatusForbidden, gateway.CodeNotPermitted, gateway.OutcomeRefused)
-		if n := w.runners[0].Stats().Requests; n != 0 {
+		if n := tb.runners[0].Stats().Requests; n != 0 {
 			t.Errorf("the runner received %d requests, want none", n)
 		}
-		_, s := w.streamChat(named)
+		_, s := tb.streamChat(named)
 		s.expectComplete(t)
 	})
 }
@@ -58,8 +58,8 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			runInTestbed(t, testbedOptions{runners: 1, limits: gateway.Limits{BodyBytes: 1000}}, func(w *testbed) {
-				a := w.send(w.newRequest(http.MethodPost, tt.path, registreKey, tt.body, tt.headers...))
+			runInTestbed(t, testbedOptions{runners: 1, limits: gateway.Limits{BodyBytes: 1000}}, func(tb *testbed) {
+				a := tb.send(tb.newRequest(http.MethodPost, tt.path, registreKey, tt.body, tt.headers...))
 				a.expectError(t, tt.status, tt.code, gateway.OutcomeRefused)
 			})
 		})
@@ -69,11 +69,11 @@
 // When all runners drain and refuse new requests, the caller must get the
 // outcome "not run" and a Retry-After header.
 func TestOutcomeNotRunWhenAllEndpointsDrain(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-		for _, r := range w.runners {
+	runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+		for _, r := range tb.runners {
 			r.SetDraining(true)
 		}
-		a, _ := w.streamChat(chatBody)
+		a, _ := tb.streamChat(chatBody)
 		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeNoEndpoint, gateway.OutcomeNotRun)
 		if a.header.Get("Retry-After") != "1" {
 			t.Errorf("Retry-After is %q", a.header.Get("Retry-After"))
@@ -85,10 +85,10 @@
 // refuses it. The first may have run the request, so the outcome must be
 // "unknown" and not the "not run" of the last attempt.
 func TestOutcomeUnknownAfterAttemptThatMayHaveRun(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
-		w.runners[1].SetDraining(true)
-		a, _ := w.streamChat(chatBody)
+	runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+		tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
+		tb.runners[1].SetDraining(true)
+		a, _ := tb.streamChat(chatBody)
 		a.expectError(t, http.StatusBadGateway, gateway.CodeEndpointFailed, gateway.OutcomeUnknown)
 	})
 }
--- a/lab/e2e/service_test.go
+++ b/lab/e2e/service_test.go
@@ -54,8 +54,8 @@
 	}, nil
 }
 
-func (w *testbed) sideEffects() (total int) {
-	for _, s := range w.services {
+func (tb *testbed) sideEffects() (total int) {
+	for _, s := range tb.services {
 		for _, n := range s.Effects() {
 			total += n
 		}
@@ -81,13 +81,13 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			runInTestbed(t, testbedOptions{services: 2, claimer: newMemoryClaimer()}, func(w *testbed) {
+			runInTestbed(t, testbedOptions{services: 2, claimer: newMemoryClaimer()}, func(tb *testbed) {
 				// Leaves an idle connection to the first endpoint.
-				w.send(w.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
-				w.services[0].InjectFaults(standin.Fault{Kind: standin.FaultAfterRun})
-				a := w.send(w.newRequest(tt.method, "/receipts/2", registreKey, tt.body, tt.headers...))
+				tb.send(tb.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
+				tb.services[0].InjectFaults(standin.Fault{Kind: standin.FaultAfterRun})
+				a := tb.send(tb.newRequest(tt.method, "/receipts/2", registreKey, tt.body, tt.headers...))
 				a.expectError(t, http.StatusBadGateway, gateway.CodeEndpointFailed, gateway.OutcomeUnknown)
-				if n := w.sideEffects(); n != 1 {
+				if n := tb.sideEffects(); n != 1 {
 					t.Errorf("%d receipts were issued, want 1", n)
 				}
 			})
@@ -99,10 +99,10 @@
 // must be retried at the next one, and the caller must get a normal answer.
 func TestRetriesIdempotentCall(t *testing.T) {
 	for _, kind := range []standin.FaultKind{standin.FaultAfterRun, standin.FaultContentLength, standin.FaultWrongAttempt, standin.FaultEndlessHeader} {
-		runInTestbed(t, testbedOptions{services: 2}, func(w *testbed) {
-			w.services[0].InjectFaults(standin.Fault{Kind: kind})
-			a := w.send(w.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
-			if a.status != http.StatusOK || a.err != nil || w.services[1].Calls() != 1 {
+		runInTestbed(t, testbedOptions{services: 2}, func(tb *testbed) {
+			tb.services[0].InjectFaults(standin.Fault{Kind: kind})
+			a := tb.send(tb.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
+			if a.status != http.StatusOK || a.err != nil || tb.services[1].Calls() != 1 {
 				t.Errorf("fault %d: got %d %s", kind, a.status, a.body)
 			}
 		})
@@ -112,11 +112,11 @@
 // The first endpoint drains and reports that it did not run the call. A retry is
 // safe then, so the call must run at the next endpoint, exactly once.
 func TestRetriesCallThatEndpointReportsNotRun(t *testing.T) {
-	runInTestbed(t, testbedOptions{services: 2}, func(w *testbed) {
-		w.services[0].SetDraining(true)
-		a := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed"))
-		if a.status != http.StatusOK || w.sideEffects() != 1 || w.services[1].Calls() != 1 {
-			t.Errorf("got %d %s, effects %d", a.status, a.body, w.sideEffects())
+	runInTestbed(t, testbedOptions{services: 2}, func(tb *testbed) {
+		tb.services[0].SetDraining(true)
+		a := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed"))
+		if a.status != http.StatusOK || tb.sideEffects() != 1 || tb.services[1].Calls() != 1 {
+			t.Errorf("got %d %s, effects %d", a.status, a.body, tb.sideEffects())
 		}
 	})
 }
@@ -125,7 +125,7 @@
 // another request. The call may have run and must not be retried.
 func TestIgnoresNotRunOfAnotherAttempt(t *testing.T) {
 	for _, echo := range []string{"", "another-request-1"} {
-		runInTestbed(t, testbedOptions{}, func(w *testbed) {
+		runInTestbed(t, testbedOptions{}, func(tb *testbed) {
 			calls := 0
 			refuse := http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 				calls++
@@ -135,9 +135,9 @@
 				}
 				rw.WriteHeader(http.StatusServiceUnavailable)
 			})
-			w.addEndpoint("odd-1", "counter", "10.0.3.1:8000", refuse)
-			w.addEndpoint("odd-2", "counter", "10.0.3.2:8000", refuse)
-			a := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed"))
+			tb.addEndpoint("odd-1", "counter", "10.0.3.1:8000", refuse)
+			tb.addEndpoint("odd-2", "counter", "10.0.3.2:8000", refuse)
+			a := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed"))
 			if calls != 1 || a.header.Get(gateway.HeaderOutcome) == string(gateway.OutcomeNotRun) {
 				t.Errorf("echo %q: %d calls, got %d %s", echo, calls, a.status, a.body)
 			}
@@ -149,21 +149,21 @@
 // key. The call must run once, and its answer must be stored for later retries;
 // otherwise they would get "outcome unknown" forever.
 func TestStoresAnswerAfterCallerDisconnects(t *testing.T) {
-	runInTestbed(t, testbedOptions{services: 1, claimer: newMemoryClaimer()}, func(w *testbed) {
-		w.services[0].Delay = 5 * time.Second
-		ctx, cancel := context.WithTimeout(w.t.Context(), time.Second)
+	runInTestbed(t, testbedOptions{services: 1, claimer: newMemoryClaimer()}, func(tb *testbed) {
+		tb.services[0].Delay = 5 * time.Second
+		ctx, cancel := context.WithTimeout(tb.t.Context(), time.Second)
 		defer cancel()
-		req := w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
-		if _, err := w.client.Do(req.WithContext(ctx)); err == nil { //nolint:bodyclose // there is no answer
+		req := tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1")
+		if _, err := tb.client.Do(req.WithContext(ctx)); err == nil { //nolint:bodyclose // there is no answer
 			t.Fatal("the caller got an answer before its timeout")
 		}
-		again := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
+		again := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
 		again.expectError(t, http.StatusConflict, gateway.CodeOutcomeUnknown, gateway.OutcomeUnknown)
 		time.Sleep(10 * time.Second) // virtual
-		later := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
+		later := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
 		want := `{"endpoint":"counter-1","number":1,"method":"POST","path":"/receipts/2","bytes":4}`
-		if later.status != http.StatusOK || later.body != want || w.sideEffects() != 1 {
-			t.Errorf("got %d %s, effects %d", later.status, later.body, w.sideEffects())
+		if later.status != http.StatusOK || later.body != want || tb.sideEffects() != 1 {
+			t.Errorf("got %d %s, effects %d", later.status, later.body, tb.sideEffects())
 		}
 	})
 }
@@ -172,8 +172,8 @@
 // abandoned, so that a later call with the same key can run.
 func TestAbandonsClaimWhenNothingWasSent(t *testing.T) {
 	claimer := newMemoryClaimer()
-	runInTestbed(t, testbedOptions{claimer: claimer}, func(w *testbed) {
-		a := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
+	runInTestbed(t, testbedOptions{claimer: claimer}, func(tb *testbed) {
+		a := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
 		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeNoEndpoint, gateway.OutcomeNotRun)
 		if claimer.abandoned != 1 || claimer.begun["k1"] {
 			t.Errorf("claims abandoned: %d, want 1, with key k1 unclaimed", claimer.abandoned)
@@ -184,10 +184,10 @@
 // Without a log that holds claims, calls with the same idempotency key might run
 // at two daemons. They must be refused with the outcome "not run".
 func TestRefusesIdempotencyKeyWithoutClaims(t *testing.T) {
-	runInTestbed(t, testbedOptions{services: 1}, func(w *testbed) {
-		a := w.send(w.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
+	runInTestbed(t, testbedOptions{services: 1}, func(tb *testbed) {
+		a := tb.send(tb.newRequest(http.MethodPost, "/receipts/2", registreKey, "deed", "Idempotency-Key", "k1"))
 		a.expectError(t, http.StatusServiceUnavailable, gateway.CodeClaimUnavailable, gateway.OutcomeNotRun)
-		if w.sideEffects() != 0 {
+		if tb.sideEffects() != 0 {
 			t.Error("the call ran")
 		}
 	})
@@ -196,12 +196,12 @@
 // A path with dot segments may match an idempotent call, while a service that
 // resolves the segments runs another one.
 func TestRefusesPathWithDotSegments(t *testing.T) {
-	runInTestbed(t, testbedOptions{services: 1}, func(w *testbed) {
+	runInTestbed(t, testbedOptions{services: 1}, func(tb *testbed) {
 		for _, path := range []string{"/receipts/../admin", "/receipts/%2e%2e/admin", "/receipts//x"} {
-			a := w.send(w.newRequest(http.MethodGet, path, registreKey, ""))
+			a := tb.send(tb.newRequest(http.MethodGet, path, registreKey, ""))
 			a.expectError(t, http.StatusBadRequest, gateway.CodeInvalidRequest, gateway.OutcomeRefused)
 		}
-		if n := w.services[0].Calls(); n != 0 {
+		if n := tb.services[0].Calls(); n != 0 {
 			t.Errorf("the service received %d calls, want none", n)
 		}
 	})
@@ -211,15 +211,15 @@
 // the gateway buffers. The caller's connection must break too, or the truncated
 // answer would look complete.
 func TestTruncatedLongAnswerBreaksConnection(t *testing.T) {
-	runInTestbed(t, testbedOptions{limits: gateway.Limits{AnswerBufferBytes: 1000}}, func(w *testbed) {
-		w.addEndpoint("long", "counter", "10.0.3.1:8000", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
+	runInTestbed(t, testbedOptions{limits: gateway.Limits{AnswerBufferBytes: 1000}}, func(tb *testbed) {
+		tb.addEndpoint("long", "counter", "10.0.3.1:8000", http.HandlerFunc(func(rw http.ResponseWriter, _ *http.Request) {
 			for range 10 {
 				_, _ = rw.Write(make([]byte, 1000))
 				_ = http.NewResponseController(rw).Flush()
 			}
 			panic(http.ErrAbortHandler)
 		}))
-		a := w.send(w.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
+		a := tb.send(tb.newRequest(http.MethodGet, "/receipts/1", registreKey, ""))
 		if a.status != http.StatusOK || a.err == nil {
 			t.Errorf("got %d with %d bytes and no error", a.status, len(a.body))
 		}
--- a/lab/e2e/stream_test.go
+++ b/lab/e2e/stream_test.go
@@ -38,14 +38,14 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-				w.runners[0].InjectFaults(tt.fault)
-				_, s := w.streamChat(chatBody)
+			runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+				tb.runners[0].InjectFaults(tt.fault)
+				_, s := tb.streamChat(chatBody)
 				s.expectComplete(t)
-				if got := w.runners[1].Stats().GeneratedTokens; got != tt.remaining {
+				if got := tb.runners[1].Stats().GeneratedTokens; got != tt.remaining {
 					t.Errorf("the second runner generated %d tokens, want %d", got, tt.remaining)
 				}
-				if rep := w.observer.last(); rep.Attempts != 2 || rep.ResumedAttempts != tt.resumes || rep.Tokens != 8 {
+				if rep := tb.observer.last(); rep.Attempts != 2 || rep.ResumedAttempts != tt.resumes || rep.Tokens != 8 {
 					t.Errorf("report is %+v", rep)
 				}
 			})
@@ -57,11 +57,11 @@
 // failover. The tokens that were already sent must not reach the caller twice.
 func TestDropsDuplicateTokensAfterFailover(t *testing.T) {
 	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{IgnoresResume: true}}
-	runInTestbed(t, o, func(w *testbed) {
-		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
-		_, s := w.streamChat(chatBody)
+	runInTestbed(t, o, func(tb *testbed) {
+		tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+		_, s := tb.streamChat(chatBody)
 		s.expectComplete(t)
-		if got := w.observer.last().DuplicateTokens; got != 3 {
+		if got := tb.observer.last().DuplicateTokens; got != 3 {
 			t.Errorf("%d tokens were dropped, want 3", got)
 		}
 	})
@@ -70,11 +70,11 @@
 // Every runner crashes in mid-stream. The stream must end with an error in place
 // of the end marker, so that the caller can't take it for a complete answer.
 func TestStreamEndsWithErrorWhenAllRunnersFail(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-		for _, r := range w.runners {
+	runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+		for _, r := range tb.runners {
 			r.InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 2})
 		}
-		a, s := w.streamChat(chatBody)
+		a, s := tb.streamChat(chatBody)
 		if a.err != nil || s.done || s.err != gateway.CodeStreamCut || s.outcome != string(gateway.OutcomeUnknown) {
 			t.Errorf("stream ended with done %v, error %q, outcome %q, %v", s.done, s.err, s.outcome, a.err)
 		}
@@ -91,26 +91,26 @@
 func TestRunnerWithoutTokenNumbers(t *testing.T) {
 	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Plain: true}}
 	t.Run("whole", func(t *testing.T) {
-		runInTestbed(t, o, func(w *testbed) {
-			_, s := w.streamChat(chatBody)
+		runInTestbed(t, o, func(tb *testbed) {
+			_, s := tb.streamChat(chatBody)
 			s.expectComplete(t)
 		})
 	})
 	t.Run("crash before the first byte", func(t *testing.T) {
-		runInTestbed(t, o, func(w *testbed) {
-			w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
-			_, s := w.streamChat(chatBody)
+		runInTestbed(t, o, func(tb *testbed) {
+			tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultBeforeFirstByte})
+			_, s := tb.streamChat(chatBody)
 			s.expectComplete(t)
 		})
 	})
 	t.Run("crash in mid-stream", func(t *testing.T) {
-		runInTestbed(t, o, func(w *testbed) {
-			w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
-			_, s := w.streamChat(chatBody)
+		runInTestbed(t, o, func(tb *testbed) {
+			tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+			_, s := tb.streamChat(chatBody)
 			if s.done || s.err != gateway.CodeStreamCut || len(s.indices) != 3 {
 				t.Errorf("stream ended with done %v, error %q after %v", s.done, s.err, s.indices)
 			}
-			if n := w.runners[1].Stats().Requests; n != 0 {
+			if n := tb.runners[1].Stats().Requests; n != 0 {
 				t.Errorf("the second runner received %d requests, want none", n)
 			}
 		})
@@ -120,11 +120,11 @@
 // An answer to an earlier attempt or to another request arrives on the connection
 // of this request. None of its tokens may reach the caller.
 func TestDropsMismatchedAnswer(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-		w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultWrongAttempt})
-		_, s := w.streamChat(chatBody)
+	runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+		tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultWrongAttempt})
+		_, s := tb.streamChat(chatBody)
 		s.expectComplete(t)
-		if rep := w.observer.last(); rep.MismatchedAnswers != 1 || rep.Attempts != 2 {
+		if rep := tb.observer.last(); rep.MismatchedAnswers != 1 || rep.Attempts != 2 {
 			t.Errorf("report is %+v", rep)
 		}
 	})
@@ -137,27 +137,27 @@
 func TestResumedStreamKeepsWeightVersion(t *testing.T) {
 	tests := []struct {
 		name          string
-		changeRunners func(w *testbed)
+		changeRunners func(tb *testbed)
 		complete      bool
 	}{
 		{"another runner has the old version", func(*testbed) {}, true},
-		{"the only other runner has the new version and refuses", func(w *testbed) { w.runners[1].SetWeightVersion("v2") }, false},
-		{"the only other runner answers with another version", func(w *testbed) {
-			w.runners[1].InjectFaults(standin.Fault{Kind: standin.FaultWrongWeightVersion})
+		{"the only other runner has the new version and refuses", func(tb *testbed) { tb.runners[1].SetWeightVersion("v2") }, false},
+		{"the only other runner answers with another version", func(tb *testbed) {
+			tb.runners[1].InjectFaults(standin.Fault{Kind: standin.FaultWrongWeightVersion})
 		}, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			o := testbedOptions{runners: 2, runner: standin.RunnerOptions{WeightVersion: "v1", Decode: time.Second}}
-			runInTestbed(t, o, func(w *testbed) {
-				w.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
+			runInTestbed(t, o, func(tb *testbed) {
+				tb.runners[0].InjectFaults(standin.Fault{Kind: standin.FaultMidStream, After: 3})
 				time.AfterFunc(2*time.Second, func() {
 					m := testManifest()
 					m.Models[0].Version = "v2"
-					w.publish(m)
-					tt.changeRunners(w)
+					tb.publish(m)
+					tt.changeRunners(tb)
 				})
-				_, s := w.streamChat(chatBody)
+				_, s := tb.streamChat(chatBody)
 				if tt.complete {
 					s.expectComplete(t)
 					return
@@ -176,9 +176,9 @@
 func TestRetriesTruncatedAnswer(t *testing.T) {
 	body := strings.Replace(chatBody, `"stream":true,`, "", 1)
 	for _, kind := range []standin.FaultKind{standin.FaultContentLength, standin.FaultAfterRun} {
-		runInTestbed(t, testbedOptions{runners: 2}, func(w *testbed) {
-			w.runners[0].InjectFaults(standin.Fault{Kind: kind})
-			a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
+		runInTestbed(t, testbedOptions{runners: 2}, func(tb *testbed) {
+			tb.runners[0].InjectFaults(standin.Fault{Kind: kind})
+			a := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 			if a.status != http.StatusOK || a.err != nil || !strings.Contains(a.body, `"completion_tokens":8`) {
 				t.Errorf("got %d %s %v", a.status, a.body, a.err)
 			}
@@ -190,13 +190,13 @@
 // answers must report the new incarnation and no cached tokens, or later requests
 // would be placed there for a cache that no longer exists.
 func TestAnswersReportRunnerRestart(t *testing.T) {
-	runInTestbed(t, testbedOptions{runners: 1}, func(w *testbed) {
-		w.streamChat(chatBody)
-		w.streamChat(chatBody)
-		w.runners[0].Restart()
-		w.streamChat(chatBody)
+	runInTestbed(t, testbedOptions{runners: 1}, func(tb *testbed) {
+		tb.streamChat(chatBody)
+		tb.streamChat(chatBody)
+		tb.runners[0].Restart()
+		tb.streamChat(chatBody)
 		var got []engine.Metadata
-		for _, res := range w.observer.results {
+		for _, res := range tb.observer.results {
 			got = append(got, res.Meta)
 		}
 		if len(got) != 3 || got[1].CachedTokens == 0 || got[2].CachedTokens != 0 || got[1].Incarnation == got[2].Incarnation {
@@ -209,18 +209,18 @@
 // the engine, or it occupies a batch slot until the answer is complete.
 func TestCallerDisconnectCancelsEngineRequest(t *testing.T) {
 	o := testbedOptions{runners: 2, runner: standin.RunnerOptions{Decode: time.Second}}
-	runInTestbed(t, o, func(w *testbed) {
-		resp, err := w.client.Do(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody))
+	runInTestbed(t, o, func(tb *testbed) {
+		resp, err := tb.client.Do(tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, chatBody))
 		if err != nil {
 			t.Fatal(err)
 		}
 		time.Sleep(1500 * time.Millisecond) // virtual
 		_ = resp.Body.Close()
 		time.Sleep(2 * time.Second) // virtual
-		if s := w.runners[0].Stats(); s.Cancelled != 1 || s.GeneratedTokens > 3 {
+		if s := tb.runners[0].Stats(); s.Cancelled != 1 || s.GeneratedTokens > 3 {
 			t.Errorf("counters of the runner are %+v", s)
 		}
-		if rep := w.observer.last(); !rep.CallerLeft || rep.Attempts != 1 || rep.Code != gateway.CodeCallerLeft {
+		if rep := tb.observer.last(); !rep.CallerLeft || rep.Attempts != 1 || rep.Code != gateway.CodeCallerLeft {
 			t.Errorf("report is %+v", rep)
 		}
 	})
--- a/lab/e2e/testbed_test.go
+++ b/lab/e2e/testbed_test.go
@@ -90,18 +90,18 @@
 }
 
 // runInTestbed runs a test in virtual time with a new testbed.
-func runInTestbed(t *testing.T, o testbedOptions, test func(w *testbed)) {
+func runInTestbed(t *testing.T, o testbedOptions, test func(tb *testbed)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
-		w := newTestbed(t, o)
-		defer w.close()
-		test(w)
+		tb := newTestbed(t, o)
+		defer tb.close()
+		test(tb)
 	})
 }
 
 func newTestbed(t *testing.T, o testbedOptions) *testbed {
-	w := &testbed{t: t, drainer: gateway.NewDrainer(), observer: new(observer)}
-	w.publish(testManifest())
+	tb := &testbed{t: t, drainer: gateway.NewDrainer(), observer: new(observer)}
+	tb.publish(testManifest())
 	for i := range o.runners {
 		ro := o.runner
 		ro.ID = fleet.EndpointID(fmt.Sprintf("runner-%d", i+1))
@@ -109,71 +109,71 @@
 			ro.PieceTokens = 10
 		}
 		r := standin.NewRunner(ro)
-		w.runners = append(w.runners, r)
-		w.addEndpoint(ro.ID, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), r)
+		tb.runners = append(tb.runners, r)
+		tb.addEndpoint(ro.ID, "runner", fmt.Sprintf("10.0.1.%d:8000", i+1), r)
 	}
 	for i := range o.services {
 		s := standin.NewService(fleet.EndpointID(fmt.Sprintf("counter-%d", i+1)))
-		w.services = append(w.services, s)
-		w.addEndpoint(s.ID, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), s)
+		tb.services = append(tb.services, s)
+		tb.addEndpoint(s.ID, "counter", fmt.Sprintf("10.0.2.%d:8000", i+1), s)
 	}
-	o.engine.DialContext = w.network.DialContext
+	o.engine.DialContext = tb.network.DialContext
 	client := engine.New(o.engine)
-	w.gateway = gateway.New(gateway.Options{
-		Catalogue: func() *catalog.Index { w.mu.Lock(); defer w.mu.Unlock(); return w.index },
+	tb.gateway = gateway.New(gateway.Options{
+		Catalogue: func() *catalog.Index { tb.mu.Lock(); defer tb.mu.Unlock(); return tb.index },
 		Engine:    client,
-		Placer:    w,
+		Placer:    tb,
 		Claimer:   o.claimer,
 		Admitter:  o.admitter,
-		Observer:  w.observer,
-		Drainer:   w.drainer,
+		Observer:  tb.observer,
+		Drainer:   tb.drainer,
 		Limits:    o.limits,
 	})
-	w.server = w.network.Serve(gatewayAddress, w.gateway)
-	transport := &http.Transport{DialContext: w.network.DialContext}
-	w.client = &http.Client{Transport: transport}
-	w.closers = append(w.closers, transport.CloseIdleConnections, client.CloseIdle)
-	return w
+	tb.server = tb.network.Serve(gatewayAddress, tb.gateway)
+	transport := &http.Transport{DialContext: tb.network.DialContext}
+	tb.client = &http.Client{Transport: transport}
+	tb.closers = append(tb.closers, transport.CloseIdleConnections, client.CloseIdle)
+	return tb
 }
 
-func (w *testbed) addEndpoint(id fleet.EndpointID, class, address string, h http.Handler) {
-	s := w.network.Serve(address, h)
-	w.closers = append(w.closers, func() { _ = s.Close() })
-	w.endpoints = append(w.endpoints, fleet.Endpoint{ID: id, Class: class, Address: address, State: fleet.VMLive})
+func (tb *testbed) addEndpoint(id fleet.EndpointID, class, address string, h http.Handler) {
+	s := tb.network.Serve(address, h)
+	tb.closers = append(tb.closers, func() { _ = s.Close() })
+	tb.endpoints = append(tb.endpoints, fleet.Endpoint{ID: id, Class: class, Address: address, State: fleet.VMLive})
 }
 
-func (w *testbed) publish(m *manifest.Manifest) {
+func (tb *testbed) publish(m *manifest.Manifest) {
 	index, err := catalog.New(m)
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.index = index
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	tb.index = index
 }
 
-func (w *testbed) close() {
-	_ = w.server.Close()
-	for _, c := range w.closers {
+func (tb *testbed) close() {
+	_ = tb.server.Close()
+	for _, c := range tb.closers {
 		c()
 	}
-	for _, r := range w.runners {
+	for _, r := range tb.runners {
 		r.Crash()
 	}
 }
 
 // Place chooses the first suitable endpoint that is not excluded, in the order of
 // addEndpoint, so that a test knows which endpoint gets its requests and faults.
-func (w *testbed) Place(_ context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	for _, e := range w.endpoints {
+func (tb *testbed) Place(_ context.Context, r *gateway.PlaceRequest) (gateway.Placement, error) {
+	tb.mu.Lock()
+	defer tb.mu.Unlock()
+	for _, e := range tb.endpoints {
 		tried := false
 		for _, id := range r.Exclude {
 			tried = tried || id == e.ID
 		}
-		if !tried && w.index.Serves(e.Class, r.Kind, r.Target.Model) {
-			w.placed = append(w.placed, e.ID)
+		if !tried && tb.index.Serves(e.Class, r.Kind, r.Target.Model) {
+			tb.placed = append(tb.placed, e.ID)
 			return gateway.Placement{Endpoint: e.ID, Address: e.Address}, nil
 		}
 	}
@@ -210,10 +210,10 @@
 
 // newRequest returns a request to the gateway; headers holds pairs of name and
 // value.
-func (w *testbed) newRequest(method, path, key, body string, headers ...string) *http.Request {
-	req, err := http.NewRequestWithContext(w.t.Context(), method, "http://"+gatewayAddress+path, strings.NewReader(body))
+func (tb *testbed) newRequest(method, path, key, body string, headers ...string) *http.Request {
+	req, err := http.NewRequestWithContext(tb.t.Context(), method, "http://"+gatewayAddress+path, strings.NewReader(body))
 	if err != nil {
-		w.t.Fatal(err)
+		tb.t.Fatal(err)
 	}
 	req.Header.Set("Authorization", "Bearer "+key)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -230,11 +230,11 @@
 	err    error // of reading the body
 }
 
-func (w *testbed) send(req *http.Request) answer {
-	w.t.Helper()
-	resp, err := w.client.Do(req)
+func (tb *testbed) send(req *http.Request) answer {
+	tb.t.Helper()
+	resp, err := tb.client.Do(req)
 	if err != nil {
-		w.t.Fatalf("request failed: %v", err)
+		tb.t.Fatalf("request failed: %v", err)
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
@@ -329,8 +329,8 @@
 
 const chatBody = `{"model":"codes","stream":true,"max_tokens":8,"messages":[{"role":"system","content":"The building code of Québec, part 3."},{"role":"user","content":"Does this deposit conform?"}]}`
 
-func (w *testbed) streamChat(body string) (answer, streamResult) {
-	w.t.Helper()
-	a := w.send(w.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
+func (tb *testbed) streamChat(body string) (answer, streamResult) {
+	tb.t.Helper()
+	a := tb.send(tb.newRequest(http.MethodPost, "/v1/chat/completions", registreKey, body))
 	return a, parseStream(a.body)
 }
--- a/lab/fairness/simulation.go
+++ b/lab/fairness/simulation.go
@@ -185,8 +185,8 @@
 func (sim *simulation) exchangeDigests(now time.Duration) {
 	for i, d := range sim.daemons {
 		// The daemons send in turn, spread over the interval.
-		moment := sim.scenario.DigestEvery * time.Duration(i) / time.Duration(sim.scenario.Daemons) / tick * tick
-		if d.core == nil || now%sim.scenario.DigestEvery != moment {
+		offset := sim.scenario.DigestEvery * time.Duration(i) / time.Duration(sim.scenario.Daemons) / tick * tick
+		if d.core == nil || now%sim.scenario.DigestEvery != offset {
 			continue
 		}
 		digest := d.core.Digest(wallTime(now), false)
@@ -206,13 +206,13 @@
 		}
 	}
 	pending := sim.inTransit[:0]
-	for _, l := range sim.inTransit {
-		if l.at > now {
-			pending = append(pending, l)
+	for _, message := range sim.inTransit {
+		if message.at > now {
+			pending = append(pending, message)
 			continue
 		}
-		if d := sim.daemons[l.to]; d.core != nil {
-			d.core.MergeDigest(wallTime(now), daemonID(l.from), l.digest)
+		if d := sim.daemons[message.to]; d.core != nil {
+			d.core.MergeDigest(wallTime(now), daemonID(message.from), message.digest)
 		}
 	}
 	sim.inTransit = pending
@@ -237,16 +237,16 @@
 	}
 	pending := sim.retries[:0]
 	due := []retry{}
-	for _, b := range sim.retries {
-		if b.at > now {
-			pending = append(pending, b)
+	for _, retried := range sim.retries {
+		if retried.at > now {
+			pending = append(pending, retried)
 		} else {
-			due = append(due, b)
+			due = append(due, retried)
 		}
 	}
 	sim.retries = pending
-	for _, b := range due {
-		sim.offer(now, b.task, b.attempts)
+	for _, retried := range due {
+		sim.offer(now, retried.task, retried.attempts)
 	}
 }
 
--- a/lab/history/check.go
+++ b/lab/history/check.go
@@ -11,7 +11,8 @@
 	"github.com/merlindock/merlindock/ports"
 )
 
-// CallOutcome is the outcome that is reported to the caller of a keyed call.
+// CallOutcome is the outcome that is reported to the caller of a keyed call,
+// that is a call with an idempotency key.
 type CallOutcome string
 
 // Outcomes of a call.
--- a/lab/history/dispatcher.go
+++ b/lab/history/dispatcher.go
@@ -33,8 +33,8 @@
 	CrashBeforeComplete            // after the call ran, before its result is stored
 )
 
-// Dispatcher handles keyed calls at one daemon: it claims the key, sends the
-// call to the service and stores the result.
+// Dispatcher handles calls with idempotency keys at one daemon: it claims the
+// key, sends the call to the service and stores the result.
 type Dispatcher struct {
 	Log *plog.View
 
--- a/lab/history/leases_test.go
+++ b/lab/history/leases_test.go
@@ -120,12 +120,12 @@
 	return -1
 }
 
-func TestPausedLeaseHolderGivesNoOrders(t *testing.T) {
+func TestPausedLeaseHolderSendsNoOrders(t *testing.T) {
 	// The VM of the lease holder is suspended for a minute, and another daemon
 	// takes the lease over and sends orders. After it resumes, the first holder
 	// must send no orders, even to an endpoint that does not check fencing tokens.
 	// With holders that ignore the expiry, the checker must detect a violation.
-	for _, trusting := range []bool{false, true} {
+	for _, ignoresExpiry := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			lt := newLeaseTest(t, 3)
 			lt.run(30 * time.Second)
@@ -134,7 +134,7 @@
 				t.Fatal("no daemon holds the lease")
 			}
 			for _, l := range lt.leaders {
-				l.ignoresExpiry = trusting
+				l.ignoresExpiry = ignoresExpiry
 			}
 			lt.leaders[first].pause(true)
 			lt.run(time.Minute)
@@ -143,8 +143,8 @@
 			}
 			lt.leaders[first].pause(false)
 			lt.run(time.Minute)
-			if lt.fencingHolds() == trusting {
-				t.Fatalf("fencing holds: %v, with holders that ignore the expiry: %v", lt.fencingHolds(), trusting)
+			if lt.fencingHolds() == ignoresExpiry {
+				t.Fatalf("fencing holds: %v, with holders that ignore the expiry: %v", lt.fencingHolds(), ignoresExpiry)
 			}
 			lt.stop()
 		})
--- a/lab/replay/chooser.go
+++ b/lab/replay/chooser.go
@@ -22,7 +22,7 @@
 	failed(now time.Time, j *job, id fleet.EndpointID)
 	loadReported(id fleet.EndpointID, l fleet.Load)
 	cacheEvents(batch placement.EventBatch)
-	setAvailability(id fleet.EndpointID, g placement.Availability)
+	setAvailability(id fleet.EndpointID, availability placement.Availability)
 	expire(now time.Time)
 }
 
@@ -91,8 +91,8 @@
 	}
 }
 
-func (c *viewChooser) setAvailability(id fleet.EndpointID, g placement.Availability) {
-	c.view.SetAvailability(id, g)
+func (c *viewChooser) setAvailability(id fleet.EndpointID, availability placement.Availability) {
+	c.view.SetAvailability(id, availability)
 }
 func (c *viewChooser) expire(now time.Time) { c.view.Expire(now) }
 
@@ -111,8 +111,8 @@
 
 func (c *baselineChooser) loadReported(id fleet.EndpointID, l fleet.Load) { c.c.LoadReported(id, l) }
 
-func (c *baselineChooser) setAvailability(id fleet.EndpointID, g placement.Availability) {
-	c.c.SetAvailability(id, g)
+func (c *baselineChooser) setAvailability(id fleet.EndpointID, availability placement.Availability) {
+	c.c.SetAvailability(id, availability)
 }
 func (c *baselineChooser) finished(time.Time, *job)                 {}
 func (c *baselineChooser) failed(time.Time, *job, fleet.EndpointID) {}
--- a/lab/replay/daemon.go
+++ b/lab/replay/daemon.go
@@ -73,14 +73,14 @@
 }
 
 func (d *daemon) sendDigest() {
-	msg := d.admit.Digest(d.b.clock.now)
-	if msg == nil {
+	digest := d.admit.Digest(d.b.clock.now)
+	if digest == nil {
 		return
 	}
 	d.b.clock.background(d.b.clock.now.Add(d.b.options.DigestLag), func() {
 		for _, peer := range d.b.daemons {
 			if peer != d {
-				peer.admit.Merge(d.b.clock.now, d.index, msg)
+				peer.admit.Merge(d.b.clock.now, d.index, digest)
 			}
 		}
 	})
@@ -125,8 +125,8 @@
 	if !j.answered {
 		j.answered = true
 		d.b.meter.firstToken(d.b, j)
-		if s, ok := d.admit.(FirstTokenObserver); ok {
-			s.FirstToken(now, j.id)
+		if observer, ok := d.admit.(FirstTokenObserver); ok {
+			observer.FirstToken(now, j.id)
 			d.drain()
 		}
 	}
--- a/lab/replay/outcomes_test.go
+++ b/lab/replay/outcomes_test.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// The targets hold for traffic that has gone on for a while. The committed
-// traces are too short for the target of waste, hence two minutes.
+// The targets apply to sustained traffic. The committed traces are too short for
+// the target of waste, so traces of two minutes are generated.
 func TestHitRateAndWasteOnLongTraces(t *testing.T) {
 	g := trace.GeneratorOptions{Seed: 1, Duration: 2 * time.Minute}
 	for rate, generate := range map[float64]func(trace.GeneratorOptions) *trace.Trace{35: trace.Registre, 20: trace.Tsukushi} {
--- a/lab/replay/report.go
+++ b/lab/replay/report.go
@@ -188,8 +188,8 @@
 		}
 	}
 	var busy time.Duration
-	for _, q := range b.runners {
-		busy += q.busyTime
+	for _, each := range b.runners {
+		busy += each.busyTime
 	}
 	r.Utilisation = busy.Seconds() / (b.clock.now.Sub(startTime).Seconds() * float64(len(b.runners)))
 	m.reportShares(b, &r)
@@ -235,7 +235,7 @@
 	at := int(b.options.FaultAt.Seconds())
 	limit := float64(firstTokenLimit / time.Millisecond)
 	var later []time.Duration
-	good := 0
+	settledRun := 0
 	for i := range m.seconds {
 		if len(m.hotFirstTokens[i]) == 0 {
 			continue
@@ -244,11 +244,11 @@
 		if i >= at+hotSettleSeconds {
 			later = append(later, m.hotFirstTokens[i]...)
 		}
-		if m.seconds[i].HotP95 > limit && good < settledRunSeconds {
-			good = 0
+		if m.seconds[i].HotP95 > limit && settledRun < settledRunSeconds {
+			settledRun = 0
 			r.HotSettledSeconds = float64(i + 1 - at)
 		} else {
-			good++
+			settledRun++
 		}
 	}
 	if len(later) > 0 {
