--- a/lab/capacity/realtime.go
+++ b/lab/capacity/realtime.go
@@ -38,11 +38,11 @@
 
 func applySection() Slope {
 	return measure("apply one organisation's change", "organisations", "ns", organisationSizes, func(size int) float64 {
-		fold, _, err := labmeasure.SectionApplier(size)
-		must(fold, err)
+		apply, _, err := labmeasure.SectionApplier(size)
+		must(apply, err)
 		return nanoseconds(func(n int) {
 			for range n {
-				must(0, fold())
+				must(0, apply())
 			}
 		})
 	})
--- a/lab/capacity/tables.go
+++ b/lab/capacity/tables.go
@@ -54,16 +54,16 @@
 
 func writeCrossings(w io.Writer, crossings []LimitCrossing) {
 	fmt.Fprint(w, "\n## Limits exceeded first\n\nFrom Registre's sizes to the target's, with every size at the same fraction of its growth:\n\n| row | exceeds its limit at | mechanism |\n|---|---|---|\n")
-	for _, x := range crossings {
+	for _, crossing := range crossings {
 		fmt.Fprintf(w, "| %s: %s | %.0f daemons, %.0f endpoints, %.0f organisations | %s |\n",
-			x.Row.Role, x.Row.Name, x.Sizes.Daemons, x.Sizes.Endpoints, x.Sizes.Organisations, x.Row.Mechanism)
+			crossing.Row.Role, crossing.Row.Name, crossing.Sizes.Daemons, crossing.Sizes.Endpoints, crossing.Sizes.Organisations, crossing.Row.Mechanism)
 	}
 }
 
 func (set *SlopeSet) writeFailures(w io.Writer) {
 	fmt.Fprint(w, "\n## Failures at the target\n\n| failure | effect | bounded by |\n|---|---|---|\n")
-	for _, d := range set.Failures(Target) {
-		fmt.Fprintf(w, "| %s | %s | %s |\n", d.Event, d.Effect, d.Mitigation)
+	for _, failure := range set.Failures(Target) {
+		fmt.Fprintf(w, "| %s | %s | %s |\n", failure.Event, failure.Effect, failure.Mitigation)
 	}
 }
 
--- a/lab/measure/control.go
+++ b/lab/measure/control.go
@@ -215,8 +215,8 @@
 	return nil
 }
 
-// RunControlPlane measures the cost of the regular exchanges for each
-// daemon while no manifest is published.
+// RunControlPlane measures the cost of the regular exchanges for each daemon
+// while no manifest is published.
 func RunControlPlane(o ControlPlaneOptions) (ControlPlaneCost, error) {
 	c, err := startDaemons(o)
 	if err != nil {
@@ -248,9 +248,9 @@
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
 }
 
-// RunManifestPropagation measures, on loopback, the time from the moment
-// that one daemon accepts a manifest of the given size until all others have
-// accepted it. It fails after a minute.
+// RunManifestPropagation measures, on loopback, the time from the acceptance of
+// a manifest of the given size by one daemon until all others have accepted it.
+// It fails after a minute.
 func RunManifestPropagation(o ControlPlaneOptions, manifestBytes int) (time.Duration, error) {
 	c, err := startDaemons(o)
 	if err != nil {
@@ -265,11 +265,11 @@
 		return 0, err
 	}
 	c.nodes[0].service.AnnounceManifest()
-	limit := time.After(time.Minute)
+	timeout := time.After(time.Minute)
 	for range c.nodes {
 		select {
 		case <-c.received:
-		case <-limit:
+		case <-timeout:
 			return 0, errors.New("measure: manifest did not reach all daemons within a minute")
 		}
 	}
--- a/lab/measure/restart.go
+++ b/lab/measure/restart.go
@@ -23,8 +23,8 @@
 // restartTimeout bounds a whole measurement.
 const restartTimeout = 30 * time.Second
 
-// RunRestart restarts one of three daemons with six runners, on loopback,
-// once with the log available and once with the log down.
+// RunRestart restarts one of three daemons with six runners, on loopback, once
+// with the log available and once with the log down.
 func RunRestart() (RestartTimes, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), restartTimeout)
 	defer cancel()
@@ -48,14 +48,14 @@
 	if err := c.WaitReady(ctx); err != nil {
 		return RestartTimes{}, err
 	}
-	var cost RestartTimes
-	if cost.LogUp, err = restartNode(ctx, c); err != nil {
-		return cost, err
+	var times RestartTimes
+	if times.LogUp, err = restartNode(ctx, c); err != nil {
+		return times, err
 	}
 	w.Log.SetOutage(true)
 	defer w.Log.SetOutage(false)
-	cost.LogDown, err = restartNode(ctx, c)
-	return cost, err
+	times.LogDown, err = restartNode(ctx, c)
+	return times, err
 }
 
 // restartNode drains and restarts the first node and returns the time until it
--- a/lab/standin/cache.go
+++ b/lab/standin/cache.go
@@ -22,13 +22,13 @@
 	onEvent   func(kind string, key prefix.Key)
 }
 
-func newPieceCache(limit int, changed func(kind string, key prefix.Key)) *pieceCache {
+func newPieceCache(limit int, onEvent func(kind string, key prefix.Key)) *pieceCache {
 	return &pieceCache{
 		limit:     limit,
 		order:     list.New(),
 		index:     make(map[uint64]*list.Element),
 		levelKeys: make(map[uint64][]prefix.Key),
-		onEvent:   changed,
+		onEvent:   onEvent,
 	}
 }
 
@@ -70,10 +70,10 @@
 // reports the level as stored. It has no effect if the piece is not cached, has
 // the key already or has maxKeysPerPiece keys.
 func (c *pieceCache) addLevelKey(piece uint64, key prefix.Key) {
-	names := c.levelKeys[piece]
-	if c.index[piece] == nil || len(names) == maxKeysPerPiece || slices.Contains(names, key) {
+	keys := c.levelKeys[piece]
+	if c.index[piece] == nil || len(keys) == maxKeysPerPiece || slices.Contains(keys, key) {
 		return
 	}
-	c.levelKeys[piece] = append(names, key)
+	c.levelKeys[piece] = append(keys, key)
 	c.onEvent(engine.CacheStored, key)
 }
--- a/lab/standin/transfer.go
+++ b/lab/standin/transfer.go
@@ -23,17 +23,17 @@
 // importPrefix imports the prompt's levels from the KV store and counts them as
 // cached. A failing store doesn't fail the request: tokens that were not delivered
 // are computed.
-func (j *job) importPrefix(todo int64) {
+func (j *job) importPrefix(missingTokens int64) {
 	address := j.req.Header.Get(engine.HeaderImportFrom)
 	if j.r.o.Plain || address == "" || totalTokens(j.levels) <= j.cached {
 		return
 	}
-	limit := max(minImportTimeout, time.Duration(todo)*j.r.o.Prefill)
-	ctx, cancel := context.WithTimeout(j.ctx, limit)
+	timeout := max(minImportTimeout, time.Duration(missingTokens)*j.r.o.Prefill)
+	ctx, cancel := context.WithTimeout(j.ctx, timeout)
 	defer cancel()
-	got := j.fetch(ctx, address)
+	delivered := j.fetch(ctx, address)
 	size := j.r.o.PieceTokens
-	imported := min(got, len(j.prompt)/j.r.o.BytesPerToken) / size * size
+	imported := min(delivered, len(j.prompt)/j.r.o.BytesPerToken) / size * size
 	r := j.r
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/logging/logging.go
+++ b/logging/logging.go
@@ -59,26 +59,26 @@
 }
 
 // For returns the logger of a component.
-func (f *Factory) For(part Component) *Logger {
-	return &Logger{out: f.out, component: part}
+func (f *Factory) For(component Component) *Logger {
+	return &Logger{out: f.out, component: component}
 }
 
-func (l *Logger) line(e *log.Entry, sentence string, fields []any) {
+func (l *Logger) line(e *log.Entry, message string, fields []any) {
 	if e == nil {
 		return
 	}
-	e.KeysAndValues(fields...).Msg(string(l.component) + ": " + sentence)
+	e.KeysAndValues(fields...).Msg(string(l.component) + ": " + message)
 }
 
 // Debug logs details that help to trace single requests.
-func (l *Logger) Debug(sentence string, fields ...any) { l.line(l.out.Debug(), sentence, fields) }
+func (l *Logger) Debug(message string, fields ...any) { l.line(l.out.Debug(), message, fields) }
 
 // Info logs a change of state.
-func (l *Logger) Info(sentence string, fields ...any) { l.line(l.out.Info(), sentence, fields) }
+func (l *Logger) Info(message string, fields ...any) { l.line(l.out.Info(), message, fields) }
 
 // Warn logs a problem that the process could handle but an operator may need to
 // know about.
-func (l *Logger) Warn(sentence string, fields ...any) { l.line(l.out.Warn(), sentence, fields) }
+func (l *Logger) Warn(message string, fields ...any) { l.line(l.out.Warn(), message, fields) }
 
 // Error logs a failure that the process could not handle.
-func (l *Logger) Error(sentence string, fields ...any) { l.line(l.out.Error(), sentence, fields) }
+func (l *Logger) Error(message string, fields ...any) { l.line(l.out.Error(), message, fields) }
