--- a/lab/history/leases_test.go
+++ b/lab/history/leases_test.go
@@ -42,12 +42,12 @@
 // leaseTest runs several leaders and two endpoints, one of which checks fencing
 // tokens while the other accepts every order.
 type leaseTest struct {
-	t       *testing.T
-	log     *plog.Log
-	rec     *Recorder
-	leaders []*leader
-	given   int
-	newest  ports.Offset // fencing token at the endpoint that checks it
+	t          *testing.T
+	log        *plog.Log
+	rec        *Recorder
+	leaders    []*leader
+	sentOrders int
+	newest     ports.Offset // fencing token at the endpoint that checks it
 }
 
 func newLeaseTest(t *testing.T, n int) *leaseTest {
@@ -85,14 +85,14 @@
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for i, l := range lt.leaders {
 			if fence, ok := l.currentFence(); ok && !l.paused {
-				lt.giveOrder(i, fence)
+				lt.sendOrder(i, fence)
 			}
 		}
 	}
 }
 
-func (lt *leaseTest) giveOrder(client int, fence ports.Offset) {
-	lt.given++
+func (lt *leaseTest) sendOrder(client int, fence ports.Offset) {
+	lt.sentOrders++
 	lt.rec.Add(client, lt.rec.Now(), acceptedOrder{endpoint: "accepts all", fence: fence}, nil)
 	time.Sleep(time.Microsecond)
 	if fence >= lt.newest {
@@ -167,10 +167,10 @@
 				for _, l := range lt.leaders {
 					l.pause(false)
 				}
-				before := lt.given
+				before := lt.sentOrders
 				lt.run(8 * time.Minute)
-				if !lt.fencingHolds() || lt.given == before {
-					t.Fatalf("history holds: %v, orders after the faults: %d", lt.fencingHolds(), lt.given-before)
+				if !lt.fencingHolds() || lt.sentOrders == before {
+					t.Fatalf("history holds: %v, orders after the faults: %d", lt.fencingHolds(), lt.sentOrders-before)
 				}
 				lt.stop()
 			})
@@ -195,7 +195,7 @@
 		lt.leaders[i].pause(true)
 	case 6:
 		lt.leaders[i].kill()
-		lt.leaders[i] = lt.start(fmt.Sprintf("life-%d-%d", i, lt.given), r.Uint64())
+		lt.leaders[i] = lt.start(fmt.Sprintf("life-%d-%d", i, lt.sentOrders), r.Uint64())
 	case 7:
 		lt.log.TruncateAll()
 	}
--- a/lab/standin/ordered_fleet_test.go
+++ b/lab/standin/ordered_fleet_test.go
@@ -130,20 +130,20 @@
 		p.mu.Unlock()
 	}
 	p.suspend(before)
-	taken := req.Clone(context.Background())
+	clone := req.Clone(context.Background())
 	if req.Body != nil {
 		text, err := io.ReadAll(req.Body)
 		if err != nil {
 			return nil, err
 		}
-		taken.Body = io.NopCloser(bytes.NewReader(text))
+		clone.Body = io.NopCloser(bytes.NewReader(text))
 	}
 	if network == 0 {
-		return p.f.serve(req.URL.Host, taken)
+		return p.f.serve(req.URL.Host, clone)
 	}
 	p.lateAddress.Store(req.URL.Host)
 	time.AfterFunc(network, func() {
-		if resp, err := p.f.serve(req.URL.Host, taken); err == nil {
+		if resp, err := p.f.serve(req.URL.Host, clone); err == nil {
 			resp.Body.Close()
 		}
 	})
@@ -180,11 +180,11 @@
 // runLeader starts a rollout leader under a lease, and returns a function that stops
 // it.
 func (f *orderedFleet) runLeader(p *leaderTransport, l orders.Lease, run func(context.Context) error) func() {
-	g := orders.New(orders.Options{Lease: l, FleetState: f.state, Transport: p})
+	leader := orders.New(orders.Options{Lease: l, FleetState: f.state, Transport: p})
 	ctx, cancel := context.WithCancel(context.Background())
 	var done sync.WaitGroup
 	done.Go(func() { _ = run(ctx) })
-	done.Go(func() { _ = g.Run(ctx) })
+	done.Go(func() { _ = leader.Run(ctx) })
 	stop := func() {
 		cancel()
 		done.Wait()
--- a/lab/standin/runner.go
+++ b/lab/standin/runner.go
@@ -290,10 +290,10 @@
 // context ended.
 func (j *job) prefill() bool {
 	r := j.r
-	todo := int64(len(j.prompt)/r.o.BytesPerToken + 1 - j.cached)
+	missingTokens := int64(len(j.prompt)/r.o.BytesPerToken + 1 - j.cached)
 	r.waiting.Add(1)
-	r.queued.Add(todo)
-	defer r.queued.Add(-todo)
+	r.queued.Add(missingTokens)
+	defer r.queued.Add(-missingTokens)
 	select {
 	case r.slots <- struct{}{}:
 		r.waiting.Add(-1)
@@ -306,7 +306,7 @@
 		<-r.slots
 		r.running.Add(-1)
 	})
-	j.importPrefix(todo)
+	j.importPrefix(missingTokens)
 	missing := len(j.prompt)/r.o.BytesPerToken + 1 - j.cached
 	if pause.For(j.ctx, time.Duration(missing)*r.o.Prefill) != nil {
 		return false
