--- a/lab/history/leases_test.go
+++ b/lab/history/leases_test.go
@@ -15,19 +15,19 @@
 
 const leaseTTL = 15 * time.Second
 
-// leader is a daemon that gives orders to endpoints while it holds the lease.
+// leader is a daemon that sends orders to endpoints while it holds the lease.
 type leader struct {
 	log    *plog.View
 	keeper *logio.LeaseKeeper
 	kill   context.CancelFunc
 	paused bool
-	// ignoresExpiry makes it give orders with its last lease even after expiry.
+	// ignoresExpiry makes it send orders with its last lease even after expiry.
 	ignoresExpiry bool
 	fence         ports.Offset
 }
 
 // currentFence returns the fencing token that the leader would send now, and
-// whether it would give orders.
+// whether it would send orders.
 func (l *leader) currentFence() (ports.Offset, bool) {
 	h, ok := l.keeper.Holding(time.Now())
 	if ok {
@@ -42,12 +42,12 @@
 // leaseTest runs several leaders and two endpoints, one of which checks fencing
 // tokens while the other accepts every order.
 type leaseTest struct {
-	t       *testing.T
-	log     *plog.Log
-	rec     *Recorder
-	leaders []*leader
-	given   int
-	newest  ports.Offset // fencing token at the endpoint that checks it
+	t          *testing.T
+	log        *plog.Log
+	rec        *Recorder
+	leaders    []*leader
+	sentOrders int
+	newest     ports.Offset // fencing token at the endpoint that checks it
 }
 
 func newLeaseTest(t *testing.T, n int) *leaseTest {
@@ -79,20 +79,20 @@
 	}
 }
 
-// run runs for a duration in which every leader that holds the lease gives
+// run runs for a duration in which every leader that holds the lease sends
 // orders.
 func (lt *leaseTest) run(d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		for i, l := range lt.leaders {
 			if fence, ok := l.currentFence(); ok && !l.paused {
-				lt.giveOrder(i, fence)
+				lt.sendOrder(i, fence)
 			}
 		}
 	}
 }
 
-func (lt *leaseTest) giveOrder(client int, fence ports.Offset) {
-	lt.given++
+func (lt *leaseTest) sendOrder(client int, fence ports.Offset) {
+	lt.sentOrders++
 	lt.rec.Add(client, lt.rec.Now(), acceptedOrder{endpoint: "accepts all", fence: fence}, nil)
 	time.Sleep(time.Microsecond)
 	if fence >= lt.newest {
@@ -120,12 +120,12 @@
 	return -1
 }
 
-func TestPausedLeaseHolderGivesNoOrders(t *testing.T) {
+func TestPausedLeaseHolderSendsNoOrders(t *testing.T) {
 	// The VM of the lease holder is suspended for a minute, and another daemon
-	// takes the lease over and gives orders. After it resumes, the first holder
-	// must give no orders, even to an endpoint that does not check fencing tokens.
+	// takes the lease over and sends orders. After it resumes, the first holder
+	// must send no orders, even to an endpoint that does not check fencing tokens.
 	// With holders that ignore the expiry, the checker must detect a violation.
-	for _, trusting := range []bool{false, true} {
+	for _, ignoresExpiry := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			lt := newLeaseTest(t, 3)
 			lt.run(30 * time.Second)
@@ -134,7 +134,7 @@
 				t.Fatal("no daemon holds the lease")
 			}
 			for _, l := range lt.leaders {
-				l.ignoresExpiry = trusting
+				l.ignoresExpiry = ignoresExpiry
 			}
 			lt.leaders[first].pause(true)
 			lt.run(time.Minute)
@@ -143,8 +143,8 @@
 			}
 			lt.leaders[first].pause(false)
 			lt.run(time.Minute)
-			if lt.fencingHolds() == trusting {
-				t.Fatalf("fencing holds: %v, with holders that ignore the expiry: %v", lt.fencingHolds(), trusting)
+			if lt.fencingHolds() == ignoresExpiry {
+				t.Fatalf("fencing holds: %v, with holders that ignore the expiry: %v", lt.fencingHolds(), ignoresExpiry)
 			}
 			lt.stop()
 		})
@@ -167,10 +167,10 @@
 				for _, l := range lt.leaders {
 					l.pause(false)
 				}
-				before := lt.given
+				before := lt.sentOrders
 				lt.run(8 * time.Minute)
-				if !lt.fencingHolds() || lt.given == before {
-					t.Fatalf("history holds: %v, orders after the faults: %d", lt.fencingHolds(), lt.given-before)
+				if !lt.fencingHolds() || lt.sentOrders == before {
+					t.Fatalf("history holds: %v, orders after the faults: %d", lt.fencingHolds(), lt.sentOrders-before)
 				}
 				lt.stop()
 			})
@@ -195,7 +195,7 @@
 		lt.leaders[i].pause(true)
 	case 6:
 		lt.leaders[i].kill()
-		lt.leaders[i] = lt.start(fmt.Sprintf("life-%d-%d", i, lt.given), r.Uint64())
+		lt.leaders[i] = lt.start(fmt.Sprintf("life-%d-%d", i, lt.sentOrders), r.Uint64())
 	case 7:
 		lt.log.TruncateAll()
 	}
